--- a/crates/asterdale-daemon/tests/upgrade.rs
+++ b/crates/asterdale-daemon/tests/upgrade.rs
@@ -47,7 +47,8 @@
     fn new() -> Site {
         let folder = folder(0o700);
         let control = folder.join("control");
-        let backend = Backend::start_before_runtime(|config| config["upgrade"] = json!({"control": control}));
+        let backend =
+            Backend::start_before_runtime(|config| config["upgrade"] = json!({"control": control}));
         drop(backend.connect());
         backend.runtime.up();
         backend.counters_until(|count| count("links") == 1);
@@ -89,7 +90,14 @@
         until("the nonce", || nonce.exists());
         let stream = UnixStream::connect(self.control()).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        (asked, Puppet { stream, incoming: Incoming::default() }, std::fs::read(nonce).unwrap())
+        (
+            asked,
+            Puppet {
+                stream,
+                incoming: Incoming::default(),
+            },
+            std::fs::read(nonce).unwrap(),
+        )
     }
 
     /// The old process serves while it waits for the new one.
@@ -106,10 +114,18 @@
         let output = asked.wait_with_output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(2), "{text}");
-        assert!(text.contains("the old process carries on") && text.contains(why), "{text}");
+        assert!(
+            text.contains("the old process carries on") && text.contains(why),
+            "{text}"
+        );
         let mut edge = self.backend.connect();
         edge.task(1, "bid", B, &[KEY]);
-        until("the start", || self.backend.runtime.commanded().is_some_and(|command| command["rid"] == B));
+        until("the start", || {
+            self.backend
+                .runtime
+                .commanded()
+                .is_some_and(|command| command["rid"] == B)
+        });
         self.backend.runtime.end(B, "PASS", b"sold");
         assert_eq!(edge.answer().unwrap().body, b"sold");
         edge.task(2, "bid", A, &[KEY]);
@@ -128,7 +144,11 @@
     }
 
     fn hello(&mut self, nonce: &[u8], version: u32) {
-        self.say(What::Hello(Hello { version, shape: asterdale::snapshot::SHAPE, nonce: nonce.to_vec() }));
+        self.say(What::Hello(Hello {
+            version,
+            shape: asterdale::snapshot::SHAPE,
+            nonce: nonce.to_vec(),
+        }));
     }
 
     /// The next frame; `None` at the end. Descriptors that come with it are dropped.
@@ -189,7 +209,9 @@
     let site = Site::new();
     let (asked, mut puppet, nonce) = site.begin();
     puppet.hello(&nonce, asterdale_handover::VERSION);
-    puppet.say(What::Refuse(Refuse { why: "no disk".into() }));
+    puppet.say(What::Refuse(Refuse {
+        why: "no disk".into(),
+    }));
     site.carries_on(asked, "no disk");
     let site = Site::new();
     let (asked, mut puppet, nonce) = site.begin();
@@ -215,9 +237,14 @@
     // After a second the old one goes on.
     assert_eq!(edge.answer().unwrap().body, b"meanwhile");
     until("the start", || {
-        site.backend.runtime.commanded().is_some_and(|command| command["rid"] == "00000000000000cc")
+        site.backend
+            .runtime
+            .commanded()
+            .is_some_and(|command| command["rid"] == "00000000000000cc")
     });
-    site.backend.runtime.end("00000000000000cc", "PASS", b"late");
+    site.backend
+        .runtime
+        .end("00000000000000cc", "PASS", b"late");
     assert_eq!(other.answer().unwrap().body, b"late");
     site.carries_on(asked, "too long");
     // Its word comes too late: nobody hears it.
@@ -228,11 +255,18 @@
 fn a_second_upgrade_is_turned_away_while_one_is_under_way() {
     let site = Site::new();
     let (asked, puppet, _nonce) = site.begin();
-    let second = site.ask(&site.folder.join("nowhere")).wait_with_output().unwrap();
-    assert!(String::from_utf8(second.stderr).unwrap().contains("an upgrade is under way"));
+    let second = site
+        .ask(&site.folder.join("nowhere"))
+        .wait_with_output()
+        .unwrap();
+    assert!(String::from_utf8(second.stderr)
+        .unwrap()
+        .contains("an upgrade is under way"));
     drop(puppet);
     let mut stranger = UnixStream::connect(site.control()).unwrap();
-    stranger.write_all(&encode(What::Hello(Hello::default()))).unwrap();
+    stranger
+        .write_all(&encode(What::Hello(Hello::default())))
+        .unwrap();
     site.carries_on(asked, "a stranger");
 }
 
@@ -284,13 +318,19 @@
     for descriptors in [4, 6, 9, 12, 24, 512] {
         let program = asterdale_rig::process::program();
         let program = std::fs::canonicalize(program).unwrap();
-        let text = format!("#!/bin/sh\nulimit -n {descriptors}\nexec {} \"$@\"\n", program.display());
+        let text = format!(
+            "#!/bin/sh\nulimit -n {descriptors}\nexec {} \"$@\"\n",
+            program.display()
+        );
         std::fs::write(&path, text).unwrap();
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).unwrap();
         // Before the commit: after it, it would have the work and accept nothing.
         let output = site.ask(&path).wait_with_output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
-        assert!(text.contains("the old process carries on"), "{descriptors}: {text}");
+        assert!(
+            text.contains("the old process carries on"),
+            "{descriptors}: {text}"
+        );
     }
     let last = site.ask(&site.folder.join("nowhere"));
     site.carries_on(last, "nowhere");
@@ -307,7 +347,9 @@
     assert!(matches!(puppet.hear(), Some(What::Offer(_))));
     site.backend.signal("-HUP");
     site.backend.signal("-TERM");
-    until("the notice", || site.backend.log().contains("host: leaving"));
+    until("the notice", || {
+        site.backend.log().contains("host: leaving")
+    });
     site.backend.runtime.end(A, "PASS", b"in time");
     assert_eq!(edge.answer().unwrap().body, b"in time");
     assert!(site.backend.ended().0.success());
@@ -324,13 +366,16 @@
     site.backend.runtime.end(A, "PASS", b"sold");
     assert_eq!(edge.status(1), "200");
     site.backend.signal("-USR2");
-    until("the new process", || site.backend.log().contains("this process goes on"));
+    until("the new process", || {
+        site.backend.log().contains("this process goes on")
+    });
     let new = successor(&site.backend.log());
     site.backend.signal("-KILL");
     // The first connections may still have been taken by the one that is killed.
     until("an answer", || {
         let mut edge = site.backend.connect();
-        edge.try_send(&asterdale_rig::scripted::request(1, "/healthz", &[], b"")).is_ok()
+        edge.try_send(&asterdale_rig::scripted::request(1, "/healthz", &[], b""))
+            .is_ok()
             && matches!(edge.try_answer(), Ok(Some(answer)) if answer.status() == "200")
     });
     let mut edge = site.backend.connect();
@@ -342,14 +387,20 @@
 
 /// The process that went on, by its own line.
 fn successor(log: &str) -> u32 {
-    let line = log.lines().rfind(|line| line.contains("this process goes on")).unwrap();
+    let line = log
+        .lines()
+        .rfind(|line| line.contains("this process goes on"))
+        .unwrap();
     let number = line.split("process: ").nth(1).unwrap();
     number.split(',').next().unwrap().trim().parse().unwrap()
 }
 
 /// What a line of the log says of the module, after these words.
 fn gist(log: &str, words: &str) -> String {
-    let line = log.lines().find(|line| line.contains(words)).unwrap_or_else(|| panic!("no {words} in {log}"));
+    let line = log
+        .lines()
+        .find(|line| line.contains(words))
+        .unwrap_or_else(|| panic!("no {words} in {log}"));
     let from = line.find("Gist {").unwrap();
     line[from..line[from..].find('}').unwrap() + from].to_owned()
 }
@@ -369,12 +420,19 @@
     site.backend.runtime.command("start");
     // By the signal: to the program that runs.
     site.backend.signal("-USR2");
-    until("the new process", || site.backend.log().contains("this process goes on"));
+    until("the new process", || {
+        site.backend.log().contains("this process goes on")
+    });
     let new = successor(&site.backend.log());
     let log = site.backend.log();
-    assert_eq!(gist(&log, "this one guards it"), gist(&log, "this process goes on"));
+    assert_eq!(
+        gist(&log, "this one guards it"),
+        gist(&log, "this process goes on")
+    );
     // What the old one had started ends for the new one, and is answered over the old one's connection.
-    until("the link", || site.backend.log().matches("runtime: linked").count() == 2);
+    until("the link", || {
+        site.backend.log().matches("runtime: linked").count() == 2
+    });
     site.backend.runtime.end(A, "PASS", b"sold");
     let answer = edge.answer().unwrap();
     assert_eq!((answer.request, answer.body.as_slice()), (50, &b"sold"[..]));
@@ -391,9 +449,16 @@
     // Its connections break; what came over the old one's (one of which may have been made since) hears that
     // nothing is claimed.
     let end = other.answer();
-    assert!(end.as_ref().is_none_or(|answer| answer.status() == "500"), "{end:?}");
-    until("the way back", || site.backend.log().contains("takes the work back"));
-    site.backend.runtime.end("00000000000000cc", "PASS", b"by the dead one");
+    assert!(
+        end.as_ref().is_none_or(|answer| answer.status() == "500"),
+        "{end:?}"
+    );
+    until("the way back", || {
+        site.backend.log().contains("takes the work back")
+    });
+    site.backend
+        .runtime
+        .end("00000000000000cc", "PASS", b"by the dead one");
     let mut again = site.backend.connect();
     again.task(1, "bid", "00000000000000dd", &[late]);
     assert_eq!(again.answer().unwrap().body, b"by the dead one");
--- a/crates/asterdale-facts/src/lib.rs
+++ b/crates/asterdale-facts/src/lib.rs
@@ -38,23 +38,26 @@
 pub fn from_json(seed: u64, all: &Value) -> Facts {
     let (extra, rules, limits) = (&all["extra"], &all["guarantees"], &all["limits"]);
     let (without, calls) = (list(&extra["worthWithout"]), list(&extra["classCalls"]));
-    let stages = list(&all["lanes"]).iter().enumerate().map(|(n, lane)| StageFacts {
-        due_ms: ms(&lane["objectiveNs"]),
-        limit_ms: ms(&lane["deadlineNs"]),
-        utility: number(&lane["worth"]),
-        late_share: number(&lane["lateShare"]),
-        without_call: without.get(n).map_or(0.0, number),
-        calls: calls.get(n).and_then(Value::as_bool).unwrap_or(false),
-        repeat: match lane["repeat"].as_str() {
-            Some("repeatable") => Repeat::Restartable,
-            Some("by_key") => Repeat::Fingerprinted,
-            _ => Repeat::SideEffecting,
-        },
-        memory_ms: ms(&lane["memorySpanNs"]),
-    });
-    let customers = list(&all["tenants"])
+    let stages = list(&all["lanes"])
         .iter()
-        .map(|tenant| CustomerFacts { allowance_per_s: number(&tenant["allowancePerS"]) });
+        .enumerate()
+        .map(|(n, lane)| StageFacts {
+            due_ms: ms(&lane["objectiveNs"]),
+            limit_ms: ms(&lane["deadlineNs"]),
+            utility: number(&lane["worth"]),
+            late_share: number(&lane["lateShare"]),
+            without_call: without.get(n).map_or(0.0, number),
+            calls: calls.get(n).and_then(Value::as_bool).unwrap_or(false),
+            repeat: match lane["repeat"].as_str() {
+                Some("repeatable") => Repeat::Restartable,
+                Some("by_key") => Repeat::Fingerprinted,
+                _ => Repeat::SideEffecting,
+            },
+            memory_ms: ms(&lane["memorySpanNs"]),
+        });
+    let customers = list(&all["tenants"]).iter().map(|tenant| CustomerFacts {
+        allowance_per_s: number(&tenant["allowancePerS"]),
+    });
     let told = Told {
         seed,
         cores: number(&extra["cores"]),
@@ -103,8 +106,14 @@
     let text = |value: &Value| value.as_str().unwrap_or("").to_owned();
     Facts {
         told,
-        stages: list(&all["lanes"]).iter().map(|lane| text(&lane["name"])).collect(),
-        tenants: list(&all["tenants"]).iter().map(|tenant| text(&tenant["name"])).collect(),
+        stages: list(&all["lanes"])
+            .iter()
+            .map(|lane| text(&lane["name"]))
+            .collect(),
+        tenants: list(&all["tenants"])
+            .iter()
+            .map(|tenant| text(&tenant["name"]))
+            .collect(),
         gauges: list(&extra["ownStats"]).iter().map(text).collect(),
     }
 }
@@ -118,12 +127,23 @@
         let text =
             br#"{"new": [1, {"a": null}], "extra": {"cores": 6, "below": "shared", "ownStats": ["core_use"]},
             "lanes": [{"name": "bid", "repeat": "by_key", "objectiveNs": 2500000, "worth": 3.0}]}"#;
-        let Facts { told, stages, tenants, gauges } = read(7, text).unwrap();
+        let Facts {
+            told,
+            stages,
+            tenants,
+            gauges,
+        } = read(7, text).unwrap();
         assert!(tenants.is_empty());
         assert_eq!((told.seed, told.cores, told.memory_kb), (7, 6.0, 0.0));
         assert_eq!((told.below, told.halt), (Below::Shared, Halt::Never));
-        assert_eq!((told.stages[0].due_ms, told.stages[0].repeat), (2.5, Repeat::Fingerprinted));
-        assert_eq!((gauges, stages), (vec!["core_use".to_owned()], vec!["bid".to_owned()]));
+        assert_eq!(
+            (told.stages[0].due_ms, told.stages[0].repeat),
+            (2.5, Repeat::Fingerprinted)
+        );
+        assert_eq!(
+            (gauges, stages),
+            (vec!["core_use".to_owned()], vec!["bid".to_owned()])
+        );
         assert!(read(7, b"{").is_err());
     }
 }
--- a/crates/asterdale-fastcgi/src/answer.rs
+++ b/crates/asterdale-fastcgi/src/answer.rs
@@ -30,7 +30,11 @@
     /// A whole answer: one STDOUT record with head and body, the end of that stream, and END_REQUEST. Head
     /// and body together must be under 64 KiB; the body is cut there.
     pub fn new(id: u16, head: &str, body: Arc<[u8]>) -> Answer {
-        let body = if head.len() + body.len() > 65_535 { body[..65_535 - head.len()].into() } else { body };
+        let body = if head.len() + body.len() > 65_535 {
+            body[..65_535 - head.len()].into()
+        } else {
+            body
+        };
         let length = head.len() + body.len();
         let padding = (8 - length % 8) % 8;
         let mut front = Vec::with_capacity(8 + head.len());
@@ -44,11 +48,19 @@
 
     /// The pieces to be written, in order.
     pub fn slices(&self) -> [IoSlice<'_>; 3] {
-        [IoSlice::new(&self.front), IoSlice::new(&self.body), IoSlice::new(&self.end)]
+        [
+            IoSlice::new(&self.front),
+            IoSlice::new(&self.body),
+            IoSlice::new(&self.end),
+        ]
     }
 
     fn bare(front: Vec<u8>) -> Answer {
-        Answer { front, body: Arc::new([]), end: Vec::new() }
+        Answer {
+            front,
+            body: Arc::new([]),
+            end: Vec::new(),
+        }
     }
 }
 
@@ -73,7 +85,10 @@
     ];
     let mut content = Vec::new();
     for (name, value) in &known {
-        if Params(asked).flatten().any(|(wanted, _)| wanted == name.as_bytes()) {
+        if Params(asked)
+            .flatten()
+            .any(|(wanted, _)| wanted == name.as_bytes())
+        {
             content.extend([name.len() as u8, value.len() as u8]);
             content.extend_from_slice(name.as_bytes());
             content.extend_from_slice(value.as_bytes());
@@ -90,7 +105,11 @@
     use crate::Incoming;
 
     fn read(answer: &Answer) -> Vec<(u8, u16, Vec<u8>)> {
-        let bytes = answer.slices().iter().flat_map(|part| part.to_vec()).collect::<Vec<u8>>();
+        let bytes = answer
+            .slices()
+            .iter()
+            .flat_map(|part| part.to_vec())
+            .collect::<Vec<u8>>();
         let (mut incoming, mut got) = (Incoming::default(), Vec::new());
         for part in bytes.chunks(4096) {
             incoming.room()[..part.len()].copy_from_slice(part);
@@ -109,7 +128,10 @@
             let mut content = b"Status: 200\r\n\r\n".to_vec();
             content.extend(vec![9; length]);
             let end = vec![0; 8];
-            assert_eq!(read(&answer), [(6, 300, content), (6, 300, Vec::new()), (3, 300, end)]);
+            assert_eq!(
+                read(&answer),
+                [(6, 300, content), (6, 300, Vec::new()), (3, 300, end)]
+            );
         }
     }
 
@@ -117,7 +139,10 @@
     fn values_that_are_asked_for_are_told_and_others_are_not() {
         let got = read(&values_result(b"\x0f\0FCGI_MPXS_CONNS\x03\0ABC", 5, 32));
         assert_eq!(got, [(10, 0, b"\x0f\x01FCGI_MPXS_CONNS1".to_vec())]);
-        assert_eq!(read(&unknown_type(99)), [(11, 0, vec![99, 0, 0, 0, 0, 0, 0, 0])]);
+        assert_eq!(
+            read(&unknown_type(99)),
+            [(11, 0, vec![99, 0, 0, 0, 0, 0, 0, 0])]
+        );
         assert_eq!(read(&refusal(2, 3)), [(3, 2, vec![0, 0, 0, 0, 3, 0, 0, 0])]);
     }
 }
--- a/crates/asterdale-fastcgi/src/params.rs
+++ b/crates/asterdale-fastcgi/src/params.rs
@@ -54,12 +54,20 @@
         bytes.extend([b'x'; 200]);
         bytes.extend([128, 0, 0, 2, 0, b'b', b'c']);
         let pairs: Vec<_> = Params(&bytes).map(Result::unwrap).collect();
-        assert_eq!(pairs, [(&b"a"[..], &[b'x'; 200][..]), (&b"bc"[..], &b""[..])]);
+        assert_eq!(
+            pairs,
+            [(&b"a"[..], &[b'x'; 200][..]), (&b"bc"[..], &b""[..])]
+        );
     }
 
     #[test]
     fn an_impossible_length_is_malformed_and_ends_the_pairs() {
-        for bytes in [&[5u8, 1, b'a'][..], &[1], &[128, 0], &[255, 255, 255, 255, 1, b'a']] {
+        for bytes in [
+            &[5u8, 1, b'a'][..],
+            &[1],
+            &[128, 0],
+            &[255, 255, 255, 255, 1, b'a'],
+        ] {
             let pairs: Vec<_> = Params(bytes).collect();
             assert_eq!(pairs, [Err(Malformed::Length)]);
         }
--- a/crates/asterdale-fastcgi/src/record.rs
+++ b/crates/asterdale-fastcgi/src/record.rs
@@ -89,7 +89,9 @@
 
     /// Takes the next whole record, if there is one.
     pub fn take(&mut self) -> Result<Option<Record<'_>>, Malformed> {
-        let Some(whole) = self.whole() else { return Ok(None) };
+        let Some(whole) = self.whole() else {
+            return Ok(None);
+        };
         let head = &self.bytes[self.from..];
         if head[0] != 1 {
             return Err(Malformed::Version(head[0]));
@@ -114,7 +116,9 @@
     #[test]
     fn records_are_found_wherever_the_bytes_are_cut() {
         // A record of 3 bytes with 5 of padding, then an empty one.
-        let bytes = [1, 4, 0, 7, 0, 3, 5, 0, b'a', b'b', b'c', 9, 9, 9, 9, 9, 1, 5, 1, 2, 0, 0, 0, 0];
+        let bytes = [
+            1, 4, 0, 7, 0, 3, 5, 0, b'a', b'b', b'c', 9, 9, 9, 9, 9, 1, 5, 1, 2, 0, 0, 0, 0,
+        ];
         for cut in 1..bytes.len() {
             let mut incoming = Incoming::default();
             let mut got = Vec::new();
@@ -125,7 +129,11 @@
                     got.push((record.kind, record.id, record.content.to_vec()));
                 }
             }
-            assert_eq!(got, [(4, 7, b"abc".to_vec()), (5, 258, Vec::new())], "cut at {cut}");
+            assert_eq!(
+                got,
+                [(4, 7, b"abc".to_vec()), (5, 258, Vec::new())],
+                "cut at {cut}"
+            );
             assert!(incoming.is_empty());
         }
     }
--- a/crates/asterdale-fastcgi/src/requests.rs
+++ b/crates/asterdale-fastcgi/src/requests.rs
@@ -97,16 +97,32 @@
                 if !more {
                     return Ok(Step::Refuse(id, crate::ended::OVERLOADED));
                 }
-                let whole = Whole { keep: body[2] & KEEP_CONN != 0, ..Whole::default() };
-                self.partial.insert(id, Partial { whole, params_done: false, body_done: false });
+                let whole = Whole {
+                    keep: body[2] & KEEP_CONN != 0,
+                    ..Whole::default()
+                };
+                self.partial.insert(
+                    id,
+                    Partial {
+                        whole,
+                        params_done: false,
+                        body_done: false,
+                    },
+                );
             }
             kind::ABORT_REQUEST => {
                 // One that never came whole was not taken: nothing ran, and it ends here.
                 let known = self.remove(id).is_some();
-                return Ok(if known { Step::Refuse(id, crate::ended::COMPLETE) } else { Step::Abort(id) });
+                return Ok(if known {
+                    Step::Refuse(id, crate::ended::COMPLETE)
+                } else {
+                    Step::Abort(id)
+                });
             }
             kind::PARAMS | kind::STDIN => {
-                let Some(partial) = self.partial.get_mut(&id) else { return Ok(Step::Nothing) };
+                let Some(partial) = self.partial.get_mut(&id) else {
+                    return Ok(Step::Nothing);
+                };
                 let Whole { params, body, .. } = &mut partial.whole;
                 if kind == kind::PARAMS && !partial.params_done {
                     partial.params_done = content.is_empty();
@@ -123,7 +139,9 @@
                 }
                 // Two streams, which may end in either order.
                 if partial.params_done && partial.body_done {
-                    return Ok(self.remove(id).map_or(Step::Nothing, |whole| Step::Whole(id, whole)));
+                    return Ok(self
+                        .remove(id)
+                        .map_or(Step::Nothing, |whole| Step::Whole(id, whole)));
                 }
                 if self.bytes > MOST {
                     return Err(Malformed::TooMuch);
@@ -158,24 +176,54 @@
             (5, 2, b""),
         ] {
             let step = requests.take(record(kind, id, content), true).unwrap();
-            let whole = Whole { params: b"part".to_vec(), ..Whole::default() };
-            assert_eq!(step, if kind == 5 { Step::Whole(2, whole) } else { Step::Nothing });
+            let whole = Whole {
+                params: b"part".to_vec(),
+                ..Whole::default()
+            };
+            assert_eq!(
+                step,
+                if kind == 5 {
+                    Step::Whole(2, whole)
+                } else {
+                    Step::Nothing
+                }
+            );
         }
         assert_eq!(requests.begun(), 1);
         assert_eq!(requests.take(record(4, 1, b""), true), Ok(Step::Nothing));
-        assert_eq!(requests.take(record(5, 1, b"\0\xff"), true), Ok(Step::Nothing));
-        let whole = Whole { params: b"one".to_vec(), body: b"\0\xff".to_vec(), keep: true };
-        assert_eq!(requests.take(record(5, 1, b""), true), Ok(Step::Whole(1, whole)));
+        assert_eq!(
+            requests.take(record(5, 1, b"\0\xff"), true),
+            Ok(Step::Nothing)
+        );
+        let whole = Whole {
+            params: b"one".to_vec(),
+            body: b"\0\xff".to_vec(),
+            keep: true,
+        };
+        assert_eq!(
+            requests.take(record(5, 1, b""), true),
+            Ok(Step::Whole(1, whole))
+        );
     }
 
     #[test]
     fn the_two_streams_may_end_in_either_order() {
         let mut requests = Requests::default();
         for (kind, content) in [(1, BEGIN), (5, &b"body"[..]), (5, b""), (4, b"head")] {
-            assert_eq!(requests.take(record(kind, 1, content), true), Ok(Step::Nothing));
+            assert_eq!(
+                requests.take(record(kind, 1, content), true),
+                Ok(Step::Nothing)
+            );
         }
-        let whole = Whole { params: b"head".to_vec(), body: b"body".to_vec(), keep: true };
-        assert_eq!(requests.take(record(4, 1, b""), true), Ok(Step::Whole(1, whole)));
+        let whole = Whole {
+            params: b"head".to_vec(),
+            body: b"body".to_vec(),
+            keep: true,
+        };
+        assert_eq!(
+            requests.take(record(4, 1, b""), true),
+            Ok(Step::Whole(1, whole))
+        );
         assert_eq!((requests.begun(), requests.bytes()), (0, 0));
     }
 
@@ -183,8 +231,14 @@
     fn a_body_that_is_too_long_is_known_before_its_end() {
         let mut requests = Requests::default();
         requests.take(record(1, 1, BEGIN), true).unwrap();
-        assert_eq!(requests.take(record(5, 1, &[7; 2048]), true), Ok(Step::Nothing));
-        assert_eq!(requests.take(record(5, 1, &[7]), true), Ok(Step::TooLong(1)));
+        assert_eq!(
+            requests.take(record(5, 1, &[7; 2048]), true),
+            Ok(Step::Nothing)
+        );
+        assert_eq!(
+            requests.take(record(5, 1, &[7]), true),
+            Ok(Step::TooLong(1))
+        );
         assert_eq!((requests.begun(), requests.bytes()), (0, 0));
     }
 
@@ -193,27 +247,58 @@
         let mut requests = Requests::default();
         for round in 0..4 {
             requests.take(record(1, 1, BEGIN), true).unwrap();
-            assert_eq!(requests.take(record(4, 1, &[0; 60_000]), true), Ok(Step::Nothing), "{round}");
+            assert_eq!(
+                requests.take(record(4, 1, &[0; 60_000]), true),
+                Ok(Step::Nothing),
+                "{round}"
+            );
             requests.take(record(2, 1, b""), true).unwrap();
         }
         requests.take(record(1, 1, BEGIN), true).unwrap();
         requests.take(record(1, 2, BEGIN), true).unwrap();
-        assert_eq!(requests.take(record(4, 1, &[0; 60_000]), true), Ok(Step::Nothing));
-        assert_eq!(requests.take(record(4, 2, &[0; 60_000]), true), Err(Malformed::TooMuch));
+        assert_eq!(
+            requests.take(record(4, 1, &[0; 60_000]), true),
+            Ok(Step::Nothing)
+        );
+        assert_eq!(
+            requests.take(record(4, 2, &[0; 60_000]), true),
+            Err(Malformed::TooMuch)
+        );
     }
 
     #[test]
     fn what_can_not_be_taken_is_refused_or_malformed() {
         let mut requests = Requests::default();
-        assert_eq!(requests.take(record(1, 1, &[0, 2, 1]), true), Ok(Step::Refuse(1, 3)));
-        assert_eq!(requests.take(record(1, 1, BEGIN), false), Ok(Step::Refuse(1, 2)));
-        assert_eq!(requests.take(record(1, 1, &[0]), true), Err(Malformed::Short(1)));
+        assert_eq!(
+            requests.take(record(1, 1, &[0, 2, 1]), true),
+            Ok(Step::Refuse(1, 3))
+        );
+        assert_eq!(
+            requests.take(record(1, 1, BEGIN), false),
+            Ok(Step::Refuse(1, 2))
+        );
+        assert_eq!(
+            requests.take(record(1, 1, &[0]), true),
+            Err(Malformed::Short(1))
+        );
         assert_eq!(requests.take(record(1, 1, BEGIN), true), Ok(Step::Nothing));
-        assert_eq!(requests.take(record(1, 1, BEGIN), true), Err(Malformed::Twice(1)));
-        assert_eq!(requests.take(record(2, 1, b""), true), Ok(Step::Refuse(1, 0)));
+        assert_eq!(
+            requests.take(record(1, 1, BEGIN), true),
+            Err(Malformed::Twice(1))
+        );
+        assert_eq!(
+            requests.take(record(2, 1, b""), true),
+            Ok(Step::Refuse(1, 0))
+        );
         assert_eq!(requests.take(record(2, 1, b""), true), Ok(Step::Abort(1)));
         assert_eq!(requests.take(record(4, 9, b"x"), true), Ok(Step::Nothing));
-        assert_eq!(requests.take(record(77, 0, b"x"), true), Ok(Step::Unknown(77)));
-        assert_eq!(requests.take(record(9, 0, b"x"), true), Ok(Step::Values(b"x".to_vec())));
+        assert_eq!(
+            requests.take(record(77, 0, b"x"), true),
+            Ok(Step::Unknown(77))
+        );
+        assert_eq!(
+            requests.take(record(9, 0, b"x"), true),
+            Ok(Step::Values(b"x".to_vec()))
+        );
     }
 }
--- a/crates/asterdale-fleet/src/chance.rs
+++ b/crates/asterdale-fleet/src/chance.rs
@@ -18,8 +18,14 @@
     /// The stream of this number.
     pub fn new(seed: u64, stream: u64) -> Chance {
         // States that differ in their high bits alone would give runs that are alike.
-        let (high, low) = (hash(seed.wrapping_add(1)), hash(hash(seed.wrapping_add(1)) ^ stream));
-        Chance(Pcg64::new(u128::from(high) << 64 | u128::from(low), u128::from(stream)))
+        let (high, low) = (
+            hash(seed.wrapping_add(1)),
+            hash(hash(seed.wrapping_add(1)) ^ stream),
+        );
+        Chance(Pcg64::new(
+            u128::from(high) << 64 | u128::from(low),
+            u128::from(stream),
+        ))
     }
 
     /// From 0 to under 1.
--- a/crates/asterdale-fleet/src/decider.rs
+++ b/crates/asterdale-fleet/src/decider.rs
@@ -62,13 +62,15 @@
         self.all.push_back(Action::Join(task.index() as Seat));
     }
     fn remember(&mut self, task: Handle, for_ms: f64) {
-        self.all.push_back(Action::Remember(task.index() as Seat, for_ms));
+        self.all
+            .push_back(Action::Remember(task.index() as Seat, for_ms));
     }
     fn forget(&mut self, task: Handle) {
         self.all.push_back(Action::Forget(task.index() as Seat));
     }
     fn reject(&mut self, task: Handle, _: bool, stay_away_ms: f64) {
-        self.all.push_back(Action::Reject(task.index() as Seat, stay_away_ms));
+        self.all
+            .push_back(Action::Reject(task.index() as Seat, stay_away_ms));
     }
     fn abandon(&mut self, task: Handle) {
         self.all.push_back(Action::Abandon(task.index() as Seat));
@@ -98,7 +100,11 @@
         late_share: stage.late_share,
         without_call: 0.0,
         calls: false,
-        repeat: if stage.fingerprinted { Repeat::Fingerprinted } else { Repeat::Restartable },
+        repeat: if stage.fingerprinted {
+            Repeat::Fingerprinted
+        } else {
+            Repeat::Restartable
+        },
         memory_ms: 2.0 * stage.limit_ms,
     };
     Told {
@@ -133,12 +139,20 @@
 
 impl Decider {
     /// As the experiment has it; a server that comes back is cold.
-    pub fn new(experiment: &Experiment, seed: u64, now_ms: f64, cold: bool, to: &mut Actions) -> Decider {
+    pub fn new(
+        experiment: &Experiment,
+        seed: u64,
+        now_ms: f64,
+        cold: bool,
+        to: &mut Actions,
+    ) -> Decider {
         to.handles.clear();
         match experiment.servers.policy {
-            Policy::Asterdale => {
-                Decider::Module(Box::new(Server::start(told(experiment, seed, cold), now_ms, to)))
-            }
+            Policy::Asterdale => Decider::Module(Box::new(Server::start(
+                told(experiment, seed, cold),
+                now_ms,
+                to,
+            ))),
             policy => Decider::Plain(Plain::new(policy, experiment.servers.cores, now_ms, to)),
         }
     }
@@ -155,8 +169,12 @@
     pub fn beat(&mut self, now_ms: f64, cpu: f64, on_cores: f64, to: &mut Actions) {
         match self {
             Decider::Module(server) => {
-                let gauges =
-                    Gauges { cpu: Some(cpu), on_cores: Some(on_cores), memory: None, connections: None };
+                let gauges = Gauges {
+                    cpu: Some(cpu),
+                    on_cores: Some(on_cores),
+                    memory: None,
+                    connections: None,
+                };
                 server.beat(now_ms, gauges, to);
             }
             Decider::Plain(plain) => plain.beat(now_ms, to),
@@ -276,14 +294,18 @@
     }
 
     fn over(&mut self, now_ms: f64, seat: Seat, to: &mut Actions) {
-        let Some(started) = self.started[seat as usize].take() else { return };
+        let Some(started) = self.started[seat as usize].take() else {
+            return;
+        };
         self.running -= 1;
         self.free.push(seat);
         to.all.push_back(Action::Release(seat));
         self.least_ms = self.least_ms.min(now_ms - started);
         self.slow |= now_ms - started > 2.0 * self.least_ms;
         while (self.running as f64) < self.limit {
-            let Some((seat, since)) = self.held.pop_front() else { return };
+            let Some((seat, since)) = self.held.pop_front() else {
+                return;
+            };
             if self.policy == Policy::Codel {
                 if now_ms - since < SOJOURN {
                     self.above_since = None;
@@ -298,7 +320,11 @@
 
     fn beat(&mut self, now_ms: f64, to: &mut Actions) {
         if self.policy == Policy::Aimd {
-            self.limit = if self.slow { (0.9 * self.limit).max(1.0) } else { self.limit + 1.0 };
+            self.limit = if self.slow {
+                (0.9 * self.limit).max(1.0)
+            } else {
+                self.limit + 1.0
+            };
             self.slow = false;
             to.all.push_back(Action::Wake(now_ms + WINDOW));
         }
--- a/crates/asterdale-fleet/src/edge.rs
+++ b/crates/asterdale-fleet/src/edge.rs
@@ -41,7 +41,15 @@
     pub fn new(servers: usize, mut chance: Chance) -> Edge {
         let next = chance.one_of(servers);
         let (open, away) = (vec![0; servers], vec![0; servers]);
-        Edge { open, open_in_all: 0, away, next, chance, first_tries: 0.0, further: 0.0 }
+        Edge {
+            open,
+            open_in_all: 0,
+            away,
+            next,
+            chance,
+            first_tries: 0.0,
+            further: 0.0,
+        }
     }
 
     /// A server for a task about this subject: one that is seen and not asked to be left alone, and best of all not
@@ -65,11 +73,19 @@
             Pick::Random => self.draw(seen.len(), &good),
             Pick::TwoChoices => {
                 let (one, two) = (self.draw(seen.len(), &good), self.draw(seen.len(), &good));
-                one.zip(two).map(|(one, two)| if self.open[two] < self.open[one] { two } else { one })
+                one.zip(two).map(|(one, two)| {
+                    if self.open[two] < self.open[one] {
+                        two
+                    } else {
+                        one
+                    }
+                })
             }
             Pick::LeastLoaded => {
                 let from = self.chance.one_of(seen.len());
-                let all = (0..seen.len()).map(|n| (n + from) % seen.len()).filter(|n| good(self, *n));
+                let all = (0..seen.len())
+                    .map(|n| (n + from) % seen.len())
+                    .filter(|n| good(self, *n));
                 all.min_by_key(|n| self.open[*n])
             }
             Pick::RingHash(bound) => {
@@ -80,7 +96,9 @@
             }
             Pick::Rendezvous(bound) => {
                 let fits = |n: &usize| good(self, *n) && f64::from(self.open[*n]) <= bound * mean;
-                (0..seen.len()).filter(fits).max_by_key(|n| hash(hash(subject) ^ (*n as u64 + 1)))
+                (0..seen.len())
+                    .filter(fits)
+                    .max_by_key(|n| hash(hash(subject) ^ (*n as u64 + 1)))
             }
         };
         picked.or_else(|| self.draw(seen.len(), &|_: &Edge, n: usize| seen[n]))
@@ -94,7 +112,9 @@
             }
         }
         let from = self.chance.one_of(servers);
-        (0..servers).map(|n| (n + from) % servers).find(|n| good(self, *n))
+        (0..servers)
+            .map(|n| (n + from) % servers)
+            .find(|n| good(self, *n))
     }
 
     /// A try goes out.
@@ -147,10 +167,19 @@
             let pick = |edge: &mut Edge, seen: &[bool], subject| {
                 edge.pick(0, how, seen, &ring, subject, None).unwrap()
             };
-            let before: Vec<usize> = (0..1000).map(|subject| pick(&mut edge, &seen, subject)).collect();
-            assert_eq!(before, (0..1000).map(|subject| pick(&mut edge, &seen, subject)).collect::<Vec<_>>());
+            let before: Vec<usize> = (0..1000)
+                .map(|subject| pick(&mut edge, &seen, subject))
+                .collect();
+            assert_eq!(
+                before,
+                (0..1000)
+                    .map(|subject| pick(&mut edge, &seen, subject))
+                    .collect::<Vec<_>>()
+            );
             seen[before[0]] = false;
-            let after: Vec<usize> = (0..1000).map(|subject| pick(&mut edge, &seen, subject)).collect();
+            let after: Vec<usize> = (0..1000)
+                .map(|subject| pick(&mut edge, &seen, subject))
+                .collect();
             let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
             assert_eq!(moved, before.iter().filter(|n| **n == before[0]).count());
             seen[before[0]] = true;
--- a/crates/asterdale-fleet/src/machine.rs
+++ b/crates/asterdale-fleet/src/machine.rs
@@ -89,7 +89,11 @@
         self.running += 1;
         self.version += 1;
         // Times above 0 sort as their bits do.
-        self.ends.push(Reverse(((self.had + work_ms.max(0.0)).to_bits(), self.came, job)));
+        self.ends.push(Reverse((
+            (self.had + work_ms.max(0.0)).to_bits(),
+            self.came,
+            job,
+        )));
         Place(self.came)
     }
 
@@ -163,7 +167,10 @@
             cores.begin(start, job, 10.0 * job as f64);
         }
         // Four on two cores: half a core each; with two left each has its own.
-        assert_eq!(ends(&mut cores), [(1, 30.0), (2, 45.0), (3, 55.0), (4, 65.0)]);
+        assert_eq!(
+            ends(&mut cores),
+            [(1, 30.0), (2, 45.0), (3, 55.0), (4, 65.0)]
+        );
     }
 
     #[test]
--- a/crates/asterdale-fleet/src/main.rs
+++ b/crates/asterdale-fleet/src/main.rs
@@ -117,9 +117,14 @@
     let experiment = read(file)?;
     let first = seed.unwrap_or(experiment.seed);
     let began = Instant::now();
-    let all: Vec<Outcome> =
-        (first..first + repeats).into_par_iter().map(|seed| play(&experiment, seed)).collect();
-    let (took, events) = (began.elapsed().as_secs_f64(), all.iter().map(|one| one.events).sum::<u64>());
+    let all: Vec<Outcome> = (first..first + repeats)
+        .into_par_iter()
+        .map(|seed| play(&experiment, seed))
+        .collect();
+    let (took, events) = (
+        began.elapsed().as_secs_f64(),
+        all.iter().map(|one| one.events).sum::<u64>(),
+    );
     let modelled = experiment.seconds * repeats as f64;
     eprintln!(
         "{events} events in {took:.2} s: {:.0} a second; {:.1} times real time",
@@ -156,8 +161,12 @@
         let mut experiment = experiment.clone();
         experiment.servers.policy = policy;
         let seeds = experiment.seed..experiment.seed + repeats;
-        let runs: Vec<Outcome> = seeds.into_par_iter().map(|seed| play(&experiment, seed)).collect();
-        let mean = |of: &dyn Fn(&Outcome) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
+        let runs: Vec<Outcome> = seeds
+            .into_par_iter()
+            .map(|seed| play(&experiment, seed))
+            .collect();
+        let mean =
+            |of: &dyn Fn(&Outcome) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
         let quantile = |name: &'static str| mean(&|run| run.milliseconds[name]);
         let broken: u64 = runs.iter().flat_map(|run| run.broken.values()).sum();
         println!(
@@ -180,40 +189,72 @@
         sizes.dedup();
         sizes
     };
-    let (Some(&least), Some(&most)) = (sizes.first(), sizes.last()) else { return Ok(()) };
+    let (Some(&least), Some(&most)) = (sizes.first(), sizes.last()) else {
+        return Ok(());
+    };
     let highest = members::published_ms(most).1 / 1e3 * 1.3;
     let area = SVGBackend::new(file, (900, 560)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .caption("Seconds until a dead member is held for dead", ("sans-serif", 20))
+        .caption(
+            "Seconds until a dead member is held for dead",
+            ("sans-serif", 20),
+        )
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(50)
-        .build_cartesian_2d((least as f64 * 0.8..most as f64 * 1.25).log_scale(), 0.0..highest)?;
-    chart.configure_mesh().x_desc("members").y_desc("seconds").draw()?;
+        .build_cartesian_2d(
+            (least as f64 * 0.8..most as f64 * 1.25).log_scale(),
+            0.0..highest,
+        )?;
+    chart
+        .configure_mesh()
+        .x_desc("members")
+        .y_desc("seconds")
+        .draw()?;
     let line = |of: &dyn Fn((f64, f64, f64)) -> f64| -> Vec<(f64, f64)> {
-        sizes.iter().map(|&n| (n as f64, of(members::published_ms(n)) / 1e3)).collect()
+        sizes
+            .iter()
+            .map(|&n| (n as f64, of(members::published_ms(n)) / 1e3))
+            .collect()
     };
     chart
         .draw_series(LineSeries::new(line(&|(least, ..)| least), &BLUE))?
         .label("bound, suspicion confirmed at once")
         .legend(|(x, y)| PathElement::new([(x, y), (x + 20, y)], BLUE));
     chart
-        .draw_series(LineSeries::new(line(&|(_, most, spread)| most + spread), &RED))?
+        .draw_series(LineSeries::new(
+            line(&|(_, most, spread)| most + spread),
+            &RED,
+        ))?
         .label("bound, never confirmed, and the news' rides")
         .legend(|(x, y)| PathElement::new([(x, y), (x + 20, y)], RED));
     let points = |of: &dyn Fn(&Figures) -> Option<f64>| -> Vec<(f64, f64)> {
-        all.iter().filter_map(|figures| Some((figures.members as f64, of(figures)? / 1e3))).collect()
+        all.iter()
+            .filter_map(|figures| Some((figures.members as f64, of(figures)? / 1e3)))
+            .collect()
     };
     chart
-        .draw_series(points(&|f| f.first_ms).into_iter().map(|at| Circle::new(at, 3, BLACK.filled())))?
+        .draw_series(
+            points(&|f| f.first_ms)
+                .into_iter()
+                .map(|at| Circle::new(at, 3, BLACK.filled())),
+        )?
         .label("the first holds it for dead")
         .legend(|(x, y)| Circle::new((x + 10, y), 3, BLACK.filled()));
     chart
-        .draw_series(points(&|f| f.all_ms).into_iter().map(|at| TriangleMarker::new(at, 5, GREEN.filled())))?
+        .draw_series(
+            points(&|f| f.all_ms)
+                .into_iter()
+                .map(|at| TriangleMarker::new(at, 5, GREEN.filled())),
+        )?
         .label("all do")
         .legend(|(x, y)| TriangleMarker::new((x + 10, y), 5, GREEN.filled()));
-    chart.configure_series_labels().border_style(BLACK).background_style(WHITE).draw()?;
+    chart
+        .configure_series_labels()
+        .border_style(BLACK)
+        .background_style(WHITE)
+        .draw()?;
     area.present()?;
     Ok(())
 }
@@ -234,9 +275,15 @@
                 Befalls::Stutter => Fault::Stutter,
                 Befalls::Halves => Fault::Halves,
             };
-            let told = Play { members: members.clamp(2, 20_000), fault, ..told.clone() };
+            let told = Play {
+                members: members.clamp(2, 20_000),
+                fault,
+                ..told.clone()
+            };
             let figures = members::repeat(&told, 1..repeats + 1);
-            figures.iter().for_each(|figures| println!("{}", json!(figures)));
+            figures
+                .iter()
+                .for_each(|figures| println!("{}", json!(figures)));
             all.extend(figures);
         }
     }
@@ -251,12 +298,23 @@
     for &servers in servers {
         for &load in load {
             for bound in [true, false] {
-                let (servers, lost, load) =
-                    (servers.clamp(2, 10_000), lost.clamp(0.0, 0.9), load.clamp(0.0, 1.0));
-                let told = asterdale_fleet::wave::Play { servers, lost, load, bound };
+                let (servers, lost, load) = (
+                    servers.clamp(2, 10_000),
+                    lost.clamp(0.0, 0.9),
+                    load.clamp(0.0, 1.0),
+                );
+                let told = asterdale_fleet::wave::Play {
+                    servers,
+                    lost,
+                    load,
+                    bound,
+                };
                 for seed in 0..repeats {
                     let figures = asterdale_fleet::wave::play(&told, seed);
-                    println!("{}", serde_json::to_string(&figures).map_err(|e| e.to_string())?);
+                    println!(
+                        "{}",
+                        serde_json::to_string(&figures).map_err(|e| e.to_string())?
+                    );
                 }
             }
         }
@@ -266,16 +324,48 @@
 
 fn main() -> ExitCode {
     let done = match Line::parse().command {
-        Command::Run { file, seed, repeats, brief } => run(&file, seed, repeats.clamp(1, 10_000), brief),
+        Command::Run {
+            file,
+            seed,
+            repeats,
+            brief,
+        } => run(&file, seed, repeats.clamp(1, 10_000), brief),
         Command::Policies { file, repeats } => policies(&file, repeats.clamp(1, 1000)),
-        Command::Members { members, faults, seconds, loss, plain, repeats, plot } => {
-            let told = Play { members: 0, fault: Fault::None, seconds, loss: loss.clamp(0.0, 1.0), plain };
-            view(&members, &faults, &told, repeats.clamp(1, 1000), plot.as_ref())
+        Command::Members {
+            members,
+            faults,
+            seconds,
+            loss,
+            plain,
+            repeats,
+            plot,
+        } => {
+            let told = Play {
+                members: 0,
+                fault: Fault::None,
+                seconds,
+                loss: loss.clamp(0.0, 1.0),
+                plain,
+            };
+            view(
+                &members,
+                &faults,
+                &told,
+                repeats.clamp(1, 1000),
+                plot.as_ref(),
+            )
         }
-        Command::Wave { servers, lost, load, repeats } => wave(&servers, lost, &load, repeats.clamp(1, 1000)),
+        Command::Wave {
+            servers,
+            lost,
+            load,
+            repeats,
+        } => wave(&servers, lost, &load, repeats.clamp(1, 1000)),
         Command::Schema => {
             let schema = schemars::schema_for!(Experiment);
-            serde_json::to_string_pretty(&schema).map(|text| println!("{text}")).map_err(|e| e.to_string())
+            serde_json::to_string_pretty(&schema)
+                .map(|text| println!("{text}"))
+                .map_err(|e| e.to_string())
         }
     };
     match done {
--- a/crates/asterdale-fleet/src/members.rs
+++ b/crates/asterdale-fleet/src/members.rs
@@ -182,14 +182,18 @@
             match action {
                 Action::Send(to, bytes) => {
                     self.sent = (self.sent.0 + 1, self.sent.1 + bytes.len() as u64);
-                    let Some(&to) = self.index.get(&to) else { continue };
+                    let Some(&to) = self.index.get(&to) else {
+                        continue;
+                    };
                     if self.passes(from, to) && self.chance.share() >= self.loss {
                         self.send(to, What::Datagram(bytes), 1.0);
                     }
                 }
                 Action::Exchange(to, bytes) => {
                     self.sent.1 += bytes.len() as u64;
-                    let Some(&to) = self.index.get(&to) else { continue };
+                    let Some(&to) = self.index.get(&to) else {
+                        continue;
+                    };
                     if self.passes(from, to) {
                         self.send(to, What::Exchange(from, bytes), 2.0);
                     }
@@ -199,10 +203,17 @@
                     let actions = self.all[from].as_mut().map(|fleet| fleet.given_up(now));
                     self.act(from, actions.unwrap_or_default());
                 }
-                Action::Event(Event::Changed { name: whom, what, by, .. }) => {
+                Action::Event(Event::Changed {
+                    name: whom,
+                    what,
+                    by,
+                    ..
+                }) => {
                     let dead = self.dead.is_some_and(|dead| whom == name(dead));
                     match what {
-                        Change::Died if dead => drop(self.held.entry(from).or_insert(self.now as f64 / MS)),
+                        Change::Died if dead => {
+                            drop(self.held.entry(from).or_insert(self.now as f64 / MS))
+                        }
                         Change::Died if by == name(from) && !self.parted => self.false_deaths += 1,
                         Change::Suspected if by == name(from) && !dead && !self.parted => {
                             self.false_suspicions += 1;
@@ -217,7 +228,9 @@
 
     fn run(&mut self, until: Nanos) {
         loop {
-            let Some((at, (to, what))) = self.queue.take() else { return };
+            let Some((at, (to, what))) = self.queue.take() else {
+                return;
+            };
             if at > until {
                 self.queue.add(at, (to, what));
                 self.now = until;
@@ -249,7 +262,9 @@
 
     fn take(&mut self, to: usize, what: What) {
         let now = self.ms();
-        let Some(fleet) = &mut self.all[to] else { return };
+        let Some(fleet) = &mut self.all[to] else {
+            return;
+        };
         let actions = match what {
             What::Wake | What::GoesOn => fleet.wake(now),
             What::Datagram(bytes) => fleet.datagram(now, &bytes),
@@ -271,7 +286,9 @@
         let live: Vec<&Fleet> = self.all.iter().flatten().collect();
         let hash = live.first().map(|fleet| fleet.hash());
         live.iter().all(|fleet| {
-            fleet.is_member() && fleet.view().there() + 1 == live.len() && Some(fleet.hash()) == hash
+            fleet.is_member()
+                && fleet.view().there() + 1 == live.len()
+                && Some(fleet.hash()) == hash
         })
     }
 
@@ -316,7 +333,8 @@
                     if let Entry::Vacant(place) = net.stopped.entry(who) {
                         place.insert(Vec::new());
                         let ms = 500.0 + 1500.0 * net.chance.share();
-                        net.queue.add(net.now + (ms * MS) as Nanos, (who, What::GoesOn));
+                        net.queue
+                            .add(net.now + (ms * MS) as Nanos, (who, What::GoesOn));
                     }
                 }
                 net.run(net.now + (4e9) as Nanos);
@@ -325,7 +343,8 @@
         }
         Fault::Halves => {
             net.parted = true;
-            let long = net.terms.most_suspicion_ms(play.members) + net.terms.least_suspicion_ms(play.members);
+            let long = net.terms.most_suspicion_ms(play.members)
+                + net.terms.least_suspicion_ms(play.members);
             net.run(net.now + (1.5 * long * MS) as Nanos);
             net.parted = false;
             net.loss = 0.0;
@@ -340,7 +359,9 @@
         fault: play.fault,
         seconds,
         first_ms: net.held.values().copied().reduce(f64::min).map(since),
-        all_ms: whole.then(|| net.held.values().copied().reduce(f64::max).map(since)).flatten(),
+        all_ms: whole
+            .then(|| net.held.values().copied().reduce(f64::max).map(since))
+            .flatten(),
         false_deaths: net.false_deaths,
         false_suspicions: net.false_suspicions,
         datagrams_a_second: net.sent.0 as f64 / seconds / play.members as f64,
@@ -375,21 +396,39 @@
     #[test]
     fn a_crash_is_seen_by_all_within_the_published_bounds_and_nobody_else_is_held_for_dead() {
         for members in [10, 50] {
-            let told = Play { members, fault: Fault::Crash, seconds: 90.0, loss: 0.02, plain: false };
+            let told = Play {
+                members,
+                fault: Fault::Crash,
+                seconds: 90.0,
+                loss: 0.02,
+                plain: false,
+            };
             let (_, most, spread) = published_ms(members);
             for figures in repeat(&told, 1..5) {
                 let all = figures.all_ms.expect("all hold it for dead");
                 assert!(all <= most + spread + 5_000.0, "{figures:?}");
-                assert!(figures.false_deaths == 0 && figures.settled_ms.is_some(), "{figures:?}");
+                assert!(
+                    figures.false_deaths == 0 && figures.settled_ms.is_some(),
+                    "{figures:?}"
+                );
             }
         }
     }
 
     #[test]
     fn halves_hold_one_view_again_and_the_same_seed_gives_the_same() {
-        let told = Play { members: 40, fault: Fault::Halves, seconds: 0.0, loss: 0.0, plain: false };
+        let told = Play {
+            members: 40,
+            fault: Fault::Halves,
+            seconds: 0.0,
+            loss: 0.0,
+            plain: false,
+        };
         let (one, again) = (play(&told, 3), play(&told, 3));
-        assert!(one.settled_ms.is_some_and(|ms| ms < one.bound_ms), "{one:?}");
+        assert!(
+            one.settled_ms.is_some_and(|ms| ms < one.bound_ms),
+            "{one:?}"
+        );
         assert_eq!(format!("{one:?}"), format!("{again:?}"));
     }
 }
--- a/crates/asterdale-fleet/src/oracle.rs
+++ b/crates/asterdale-fleet/src/oracle.rs
@@ -48,7 +48,15 @@
 
     /// A try has come to a server that is there, and wants an answer by then.
     pub fn came(&mut self, number: u64, by: Nanos) {
-        self.tries.insert(number, Try { by, ran: false, told: None, excused: false });
+        self.tries.insert(
+            number,
+            Try {
+                by,
+                ran: false,
+                told: None,
+                excused: false,
+            },
+        );
     }
 
     /// It was started; `key` if it must run once on this server, in this life of it.
@@ -72,7 +80,9 @@
 
     /// It was answered.
     pub fn answered(&mut self, now: Nanos, number: u64, told: Told) {
-        let Some(seen) = self.tries.get_mut(&number) else { return };
+        let Some(seen) = self.tries.get_mut(&number) else {
+            return;
+        };
         let (twice, late) = (seen.told.is_some(), now > seen.by + SLACK && !seen.excused);
         let denied = told == Told::Rejected && seen.ran;
         seen.told = Some(told);
@@ -124,8 +134,12 @@
         type Breach = fn(&mut Oracle);
         let breaches: [(&str, Breach); 6] = [
             ("no answer", |_| ()),
-            ("an answer after its time", |oracle| oracle.answered(101 + SLACK, 1, Told::Finished)),
-            ("two answers", |oracle| (0..2).for_each(|_| oracle.answered(9, 1, Told::Abandoned))),
+            ("an answer after its time", |oracle| {
+                oracle.answered(101 + SLACK, 1, Told::Finished)
+            }),
+            ("two answers", |oracle| {
+                (0..2).for_each(|_| oracle.answered(9, 1, Told::Abandoned))
+            }),
             ("told that it never ran, and it had", |oracle| {
                 oracle.ran(1, None);
                 oracle.answered(9, 1, Told::Rejected);
--- a/crates/asterdale-fleet/src/queue.rs
+++ b/crates/asterdale-fleet/src/queue.rs
@@ -32,7 +32,12 @@
 
 impl<E> Default for Queue<E> {
     fn default() -> Queue<E> {
-        Queue { heap: BinaryHeap::new(), events: Vec::new(), free: Vec::new(), came: 0 }
+        Queue {
+            heap: BinaryHeap::new(),
+            events: Vec::new(),
+            free: Vec::new(),
+            came: 0,
+        }
     }
 }
 
--- a/crates/asterdale-fleet/src/result.rs
+++ b/crates/asterdale-fleet/src/result.rs
@@ -56,8 +56,14 @@
 /// Quantiles in milliseconds of a histogram of microseconds.
 pub fn quantiles(all: &Histogram<u64>) -> BTreeMap<&'static str, f64> {
     let at = |quantile| all.value_at_quantile(quantile) as f64 / 1e3;
-    [("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("p999", 0.999), ("max", 1.0)]
-        .into_iter()
-        .map(|(name, quantile)| (name, at(quantile)))
-        .collect()
+    [
+        ("p50", 0.5),
+        ("p90", 0.9),
+        ("p99", 0.99),
+        ("p999", 0.999),
+        ("max", 1.0),
+    ]
+    .into_iter()
+    .map(|(name, quantile)| (name, at(quantile)))
+    .collect()
 }
--- a/crates/asterdale-fleet/src/wave.rs
+++ b/crates/asterdale-fleet/src/wave.rs
@@ -93,9 +93,22 @@
 
 impl Wave {
     fn order(&mut self, from: &Member, what: Ordered) -> asterdale_takeover::Answer {
-        let order = Some(Order { seq: 0, what: Some(what) });
-        let entry = Entry { elapsed_ms: 0.0, proposals: vec![Proposal { from: Some(from.clone()), order }] };
-        self.book.apply(entry).pop().map(|(_, answer)| answer).unwrap_or_default()
+        let order = Some(Order {
+            seq: 0,
+            what: Some(what),
+        });
+        let entry = Entry {
+            elapsed_ms: 0.0,
+            proposals: vec![Proposal {
+                from: Some(from.clone()),
+                order,
+            }],
+        };
+        self.book
+            .apply(entry)
+            .pop()
+            .map(|(_, answer)| answer)
+            .unwrap_or_default()
     }
 
     fn work(&mut self, due_ms: f64) -> Work {
@@ -114,11 +127,26 @@
 
 /// Plays it once.
 pub fn play(play: &Play, seed: u64) -> Figures {
-    let terms = Terms { window_ms: 0.0, most_kept: usize::MAX, most_bytes: usize::MAX, ..Terms::default() };
+    let terms = Terms {
+        window_ms: 0.0,
+        most_kept: usize::MAX,
+        most_bytes: usize::MAX,
+        ..Terms::default()
+    };
     let lease_ms = terms.lease_ms;
-    let mut wave = Wave { book: Book::new(1, &[], terms), chance: Chance::new(seed, 99), key: 0 };
+    let mut wave = Wave {
+        book: Book::new(1, &[], terms),
+        chance: Chance::new(seed, 99),
+        key: 0,
+    };
     let me: Vec<Member> = (0..play.servers)
-        .map(|n| member(&format!("s{n}"), n as u64 + 1, ([10, 0, (n >> 8) as u8, n as u8], 7000).into()))
+        .map(|n| {
+            member(
+                &format!("s{n}"),
+                n as u64 + 1,
+                ([10, 0, (n >> 8) as u8, n as u8], 7000).into(),
+            )
+        })
         .collect();
     let mut servers: Vec<Server> = (0..play.servers).map(|_| Server::default()).collect();
     let (mut now, mut died) = (0.0, f64::INFINITY);
@@ -129,7 +157,10 @@
     let settle = 4.0 * lease_ms;
     while now < settle + 15_000.0 {
         now += STEP;
-        wave.book.apply(Entry { elapsed_ms: STEP, proposals: Vec::new() });
+        wave.book.apply(Entry {
+            elapsed_ms: STEP,
+            proposals: Vec::new(),
+        });
         if now >= settle && died.is_infinite() {
             died = now;
             for server in &mut servers[..lost] {
@@ -153,11 +184,21 @@
                 let work = RUN * (0.5 + wave.chance.share());
                 let task = wave.work(DUE);
                 let key = task.key.clone();
-                let claim = Claim { epoch: servers[n].epoch, work: Some(task) };
+                let claim = Claim {
+                    epoch: servers[n].epoch,
+                    work: Some(task),
+                };
                 let answer = wave.order(&me[n], Ordered::Claim(claim));
                 if answer.verdict() == Verdict::Yours {
                     let fence = answer.number;
-                    servers[n].runs.push(Run { left: work, began: now, work, orphan: None, key, fence });
+                    servers[n].runs.push(Run {
+                        left: work,
+                        began: now,
+                        work,
+                        orphan: None,
+                        key,
+                        fence,
+                    });
                 }
             }
             let share = (CORES / servers[n].runs.len().max(1) as f64).min(1.0) * STEP;
@@ -174,7 +215,11 @@
                 if run.left > 0.0 {
                     return true;
                 }
-                over.push(End { key: std::mem::take(&mut run.key), fence: run.fence, result: None });
+                over.push(End {
+                    key: std::mem::take(&mut run.key),
+                    fence: run.fence,
+                    result: None,
+                });
                 if let Some(due) = run.orphan {
                     taken += 1;
                     in_time += usize::from(now <= due);
@@ -193,22 +238,41 @@
         }
         // The leader's offers, the most urgent first.
         let book_now = wave.book.now();
-        let loose = wave.book.loose().map(|kept| Work { due_ms: kept.due - book_now, ..kept.work.clone() });
+        let loose = wave.book.loose().map(|kept| Work {
+            due_ms: kept.due - book_now,
+            ..kept.work.clone()
+        });
         let mut next = loose.collect::<Vec<_>>().into_iter();
         let live: Vec<usize> = (lost..servers.len()).collect();
         'offers: for &n in &live {
             // Without the bound the first who renews is told of all there is.
-            let room = if play.bound { servers[n].room() } else { usize::MAX };
+            let room = if play.bound {
+                servers[n].room()
+            } else {
+                usize::MAX
+            };
             for _ in 0..room {
-                let Some(work) = next.next() else { break 'offers };
+                let Some(work) = next.next() else {
+                    break 'offers;
+                };
                 let (due, epoch) = (now + work.due_ms, servers[n].epoch);
                 let key = work.key.clone();
-                let claim = Claim { epoch, work: Some(work) };
+                let claim = Claim {
+                    epoch,
+                    work: Some(work),
+                };
                 let answer = wave.order(&me[n], Ordered::Claim(claim));
                 if answer.verdict() == Verdict::Yours {
                     let work = RUN * (0.5 + wave.chance.share());
                     let (orphan, fence) = (Some(due), answer.number);
-                    servers[n].runs.push(Run { left: work, began: now, work, orphan, key, fence });
+                    servers[n].runs.push(Run {
+                        left: work,
+                        began: now,
+                        work,
+                        orphan,
+                        key,
+                        fence,
+                    });
                     servers[n].taken += 1;
                     last = now - died;
                 }
@@ -237,11 +301,19 @@
 
     #[test]
     fn with_the_bound_no_survivor_is_pushed_over_and_what_can_end_does() {
-        let told = |bound| Play { servers: 30, lost: 0.33, load: 0.5, bound };
+        let told = |bound| Play {
+            servers: 30,
+            lost: 0.33,
+            load: 0.5,
+            bound,
+        };
         let (with, without) = (play(&told(true), 3), play(&told(false), 3));
         assert!(with.orphans > 10 && with.in_time > 0.95, "{with:?}");
         assert!(with.most_after <= with.most_before + TAKEN, "{with:?}");
-        assert!(without.most_after > 2.0 * with.most_after, "{without:?} {with:?}");
+        assert!(
+            without.most_after > 2.0 * with.most_after,
+            "{without:?} {with:?}"
+        );
         assert_eq!(
             format!("{with:?}"),
             format!("{:?}", play(&told(true), 3)),
--- a/crates/asterdale-fleet/src/world.rs
+++ b/crates/asterdale-fleet/src/world.rs
@@ -190,7 +190,8 @@
             earned: 0.0,
             possible: 0.0,
             tries_sent: 0,
-            times: Histogram::new_with_bounds(1, 3_600_000_000, 3).unwrap_or_else(|e| panic!("bounds: {e}")),
+            times: Histogram::new_with_bounds(1, 3_600_000_000, 3)
+                .unwrap_or_else(|e| panic!("bounds: {e}")),
             sum_ms: 0.0,
             inside: (0, 0.0, 0),
             spent_ms: 0.0,
@@ -206,12 +207,21 @@
             self.rise(n, false);
         }
         for (n, fault) in self.experiment.faults.iter().enumerate() {
-            self.queue.add(nanos(fault.at_s * 1e3), Event::Fault(n as u32, true));
-            self.queue.add(nanos((fault.at_s + fault.for_s) * 1e3), Event::Fault(n as u32, false));
+            self.queue
+                .add(nanos(fault.at_s * 1e3), Event::Fault(n as u32, true));
+            self.queue.add(
+                nanos((fault.at_s + fault.for_s) * 1e3),
+                Event::Fault(n as u32, false),
+            );
         }
         self.queue.add(nanos(1e3), Event::Second);
         self.next_task(0);
-        let longest = self.experiment.stages.iter().map(|stage| stage.limit_ms).fold(0.0, f64::max);
+        let longest = self
+            .experiment
+            .stages
+            .iter()
+            .map(|stage| stage.limit_ms)
+            .fold(0.0, f64::max);
         let last = self.end + nanos(longest + AFTER);
         while let Some((at, event)) = self.queue.take() {
             if at > last {
@@ -246,7 +256,12 @@
     /// The next task comes after a time without a memory: the rate may have changed by then, so the fastest rate is
     /// drawn for and some are left out.
     fn next_task(&mut self, from: Nanos) {
-        let most = self.experiment.load.iter().map(|point| point.per_s).fold(0.0, f64::max);
+        let most = self
+            .experiment
+            .load
+            .iter()
+            .map(|point| point.per_s)
+            .fold(0.0, f64::max);
         let mut at = from;
         if most <= 0.0 {
             return;
@@ -276,7 +291,10 @@
             Some(sigma) => self.working.lognormal(facts.work_ms, sigma),
             None => self.working.exponential(facts.work_ms),
         };
-        let (hot, which) = (self.working.share() < facts.hot, self.working.one_of(facts.subjects.max(1)));
+        let (hot, which) = (
+            self.working.share() < facts.hot,
+            self.working.one_of(facts.subjects.max(1)),
+        );
         let subject = if hot {
             0
         } else if facts.subjects > 0 {
@@ -288,7 +306,18 @@
         let edge = self.working.one_of(self.edges.len());
         let counted = self.now >= nanos(self.experiment.warm_s * 1e3);
         let (born, last, open, tries, over) = (self.now, None, None, 0, false);
-        let task = Task { stage, work_ms, subject, edge, born, tries, last, open, over, counted };
+        let task = Task {
+            stage,
+            work_ms,
+            subject,
+            edge,
+            born,
+            tries,
+            last,
+            open,
+            over,
+            counted,
+        };
         let n = self.tasks.len() as u32;
         self.tasks.push(task);
         self.second.came += 1;
@@ -297,7 +326,8 @@
             *self.counts.entry("came").or_default() += 1;
         }
         self.count_inside(1);
-        self.queue.add(self.now + nanos(facts.limit_ms), Event::ClientOver(n));
+        self.queue
+            .add(self.now + nanos(facts.limit_ms), Event::ClientOver(n));
         self.send(n);
     }
 
@@ -319,12 +349,21 @@
         let (edge, subject, last) = (task.edge, task.subject, task.last);
         let how = self.experiment.edges.pick;
         let picked = self.edges[edge].pick(self.now, how, &self.seen, &self.ring, subject, last);
-        let Some(server) = picked else { return self.fail(n, "no server") };
+        let Some(server) = picked else {
+            return self.fail(n, "no server");
+        };
         let task = &mut self.tasks[n as usize];
         task.tries += 1;
         let first = task.tries == 1;
-        let attempt =
-            Try { task: n, server, life: 0, arrived: 0, at: Where::Way, waited: true, answered: false };
+        let attempt = Try {
+            task: n,
+            server,
+            life: 0,
+            arrived: 0,
+            at: Where::Way,
+            waited: true,
+            answered: false,
+        };
         let open = self.tries.len() as u32;
         self.tries.push(attempt);
         let task = &mut self.tasks[n as usize];
@@ -337,7 +376,8 @@
         self.queue.add(self.now + way, Event::Arrive(open));
         let patience = self.experiment.edges.try_ms;
         if patience > 0.0 && self.now + nanos(patience) < limit {
-            self.queue.add(self.now + nanos(patience), Event::TryOver(open));
+            self.queue
+                .add(self.now + nanos(patience), Event::TryOver(open));
         }
     }
 
@@ -428,7 +468,10 @@
         let in_time = took <= nanos(stage.due_ms);
         if task.counted {
             self.earned += stage.utility * if in_time { 1.0 } else { stage.late_share };
-            *self.counts.entry(if in_time { "in time" } else { "late" }).or_default() += 1;
+            *self
+                .counts
+                .entry(if in_time { "in time" } else { "late" })
+                .or_default() += 1;
             let _ = self.times.record((took / 1000).max(1));
             self.sum_ms += millis(took);
         }
@@ -445,7 +488,9 @@
 
     fn key(&self, n: u32) -> Option<(usize, u64)> {
         let task = &self.tasks[self.tries[n as usize].task as usize];
-        self.experiment.stages[task.stage].fingerprinted.then_some((task.stage, task.subject))
+        self.experiment.stages[task.stage]
+            .fingerprinted
+            .then_some((task.stage, task.subject))
     }
 
     fn rise(&mut self, n: usize, again: bool) {
@@ -453,7 +498,13 @@
         let now = millis(self.now);
         let machine = &mut self.servers[n];
         machine.life += 1;
-        machine.decider = Some(Decider::new(self.experiment, seed, now, again, &mut machine.actions));
+        machine.decider = Some(Decider::new(
+            self.experiment,
+            seed,
+            now,
+            again,
+            &mut machine.actions,
+        ));
         self.act(n, None);
     }
 
@@ -475,12 +526,15 @@
         }
         for open in self.oldest as u32..self.tries.len() as u32 {
             let attempt = &mut self.tries[open as usize];
-            if attempt.server == n && attempt.life == life && !matches!(attempt.at, Where::Way | Where::Over)
+            if attempt.server == n
+                && attempt.life == life
+                && !matches!(attempt.at, Where::Way | Where::Over)
             {
                 attempt.at = Where::Over;
                 self.oracle.excused(u64::from(open));
                 let way = self.way_nanos();
-                self.queue.add(now + way, Event::Hear(open, Told::Broken, 0.0));
+                self.queue
+                    .add(now + way, Event::Hear(open, Told::Broken, 0.0));
             }
         }
         let late = nanos(self.experiment.edges.late_ms);
@@ -493,7 +547,9 @@
         if machine.decider.is_none() {
             self.tries[n as usize].at = Where::Over;
             let way = self.way_nanos();
-            return self.queue.add(self.now + way, Event::Hear(n, Told::Refused, 0.0));
+            return self
+                .queue
+                .add(self.now + way, Event::Hear(n, Told::Refused, 0.0));
         }
         if machine.paused {
             return machine.waiting.push(n);
@@ -505,31 +561,40 @@
         if attempt.waited {
             self.oracle.came(u64::from(n), by);
         }
-        let place = machine.cores.begin(self.now, u64::from(n) << 1, self.experiment.servers.read_ms);
+        let place =
+            machine
+                .cores
+                .begin(self.now, u64::from(n) << 1, self.experiment.servers.read_ms);
         self.tries[n as usize].at = Where::Reading(place);
         self.foresee(server);
     }
 
     fn foresee(&mut self, server: usize) {
         let machine = &mut self.servers[server];
-        let crowd =
-            machine.cores.running() as f64 > self.experiment.servers.deadly * self.experiment.servers.cores;
+        let crowd = machine.cores.running() as f64
+            > self.experiment.servers.deadly * self.experiment.servers.cores;
         if crowd && machine.crowded.is_none() {
             machine.crowded = Some(self.now);
-            self.queue.add(self.now + DEADLY, Event::Crowd(server as u32, machine.life));
+            self.queue
+                .add(self.now + DEADLY, Event::Crowd(server as u32, machine.life));
         } else if !crowd {
             machine.crowded = None;
         }
         if !machine.paused {
             if let Some(at) = machine.cores.next_end() {
-                self.queue.add(at.max(self.now), Event::End(server as u32, machine.cores.version));
+                self.queue.add(
+                    at.max(self.now),
+                    Event::End(server as u32, machine.cores.version),
+                );
             }
         }
     }
 
     fn crowd(&mut self, n: usize, life: u32) {
         let machine = &self.servers[n];
-        let stayed = machine.crowded.is_some_and(|since| self.now >= since + DEADLY);
+        let stayed = machine
+            .crowded
+            .is_some_and(|since| self.now >= since + DEADLY);
         if machine.life == life && machine.decider.is_some() && stayed {
             self.deaths += 1;
             self.fall(n);
@@ -587,14 +652,17 @@
         }
         self.oracle.answered(self.now, u64::from(n), told);
         let way = self.way_nanos();
-        self.queue.add(self.now + way, Event::Hear(n, told, away_ms));
+        self.queue
+            .add(self.now + way, Event::Hear(n, told, away_ms));
     }
 
     fn run_over(&mut self, server: usize, n: u32) {
         self.answer(n, Told::Finished, 0.0);
         let key = self.key(n);
         let machine = &mut self.servers[server];
-        let known = key.and_then(|key| machine.known.get_mut(&key)).filter(|(owner, ..)| *owner == n);
+        let known = key
+            .and_then(|key| machine.known.get_mut(&key))
+            .filter(|(owner, ..)| *owner == n);
         let waiting = match known {
             Some((_, _, fate)) => match std::mem::replace(fate, Fate::Finished) {
                 Fate::Open(waiting) => waiting,
@@ -610,7 +678,9 @@
     }
 
     fn over_inside(&mut self, server: usize, n: u32, well: bool) {
-        let Where::Inside(seat, _) = self.tries[n as usize].at else { return };
+        let Where::Inside(seat, _) = self.tries[n as usize].at else {
+            return;
+        };
         let machine = &mut self.servers[server];
         if let Some(decider) = &mut machine.decider {
             decider.over(millis(self.now), seat, well, &mut machine.actions);
@@ -632,7 +702,9 @@
     }
 
     fn left_inside(&mut self, n: u32) {
-        let Where::Inside(seat, _) = self.tries[n as usize].at else { return };
+        let Where::Inside(seat, _) = self.tries[n as usize].at else {
+            return;
+        };
         let server = self.tries[n as usize].server;
         let machine = &mut self.servers[server];
         if let Some(decider) = &mut machine.decider {
@@ -648,7 +720,9 @@
             return;
         }
         if machine.paused {
-            return self.queue.add(now + 10_000_000, Event::Beat(n as u32, life));
+            return self
+                .queue
+                .add(now + 10_000_000, Event::Beat(n as u32, life));
         }
         // What the cores were used for over the last half second.
         machine.cores.slow(now, machine.cores.speed());
@@ -674,7 +748,11 @@
         let now = self.now;
         while let Some(action) = self.servers[server].actions.all.pop_front() {
             let at = |world: &World<'_>, seat: Seat| {
-                world.servers[server].seats.get(seat as usize).copied().flatten()
+                world.servers[server]
+                    .seats
+                    .get(seat as usize)
+                    .copied()
+                    .flatten()
             };
             match action {
                 Action::Seat(seat) => {
@@ -687,7 +765,9 @@
                 Action::Release(seat) => {
                     let Some(n) = at(self, seat) else { continue };
                     self.servers[server].seats[seat as usize] = None;
-                    let known = self.key(n).and_then(|key| self.servers[server].known.get_mut(&key));
+                    let known = self
+                        .key(n)
+                        .and_then(|key| self.servers[server].known.get_mut(&key));
                     if let Some((owner, _, fate @ Fate::Open(_))) = known {
                         if *owner == n {
                             *fate = Fate::Failed;
@@ -699,15 +779,21 @@
                     let Some(n) = at(self, seat) else { continue };
                     let work = self.tasks[self.tries[n as usize].task as usize].work_ms;
                     let life = self.servers[server].life;
-                    let key = self.key(n).map(|(stage, subject)| (subject << 6 | stage as u64, server, life));
+                    let key = self
+                        .key(n)
+                        .map(|(stage, subject)| (subject << 6 | stage as u64, server, life));
                     self.oracle.ran(u64::from(n), key);
-                    let place = self.servers[server].cores.begin(now, u64::from(n) << 1 | 1, work);
+                    let place = self.servers[server]
+                        .cores
+                        .begin(now, u64::from(n) << 1 | 1, work);
                     self.tries[n as usize].at = Where::Inside(seat, Some(place));
                     self.foresee(server);
                 }
                 Action::Join(seat) => {
                     let Some(n) = at(self, seat) else { continue };
-                    let known = self.key(n).and_then(|key| self.servers[server].known.get_mut(&key));
+                    let known = self
+                        .key(n)
+                        .and_then(|key| self.servers[server].known.get_mut(&key));
                     match known.map(|(_, _, fate)| fate) {
                         Some(Fate::Open(waiting)) => waiting.push(n),
                         Some(Fate::Finished) => {
@@ -765,7 +851,9 @@
 
     /// What a task had joined is over. The decider hears of it once what it is doing is done.
     fn join_over(&mut self, server: usize, n: u32, well: bool) {
-        let Where::Inside(seat, _) = self.tries[n as usize].at else { return };
+        let Where::Inside(seat, _) = self.tries[n as usize].at else {
+            return;
+        };
         let machine = &mut self.servers[server];
         if let Some(decider) = &mut machine.decider {
             decider.over(millis(self.now), seat, well, &mut machine.actions);
@@ -778,16 +866,21 @@
         let fault = &self.experiment.faults[n];
         for server in fault.first..fault.first + fault.servers {
             match (fault.what, begins) {
-                (Trouble::Crash, true) if self.servers[server].decider.is_some() => self.fall(server),
+                (Trouble::Crash, true) if self.servers[server].decider.is_some() => {
+                    self.fall(server)
+                }
                 (Trouble::Crash, false) if self.servers[server].decider.is_none() => {
                     self.rise(server, true);
                     let late = nanos(self.experiment.edges.late_ms);
-                    self.queue.add(self.now + late, Event::Seen(server as u32, true));
+                    self.queue
+                        .add(self.now + late, Event::Seen(server as u32, true));
                 }
                 (Trouble::Crash, _) => {}
                 (Trouble::Slow(part), _) => {
                     let now = self.now;
-                    self.servers[server].cores.slow(now, if begins { part } else { 1.0 });
+                    self.servers[server]
+                        .cores
+                        .slow(now, if begins { part } else { 1.0 });
                     self.foresee(server);
                 }
                 (Trouble::Pause, _) => {
@@ -806,7 +899,11 @@
 
     fn second_over(&mut self) {
         let now = self.now;
-        let up = self.servers.iter().filter(|machine| machine.decider.is_some()).count();
+        let up = self
+            .servers
+            .iter()
+            .filter(|machine| machine.decider.is_some())
+            .count();
         let mut busy = 0.0;
         for machine in &mut self.servers {
             let speed = machine.cores.speed();
@@ -816,11 +913,14 @@
         for server in 0..self.servers.len() {
             self.foresee(server);
         }
-        let limits = self.servers.iter().filter_map(|machine| machine.decider.as_ref().map(Decider::limit));
+        let limits = self
+            .servers
+            .iter()
+            .filter_map(|machine| machine.decider.as_ref().map(Decider::limit));
         let mut second = std::mem::take(&mut self.second);
         second.limit = limits.filter(|limit| limit.is_finite()).sum::<f64>() / up.max(1) as f64;
-        second.cpu =
-            (busy - self.busy_before) / (1e3 * self.experiment.servers.cores * self.servers.len() as f64);
+        second.cpu = (busy - self.busy_before)
+            / (1e3 * self.experiment.servers.cores * self.servers.len() as f64);
         second.up = up;
         self.busy_before = busy;
         self.seconds.push(second);
@@ -834,11 +934,19 @@
         let finished = self.times.len().max(1) as f64;
         let came: u64 = self.seconds.iter().map(|second| second.came).sum();
         Outcome {
-            service: if self.possible > 0.0 { self.earned / self.possible } else { 0.0 },
+            service: if self.possible > 0.0 {
+                self.earned / self.possible
+            } else {
+                0.0
+            },
             tries_each: self.tries_sent as f64 / came.max(1) as f64,
             milliseconds: quantiles(&self.times),
             mean_ms: self.sum_ms / finished,
-            little: if self.spent_ms > 0.0 { self.inside.1 / self.spent_ms } else { 1.0 },
+            little: if self.spent_ms > 0.0 {
+                self.inside.1 / self.spent_ms
+            } else {
+                1.0
+            },
             tasks: self.counts,
             broken: self.oracle.broken,
             events: self.queue.came(),
--- a/crates/asterdale-fleet/tests/validity.rs
+++ b/crates/asterdale-fleet/tests/validity.rs
@@ -20,7 +20,8 @@
         term *= offered / f64::from(n);
         sum += term;
     }
-    let full = term * offered / f64::from(servers) * f64::from(servers) / (f64::from(servers) - offered);
+    let full =
+        term * offered / f64::from(servers) * f64::from(servers) / (f64::from(servers) - offered);
     let waits = full / (sum + full);
     1.0 + waits / (f64::from(servers) - offered)
 }
@@ -31,10 +32,19 @@
         let offered = 4.0 * load;
         let runs: Vec<f64> = (1..=8u64)
             .into_par_iter()
-            .map(|seed| play(&experiment(Policy::Pool(1_000_000), 100.0 * offered, 300.0), seed).mean_ms)
+            .map(|seed| {
+                play(
+                    &experiment(Policy::Pool(1_000_000), 100.0 * offered, 300.0),
+                    seed,
+                )
+                .mean_ms
+            })
             .collect();
         let (mean, wanted) = (runs.iter().sum::<f64>() / 8.0, 10.0 * erlang(4, offered));
-        assert!((mean / wanted - 1.0).abs() < 0.02, "{mean} ms, and {wanted} by the formula, at {load}");
+        assert!(
+            (mean / wanted - 1.0).abs() < 0.02,
+            "{mean} ms, and {wanted} by the formula, at {load}"
+        );
     }
 }
 
@@ -43,7 +53,10 @@
     // M/M/1 with processor sharing: the mean time is 1 / (1 - load), whatever the order.
     let mut one = experiment(Policy::Everything, 70.0, 600.0);
     one.servers.cores = 1.0;
-    let runs: Vec<f64> = (1..=8u64).into_par_iter().map(|seed| play(&one, seed).mean_ms).collect();
+    let runs: Vec<f64> = (1..=8u64)
+        .into_par_iter()
+        .map(|seed| play(&one, seed).mean_ms)
+        .collect();
     let mean = runs.iter().sum::<f64>() / 8.0;
     assert!((mean / (10.0 / 0.3) - 1.0).abs() < 0.03, "{mean}");
 }
@@ -54,9 +67,15 @@
     (many.servers.count, many.edges.count, many.edges.way_ms) = (8, 5, 1.0);
     many.edges.retry = Retry::Budget(2, 0.2);
     let all = |threads| {
-        let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().unwrap();
+        let pool = rayon::ThreadPoolBuilder::new()
+            .num_threads(threads)
+            .build()
+            .unwrap();
         pool.install(|| {
-            (1..=4u64).into_par_iter().map(|seed| json!(play(&many, seed)).to_string()).collect::<Vec<_>>()
+            (1..=4u64)
+                .into_par_iter()
+                .map(|seed| json!(play(&many, seed)).to_string())
+                .collect::<Vec<_>>()
         })
     };
     let (one, four) = (all(1), all(4));
@@ -64,30 +83,60 @@
     assert_ne!(one[0], one[1]);
     let outcome = play(&many, 1);
     assert!((outcome.little - 1.0).abs() < 1e-9, "{}", outcome.little);
-    assert!(outcome.broken.is_empty() && outcome.service > 0.99, "{outcome:?}");
-    let ends: u64 = outcome.tasks.iter().filter(|(name, _)| **name != "came").map(|(_, n)| n).sum();
+    assert!(
+        outcome.broken.is_empty() && outcome.service > 0.99,
+        "{outcome:?}"
+    );
+    let ends: u64 = outcome
+        .tasks
+        .iter()
+        .filter(|(name, _)| **name != "came")
+        .map(|(_, n)| n)
+        .sum();
     assert_eq!(ends, outcome.tasks["came"]);
 }
 
 fn with(fault: Trouble, servers: usize) -> Experiment {
     let mut all = experiment(Policy::Asterdale, 600.0, 20.0);
-    (all.servers.count, all.edges.count, all.edges.late_ms, all.edges.way_ms) = (4, 4, 500.0, 0.5);
+    (
+        all.servers.count,
+        all.edges.count,
+        all.edges.late_ms,
+        all.edges.way_ms,
+    ) = (4, 4, 500.0, 0.5);
     all.edges.retry = Retry::Fixed(2);
     all.stages[0].due_ms = 500.0;
     all.stages[0].limit_ms = 2000.0;
-    all.faults = vec![Fault { at_s: 8.0, for_s: 4.0, first: 0, servers, what: fault }];
+    all.faults = vec![Fault {
+        at_s: 8.0,
+        for_s: 4.0,
+        first: 0,
+        servers,
+        what: fault,
+    }];
     all
 }
 
 #[test]
 fn each_fault_does_what_it_says_and_ends() {
-    let (calm, crash) = (play(&with(Trouble::Slow(1.0), 1), 3), play(&with(Trouble::Crash, 2), 3));
-    assert!(calm.service > 0.999 && calm.broken.is_empty(), "{:?}", calm.broken);
+    let (calm, crash) = (
+        play(&with(Trouble::Slow(1.0), 1), 3),
+        play(&with(Trouble::Crash, 2), 3),
+    );
+    assert!(
+        calm.service > 0.999 && calm.broken.is_empty(),
+        "{:?}",
+        calm.broken
+    );
     let up: Vec<usize> = crash.seconds.iter().map(|second| second.up).collect();
     assert_eq!((up[5], up[9], up[15]), (4, 2, 4));
     assert!(crash.broken.is_empty(), "{:?}", crash.broken);
     let slow = play(&with(Trouble::Slow(0.2), 2), 3);
-    assert!(slow.milliseconds["p99"] > 1.5 * calm.milliseconds["p99"], "{:?}", slow.milliseconds);
+    assert!(
+        slow.milliseconds["p99"] > 1.5 * calm.milliseconds["p99"],
+        "{:?}",
+        slow.milliseconds
+    );
     let pause = play(&with(Trouble::Pause, 4), 3);
     assert_eq!(pause.seconds[9].in_time, 0);
     assert!(pause.seconds[15].in_time > 500, "{:?}", pause.seconds[15]);
@@ -101,6 +150,16 @@
     let ours = play(&flood, 1);
     flood.servers.policy = Policy::Everything;
     let theirs = play(&flood, 1);
-    assert!(ours.deaths == 0 && theirs.deaths > 0, "{} and {}", ours.deaths, theirs.deaths);
-    assert!(ours.service > theirs.service, "{} and {}", ours.service, theirs.service);
+    assert!(
+        ours.deaths == 0 && theirs.deaths > 0,
+        "{} and {}",
+        ours.deaths,
+        theirs.deaths
+    );
+    assert!(
+        ours.service > theirs.service,
+        "{} and {}",
+        ours.service,
+        theirs.service
+    );
 }
--- a/crates/asterdale-handover/src/frame.rs
+++ b/crates/asterdale-handover/src/frame.rs
@@ -45,12 +45,16 @@
     /// The next message, once it is whole. One of a kind that is not known here is passed over.
     pub fn take(&mut self) -> Result<Option<What>, Bad> {
         loop {
-            let Some(length) = self.bytes.first_chunk::<4>() else { return Ok(None) };
+            let Some(length) = self.bytes.first_chunk::<4>() else {
+                return Ok(None);
+            };
             let length = u32::from_be_bytes(*length) as usize;
             if length > MOST {
                 return Err(Bad::TooLong);
             }
-            let Some(body) = self.bytes.get(4..4 + length) else { return Ok(None) };
+            let Some(body) = self.bytes.get(4..4 + length) else {
+                return Ok(None);
+            };
             let frame = Frame::decode(body).map_err(|_| Bad::Unreadable)?;
             self.bytes.drain(..4 + length);
             if frame.what.is_some() {
--- a/crates/asterdale-handover/src/giver.rs
+++ b/crates/asterdale-handover/src/giver.rs
@@ -93,7 +93,12 @@
 impl Giver {
     /// The successor was just started. The epoch is the one that this process serves in.
     pub fn new(now: f64, epoch: u64, shape: u32) -> Giver {
-        Giver { step: Step::Offered, by: now + GREETING, epoch, shape }
+        Giver {
+            step: Step::Offered,
+            by: now + GREETING,
+            epoch,
+            shape,
+        }
     }
 
     /// Where it is.
@@ -103,13 +108,19 @@
 
     /// By when it wants a [`Event::Tick`].
     pub fn wake(&self) -> Option<f64> {
-        matches!(self.step, Step::Offered | Step::Adopting | Step::Probing | Step::Committing)
-            .then_some(self.by)
+        matches!(
+            self.step,
+            Step::Offered | Step::Adopting | Step::Probing | Step::Committing
+        )
+        .then_some(self.by)
     }
 
     /// Whether this process may start work.
     pub fn owns(&self) -> bool {
-        matches!(self.step, Step::Offered | Step::Adopting | Step::Probing | Step::Serving)
+        matches!(
+            self.step,
+            Step::Offered | Step::Adopting | Step::Probing | Step::Serving
+        )
     }
 
     fn back(&mut self, why: String) -> Vec<Action> {
@@ -142,16 +153,30 @@
             (_, Event::Ended) => self.back("the new process has ended".to_owned()),
             (_, Event::Refused(why)) => self.back(format!("the new process refuses: {why}")),
             (_, Event::Leave) => self.back("this process is leaving".to_owned()),
-            (step, Event::Tick) if late => self.back(format!("the new process took too long: {step:?}")),
+            (step, Event::Tick) if late => {
+                self.back(format!("the new process took too long: {step:?}"))
+            }
             (_, Event::Tick | Event::Released) => Vec::new(),
-            (Step::Offered, Event::Hello { version, shape, known }) => {
+            (
+                Step::Offered,
+                Event::Hello {
+                    version,
+                    shape,
+                    known,
+                },
+            ) => {
                 if !known {
-                    return self.back("a stranger spoke in the place of the new process".to_owned());
+                    return self
+                        .back("a stranger spoke in the place of the new process".to_owned());
                 }
                 if version != crate::VERSION || shape != self.shape {
                     let why =
                         format!("the new process speaks version {version} and reads shape {shape}, this one");
-                    return self.back(format!("{why} version {} and shape {}", crate::VERSION, self.shape));
+                    return self.back(format!(
+                        "{why} version {} and shape {}",
+                        crate::VERSION,
+                        self.shape
+                    ));
                 }
                 (self.step, self.by) = (Step::Adopting, now + ADOPTING);
                 vec![Action::Offer]
@@ -169,7 +194,9 @@
                 self.step = Step::Guarding;
                 vec![Action::Go(epoch), Action::Tell(Ok(()))]
             }
-            (step, event) => self.back(format!("the new process spoke out of turn: {event:?} in {step:?}")),
+            (step, event) => self.back(format!(
+                "the new process spoke out of turn: {event:?} in {step:?}"
+            )),
         }
     }
 }
--- a/crates/asterdale-handover/src/taker.rs
+++ b/crates/asterdale-handover/src/taker.rs
@@ -66,7 +66,11 @@
 impl Taker {
     /// It has just said who it is.
     pub fn new(now: f64) -> Taker {
-        Taker { step: Step::Greeted, by: now + PATIENCE, epoch: 0 }
+        Taker {
+            step: Step::Greeted,
+            by: now + PATIENCE,
+            epoch: 0,
+        }
     }
 
     /// Where it is.
@@ -123,9 +127,9 @@
                 vec![Action::Loaded(epoch)]
             }
             (_, Event::Trial(Err(why)) | Event::State(_, Err(why))) => self.refuse(why),
-            (step, event) => {
-                self.refuse(format!("the process before spoke out of turn: {event:?} in {step:?}"))
-            }
+            (step, event) => self.refuse(format!(
+                "the process before spoke out of turn: {event:?} in {step:?}"
+            )),
         }
     }
 }
--- a/crates/asterdale-handover/src/tests.rs
+++ b/crates/asterdale-handover/src/tests.rs
@@ -82,7 +82,8 @@
                 giver::Action::Offer => self.down.push_back(ToTaker::Offer),
                 giver::Action::Try => self.down.push_back(ToTaker::Trial(true)),
                 giver::Action::Freeze(epoch) => {
-                    self.down.push_back(ToTaker::State(epoch, self.giver_knows.clone()));
+                    self.down
+                        .push_back(ToTaker::State(epoch, self.giver_knows.clone()));
                 }
                 giver::Action::Go(epoch) => self.down.push_back(ToTaker::Go(epoch)),
                 giver::Action::Kill if mistake != Mistake::Unkilled => self.taker = None,
@@ -98,7 +99,11 @@
     fn taker_does(&mut self, event: taker::Event, mistake: Mistake) {
         let Some(taker) = &mut self.taker else { return };
         let hasty = mistake == Mistake::Hasty && event == taker::Event::Ended;
-        let actions = if hasty { vec![taker::Action::Own] } else { taker.on(0.0, event) };
+        let actions = if hasty {
+            vec![taker::Action::Own]
+        } else {
+            taker.on(0.0, event)
+        };
         if hasty {
             // As one that has been through all the steps.
             let mut owner = Taker::new(0.0);
@@ -170,13 +175,21 @@
         if self.giver.is_some() && !self.up.is_empty() {
             add("the giver hears", &|world| match world.up.pop_front() {
                 Some(ToGiver::Hello) => {
-                    let hello = giver::Event::Hello { version: crate::VERSION, shape: 1, known: true };
+                    let hello = giver::Event::Hello {
+                        version: crate::VERSION,
+                        shape: 1,
+                        known: true,
+                    };
                     world.giver_does(0.0, hello, mistake);
                 }
                 Some(ToGiver::Adopted) => world.giver_does(0.0, giver::Event::Adopted, mistake),
                 Some(ToGiver::Probed) => world.giver_does(0.0, giver::Event::Probed, mistake),
-                Some(ToGiver::Loaded(epoch)) => world.giver_does(0.0, giver::Event::Loaded(epoch), mistake),
-                Some(ToGiver::Refuse) => world.giver_does(0.0, giver::Event::Refused("no".into()), mistake),
+                Some(ToGiver::Loaded(epoch)) => {
+                    world.giver_does(0.0, giver::Event::Loaded(epoch), mistake)
+                }
+                Some(ToGiver::Refuse) => {
+                    world.giver_does(0.0, giver::Event::Refused("no".into()), mistake)
+                }
                 Some(ToGiver::Mirror(work)) => {
                     world.giver_knows.insert(work);
                 }
@@ -185,14 +198,26 @@
             if let Some(ToGiver::Hello) = self.up.front() {
                 add("another release says hello", &|world| {
                     world.up.pop_front();
-                    let hello = giver::Event::Hello { version: 99, shape: 1, known: true };
+                    let hello = giver::Event::Hello {
+                        version: 99,
+                        shape: 1,
+                        known: true,
+                    };
                     world.giver_does(0.0, hello, mistake);
                 });
             }
         }
-        if self.giver.as_ref().is_some_and(|giver| giver.wake().is_some()) {
-            add("the giver waits in vain", &|world| world.giver_does(1e9, giver::Event::Tick, mistake));
-            add("the giver is told to leave", &|world| world.giver_does(0.0, giver::Event::Leave, mistake));
+        if self
+            .giver
+            .as_ref()
+            .is_some_and(|giver| giver.wake().is_some())
+        {
+            add("the giver waits in vain", &|world| {
+                world.giver_does(1e9, giver::Event::Tick, mistake)
+            });
+            add("the giver is told to leave", &|world| {
+                world.giver_does(0.0, giver::Event::Leave, mistake)
+            });
         }
         if self.giver.is_some() {
             add("the giver is killed", &|world| world.giver = None);
@@ -200,13 +225,21 @@
         if self.taker.is_some() {
             add("the taker is killed", &|world| world.taker = None);
         }
-        if self.taker.is_none() && self.giver.is_some() && self.up.is_empty() && !self.giver_heard_end {
+        if self.taker.is_none()
+            && self.giver.is_some()
+            && self.up.is_empty()
+            && !self.giver_heard_end
+        {
             add("the giver hears the end", &|world| {
                 world.giver_heard_end = true;
                 world.giver_does(0.0, giver::Event::Ended, mistake);
             });
         }
-        if self.giver.is_none() && self.taker.is_some() && self.down.is_empty() && !self.taker_heard_end {
+        if self.giver.is_none()
+            && self.taker.is_some()
+            && self.down.is_empty()
+            && !self.taker_heard_end
+        {
             add("the taker hears the end", &|world| {
                 world.taker_heard_end = true;
                 world.taker_does(taker::Event::Ended, mistake);
@@ -249,9 +282,11 @@
         world.check().map_err(|what| format!("{what}: {path:?}"))?;
         let next = world.next(mistake);
         // Nothing more can happen but death: whoever is left must be serving.
-        let stuck = next.iter().all(|(name, _)| name.ends_with("killed") || name.ends_with("starts work"));
-        let serving =
-            world.giver.as_ref().is_some_and(Giver::owns) || world.taker.as_ref().is_some_and(Taker::owns);
+        let stuck = next
+            .iter()
+            .all(|(name, _)| name.ends_with("killed") || name.ends_with("starts work"));
+        let serving = world.giver.as_ref().is_some_and(Giver::owns)
+            || world.taker.as_ref().is_some_and(Taker::owns);
         if stuck && !serving && (world.giver.is_some() || world.taker.is_some()) {
             return Err(format!("nobody serves, and nothing can happen: {path:?}"));
         }
@@ -274,18 +309,43 @@
 
 #[test]
 fn the_exploration_finds_each_mistake_that_is_made_on_purpose() {
-    for mistake in [Mistake::Unmirrored, Mistake::Unkilled, Mistake::Hasty, Mistake::Unfrozen] {
+    for mistake in [
+        Mistake::Unmirrored,
+        Mistake::Unkilled,
+        Mistake::Hasty,
+        Mistake::Unfrozen,
+    ] {
         let found = explore(mistake);
-        assert!(found.is_err(), "{mistake:?} was not found in {found:?} worlds");
+        assert!(
+            found.is_err(),
+            "{mistake:?} was not found in {found:?} worlds"
+        );
     }
 }
 
 #[test]
 fn a_stranger_and_another_release_are_turned_away_and_the_giver_carries_on() {
-    for (version, shape, known) in [(crate::VERSION, 1, false), (99, 1, true), (crate::VERSION, 2, true)] {
+    for (version, shape, known) in [
+        (crate::VERSION, 1, false),
+        (99, 1, true),
+        (crate::VERSION, 2, true),
+    ] {
         let mut giver = Giver::new(0.0, 1, 1);
-        let actions = giver.on(0.0, giver::Event::Hello { version, shape, known });
-        assert!(matches!(actions[..], [giver::Action::Kill, giver::Action::Tell(Err(_))]), "{actions:?}");
+        let actions = giver.on(
+            0.0,
+            giver::Event::Hello {
+                version,
+                shape,
+                known,
+            },
+        );
+        assert!(
+            matches!(
+                actions[..],
+                [giver::Action::Kill, giver::Action::Tell(Err(_))]
+            ),
+            "{actions:?}"
+        );
         assert!(giver.owns());
     }
 }
@@ -293,8 +353,16 @@
 #[test]
 fn frames_come_whole_in_any_pieces_and_what_is_no_frame_is_known_as_such() {
     let all = [
-        What::Hello(Hello { version: 1, shape: 2, nonce: vec![7; 16] }),
-        What::State(State { epoch: 3, part: vec![1; 5000], last: true }),
+        What::Hello(Hello {
+            version: 1,
+            shape: 2,
+            nonce: vec![7; 16],
+        }),
+        What::State(State {
+            epoch: 3,
+            part: vec![1; 5000],
+            last: true,
+        }),
         What::Refuse(Refuse { why: "no".into() }),
         What::Go(Go { epoch: 3 }),
     ];
--- a/crates/asterdale-host/src/below.rs
+++ b/crates/asterdale-host/src/below.rs
@@ -43,7 +43,11 @@
         if now >= link.move_by {
             (link.move_by, link.commands) = (f64::INFINITY, None);
         }
-        let owed = if link.replaying { link.ready } else { link.asked != link.came };
+        let owed = if link.replaying {
+            link.ready
+        } else {
+            link.asked != link.came
+        };
         link.silent = if owed { link.silent + 1 } else { 0 };
         if link.silent >= SILENT {
             link.silent = 0;
@@ -91,7 +95,11 @@
         let now = self.tasks.now;
         let cold = cold || self.tasks.facts.told.cold;
         slog::info!(self.tasks.log.lines, "host: the runtime has begun"; "cold" => cold, "ago_ms" => ago_ms);
-        self.cold_until = if cold { now - ago_ms + self.tasks.facts.told.cold_ms } else { now };
+        self.cold_until = if cold {
+            now - ago_ms + self.tasks.facts.told.cold_ms
+        } else {
+            now
+        };
         if let Some(server) = &mut self.server {
             server.runtime_began(cold, now - ago_ms);
         }
@@ -102,7 +110,14 @@
     fn runtime_replaced(&mut self) {
         static REPLACED: Kind = Kind::new();
         let handed = |slot: &&Slot| slot.started && slot.sent.as_ref().is_none_or(Sent::was_handed);
-        let lost: Vec<Id> = self.tasks.slots.iter().flatten().filter(handed).map(|slot| slot.id).collect();
+        let lost: Vec<Id> = self
+            .tasks
+            .slots
+            .iter()
+            .flatten()
+            .filter(handed)
+            .map(|slot| slot.id)
+            .collect();
         if self.tasks.log.may(&REPLACED) {
             slog::error!(self.tasks.log.lines, "runtime: it has been replaced"; "runs_lost" => lost.len());
         }
@@ -139,7 +154,8 @@
                 self.tasks.link.commands = None;
             }
         } else if self.tasks.send(runtime::ask("gauges", LAST)) {
-            (self.tasks.link.replaying, self.tasks.link.move_by) = (true, self.tasks.now + MOVING_MS);
+            (self.tasks.link.replaying, self.tasks.link.move_by) =
+                (true, self.tasks.now + MOVING_MS);
         }
     }
 
@@ -169,8 +185,12 @@
             Line::Info(no) => drop(no.map(|no| self.first(no))),
             Line::End { no, id, how, body } if self.first(no) => self.run_over(&id, how, body),
             Line::Wants { no, id, body } if self.first(no) => {
-                let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else { return };
-                let Some(task) = tasks.by_id.get(&id).copied() else { return };
+                let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
+                    return;
+                };
+                let Some(task) = tasks.by_id.get(&id).copied() else {
+                    return;
+                };
                 let Some(slot) = tasks.slot(task) else { return };
                 (slot.wants, slot.sent) = (Some((no, body)), None);
                 task.needs_call(server, tasks.now, tasks);
@@ -186,7 +206,10 @@
                 self.read_gauges(&values);
             }
             Line::Verdict { mark, good } => {
-                let check = mark.parse().ok().and_then(|number: u64| self.checks.remove(&number));
+                let check = mark
+                    .parse()
+                    .ok()
+                    .and_then(|number: u64| self.checks.remove(&number));
                 if let Some(check) = check {
                     checked(&check.client, check.request, good);
                 }
@@ -194,7 +217,9 @@
             Line::Nack { command, id } => {
                 if self.tasks.log.may(&NACK) {
                     let about = id.and_then(|id| self.tasks.by_id.get(&id).copied());
-                    let about = about.and_then(|task| self.tasks.about(task)).unwrap_or_default();
+                    let about = about
+                        .and_then(|task| self.tasks.about(task))
+                        .unwrap_or_default();
                     slog::error!(self.tasks.log.lines, "runtime: a command was not carried out";
                         "command" => &command, "id" => about.id, "stage" => about.stage,
                         "tenant" => about.tenant);
@@ -222,11 +247,15 @@
     }
 
     pub(crate) fn run_over(&mut self, id: &Id, how: How, body: Vec<u8>) {
-        let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else { return };
+        let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
+            return;
+        };
         let result: Option<Arc<[u8]>> = (how == How::Pass).then(|| body.into());
         #[cfg(feature = "handover")]
         tasks.ended_elsewhere(id, how == How::Noop, result.as_ref());
-        let Some(task) = tasks.by_id.get(id).copied() else { return };
+        let Some(task) = tasks.by_id.get(id).copied() else {
+            return;
+        };
         let outcome = match (how, &result) {
             (How::Pass, Some(result)) => {
                 tasks.counters.runs_passed.add();
@@ -264,7 +293,9 @@
     pub(crate) fn called(&mut self, who: Serial, outcome: Outcome, took_ms: f64, body: &[u8]) {
         static RECORDS: Kind = Kind::new();
         static REPLIES: Kind = Kind::new();
-        let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else { return };
+        let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
+            return;
+        };
         if outcome == Outcome::Ok {
             tasks.counters.calls_passed.add();
         } else {
@@ -276,13 +307,19 @@
             if well && tasks.log.may(&REPLIES) {
                 slog::info!(tasks.log.lines, "records: replies again");
             } else if !well && tasks.log.may(&RECORDS) {
-                let about = tasks.by_serial.get(&who).copied().and_then(|task| tasks.about(task));
+                let about = tasks
+                    .by_serial
+                    .get(&who)
+                    .copied()
+                    .and_then(|task| tasks.about(task));
                 let about = about.unwrap_or_default();
                 slog::warn!(tasks.log.lines, "records: a call broke"; "how" => ?outcome, "id" => about.id,
                     "stage" => about.stage, "tenant" => about.tenant);
             }
         }
-        let Some(task) = tasks.by_serial.get(&who).copied() else { return }; // its task is over
+        let Some(task) = tasks.by_serial.get(&who).copied() else {
+            return;
+        }; // its task is over
         if outcome == Outcome::Ok {
             let Some(slot) = tasks.slot(task) else { return };
             if slot.wants.take().is_none() {
@@ -302,7 +339,14 @@
                 return checked(&client, request, false);
             }
             tasks.serial += 1;
-            self.checks.insert(tasks.serial, Check { client, request, since: Instant::now() });
+            self.checks.insert(
+                tasks.serial,
+                Check {
+                    client,
+                    request,
+                    since: Instant::now(),
+                },
+            );
             let line = runtime::ask("selftest", &tasks.serial.to_string());
             tasks.send(line);
             return;
@@ -312,7 +356,9 @@
 
     /// Nobody will say how the deep checks end.
     pub(crate) fn checks_end(&mut self) {
-        self.checks.drain().for_each(|(_, check)| checked(&check.client, check.request, false));
+        self.checks
+            .drain()
+            .for_each(|(_, check)| checked(&check.client, check.request, false));
     }
 
     /// Checks that nobody waits for any more end.
--- a/crates/asterdale-host/src/callers.rs
+++ b/crates/asterdale-host/src/callers.rs
@@ -30,7 +30,11 @@
         issuer: Option<Sender<Nudge>>,
         counters: &Arc<Counters>,
     ) -> Callers {
-        Callers { identity, issuer, counters: counters.clone() }
+        Callers {
+            identity,
+            issuer,
+            counters: counters.clone(),
+        }
     }
 
     /// The start file was read again. A gate can't be opened or closed that way: what it let in would lose its
@@ -51,7 +55,9 @@
     /// Offers a set of keys; `true` if it is another one than before.
     pub fn offer(&mut self, now: f64, set: &[u8], log: &Log) -> bool {
         static REFUSED: Kind = Kind::new();
-        let Some(identity) = &mut self.identity else { return false };
+        let Some(identity) = &mut self.identity else {
+            return false;
+        };
         match identity.offer(now, set) {
             Ok(Offered::Adopted) => {
                 self.counters.keys_adopted.add();
@@ -135,6 +141,9 @@
             Why::Rate | Why::Busy => denied.wait_ms.clamp(1.0, 60_000.0).ceil(),
             _ => 0.0,
         };
-        Reply::Denied { kind, wait_ms: wait_ms as u64 }
+        Reply::Denied {
+            kind,
+            wait_ms: wait_ms as u64,
+        }
     }
 }
--- a/crates/asterdale-host/src/clock.rs
+++ b/crates/asterdale-host/src/clock.rs
@@ -4,7 +4,9 @@
 
 /// Milliseconds since the Unix epoch by the system's clock.
 pub fn unix_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64() * 1000.0)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |since| since.as_secs_f64() * 1000.0)
 }
 
 /// The module's time: Unix time at the start, from then on by a clock that never steps.
@@ -16,7 +18,10 @@
 impl Clock {
     /// One that begins now.
     pub(crate) fn start() -> Clock {
-        Clock { unix: unix_ms(), began: Instant::now() }
+        Clock {
+            unix: unix_ms(),
+            began: Instant::now(),
+        }
     }
 
     pub(crate) fn now(&self) -> f64 {
--- a/crates/asterdale-host/src/counters.rs
+++ b/crates/asterdale-host/src/counters.rs
@@ -30,7 +30,8 @@
 pub fn resident_kib() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|line| line.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0)
 }
 
 macro_rules! counters {
--- a/crates/asterdale-host/src/custody.rs
+++ b/crates/asterdale-host/src/custody.rs
@@ -97,7 +97,13 @@
 /// What an answer of the keepers is waited for with.
 enum Awaited {
     /// A task that the module has not seen.
-    Look { request: Box<Request>, mark: Mark, key: Vec<u8>, sign: u64, since: f64 },
+    Look {
+        request: Box<Request>,
+        mark: Mark,
+        key: Vec<u8>,
+        sign: u64,
+        since: f64,
+    },
     /// Work that runs elsewhere.
     Poll(Mark),
     /// A task that the module has run.
@@ -105,7 +111,13 @@
     /// An outcome that is to be kept before its answer leaves.
     Outcome(Box<Ended>),
     /// A held task that is passed on while this process leaves; how it is rejected if nobody takes it.
-    Pass { mark: Mark, key: Vec<u8>, sign: u64, back: Back, reply: Reply },
+    Pass {
+        mark: Mark,
+        key: Vec<u8>,
+        sign: u64,
+        back: Back,
+        reply: Reply,
+    },
     /// Told, whatever comes of it.
     Told,
 }
@@ -204,24 +216,33 @@
     }
 
     /// Work that runs elsewhere is waited for from now on.
-    fn waits(&mut self, now: f64, mark: &Mark, (key, sign): (&[u8], u64), window_ms: f64) -> &mut Elsewhere {
-        self.elsewhere.entry(mark.clone()).or_insert_with(|| Elsewhere {
-            key: key.to_vec(),
-            sign,
-            polling: false,
-            at: now + POLL_MS,
-            nobodys: None,
-            until: now + window_ms,
-            backs: Vec::new(),
-        })
+    fn waits(
+        &mut self,
+        now: f64,
+        mark: &Mark,
+        (key, sign): (&[u8], u64),
+        window_ms: f64,
+    ) -> &mut Elsewhere {
+        self.elsewhere
+            .entry(mark.clone())
+            .or_insert_with(|| Elsewhere {
+                key: key.to_vec(),
+                sign,
+                polling: false,
+                at: now + POLL_MS,
+                nobodys: None,
+                until: now + window_ms,
+                backs: Vec::new(),
+            })
     }
 }
 
 fn hexadecimal(key: &[u8]) -> String {
-    key.iter().fold(String::with_capacity(2 * key.len()), |mut text, byte| {
-        let _ = write!(text, "{byte:02x}");
-        text
-    })
+    key.iter()
+        .fold(String::with_capacity(2 * key.len()), |mut text, byte| {
+            let _ = write!(text, "{byte:02x}");
+            text
+        })
 }
 
 impl Tasks {
@@ -238,12 +259,27 @@
         if told.repeat != Repeat::Fingerprinted || port.keeps(mark.stage).is_none() {
             return None;
         }
-        let key = [self.facts.stages[mark.stage].as_bytes(), tenant.as_bytes(), &mark.text].join(&0);
+        let key = [
+            self.facts.stages[mark.stage].as_bytes(),
+            tenant.as_bytes(),
+            &mark.text,
+        ]
+        .join(&0);
         let by = self.now + left_ms.clamp(0.0, told.limit_ms.max(0.0));
         let due = (self.now + told.limit_ms).max(by);
         let (claim, hint_ms) = (Claim::None, hint_ms.unwrap_or(0.0));
         let (sign, fences, orphan) = (port.sign(body), port.fences(), false);
-        Some(Kept { key, sign, claim, fences, orphan, by, due, hint_ms, kb })
+        Some(Kept {
+            key,
+            sign,
+            claim,
+            fences,
+            orphan,
+            by,
+            due,
+            hint_ms,
+            kb,
+        })
     }
 
     /// Asks what is known of a task, which waits for that.
@@ -255,20 +291,36 @@
         }
         if self.desk.waiting.len() >= MOST_WAITING {
             self.counters.requests_over.add();
-            return request.client.clone().answer(request.request, Reply::Overloaded);
+            return request
+                .client
+                .clone()
+                .answer(request.request, Reply::Overloaded);
         }
-        let Some(mark) = request.asked.mark.clone() else { return };
+        let Some(mark) = request.asked.mark.clone() else {
+            return;
+        };
         let (key, sign, since) = (kept.key.clone(), kept.sign, self.now);
         let want = Want::Look(key.clone(), sign);
-        let awaited = Awaited::Look { request: Box::new(request), mark, key, sign, since };
+        let awaited = Awaited::Look {
+            request: Box::new(request),
+            mark,
+            key,
+            sign,
+            since,
+        };
         let number = self.desk.want(want, awaited);
         self.desk.parked.insert(way, number);
     }
 
     /// Nobody waits any more for requests that are parked.
     pub(crate) fn left_parked(&mut self, which: impl Fn(Way) -> bool) {
-        let numbers: Vec<u64> =
-            self.desk.parked.iter().filter(|(way, _)| which(**way)).map(|(_, &number)| number).collect();
+        let numbers: Vec<u64> = self
+            .desk
+            .parked
+            .iter()
+            .filter(|(way, _)| which(**way))
+            .map(|(_, &number)| number)
+            .collect();
         for number in numbers {
             if let Some(request) = self.unpark(number) {
                 request.client.clone().answer(request.request, Reply::Left);
@@ -277,8 +329,12 @@
     }
 
     fn unpark(&mut self, number: u64) -> Option<Box<Request>> {
-        let Some(Awaited::Look { request, .. }) = self.desk.waiting.remove(&number) else { return None };
-        self.desk.parked.remove(&(request.client.connection(), request.request));
+        let Some(Awaited::Look { request, .. }) = self.desk.waiting.remove(&number) else {
+            return None;
+        };
+        self.desk
+            .parked
+            .remove(&(request.client.connection(), request.request));
         if let Some(port) = &self.desk.port {
             port.forget(number);
         }
@@ -289,9 +345,13 @@
     pub(crate) fn may_start(&mut self, task: Handle) -> bool {
         let facts = self.facts.clone();
         let now = self.now;
-        let Some(slot) = self.slot(task) else { return false };
+        let Some(slot) = self.slot(task) else {
+            return false;
+        };
         let (who, id, stage, body) = (slot.serial, slot.id, slot.stage, slot.body.clone());
-        let Some(kept) = &mut slot.kept else { return true };
+        let Some(kept) = &mut slot.kept else {
+            return true;
+        };
         match kept.claim {
             Claim::None => {}
             Claim::Held(_) => return true,
@@ -309,9 +369,16 @@
             kb: kept.kb,
             fenced: false,
         };
-        let Some(port) = &self.desk.port else { return true };
-        let work = Work { fenced: port.keeps(stage).unwrap_or(false), ..work };
-        let number = self.desk.want(Want::Claim(work), Awaited::Claim { who, since: now });
+        let Some(port) = &self.desk.port else {
+            return true;
+        };
+        let work = Work {
+            fenced: port.keeps(stage).unwrap_or(false),
+            ..work
+        };
+        let number = self
+            .desk
+            .want(Want::Claim(work), Awaited::Claim { who, since: now });
         if let Some(kept) = self.slot(task).and_then(|slot| slot.kept.as_mut()) {
             kept.claim = Claim::Asked(number);
         }
@@ -320,8 +387,12 @@
 
     /// The fence that goes with a call of this task, if one does; an error where it must not be made now.
     pub(crate) fn fence_of(&mut self, task: Handle) -> Result<Option<(String, u64)>, ()> {
-        let Some(kept) = self.slot(task).and_then(|slot| slot.kept.as_ref()) else { return Ok(None) };
-        let (Some(_), key) = (kept.held(), hexadecimal(&kept.key)) else { return Ok(None) };
+        let Some(kept) = self.slot(task).and_then(|slot| slot.kept.as_ref()) else {
+            return Ok(None);
+        };
+        let (Some(_), key) = (kept.held(), hexadecimal(&kept.key)) else {
+            return Ok(None);
+        };
         let fence = kept.fence();
         let may = self.desk.port.as_ref().is_some_and(|port| port.may_act());
         if !may && !planted::is(Fault::Lease) {
@@ -333,8 +404,12 @@
     /// A run has ended with a result. What others keep waits for that to be kept: its answer is no longer this task's.
     pub(crate) fn outcome(&mut self, task: Handle, result: &Arc<[u8]>) {
         let Some(slot) = self.slot(task) else { return };
-        let Some(kept) = slot.kept.take_if(|kept| kept.held().is_some()) else { return };
-        let (Some(fence), Some(mark), who) = (kept.held(), slot.mark.clone(), slot.serial) else { return };
+        let Some(kept) = slot.kept.take_if(|kept| kept.held().is_some()) else {
+            return;
+        };
+        let (Some(fence), Some(mark), who) = (kept.held(), slot.mark.clone(), slot.serial) else {
+            return;
+        };
         let mut back = None;
         if planted::is(Fault::Outcome) {
             if self.finished(task, result.clone()) {
@@ -350,14 +425,24 @@
         self.desk.taken -= usize::from(kept.orphan);
         let Kept { key, sign, by, .. } = kept;
         let want = Want::End(key.clone(), fence, Some(result.to_vec()));
-        let ended = Ended { mark, who, key, sign, result: result.clone(), back, by };
+        let ended = Ended {
+            mark,
+            who,
+            key,
+            sign,
+            result: result.clone(),
+            back,
+            by,
+        };
         self.desk.want(want, Awaited::Outcome(Box::new(ended)));
     }
 
     /// A run is over without a result that could be given, or nothing was started.
     pub(crate) fn over_without(&mut self, task: Handle, never: bool) {
         let Some(slot) = self.slot(task) else { return };
-        let Some(kept) = slot.kept.take_if(|kept| kept.held().is_some()) else { return };
+        let Some(kept) = slot.kept.take_if(|kept| kept.held().is_some()) else {
+            return;
+        };
         self.desk.taken -= usize::from(kept.orphan);
         let Some(fence) = kept.held() else { return };
         if never {
@@ -365,17 +450,21 @@
                 port.dropped(kept.key, fence);
             }
         } else {
-            self.desk.want(Want::End(kept.key, fence, None), Awaited::Told);
+            self.desk
+                .want(Want::End(kept.key, fence, None), Awaited::Told);
         }
     }
 
     /// The module is done with a task. One that was started and whose end nobody saw has ended without a result, as it
     /// has for whoever repeats it here; while this process leaves, others may do better.
     pub(crate) fn released(&mut self, task: Handle) {
-        let Some(kept) = self.slot(task).and_then(|slot| slot.kept.take()) else { return };
+        let Some(kept) = self.slot(task).and_then(|slot| slot.kept.take()) else {
+            return;
+        };
         self.desk.taken -= usize::from(kept.orphan);
         if let (Some(fence), None) = (kept.held(), self.desk.leaves) {
-            self.desk.want(Want::End(kept.key, fence, None), Awaited::Told);
+            self.desk
+                .want(Want::End(kept.key, fence, None), Awaited::Told);
         }
     }
 
@@ -385,12 +474,22 @@
             return false;
         }
         let (facts, now) = (self.facts.clone(), self.now);
-        let Some(port) = self.desk.port.clone() else { return false };
-        let Some(slot) = self.slot(task) else { return false };
-        let Some(kept) = slot.kept.as_ref().filter(|kept| kept.claim == Claim::None && !kept.orphan) else {
+        let Some(port) = self.desk.port.clone() else {
+            return false;
+        };
+        let Some(slot) = self.slot(task) else {
+            return false;
+        };
+        let Some(kept) = slot
+            .kept
+            .as_ref()
+            .filter(|kept| kept.claim == Claim::None && !kept.orphan)
+        else {
+            return false;
+        };
+        let (Some(mark), Some(back)) = (slot.mark.clone(), slot.back.take()) else {
             return false;
         };
-        let (Some(mark), Some(back)) = (slot.mark.clone(), slot.back.take()) else { return false };
         let (key, sign, stage) = (kept.key.clone(), kept.sign, slot.stage);
         let work = Work {
             key: key.clone(),
@@ -409,8 +508,20 @@
         self.by_way.remove(&(back.0.connection(), back.1));
         let waiting = self.fingerprints.forget(&mark, serial);
         self.tell(waiting, None);
-        let reply = Reply::Rejected { last, stay_away_ms: stay_away_ms as u64 };
-        self.desk.want(Want::Pass(work), Awaited::Pass { mark, key, sign, back, reply });
+        let reply = Reply::Rejected {
+            last,
+            stay_away_ms: stay_away_ms as u64,
+        };
+        self.desk.want(
+            Want::Pass(work),
+            Awaited::Pass {
+                mark,
+                key,
+                sign,
+                back,
+                reply,
+            },
+        );
         true
     }
 
@@ -424,7 +535,10 @@
     fn unanswered(&self) -> Vec<(Handle, bool)> {
         let now = self.now;
         let late = |slot: &Slot| {
-            let kept = slot.kept.as_ref().filter(|kept| slot.back.is_some() && now > kept.by - BEFORE_MS)?;
+            let kept = slot
+                .kept
+                .as_ref()
+                .filter(|kept| slot.back.is_some() && now > kept.by - BEFORE_MS)?;
             Some((
                 self.by_serial.get(&slot.serial).copied()?,
                 matches!(kept.claim, Claim::Held(_) | Claim::Elsewhere),
@@ -435,8 +549,12 @@
 
     /// Whether a task that waited in vain for what runs elsewhere is to hear something of its own; it has, then.
     pub(crate) fn heard_in_vain(&mut self, task: Handle) -> bool {
-        let Some(who) = self.slot(task).map(|slot| slot.serial) else { return false };
-        let Some(reply) = self.desk.replies.remove(&who) else { return false };
+        let Some(who) = self.slot(task).map(|slot| slot.serial) else {
+            return false;
+        };
+        let Some(reply) = self.desk.replies.remove(&who) else {
+            return false;
+        };
         self.answer_counted(task, reply);
         true
     }
@@ -455,11 +573,15 @@
 
     /// This process takes over what some here waited for: they wait for its run now.
     pub(crate) fn rejoin(&mut self, mark: &Mark, waited: Vec<Serial>) -> Vec<Serial> {
-        let Some(elsewhere) = self.desk.elsewhere.get(mark) else { return waited };
+        let Some(elsewhere) = self.desk.elsewhere.get(mark) else {
+            return waited;
+        };
         if elsewhere.backs.is_empty() {
             self.desk.elsewhere.remove(mark);
         }
-        waited.into_iter().for_each(|who| drop(self.fingerprints.join(mark, who)));
+        waited
+            .into_iter()
+            .for_each(|who| drop(self.fingerprints.join(mark, who)));
         Vec::new()
     }
 
@@ -477,16 +599,26 @@
 
     /// What runs elsewhere is over, as far as this process can tell.
     fn known(&mut self, mark: &Mark, reply: &Reply) {
-        let Some(elsewhere) = self.desk.elsewhere.remove(mark) else { return };
+        let Some(elsewhere) = self.desk.elsewhere.remove(mark) else {
+            return;
+        };
         for Detached { back, ran, .. } in elsewhere.backs {
             let never = matches!(reply, Reply::Rejected { .. });
-            let reply = if never && ran { Reply::Unknown { wait_ms: POLL_MS as u64 } } else { reply.clone() };
+            let reply = if never && ran {
+                Reply::Unknown {
+                    wait_ms: POLL_MS as u64,
+                }
+            } else {
+                reply.clone()
+            };
             self.answer_back(back, reply);
         }
         let now = self.now;
         match reply {
             Reply::Finished(result) => {
-                let waiting = self.fingerprints.ended(mark, ELSEWHERE, now, Some(result.clone()));
+                let waiting = self
+                    .fingerprints
+                    .ended(mark, ELSEWHERE, now, Some(result.clone()));
                 self.tell(waiting, Some(result));
             }
             Reply::Abandoned => {
@@ -497,8 +629,12 @@
                 // Whoever asks again is told what is known then.
                 let waiting = self.fingerprints.forget(mark, ELSEWHERE);
                 // One that the module has done with hears nothing more.
-                let waits = waiting.iter().filter(|who| self.by_serial.contains_key(who));
-                self.desk.replies.extend(waits.map(|who| (*who, reply.clone())));
+                let waits = waiting
+                    .iter()
+                    .filter(|who| self.by_serial.contains_key(who));
+                self.desk
+                    .replies
+                    .extend(waits.map(|who| (*who, reply.clone())));
                 self.tell(waiting, None);
             }
         }
@@ -512,9 +648,15 @@
         Verdict::Passed => Reply::Finished(answer.result.clone().into()),
         Verdict::Failed => Reply::Abandoned,
         Verdict::Unknown => Reply::Unknown { wait_ms },
-        Verdict::Full => Reply::Rejected { last: false, stay_away_ms: wait_ms },
+        Verdict::Full => Reply::Rejected {
+            last: false,
+            stay_away_ms: wait_ms,
+        },
         Verdict::Differs => Reply::Senseless,
-        Verdict::Over => Reply::Rejected { last: false, stay_away_ms: lease_ms as u64 },
+        Verdict::Over => Reply::Rejected {
+            last: false,
+            stay_away_ms: lease_ms as u64,
+        },
         _ => return None,
     })
 }
@@ -527,19 +669,38 @@
             self.tasks.desk.parked.remove(&way);
         }
         match self.tasks.desk.waiting.remove(&number) {
-            Some(Awaited::Look { request, mark, key, sign, .. }) => {
+            Some(Awaited::Look {
+                request,
+                mark,
+                key,
+                sign,
+                ..
+            }) => {
                 self.looked(*request, &mark, (&key, sign), &answer);
             }
             Some(Awaited::Poll(mark)) => self.polled(&mark, &answer),
             Some(Awaited::Claim { who, .. }) => self.claimed(who, &answer),
             Some(Awaited::Outcome(ended)) => self.outcome_kept(*ended, &answer),
-            Some(Awaited::Pass { mark, key, sign, back, reply }) => {
-                let (now, by) = (self.tasks.now, self.tasks.desk.leaves.unwrap_or(self.tasks.now));
+            Some(Awaited::Pass {
+                mark,
+                key,
+                sign,
+                back,
+                reply,
+            }) => {
+                let (now, by) = (
+                    self.tasks.now,
+                    self.tasks.desk.leaves.unwrap_or(self.tasks.now),
+                );
                 match answer.verdict() {
                     Verdict::Kept | Verdict::Open => {
                         let window = self.tasks.facts.told.stages[mark.stage].memory_ms;
                         let elsewhere = self.tasks.desk.waits(now, &mark, (&key, sign), window);
-                        elsewhere.backs.push(Detached { back, by, ran: false });
+                        elsewhere.backs.push(Detached {
+                            back,
+                            by,
+                            ran: false,
+                        });
                     }
                     _ => {
                         let reply = reply_of(&answer, 0.0).unwrap_or(reply);
@@ -552,20 +713,35 @@
     }
 
     /// What is known of a task that the module has not seen.
-    fn looked(&mut self, request: Request, mark: &Mark, (key, sign): (&[u8], u64), answer: &Answer) {
+    fn looked(
+        &mut self,
+        request: Request,
+        mark: &Mark,
+        (key, sign): (&[u8], u64),
+        answer: &Answer,
+    ) {
         let tasks = &mut self.tasks;
         let verdict = answer.verdict();
-        if matches!(verdict, Verdict::Open | Verdict::Passed | Verdict::Failed) && !planted_lock(verdict) {
+        if matches!(verdict, Verdict::Open | Verdict::Passed | Verdict::Failed)
+            && !planted_lock(verdict)
+        {
             if tasks.fingerprints.is_full() {
                 tasks.counters.requests_over.add();
-                return request.client.clone().answer(request.request, Reply::Overloaded);
+                return request
+                    .client
+                    .clone()
+                    .answer(request.request, Reply::Overloaded);
             }
             // Known here from now on: the module joins it as it joins any repeat.
             let window = tasks.facts.told.stages[mark.stage].memory_ms;
             let local = tasks.fingerprints.sign(&request.body);
             if !tasks.fingerprints.knows(mark, tasks.now) {
-                let before =
-                    tasks.fingerprints.remember(mark.clone(), (ELSEWHERE, local), tasks.now + window, None);
+                let before = tasks.fingerprints.remember(
+                    mark.clone(),
+                    (ELSEWHERE, local),
+                    tasks.now + window,
+                    None,
+                );
                 tasks.tell(before, None);
                 let now = tasks.now;
                 tasks.desk.waits(now, mark, (key, sign), window);
@@ -591,7 +767,9 @@
     fn polled(&mut self, mark: &Mark, answer: &Answer) {
         let tasks = &mut self.tasks;
         let now = tasks.now;
-        let Some(elsewhere) = tasks.desk.elsewhere.get_mut(mark) else { return };
+        let Some(elsewhere) = tasks.desk.elsewhere.get_mut(mark) else {
+            return;
+        };
         (elsewhere.polling, elsewhere.at) = (false, now + POLL_MS);
         match answer.verdict() {
             Verdict::Open => elsewhere.nobodys = None,
@@ -600,7 +778,13 @@
                 if now - since >= NOBODYS_MS {
                     // Its owner is gone, or dropped it before it started. Who waits here never ran, and may try again:
                     // it is then a first try, or joins whoever took it.
-                    tasks.known(mark, &Reply::Rejected { last: false, stay_away_ms: 0 });
+                    tasks.known(
+                        mark,
+                        &Reply::Rejected {
+                            last: false,
+                            stay_away_ms: 0,
+                        },
+                    );
                 }
             }
             Verdict::Passed | Verdict::Failed | Verdict::Unknown => {
@@ -615,7 +799,9 @@
     /// Whose a task is that the module has run.
     fn claimed(&mut self, who: Serial, answer: &Answer) {
         let tasks = &mut self.tasks;
-        let Some(port) = tasks.desk.port.clone() else { return };
+        let Some(port) = tasks.desk.port.clone() else {
+            return;
+        };
         let (verdict, fence) = (answer.verdict(), answer.number);
         let task = tasks.by_serial.get(&who).copied();
         let Some((task, slot)) =
@@ -638,7 +824,13 @@
                 return asterdale::Machine::run(tasks, task);
             }
             port.dropped(kept.key.clone(), fence);
-            return self.never_started(task, Reply::Rejected { last: false, stay_away_ms: 0 });
+            return self.never_started(
+                task,
+                Reply::Rejected {
+                    last: false,
+                    stay_away_ms: 0,
+                },
+            );
         }
         match verdict {
             Verdict::Open => {
@@ -669,7 +861,13 @@
             }
             _ => {
                 let reply = reply_of(answer, tasks.desk.lease_ms());
-                self.never_started(task, reply.unwrap_or(Reply::Rejected { last: false, stay_away_ms: 0 }));
+                self.never_started(
+                    task,
+                    reply.unwrap_or(Reply::Rejected {
+                        last: false,
+                        stay_away_ms: 0,
+                    }),
+                );
             }
         }
     }
@@ -694,18 +892,32 @@
     /// What became of an outcome that was to be kept.
     fn outcome_kept(&mut self, ended: Ended, answer: &Answer) {
         let tasks = &mut self.tasks;
-        let Ended { mark, who, key, sign, result, back, by } = ended;
+        let Ended {
+            mark,
+            who,
+            key,
+            sign,
+            result,
+            back,
+            by,
+        } = ended;
         if answer.verdict() == Verdict::Fenced {
             // Another backend has taken it over: its outcome counts, and whoever waits here waits for that.
             let (now, window) = (tasks.now, tasks.facts.told.stages[mark.stage].memory_ms);
             if tasks.fingerprints.goes_to(&mark, who, ELSEWHERE) || back.is_some() {
                 let elsewhere = tasks.desk.waits(now, &mark, (&key, sign), window);
-                elsewhere.backs.extend(back.map(|back| Detached { back, by, ran: true }));
+                elsewhere.backs.extend(back.map(|back| Detached {
+                    back,
+                    by,
+                    ran: true,
+                }));
             }
             return;
         }
         let now = tasks.now;
-        let waiting = tasks.fingerprints.ended(&mark, who, now, Some(result.clone()));
+        let waiting = tasks
+            .fingerprints
+            .ended(&mark, who, now, Some(result.clone()));
         tasks.tell(waiting, Some(&result));
         if let Some(back) = back {
             tasks.answer_back(back, Reply::Finished(result));
@@ -719,18 +931,33 @@
                 return;
             }
             let tasks = &mut self.tasks;
-            let Some(stage) = tasks.facts.stages.iter().position(|name| *name == work.stage) else {
+            let Some(stage) = tasks
+                .facts
+                .stages
+                .iter()
+                .position(|name| *name == work.stage)
+            else {
                 continue;
             };
-            let text = work.key.splitn(3, |byte| *byte == 0).nth(2).unwrap_or_default();
-            let mark = Mark { stage, tenant: 0, text: text.into() };
+            let text = work
+                .key
+                .splitn(3, |byte| *byte == 0)
+                .nth(2)
+                .unwrap_or_default();
+            let mark = Mark {
+                stage,
+                tenant: 0,
+                text: text.into(),
+            };
             let known = tasks.fingerprints.knows(&mark, tasks.now);
             let waited_for = tasks.desk.elsewhere.contains_key(&mark);
             if known && !waited_for || tasks.fingerprints.is_full() {
                 continue;
             }
             tasks.serial += 1;
-            let Some(id) = fresh_id(tasks.facts.told.seed, tasks.serial, &work.id) else { continue };
+            let Some(id) = fresh_id(tasks.facts.told.seed, tasks.serial, &work.id) else {
+                continue;
+            };
             let sign = tasks.fingerprints.sign(&work.body);
             let arrival = Arrival {
                 stage,
@@ -799,13 +1026,19 @@
         let claim_ms = CLAIM_LEASES * self.tasks.desk.lease_ms();
         let (mut looks, mut claims) = (Vec::new(), Vec::new());
         let mut late = Vec::new();
-        let Some(port) = self.tasks.desk.port.clone() else { return };
+        let Some(port) = self.tasks.desk.port.clone() else {
+            return;
+        };
         port.room(room);
         for (&number, awaited) in &mut self.tasks.desk.waiting {
             match awaited {
                 Awaited::Look { since, .. } if now > *since + LOOK_MS => looks.push(number),
-                Awaited::Claim { who, since } if now > *since + claim_ms => claims.push((number, *who)),
-                Awaited::Outcome(ended) if now > ended.by - BEFORE_MS => late.extend(ended.back.take()),
+                Awaited::Claim { who, since } if now > *since + claim_ms => {
+                    claims.push((number, *who))
+                }
+                Awaited::Outcome(ended) if now > ended.by - BEFORE_MS => {
+                    late.extend(ended.back.take())
+                }
                 _ => {}
             }
         }
@@ -819,7 +1052,13 @@
             port.forget(number);
             let stay_away_ms = self.tasks.desk.lease_ms() as u64;
             if let Some(task) = self.tasks.by_serial.get(&who).copied() {
-                self.never_started(task, Reply::Rejected { last: false, stay_away_ms });
+                self.never_started(
+                    task,
+                    Reply::Rejected {
+                        last: false,
+                        stay_away_ms,
+                    },
+                );
             }
         }
         for (task, started) in self.tasks.unanswered() {
@@ -829,14 +1068,21 @@
                 self.tasks.answer_counted(task, Reply::Unknown { wait_ms });
                 continue;
             }
-            self.tasks.answer_counted(task, Reply::Rejected { last: false, stay_away_ms: 0 });
+            self.tasks.answer_counted(
+                task,
+                Reply::Rejected {
+                    last: false,
+                    stay_away_ms: 0,
+                },
+            );
             if let Some(server) = &mut self.server {
                 task.caller_left(server, now, &mut self.tasks);
             }
         }
         self.look_elsewhere(now, &mut late);
         let wait_ms = POLL_MS as u64;
-        late.into_iter().for_each(|back| self.tasks.answer_back(back, Reply::Unknown { wait_ms }));
+        late.into_iter()
+            .for_each(|back| self.tasks.answer_back(back, Reply::Unknown { wait_ms }));
         self.settle();
     }
 
@@ -857,7 +1103,9 @@
             }
         }
         for (mark, key, sign) in looks {
-            self.tasks.desk.want(Want::Look(key, sign), Awaited::Poll(mark));
+            self.tasks
+                .desk
+                .want(Want::Look(key, sign), Awaited::Poll(mark));
         }
         for mark in over {
             self.tasks.known(&mark, &Reply::Unknown { wait_ms: 0 });
@@ -875,5 +1123,8 @@
     use std::hash::Hasher as _;
     let mut hasher = siphasher::sip::SipHasher13::new_with_keys(seed, serial);
     hasher.write(old);
-    format!("{:016x}", hasher.finish()).into_bytes().try_into().ok()
+    format!("{:016x}", hasher.finish())
+        .into_bytes()
+        .try_into()
+        .ok()
 }
--- a/crates/asterdale-host/src/exchange.rs
+++ b/crates/asterdale-host/src/exchange.rs
@@ -20,11 +20,22 @@
 
 impl Exchange {
     /// Begins to connect. The poll tells by this token when [`Exchange::go_on`] is to be called.
-    pub(crate) fn begin(poll: &Poll, token: Token, at: SocketAddr, request: Vec<u8>) -> io::Result<Exchange> {
+    pub(crate) fn begin(
+        poll: &Poll,
+        token: Token,
+        at: SocketAddr,
+        request: Vec<u8>,
+    ) -> io::Result<Exchange> {
         let mut stream = TcpStream::connect(at)?;
         let _ = stream.set_nodelay(true);
-        poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
-        Ok(Exchange { stream, connected: false, unwritten: request, reply: Collector::default() })
+        poll.registry()
+            .register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
+        Ok(Exchange {
+            stream,
+            connected: false,
+            unwritten: request,
+            reply: Collector::default(),
+        })
     }
 
     /// The connection was made: from then on the peer may have read something.
--- a/crates/asterdale-host/src/fingerprints.rs
+++ b/crates/asterdale-host/src/fingerprints.rs
@@ -61,7 +61,14 @@
     /// 512 bytes each. The secret makes signs that nobody outside can foresee.
     pub fn new(memory: usize, unread_ms: f64, secret: u64) -> Fingerprints {
         let (most_bytes, most) = (memory / 4, memory / 8 / 512);
-        Fingerprints { entries: HashMap::new(), bytes: 0, most_bytes, most, unread_ms, secret }
+        Fingerprints {
+            entries: HashMap::new(),
+            bytes: 0,
+            most_bytes,
+            most,
+            unread_ms,
+            secret,
+        }
     }
 
     /// Nothing more can be remembered.
@@ -78,12 +85,16 @@
 
     /// Whether this mark is known with another body. For reads that is no matter.
     pub fn differs(&self, mark: &Mark, sign: u64) -> bool {
-        self.entries.get(mark).is_some_and(|entry| entry.sign != sign && entry.fresh_ms.is_none())
+        self.entries
+            .get(mark)
+            .is_some_and(|entry| entry.sign != sign && entry.fresh_ms.is_none())
     }
 
     /// Whether a task that came to the machine at `arrived` repeats one that is remembered.
     pub fn knows(&self, mark: &Mark, arrived: f64) -> bool {
-        self.entries.get(mark).is_some_and(|entry| arrived < entry.until)
+        self.entries
+            .get(mark)
+            .is_some_and(|entry| arrived < entry.until)
     }
 
     /// Remembers a task. Whoever waited for one that it replaces comes back, to be told that it failed.
@@ -94,18 +105,35 @@
         until: f64,
         fresh_ms: Option<f64>,
     ) -> Vec<Serial> {
-        let until = if fresh_ms.is_some() { f64::INFINITY } else { until };
-        let entry = Entry { owner, sign, until, fresh_ms, fate: Fate::Open, waiting: Vec::new() };
+        let until = if fresh_ms.is_some() {
+            f64::INFINITY
+        } else {
+            until
+        };
+        let entry = Entry {
+            owner,
+            sign,
+            until,
+            fresh_ms,
+            fate: Fate::Open,
+            waiting: Vec::new(),
+        };
         let before = self.entries.insert(mark, entry);
         before.map_or_else(Vec::new, |entry| self.gone(entry))
     }
 
     /// Drops the entry of this task; whoever waited for it comes back.
     pub fn forget(&mut self, mark: &Mark, owner: Serial) -> Vec<Serial> {
-        if self.entries.get(mark).is_none_or(|entry| entry.owner != owner) {
+        if self
+            .entries
+            .get(mark)
+            .is_none_or(|entry| entry.owner != owner)
+        {
             return Vec::new();
         }
-        self.entries.remove(mark).map_or_else(Vec::new, |entry| self.gone(entry))
+        self.entries
+            .remove(mark)
+            .map_or_else(Vec::new, |entry| self.gone(entry))
     }
 
     fn gone(&mut self, entry: Entry) -> Vec<Serial> {
@@ -117,7 +145,9 @@
 
     /// Joins a task to the one it repeats: that one's fate so far. One that is open is waited for.
     pub fn join(&mut self, mark: &Mark, who: Serial) -> Fate {
-        let Some(entry) = self.entries.get_mut(mark) else { return Fate::Failed };
+        let Some(entry) = self.entries.get_mut(mark) else {
+            return Fate::Failed;
+        };
         if matches!(entry.fate, Fate::Open) {
             entry.waiting.push(who);
         }
@@ -127,7 +157,11 @@
     /// Another backend has what this task was to run: it waits for that one's end like any repeat.
     #[cfg(feature = "takeover")]
     pub fn goes_to(&mut self, mark: &Mark, owner: Serial, other: Serial) -> bool {
-        let Some(entry) = self.entries.get_mut(mark).filter(|entry| entry.owner == owner) else {
+        let Some(entry) = self
+            .entries
+            .get_mut(mark)
+            .filter(|entry| entry.owner == owner)
+        else {
             return false;
         };
         (entry.owner, entry.fate) = (other, Fate::Open);
@@ -135,9 +169,17 @@
     }
 
     /// A remembered task has ended, with a result or without; whoever waited for it comes back.
-    pub fn ended(&mut self, mark: &Mark, owner: Serial, now: f64, result: Option<Arc<[u8]>>) -> Vec<Serial> {
+    pub fn ended(
+        &mut self,
+        mark: &Mark,
+        owner: Serial,
+        now: f64,
+        result: Option<Arc<[u8]>>,
+    ) -> Vec<Serial> {
         let open = |entry: &&mut Entry| entry.owner == owner && matches!(entry.fate, Fate::Open);
-        let Some(entry) = self.entries.get_mut(mark).filter(open) else { return Vec::new() };
+        let Some(entry) = self.entries.get_mut(mark).filter(open) else {
+            return Vec::new();
+        };
         if let Some(fresh_ms) = entry.fresh_ms {
             // A read that failed may run again at once.
             entry.until = result.as_ref().map_or(now, |_| now + fresh_ms);
@@ -168,7 +210,11 @@
     /// When the last window that is open now ends; 0 without any.
     #[cfg(feature = "handover")]
     pub fn last_window(&self) -> f64 {
-        let windows = self.entries.values().map(|entry| entry.until).filter(|until| until.is_finite());
+        let windows = self
+            .entries
+            .values()
+            .map(|entry| entry.until)
+            .filter(|until| until.is_finite());
         windows.fold(0.0, f64::max) + self.unread_ms
     }
 
@@ -178,13 +224,22 @@
     pub fn pass(&self, none: bool) -> Passed {
         let entry = |(mark, entry): (&Mark, &Entry)| (mark.clone(), entry.clone());
         let entries = self.entries.iter().filter(|_| !none).map(entry).collect();
-        Passed { secret: self.secret, entries }
+        Passed {
+            secret: self.secret,
+            entries,
+        }
     }
 
     /// Goes on with what another process remembered.
     #[cfg(feature = "handover")]
     pub fn go_on(&mut self, passed: Passed) {
-        let size = |entry: &Entry| if let Fate::Passed(result) = &entry.fate { result.len() } else { 0 };
+        let size = |entry: &Entry| {
+            if let Fate::Passed(result) = &entry.fate {
+                result.len()
+            } else {
+                0
+            }
+        };
         self.secret = passed.secret;
         self.bytes = passed.entries.iter().map(|(_, entry)| size(entry)).sum();
         self.entries = passed.entries.into_iter().collect();
@@ -206,7 +261,11 @@
     use super::*;
 
     fn mark() -> Mark {
-        Mark { stage: 1, tenant: 0, text: b"key".as_slice().into() }
+        Mark {
+            stage: 1,
+            tenant: 0,
+            text: b"key".as_slice().into(),
+        }
     }
 
     fn table() -> Fingerprints {
@@ -222,7 +281,16 @@
         table.sweep(1040.0);
         assert!(table.knows(&mark(), 999.0) && !table.knows(&mark(), 1000.0));
         assert!(!table.knows(&Mark { stage: 0, ..mark() }, 0.0));
-        assert!(!table.knows(&Mark { tenant: 1, ..mark() }, 0.0), "another tenant's key");
+        assert!(
+            !table.knows(
+                &Mark {
+                    tenant: 1,
+                    ..mark()
+                },
+                0.0
+            ),
+            "another tenant's key"
+        );
         table.sweep(1051.0);
         assert_eq!((table.len(), table.bytes()), (0, 0));
     }
@@ -232,7 +300,10 @@
         let mut table = table();
         assert!(matches!(table.join(&mark(), 9), Fate::Open));
         assert_eq!(table.ended(&mark(), 1, 10.0, Some(vec![7].into())), [9]);
-        assert!(table.ended(&mark(), 1, 11.0, None).is_empty(), "it ends once");
+        assert!(
+            table.ended(&mark(), 1, 11.0, None).is_empty(),
+            "it ends once"
+        );
         assert!(matches!(table.join(&mark(), 10), Fate::Passed(result) if *result == [7]));
     }
 
@@ -260,7 +331,9 @@
         table.sweep(9000.0);
         assert_eq!(table.len(), 1);
         table.remember(mark(), (2, 0), 9000.0, None);
-        assert!(table.ended(&mark(), 1, 9001.0, Some(vec![1].into())).is_empty());
+        assert!(table
+            .ended(&mark(), 1, 9001.0, Some(vec![1].into()))
+            .is_empty());
         assert!(matches!(table.join(&mark(), 3), Fate::Open));
     }
 
--- a/crates/asterdale-host/src/gate.rs
+++ b/crates/asterdale-host/src/gate.rs
@@ -27,7 +27,9 @@
         mark: &mut Option<Mark>,
     ) -> Result<Option<Arc<Caller>>, Reply> {
         let now = self.now;
-        let Some(identity) = &mut self.callers.identity else { return Ok(None) };
+        let Some(identity) = &mut self.callers.identity else {
+            return Ok(None);
+        };
         match identity.identify(now, ask) {
             Ok(caller) => {
                 if let Some(mark) = mark.as_mut().filter(|_| !planted::is(Fault::Mark)) {
@@ -44,20 +46,31 @@
                 // A caller that can't be judged is told that this try never ran. That is so; but of a key under
                 // which something has run, whoever's it is, nothing is said that could be taken for more.
                 let unable = denied.why.kind() == Said::Unable;
-                Err(if unable && self.known_somewhere(mark.as_ref(), ask.arrived_ms) {
-                    Reply::Abandoned
-                } else {
-                    reply
-                })
+                Err(
+                    if unable && self.known_somewhere(mark.as_ref(), ask.arrived_ms) {
+                        Reply::Abandoned
+                    } else {
+                        reply
+                    },
+                )
             }
         }
     }
 
     /// Whether any tenant's task is remembered under this mark.
     fn known_somewhere(&self, mark: Option<&Mark>, arrived: f64) -> bool {
-        let (Some(mark), Some(identity)) = (mark, &self.callers.identity) else { return false };
-        (0..identity.rights().tenants())
-            .any(|tenant| self.fingerprints.knows(&Mark { tenant, ..mark.clone() }, arrived))
+        let (Some(mark), Some(identity)) = (mark, &self.callers.identity) else {
+            return false;
+        };
+        (0..identity.rights().tenants()).any(|tenant| {
+            self.fingerprints.knows(
+                &Mark {
+                    tenant,
+                    ..mark.clone()
+                },
+                arrived,
+            )
+        })
     }
 
     /// The second gate: whether this caller may have this task now.
@@ -68,21 +81,39 @@
         hint_ms: Option<f64>,
         repeat: bool,
     ) -> Result<Option<Seat>, Reply> {
-        let (Some(identity), Some(caller)) = (&mut self.callers.identity, caller) else { return Ok(None) };
-        identity.permit(self.now, caller, stage, hint_ms, repeat).map_err(|denied| {
-            let tenant = &caller.claims.tenant;
-            turned_away(&self.log, &id, &self.facts.stages[stage], tenant, denied.why);
-            self.callers.reply(denied)
-        })
+        let (Some(identity), Some(caller)) = (&mut self.callers.identity, caller) else {
+            return Ok(None);
+        };
+        identity
+            .permit(self.now, caller, stage, hint_ms, repeat)
+            .map_err(|denied| {
+                let tenant = &caller.claims.tenant;
+                turned_away(
+                    &self.log,
+                    &id,
+                    &self.facts.stages[stage],
+                    tenant,
+                    denied.why,
+                );
+                self.callers.reply(denied)
+            })
     }
 
     /// Tasks that wait for an answer, have not been started, and whose caller is revoked by now; with what to
     /// tell him.
     pub fn revoked(&self) -> Vec<(Serial, Reply)> {
-        let Some(identity) = &self.callers.identity else { return Vec::new() };
+        let Some(identity) = &self.callers.identity else {
+            return Vec::new();
+        };
         let revoked = |slot: &Slot| {
-            let caller = slot.caller.as_ref().filter(|_| slot.back.is_some() && !slot.started)?;
-            Some((slot.serial, self.callers.reply(identity.revoked(caller)?.into())))
+            let caller = slot
+                .caller
+                .as_ref()
+                .filter(|_| slot.back.is_some() && !slot.started)?;
+            Some((
+                slot.serial,
+                self.callers.reply(identity.revoked(caller)?.into()),
+            ))
         };
         self.slots.iter().flatten().filter_map(revoked).collect()
     }
--- a/crates/asterdale-host/src/gather.rs
+++ b/crates/asterdale-host/src/gather.rs
@@ -7,7 +7,10 @@
 const MOST: usize = 1024;
 
 /// Writes all of the pieces, in order. An error comes with how many bytes went out before it.
-pub fn write(mut stream: &TcpStream, mut pieces: &mut [IoSlice<'_>]) -> Result<(), (usize, io::Error)> {
+pub fn write(
+    mut stream: &TcpStream,
+    mut pieces: &mut [IoSlice<'_>],
+) -> Result<(), (usize, io::Error)> {
     let mut written = 0;
     IoSlice::advance_slices(&mut pieces, 0); // passes over empty ones
     while !pieces.is_empty() {
--- a/crates/asterdale-host/src/host.rs
+++ b/crates/asterdale-host/src/host.rs
@@ -123,8 +123,19 @@
             counters,
             log,
         } = around;
-        let Begin { facts, memory, stop_ms, peers, identity } = begin;
-        let longest = facts.told.stages.iter().map(|s| s.limit_ms).fold(0.0, f64::max);
+        let Begin {
+            facts,
+            memory,
+            stop_ms,
+            peers,
+            identity,
+        } = begin;
+        let longest = facts
+            .told
+            .stages
+            .iter()
+            .map(|s| s.limit_ms)
+            .fold(0.0, f64::max);
         let clock = Clock::start();
         Host {
             server: None,
@@ -180,7 +191,11 @@
     /// Handles mail, or keeps it, or carries it to another process: whosever the work is.
     #[cfg(feature = "handover")]
     pub(crate) fn take_mail(&mut self, mail: Mail, mailbox: &Receiver<Mail>) {
-        let mail = if self.aside.stands() { self.carry(mail) } else { Some(mail) };
+        let mail = if self.aside.stands() {
+            self.carry(mail)
+        } else {
+            Some(mail)
+        };
         match mail {
             Some(Mail::Handover(step)) => self.step(step, mailbox),
             Some(mail) => self.handle(mail),
@@ -239,10 +254,18 @@
     /// Says to the other processes of the fleet what this one is doing, and hears how many there are.
     fn company(&mut self) {
         let Some(company) = &self.company else { return };
-        let load = self.gauges.cpu.map_or(0.0, |cpu| (cpu * 100.0).clamp(0.0, 100.0));
+        let load = self
+            .gauges
+            .cpu
+            .map_or(0.0, |cpu| (cpu * 100.0).clamp(0.0, 100.0));
         let cold = self.tasks.now < self.cold_until;
         let leaves = self.leave_by.is_some();
-        company.says(Doing { takes: self.tasks.good && !leaves, cold, leaves, load: load as u8 });
+        company.says(Doing {
+            takes: self.tasks.good && !leaves,
+            cold,
+            leaves,
+            load: load as u8,
+        });
         if let Some(server) = &mut self.server {
             server.fleet(company.others());
         }
@@ -252,7 +275,11 @@
         self.tasks.now = self.clock.now();
         match mail {
             Mail::Task(request) => self.take(*request),
-            Mail::Check { client, request, deep } => self.check(client, request, deep),
+            Mail::Check {
+                client,
+                request,
+                deep,
+            } => self.check(client, request, deep),
             Mail::Abort(way) => {
                 #[cfg(feature = "takeover")]
                 self.tasks.left_parked(|parked| parked == way);
@@ -269,7 +296,12 @@
                 self.checks_end();
             }
             Mail::Line(line) => self.line(line),
-            Mail::Called { who, outcome, took_ms, body } => self.called(who, outcome, took_ms, &body),
+            Mail::Called {
+                who,
+                outcome,
+                took_ms,
+                body,
+            } => self.called(who, outcome, took_ms, &body),
             Mail::Keys(set) => self.keys(&set),
             Mail::Retold(peers, facts) => {
                 self.tasks.callers.retold(facts, &self.tasks.log);
@@ -296,8 +328,16 @@
             told.drain_grace_ms = (told.drain_grace_ms - self.way_out_ms()).max(0.0);
             slog::info!(self.tasks.log.lines, "host: begun"; "cold" => told.cold, "ago_ms" => ago_ms);
             // A cold server warms from the runtime's start on.
-            let since = if told.cold { ago_ms.clamp(0.0, told.cold_ms) } else { 0.0 };
-            self.cold_until = if told.cold { self.tasks.now - since + told.cold_ms } else { self.tasks.now };
+            let since = if told.cold {
+                ago_ms.clamp(0.0, told.cold_ms)
+            } else {
+                0.0
+            };
+            self.cold_until = if told.cold {
+                self.tasks.now - since + told.cold_ms
+            } else {
+                self.tasks.now
+            };
             self.server = Some(Server::start(told, self.tasks.now - since, &mut self.tasks));
         }
     }
@@ -323,8 +363,26 @@
     pub(crate) fn take_in(&mut self, request: Request, looked: bool) {
         #[cfg(not(feature = "takeover"))]
         let _ = looked;
-        let Request { asked, token, certificate, body, client, request, since } = request;
-        let Asked { id, stage, tenant, start_ms, caller, timeout_ms, hint_ms, kb, mut mark } = asked;
+        let Request {
+            asked,
+            token,
+            certificate,
+            body,
+            client,
+            request,
+            since,
+        } = request;
+        let Asked {
+            id,
+            stage,
+            tenant,
+            start_ms,
+            caller,
+            timeout_ms,
+            hint_ms,
+            kb,
+            mut mark,
+        } = asked;
         let tasks = &mut self.tasks;
         if tasks.by_way.contains_key(&(client.connection(), request)) {
             // Two answers under one number could not be told apart: the first request keeps it.
@@ -350,12 +408,17 @@
             return client.answer(request, Reply::Senseless);
         }
         let sign = tasks.fingerprints.sign(&body);
-        if mark.as_ref().is_some_and(|mark| tasks.fingerprints.differs(mark, sign)) {
+        if mark
+            .as_ref()
+            .is_some_and(|mark| tasks.fingerprints.differs(mark, sign))
+        {
             // Another task under a known key: its result is not this one's.
             tasks.counters.tasks_senseless.add();
             return client.answer(request, Reply::Senseless);
         }
-        let repeat = mark.as_ref().is_some_and(|mark| tasks.fingerprints.knows(mark, tasks.now - since_ms));
+        let repeat = mark
+            .as_ref()
+            .is_some_and(|mark| tasks.fingerprints.knows(mark, tasks.now - since_ms));
         #[cfg(feature = "takeover")]
         let mut kept = None;
         #[cfg(feature = "takeover")]
@@ -365,8 +428,26 @@
             kept = tasks.keeps(mark, owner, (left_ms, hint_ms, kb), &body);
             if let (Some(kept), false) = (&kept, looked) {
                 let mark = Some(mark.clone());
-                let asked = Asked { id, stage, tenant, start_ms, caller, timeout_ms, hint_ms, kb, mark };
-                let request = Request { asked, token, certificate, body, client, request, since };
+                let asked = Asked {
+                    id,
+                    stage,
+                    tenant,
+                    start_ms,
+                    caller,
+                    timeout_ms,
+                    hint_ms,
+                    kb,
+                    mark,
+                };
+                let request = Request {
+                    asked,
+                    token,
+                    certificate,
+                    body,
+                    client,
+                    request,
+                    since,
+                };
                 return tasks.look(request, kept);
             }
         }
@@ -387,7 +468,9 @@
         }
         let left_ms = timeout_ms.map(|ms| (ms - since_ms).max(0.0));
         #[cfg(feature = "takeover")]
-        let left_ms = kept.as_ref().map_or(left_ms, |kept| Some(kept.of_use_ms(tasks.now)));
+        let left_ms = kept
+            .as_ref()
+            .map_or(left_ms, |kept| Some(kept.of_use_ms(tasks.now)));
         let next = self.callers.len();
         let caller = *self.callers.entry(caller).or_insert(next);
         let arrival = Arrival {
@@ -431,14 +514,20 @@
     /// A set of keys has come. Whoever is revoked by it hears so at once where nothing runs for him yet; what
     /// runs goes on, and its result is kept.
     fn keys(&mut self, set: &[u8]) {
-        if !self.tasks.callers.offer(self.tasks.now, set, &self.tasks.log) {
+        if !self
+            .tasks
+            .callers
+            .offer(self.tasks.now, set, &self.tasks.log)
+        {
             return;
         }
         // All are answered before the module hears of the first: what it frees must start none of the others.
         let revoked = self.tasks.revoked();
         for (serial, reply) in &revoked {
             let tasks = &mut self.tasks;
-            let Some(task) = tasks.by_serial.get(serial).copied() else { continue };
+            let Some(task) = tasks.by_serial.get(serial).copied() else {
+                continue;
+            };
             if let Some(slot) = tasks.slot(task) {
                 slot.void = true;
             }
@@ -446,7 +535,9 @@
             tasks.counters.tasks_revoked.add();
         }
         for (serial, _) in revoked {
-            let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else { return };
+            let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
+                return;
+            };
             if let Some(task) = tasks.by_serial.get(&serial).copied() {
                 task.caller_left(server, tasks.now, tasks);
             }
@@ -455,9 +546,15 @@
 
     /// Nobody waits any more for this request.
     fn leave_task(&mut self, way: Way) {
-        let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else { return };
-        let Some(task) = tasks.by_way.remove(&way) else { return };
-        let Some((client, request)) = tasks.slot(task).and_then(|slot| slot.back.take()) else { return };
+        let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
+            return;
+        };
+        let Some(task) = tasks.by_way.remove(&way) else {
+            return;
+        };
+        let Some((client, request)) = tasks.slot(task).and_then(|slot| slot.back.take()) else {
+            return;
+        };
         tasks.counters.tasks_left.add();
         tasks.counters.tasks_open.sub();
         // It is owed nothing; this frees its number on the connection.
@@ -479,10 +576,14 @@
 
     /// Whatever became known while the module was deciding is told to it now.
     pub(crate) fn settle(&mut self) {
-        let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else { return };
+        let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
+            return;
+        };
         loop {
             if let Some((who, result)) = tasks.joined.pop_front() {
-                let Some(task) = tasks.by_serial.get(&who).copied() else { continue };
+                let Some(task) = tasks.by_serial.get(&who).copied() else {
+                    continue;
+                };
                 let outcome = match result {
                     Some(result) => {
                         if tasks.finished(task, result) {
@@ -499,11 +600,15 @@
                 };
                 task.run_over(server, tasks.now, outcome, tasks);
             } else if let Some(who) = tasks.not_begun.pop_front() {
-                let Some(task) = tasks.by_serial.get(&who).copied() else { continue };
+                let Some(task) = tasks.by_serial.get(&who).copied() else {
+                    continue;
+                };
                 tasks.counters.calls_failed.add();
                 task.call_over(server, tasks.now, Outcome::Unreachable, 0.0, tasks);
             } else if let Some(who) = tasks.not_started.pop_front() {
-                let Some(task) = tasks.by_serial.get(&who).copied() else { continue };
+                let Some(task) = tasks.by_serial.get(&who).copied() else {
+                    continue;
+                };
                 tasks.forget(task); // nothing was started: another of its tenant's may still run
                 task.run_over(server, tasks.now, Outcome::Moot, tasks);
             } else {
--- a/crates/asterdale-host/src/http.rs
+++ b/crates/asterdale-host/src/http.rs
@@ -61,7 +61,9 @@
                 }
             }
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Err(io::ErrorKind::TimedOut.into()),
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                return Err(io::ErrorKind::TimedOut.into())
+            }
             Err(e) => return Err(e),
         }
     }
@@ -74,7 +76,9 @@
         let mut head = httparse::Response::new(&mut headers);
         let at = match head.parse(got) {
             Ok(httparse::Status::Complete(at)) => at,
-            Ok(httparse::Status::Partial) if got.len() > MOST => return Err(bad("a head too long")),
+            Ok(httparse::Status::Partial) if got.len() > MOST => {
+                return Err(bad("a head too long"))
+            }
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(_) => return Err(bad("no HTTP")),
         };
@@ -84,28 +88,48 @@
             continue;
         }
         let fields = |name: &'static str| {
-            let all = head.headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
+            let all = head
+                .headers
+                .iter()
+                .filter(move |h| h.name.eq_ignore_ascii_case(name));
             all.map(|h| h.value.trim_ascii())
         };
         if fields("transfer-encoding").next().is_some() {
             return Err(bad("a body in chunks"));
         }
-        let length = length(fields("content-length"), status).ok_or_else(|| bad("no sure length"))?;
-        let Some(body) = got.get(at..at + length) else { return Ok(None) };
+        let length =
+            length(fields("content-length"), status).ok_or_else(|| bad("no sure length"))?;
+        let Some(body) = got.get(at..at + length) else {
+            return Ok(None);
+        };
         let not_begun = fields("op-not-begun").next() == Some(b"1");
         // One that is longer would make the next request long: it goes without.
-        let tag = fields("etag").next().filter(|tag| tag.len() <= MOST_TAG).map(<[u8]>::to_vec);
-        return Ok(Some(Reply { status, not_begun, tag, body: body.to_vec() }));
+        let tag = fields("etag")
+            .next()
+            .filter(|tag| tag.len() <= MOST_TAG)
+            .map(<[u8]>::to_vec);
+        return Ok(Some(Reply {
+            status,
+            not_begun,
+            tag,
+            body: body.to_vec(),
+        }));
     }
 }
 
 /// The length of the body: digits alone, and the same in all fields that tell it.
 fn length<'a>(mut told: impl Iterator<Item = &'a [u8]>, status: u16) -> Option<usize> {
-    let Some(first) = told.next() else { return (status == 204 || status == 304).then_some(0) };
+    let Some(first) = told.next() else {
+        return (status == 204 || status == 304).then_some(0);
+    };
     if told.any(|other| other != first) || !first.iter().all(u8::is_ascii_digit) {
         return None;
     }
-    std::str::from_utf8(first).ok()?.parse().ok().filter(|&n| n <= MOST)
+    std::str::from_utf8(first)
+        .ok()?
+        .parse()
+        .ok()
+        .filter(|&n| n <= MOST)
 }
 
 #[cfg(test)]
@@ -118,7 +142,12 @@
         for cut in 0..text.len() {
             assert!(parse(&text[..cut]).unwrap().is_none(), "cut at {cut}");
         }
-        let wanted = Reply { status: 503, not_begun: true, tag: None, body: b"abc".to_vec() };
+        let wanted = Reply {
+            status: 503,
+            not_begun: true,
+            tag: None,
+            body: b"abc".to_vec(),
+        };
         assert_eq!(parse(text).unwrap(), Some(wanted));
     }
 
@@ -136,14 +165,22 @@
         ] {
             assert!(parse(text.as_bytes()).is_err(), "{text:?}");
         }
-        assert_eq!(parse(b"HTTP/1.1 204 Done\r\n\r\n").unwrap().unwrap().status, 204);
+        assert_eq!(
+            parse(b"HTTP/1.1 204 Done\r\n\r\n").unwrap().unwrap().status,
+            204
+        );
     }
 
     #[test]
     fn interim_replies_before_it_and_noise_after_it_are_no_part_of_it() {
         let text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n\
             HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Le\xff";
-        let wanted = Reply { status: 200, not_begun: false, tag: None, body: b"ok".to_vec() };
+        let wanted = Reply {
+            status: 200,
+            not_begun: false,
+            tag: None,
+            body: b"ok".to_vec(),
+        };
         assert_eq!(parse(text).unwrap(), Some(wanted));
         assert_eq!(parse(&text[..40]).unwrap(), None);
     }
--- a/crates/asterdale-host/src/issuer.rs
+++ b/crates/asterdale-host/src/issuer.rs
@@ -84,7 +84,10 @@
     let stream = TcpStream::connect_timeout(&place.at, PATIENCE)?;
     stream.set_write_timeout(Some(PATIENCE))?;
     stream.set_nodelay(true)?;
-    let head = format!("GET {} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n", place.path, place.at);
+    let head = format!(
+        "GET {} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n",
+        place.path, place.at
+    );
     let pieces = match tag {
         Some(tag) => [head.as_bytes(), b"If-None-Match: ", tag, b"\r\n\r\n"],
         None => [head.as_bytes(), b"\r\n", b"", b""],
--- a/crates/asterdale-host/src/log.rs
+++ b/crates/asterdale-host/src/log.rs
@@ -20,10 +20,18 @@
     pub fn to_stderr(name: &str, json: bool, level: Level) -> (Log, AsyncGuard) {
         // A standard error that takes nothing must not end the program.
         if json {
-            return Log::through(slog_json::Json::default(std::io::stderr()).ignore_res(), name, level);
+            return Log::through(
+                slog_json::Json::default(std::io::stderr()).ignore_res(),
+                name,
+                level,
+            );
         }
         let decorator = slog_term::PlainDecorator::new(std::io::stderr());
-        Log::through(slog_term::FullFormat::new(decorator).build().ignore_res(), name, level)
+        Log::through(
+            slog_term::FullFormat::new(decorator).build().ignore_res(),
+            name,
+            level,
+        )
     }
 
     fn through<D>(drain: D, name: &str, level: Level) -> (Log, AsyncGuard)
@@ -37,7 +45,13 @@
         // Before the channel, so that lines that are not wanted cost no place in it.
         let drain = LevelFilter::new(drain.ignore_res(), level).ignore_res();
         let lines = Logger::root(drain, o!("backend" => name.to_owned()));
-        (Log { lines, born: Instant::now() }, guard)
+        (
+            Log {
+                lines,
+                born: Instant::now(),
+            },
+            guard,
+        )
     }
 
     /// Whether a fault of this kind may have a line now: one a second.
--- a/crates/asterdale-host/src/passing.rs
+++ b/crates/asterdale-host/src/passing.rs
@@ -66,7 +66,9 @@
 /// Whether a host with so many stages could go on with this state.
 pub fn check_state(state: &[u8], stages: usize) -> Result<(), String> {
     let passed: Passed = rmp_serde::from_slice(state).map_err(|e| format!("the state: {e}"))?;
-    let Some(server) = passed.server else { return Ok(()) };
+    let Some(server) = passed.server else {
+        return Ok(());
+    };
     let server = Server::restore(&server).map_err(|e| format!("the module's state: {e:?}"))?;
     if server.stages() != stages {
         return Err("the start file has other stages than the state".to_owned());
@@ -87,10 +89,16 @@
         stage: slot.stage,
         body: slot.body.clone(),
         sign: slot.sign,
-        way: slot.back.as_ref().map(|(client, request)| (client.connection(), *request)),
+        way: slot
+            .back
+            .as_ref()
+            .map(|(client, request)| (client.connection(), *request)),
         mark: slot.mark.clone(),
         caller: slot.caller.as_deref().cloned(),
-        place: slot.seat.as_ref().and_then(|seat| tasks.callers.place(seat)),
+        place: slot
+            .seat
+            .as_ref()
+            .and_then(|seat| tasks.callers.place(seat)),
         started: slot.started,
         void: slot.void,
         wants: slot.wants.clone(),
@@ -129,10 +137,16 @@
         mirror: Option<Mirror>,
     ) -> Result<Host, String> {
         let passed: Passed = rmp_serde::from_slice(state).map_err(|e| format!("the state: {e}"))?;
-        let server = passed.server.map(|server| Server::restore(&server)).transpose();
+        let server = passed
+            .server
+            .map(|server| Server::restore(&server))
+            .transpose();
         let server = server.map_err(|e| format!("the module's state: {e:?}"))?;
         let stages = begin.facts.stages.len();
-        if server.as_ref().is_some_and(|server| server.stages() != stages) {
+        if server
+            .as_ref()
+            .is_some_and(|server| server.stages() != stages)
+        {
             return Err("the start file has other stages than the state".to_owned());
         }
         let mut host = Host::new(begin, around);
@@ -149,7 +163,9 @@
                 return Err("a task of the state makes no sense".to_owned());
             }
             let seat = task.place.and_then(|place| tasks.callers.replace(&place));
-            let back = task.way.map(|(connection, request)| (client(connection), request));
+            let back = task
+                .way
+                .map(|(connection, request)| (client(connection), request));
             tasks.arriving = Some(Slot {
                 serial: task.serial,
                 id: task.id,
@@ -250,7 +266,11 @@
     fn give(&mut self, port: Box<dyn Port>, mailbox: &Receiver<Mail>) {
         let until = self.tasks.fingerprints.last_window().max(self.tasks.now);
         self.aside.frozen = false;
-        self.aside.guarding = Some(Guarding { port: Some(port), until, ..Guarding::default() });
+        self.aside.guarding = Some(Guarding {
+            port: Some(port),
+            until,
+            ..Guarding::default()
+        });
         self.list.send(Word::Quiet(true));
         self.tasks.fronts.aside(true);
         self.tasks.fronts.hush();
@@ -261,7 +281,12 @@
 
     /// Carries mail to the successor; gives back what is this host's own all the same.
     pub(crate) fn carry(&mut self, mail: Mail) -> Option<Mail> {
-        let Some(Guarding { carried, port: Some(port), .. }) = &mut self.aside.guarding else {
+        let Some(Guarding {
+            carried,
+            port: Some(port),
+            ..
+        }) = &mut self.aside.guarding
+        else {
             if matches!(mail, Mail::Handover(_)) {
                 return Some(mail);
             }
@@ -278,16 +303,26 @@
                     carried.insert(way, request.client);
                 }
             }
-            Mail::Check { client, request, deep } => {
+            Mail::Check {
+                client,
+                request,
+                deep,
+            } => {
                 let way = (client.connection(), request);
                 port.check(way, deep);
                 carried.insert(way, client);
             }
             Mail::Abort((connection, request)) => port.left(connection, Some(request)),
             Mail::Gone(connection) => port.left(connection, None),
-            Mail::Called { who, outcome, took_ms, body } => port.called(who, outcome, took_ms, &body),
+            Mail::Called {
+                who,
+                outcome,
+                took_ms,
+                body,
+            } => port.called(who, outcome, took_ms, &body),
             // The peers, the link and the keys are the successor's.
-            Mail::Linked(_) | Mail::Unlinked | Mail::Line(_) | Mail::Keys(_) | Mail::Retold(..) => {}
+            Mail::Linked(_) | Mail::Unlinked | Mail::Line(_) | Mail::Keys(_) | Mail::Retold(..) => {
+            }
             // A process that hands over talks with no fleet.
             #[cfg(feature = "takeover")]
             Mail::Kept(..) | Mail::Offered(_) => {}
@@ -302,14 +337,18 @@
             self.tasks.answer(task, reply);
             return;
         }
-        let Some(guarding) = &mut self.aside.guarding else { return };
+        let Some(guarding) = &mut self.aside.guarding else {
+            return;
+        };
         if let Some(client) = guarding.carried.remove(&way) {
             client.answer(way.1, reply);
         }
     }
 
     fn mirrored(&mut self, what: Mirrored) {
-        let Some(guarding) = &mut self.aside.guarding else { return };
+        let Some(guarding) = &mut self.aside.guarding else {
+            return;
+        };
         let tasks = &mut self.tasks;
         match what {
             Mirrored::Remembered { mark, owner, until } => {
@@ -319,10 +358,16 @@
                 drop(tasks.fingerprints.remember(mark, owner, until, None));
             }
             Mirrored::Started { id, mark } => {
-                tasks.serial = tasks.serial.max(mark.as_ref().map_or(0, |(_, owner)| *owner));
+                tasks.serial = tasks
+                    .serial
+                    .max(mark.as_ref().map_or(0, |(_, owner)| *owner));
                 guarding.elsewhere.insert(id, mark);
             }
-            Mirrored::Ended { mark, owner, result } => {
+            Mirrored::Ended {
+                mark,
+                owner,
+                result,
+            } => {
                 drop(tasks.fingerprints.ended(&mark, owner, tasks.now, result));
             }
             Mirrored::Forgotten { mark, owner } => drop(tasks.fingerprints.forget(&mark, owner)),
@@ -332,7 +377,9 @@
     /// Takes the work back. What the other has started is not started again here: its clients hear that nothing
     /// is promised, and its results come with the notices that were missed.
     fn resume(&mut self, mailbox: &Receiver<Mail>) {
-        let Some(guarding) = self.aside.guarding.take() else { return };
+        let Some(guarding) = self.aside.guarding.take() else {
+            return;
+        };
         slog::error!(self.tasks.log.lines, "upgrade: the new process has ended; this one takes the work back";
             "started_there" => guarding.elsewhere.len(), "unanswered" => guarding.carried.len());
         self.tasks.now = self.clock.now();
@@ -347,7 +394,8 @@
             .filter(|task| {
                 let slot = self.tasks.slots.get(task.index()).and_then(Option::as_ref);
                 slot.is_some_and(|slot| {
-                    !slot.started && (slot.back.is_none() || self.tasks.elsewhere.contains_key(&slot.id))
+                    !slot.started
+                        && (slot.back.is_none() || self.tasks.elsewhere.contains_key(&slot.id))
                 })
             })
             .collect();
@@ -377,7 +425,9 @@
                 Err(RecvTimeoutError::Disconnected) => return true,
             }
             self.tasks.now = self.clock.now();
-            let Some(guarding) = &mut self.aside.guarding else { continue };
+            let Some(guarding) = &mut self.aside.guarding else {
+                continue;
+            };
             let open = self.tasks.fronts.open();
             if self.aside.gone || open == 0 && self.tasks.now > guarding.until + AFTER {
                 if let Some(port) = &mut guarding.port {
--- a/crates/asterdale-host/src/post.rs
+++ b/crates/asterdale-host/src/post.rs
@@ -16,7 +16,11 @@
 
 impl<T> Clone for Post<T> {
     fn clone(&self) -> Post<T> {
-        Post { letters: self.letters.clone(), waker: self.waker.clone(), woken: self.woken.clone() }
+        Post {
+            letters: self.letters.clone(),
+            waker: self.waker.clone(),
+            woken: self.woken.clone(),
+        }
     }
 }
 
@@ -31,7 +35,17 @@
     let (to, from) = unbounded();
     let waker = Arc::new(Waker::new(poll.registry(), token)?);
     let woken = Arc::new(AtomicBool::new(false));
-    Ok((Post { letters: to, waker, woken: woken.clone() }, Letters { letters: from, woken }))
+    Ok((
+        Post {
+            letters: to,
+            waker,
+            woken: woken.clone(),
+        },
+        Letters {
+            letters: from,
+            woken,
+        },
+    ))
 }
 
 impl<T> Post<T> {
@@ -75,11 +89,17 @@
             .collect();
         let (mut events, mut read) = (Events::with_capacity(8), 0);
         while read < 3 * EACH {
-            poll.poll(&mut events, Some(Duration::from_secs(30))).unwrap();
-            assert!(!events.is_empty(), "nobody was woken for the rest of {read} letters");
+            poll.poll(&mut events, Some(Duration::from_secs(30)))
+                .unwrap();
+            assert!(
+                !events.is_empty(),
+                "nobody was woken for the rest of {read} letters"
+            );
             read += letters.take().count();
         }
-        senders.into_iter().for_each(|sender| sender.join().unwrap());
+        senders
+            .into_iter()
+            .for_each(|sender| sender.join().unwrap());
         drop(letters);
         assert!(!post.send(0));
     }
--- a/crates/asterdale-host/src/records.rs
+++ b/crates/asterdale-host/src/records.rs
@@ -30,7 +30,9 @@
 fn fenced(call: &Call) -> String {
     call.fence
         .as_ref()
-        .map_or_else(String::new, |(key, fence)| format!("Op-Key: {key}\r\nOp-Fence: {fence}\r\n"))
+        .map_or_else(String::new, |(key, fence)| {
+            format!("Op-Key: {key}\r\nOp-Fence: {fence}\r\n")
+        })
 }
 
 #[cfg(not(feature = "takeover"))]
@@ -74,9 +76,25 @@
 ) -> io::Result<(Records, Caller)> {
     let poll = Poll::new()?;
     let (calls, letters) = post::open(&poll, LETTERS)?;
-    let records = Records { at, calls, counters: counters.clone() };
+    let records = Records {
+        at,
+        calls,
+        counters: counters.clone(),
+    };
     let (open, ends) = (HashMap::new(), BTreeSet::new());
-    Ok((records, Caller { poll, letters, host, counters, log, open, ends, next: 0 }))
+    Ok((
+        records,
+        Caller {
+            poll,
+            letters,
+            host,
+            counters,
+            log,
+            open,
+            ends,
+            next: 0,
+        },
+    ))
 }
 
 impl Records {
@@ -98,7 +116,10 @@
     pub fn serve(mut self) {
         let mut events = Events::with_capacity(EVENTS);
         loop {
-            let first = self.ends.first().map(|&(end, _)| end.saturating_duration_since(Instant::now()));
+            let first = self
+                .ends
+                .first()
+                .map(|&(end, _)| end.saturating_duration_since(Instant::now()));
             // Interrupted, it looks again; nothing else can go wrong with a poll that was made.
             let _ = self.poll.poll(&mut events, first);
             let letters: Vec<_> = self.letters.take().collect();
@@ -128,7 +149,14 @@
         match Exchange::begin(&self.poll, Token(number), at, request(at, &call, end)) {
             Ok(exchange) => {
                 self.ends.insert((end, number));
-                self.open.insert(number, Open { call, exchange, end });
+                self.open.insert(
+                    number,
+                    Open {
+                        call,
+                        exchange,
+                        end,
+                    },
+                );
                 true
             }
             Err(e) => {
@@ -147,12 +175,18 @@
 
     /// Something can be read or written for this call. `false` if the host is gone.
     fn go_on(&mut self, number: usize) -> bool {
-        let Some(open) = self.open.get_mut(&number) else { return true };
+        let Some(open) = self.open.get_mut(&number) else {
+            return true;
+        };
         match open.exchange.go_on() {
             Ok(None) => true,
             Ok(Some(reply)) => self.over(number, outcome(&reply), reply.body),
             Err(e) => {
-                let outcome = if open.exchange.connected() { broken_off(&e) } else { broken(&e) };
+                let outcome = if open.exchange.connected() {
+                    broken_off(&e)
+                } else {
+                    broken(&e)
+                };
                 self.over(number, outcome, Vec::new())
             }
         }
@@ -160,20 +194,32 @@
 
     /// The one place where a call's connection is given back; dropping it gives the call up.
     fn over(&mut self, number: usize, outcome: Outcome, body: Vec<u8>) -> bool {
-        let Some(open) = self.open.remove(&number) else { return true };
+        let Some(open) = self.open.remove(&number) else {
+            return true;
+        };
         self.ends.remove(&(open.end, number));
         self.tell(&open.call, outcome, body)
     }
 
     fn tell(&self, call: &Call, outcome: Outcome, body: Vec<u8>) -> bool {
         let took_ms = call.asked.elapsed().as_secs_f64() * 1000.0;
-        self.host.send(Mail::Called { who: call.who, outcome, took_ms, body }).is_ok()
+        self.host
+            .send(Mail::Called {
+                who: call.who,
+                outcome,
+                took_ms,
+                body,
+            })
+            .is_ok()
     }
 }
 
 /// A call as the service reads it; it says how long this process still waits.
 fn request(at: SocketAddr, call: &Call, end: Instant) -> Vec<u8> {
-    let wait_ms = end.saturating_duration_since(Instant::now()).as_millis().max(1);
+    let wait_ms = end
+        .saturating_duration_since(Instant::now())
+        .as_millis()
+        .max(1);
     let mut bytes = format!(
         "POST /records/op HTTP/1.1\r\nHost: {at}\r\nOp-Of: {}\r\nOp-Wait-Ms: {wait_ms}\r\n{}\
          Content-Length: {}\r\n\r\n",
@@ -212,7 +258,8 @@
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
     const ENOBUFS: i32 = 105;
-    e.kind() == io::ErrorKind::AddrNotAvailable || matches!(e.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
+    e.kind() == io::ErrorKind::AddrNotAvailable
+        || matches!(e.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
 }
 
 /// What a connection that broke during a call proves: nothing.
@@ -229,7 +276,12 @@
 
     #[test]
     fn only_what_the_service_says_never_began_never_ran() {
-        let reply = |status, not_begun| Reply { status, not_begun, tag: None, body: Vec::new() };
+        let reply = |status, not_begun| Reply {
+            status,
+            not_begun,
+            tag: None,
+            body: Vec::new(),
+        };
         for (status, not_begun, wanted) in [
             (200, false, Outcome::Ok),
             (503, true, Outcome::Full),
@@ -251,7 +303,14 @@
     fn only_a_refused_connection_proves_that_nothing_ran() {
         use io::ErrorKind::*;
         assert_eq!(broken(&ConnectionRefused.into()), Outcome::Unreachable);
-        for kind in [ConnectionReset, BrokenPipe, UnexpectedEof, InvalidData, TimedOut, WouldBlock] {
+        for kind in [
+            ConnectionReset,
+            BrokenPipe,
+            UnexpectedEof,
+            InvalidData,
+            TimedOut,
+            WouldBlock,
+        ] {
             assert!(!broken(&kind.into()).never_ran() && !broken_off(&kind.into()).never_ran());
         }
         assert!(!broken_off(&ConnectionRefused.into()).never_ran());
--- a/crates/asterdale-host/src/registry.rs
+++ b/crates/asterdale-host/src/registry.rs
@@ -104,7 +104,11 @@
     /// How long there is nothing to do unless something comes.
     fn wait(&self) -> Option<Duration> {
         let due = (!self.quiet).then_some(self.due);
-        let deadline = self.out.values().next().map(|report| report.began + DEADLINE);
+        let deadline = self
+            .out
+            .values()
+            .next()
+            .map(|report| report.began + DEADLINE);
         let until = [due, deadline].into_iter().flatten().min()?;
         Some(until.saturating_duration_since(Instant::now()))
     }
@@ -137,14 +141,22 @@
         let number = self.next;
         self.next += 1;
         match Exchange::begin(&self.poll, Token(number), self.at, request.into_bytes()) {
-            Ok(exchange) => drop(self.out.insert(number, Report { exchange, began: now })),
+            Ok(exchange) => drop(self.out.insert(
+                number,
+                Report {
+                    exchange,
+                    began: now,
+                },
+            )),
             Err(e) => self.failed(&e),
         }
     }
 
     /// Something can be read or written for this report.
     fn go_on(&mut self, number: usize) {
-        let Some(report) = self.out.get_mut(&number) else { return };
+        let Some(report) = self.out.get_mut(&number) else {
+            return;
+        };
         let began = report.began;
         match report.exchange.go_on() {
             Ok(None) => {}
@@ -163,7 +175,11 @@
     /// Ends the reports that are past their deadline.
     fn expire(&mut self) {
         let now = Instant::now();
-        while self.out.first_entry().is_some_and(|oldest| oldest.get().began + DEADLINE <= now) {
+        while self
+            .out
+            .first_entry()
+            .is_some_and(|oldest| oldest.get().began + DEADLINE <= now)
+        {
             self.out.pop_first();
             self.failed(&io::ErrorKind::TimedOut.into());
         }
