--- a/crates/asterdale-host/src/runtime.rs
+++ b/crates/asterdale-host/src/runtime.rs
@@ -38,7 +38,10 @@
     };
     let mark = || text("mark").map(str::to_owned);
     Some(match text("t")? {
-        "ready" => Line::Ready { cold: text("status") == Some("EMPTY"), time_ms: all["time_ms"].as_f64()? },
+        "ready" => Line::Ready {
+            cold: text("status") == Some("EMPTY"),
+            time_ms: all["time_ms"].as_f64()?,
+        },
         "end" => {
             let how = match text("status")? {
                 "PASS" => How::Pass,
@@ -47,15 +50,36 @@
                 "NOOP" => How::Noop,
                 _ => return None,
             };
-            Line::End { no: no()?, id: id()?, how, body: body()? }
+            Line::End {
+                no: no()?,
+                id: id()?,
+                how,
+                body: body()?,
+            }
         }
-        "wants" => Line::Wants { no: no()?, id: id()?, body: body()? },
+        "wants" => Line::Wants {
+            no: no()?,
+            id: id()?,
+            body: body()?,
+        },
         "load" => {
-            let values = all["v"].as_array()?.iter().map(|v| v.as_f64().unwrap_or(f64::NAN));
-            Line::Load { mark: mark()?, values: values.collect() }
+            let values = all["v"]
+                .as_array()?
+                .iter()
+                .map(|v| v.as_f64().unwrap_or(f64::NAN));
+            Line::Load {
+                mark: mark()?,
+                values: values.collect(),
+            }
         }
-        "verdict" => Line::Verdict { mark: mark()?, good: text("status")? == "PASS" },
-        "nack" => Line::Nack { command: text("status")?.to_owned(), id: id() },
+        "verdict" => Line::Verdict {
+            mark: mark()?,
+            good: text("status")? == "PASS",
+        },
+        "nack" => Line::Nack {
+            command: text("status")?.to_owned(),
+            id: id(),
+        },
         "info" => Line::Info(no()),
         _ => return None,
     })
@@ -68,8 +92,11 @@
 
 /// Run a task.
 pub fn start(id: &Id, stage: &str, body: &[u8]) -> String {
-    let mut line =
-        format!("{{\"t\":\"start\",\"rid\":\"{}\",\"route\":{},\"b64\":\"", text(id), json!(stage));
+    let mut line = format!(
+        "{{\"t\":\"start\",\"rid\":\"{}\",\"route\":{},\"b64\":\"",
+        text(id),
+        json!(stage)
+    );
     STANDARD.encode_string(body, &mut line);
     line.push_str("\"}\n");
     line
@@ -139,7 +166,9 @@
                 }
                 told = false;
                 let began = Instant::now();
-                let Some(why) = serve(&Arc::new(stream), &writer, host, counters) else { return };
+                let Some(why) = serve(&Arc::new(stream), &writer, host, counters) else {
+                    return;
+                };
                 (why, began.elapsed() >= YOUNG)
             }
             Err(e) => (e, false),
@@ -168,7 +197,9 @@
     static REFUSED: Kind = Kind::new();
     loop {
         let (links, for_writer) = bounded::<Out>(1);
-        let writer = thread::Builder::new().name("runtime out".to_owned()).stack_size(64 * 1024);
+        let writer = thread::Builder::new()
+            .name("runtime out".to_owned())
+            .stack_size(64 * 1024);
         let spawned = writer.spawn(move || {
             for (stream, commands, over) in for_writer {
                 write(&stream, &commands);
@@ -214,7 +245,10 @@
     while let Ok(first) = commands.recv() {
         let mut ready = vec![first];
         ready.extend(commands.try_iter().take(127));
-        let mut pieces: Vec<IoSlice<'_>> = ready.iter().map(|line| IoSlice::new(line.as_bytes())).collect();
+        let mut pieces: Vec<IoSlice<'_>> = ready
+            .iter()
+            .map(|line| IoSlice::new(line.as_bytes()))
+            .collect();
         if gather::write(stream, &mut pieces).is_err() {
             break;
         }
@@ -238,7 +272,10 @@
             if began.elapsed() < YOUNG && line.ends_with(b"\n") {
                 continue;
             }
-            return Some(io::Error::new(io::ErrorKind::InvalidData, "a line that can't be read"));
+            return Some(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "a line that can't be read",
+            ));
         };
         host.send(Mail::Line(read)).ok()?;
     }
@@ -254,13 +291,37 @@
     fn lines_of_the_protocol_are_read() {
         let end =
             br#"{"t":"end","no":4,"rid":"9b1f03aa5c7e2d41","status":"PASS","time_ms":3.5,"b64":"AP8="}"#;
-        assert_eq!(read(end), Some(Line::End { no: 4, id: *ID, how: How::Pass, body: vec![0, 255] }));
+        assert_eq!(
+            read(end),
+            Some(Line::End {
+                no: 4,
+                id: *ID,
+                how: How::Pass,
+                body: vec![0, 255]
+            })
+        );
         let killed = br#"{"t":"end","no":5,"rid":"9b1f03aa5c7e2d41","status":"KILLED","time_ms":1,"new":[]}"#;
-        assert_eq!(read(killed), Some(Line::End { no: 5, id: *ID, how: How::Killed, body: vec![] }));
+        assert_eq!(
+            read(killed),
+            Some(Line::End {
+                no: 5,
+                id: *ID,
+                how: How::Killed,
+                body: vec![]
+            })
+        );
         let ready = br#"{"t":"ready","status":"EMPTY","time_ms":12}"#;
-        assert_eq!(read(ready), Some(Line::Ready { cold: true, time_ms: 12.0 }));
+        assert_eq!(
+            read(ready),
+            Some(Line::Ready {
+                cold: true,
+                time_ms: 12.0
+            })
+        );
         let load = br#"{"t":"load","mark":"7","v":[0.5,null]}"#;
-        let Some(Line::Load { mark, values }) = read(load) else { panic!() };
+        let Some(Line::Load { mark, values }) = read(load) else {
+            panic!()
+        };
         assert!(mark == "7" && values[0] == 0.5 && values[1].is_nan());
     }
 
@@ -287,7 +348,10 @@
                 start(ID, "a\"b", b"hi"),
                 json!({"t": "start", "rid": text(ID), "route": "a\"b", "b64": "aGk="}),
             ),
-            (give(ID, b""), json!({"t": "give", "rid": text(ID), "b64": ""})),
+            (
+                give(ID, b""),
+                json!({"t": "give", "rid": text(ID), "b64": ""}),
+            ),
             (omit(ID, 9), json!({"t": "omit", "rid": text(ID), "no": 9})),
             (ask("gauges", "x"), json!({"t": "gauges", "mark": "x"})),
         ] {
--- a/crates/asterdale-host/src/tasks.rs
+++ b/crates/asterdale-host/src/tasks.rs
@@ -119,7 +119,17 @@
     fn default() -> Link {
         let (commands, replaying, ready, asked_at, silent) = (None, false, false, 0.0, 0);
         let (last, asked, came, move_by) = (0, 0, 0, f64::INFINITY);
-        Link { commands, replaying, ready, last, asked, came, asked_at, move_by, silent }
+        Link {
+            commands,
+            replaying,
+            ready,
+            last,
+            asked,
+            came,
+            asked_at,
+            move_by,
+            silent,
+        }
     }
 }
 
@@ -171,8 +181,15 @@
     /// What a line of the log says of a task.
     pub fn about(&self, task: Handle) -> Option<About> {
         let slot = self.slots.get(task.index())?.as_ref()?;
-        let tenant = slot.caller.as_ref().map_or_else(String::new, |caller| caller.claims.tenant.clone());
-        Some(About { id: text(&slot.id).to_owned(), stage: self.facts.stages[slot.stage].clone(), tenant })
+        let tenant = slot
+            .caller
+            .as_ref()
+            .map_or_else(String::new, |caller| caller.claims.tenant.clone());
+        Some(About {
+            id: text(&slot.id).to_owned(),
+            stage: self.facts.stages[slot.stage].clone(),
+            tenant,
+        })
     }
 
     /// A command about a task; one that can't be sent now goes out when the link is made again.
@@ -181,13 +198,21 @@
         let handed = self.send(line.clone());
         if let Some(slot) = self.slot(task) {
             // One that no link took goes out on the next, whatever that has proven of others.
-            slot.sent = Some(Sent { line, before, handed, adrift: !handed, harmless });
+            slot.sent = Some(Sent {
+                line,
+                before,
+                handed,
+                adrift: !handed,
+                harmless,
+            });
         }
     }
 
     /// Sends a line, if there is a link that takes it.
     pub fn send(&mut self, line: String) -> bool {
-        let (Some(commands), false) = (&self.link.commands, self.link.replaying) else { return false };
+        let (Some(commands), false) = (&self.link.commands, self.link.replaying) else {
+            return false;
+        };
         let sent = commands.try_send(line).is_ok();
         if !sent {
             self.link.commands = None; // it reads nothing: the link ends, and is made again
@@ -199,7 +224,9 @@
     /// go then is adrift, and goes once its task is answered.
     pub fn send_again(&mut self, new_link: bool) {
         for index in 0..self.slots.len() {
-            let Some(slot) = &mut self.slots[index] else { continue };
+            let Some(slot) = &mut self.slots[index] else {
+                continue;
+            };
             let answered = slot.back.is_none();
             let Some(sent) = &mut slot.sent else { continue };
             sent.adrift |= new_link && sent.before >= self.link.came;
@@ -208,7 +235,10 @@
             }
             let line = sent.line.clone();
             if self.send(line) {
-                if let Some(sent) = self.slots[index].as_mut().and_then(|slot| slot.sent.as_mut()) {
+                if let Some(sent) = self.slots[index]
+                    .as_mut()
+                    .and_then(|slot| slot.sent.as_mut())
+                {
                     (sent.handed, sent.adrift, sent.before) = (true, false, self.link.asked);
                 }
             }
@@ -220,7 +250,9 @@
 
     /// The one place where a task that is still waited for is answered. `false` if it is not.
     pub fn answer(&mut self, task: Handle, reply: Reply) -> bool {
-        let Some((client, request)) = self.slot(task).and_then(|slot| slot.back.take()) else { return false };
+        let Some((client, request)) = self.slot(task).and_then(|slot| slot.back.take()) else {
+            return false;
+        };
         self.by_way.remove(&(client.connection(), request));
         self.counters.tasks_open.sub();
         client.answer(request, reply);
@@ -239,17 +271,24 @@
 
     /// Those who waited for a task whose end is known now.
     pub fn tell(&mut self, waiting: Vec<Serial>, result: Option<&Arc<[u8]>>) {
-        self.joined.extend(waiting.into_iter().map(|who| (who, result.cloned())));
+        self.joined
+            .extend(waiting.into_iter().map(|who| (who, result.cloned())));
     }
 
     /// A remembered task has ended.
     pub fn ended(&mut self, task: Handle, result: Option<&Arc<[u8]>>) {
         let now = self.now;
         let Some(slot) = self.slot(task) else { return };
-        let (serial, Some(mark)) = (slot.serial, slot.mark.clone()) else { return };
+        let (serial, Some(mark)) = (slot.serial, slot.mark.clone()) else {
+            return;
+        };
         #[cfg(feature = "handover")]
         if let Some(mirror) = &mut self.mirror {
-            mirror(Mirrored::Ended { mark: mark.clone(), owner: serial, result: result.cloned() });
+            mirror(Mirrored::Ended {
+                mark: mark.clone(),
+                owner: serial,
+                result: result.cloned(),
+            });
         }
         let waiting = self.fingerprints.ended(&mark, serial, now, result.cloned());
         self.tell(waiting, result);
@@ -258,11 +297,14 @@
     /// A run has ended that another process had started: whoever repeats it gets its result.
     #[cfg(feature = "handover")]
     pub fn ended_elsewhere(&mut self, id: &Id, void: bool, result: Option<&Arc<[u8]>>) {
-        let Some(Some((mark, owner))) = self.elsewhere.remove(id) else { return };
+        let Some(Some((mark, owner))) = self.elsewhere.remove(id) else {
+            return;
+        };
         let waiting = if void {
             self.fingerprints.forget(&mark, owner)
         } else {
-            self.fingerprints.ended(&mark, owner, self.now, result.cloned())
+            self.fingerprints
+                .ended(&mark, owner, self.now, result.cloned())
         };
         self.tell(waiting, result);
     }
@@ -339,7 +381,11 @@
             Err(()) => return self.not_begun.push_back(who),
         };
         let longest = self.facts.told.stages[stage].limit_ms;
-        let patience = if patience_ms.is_finite() && patience_ms > 0.0 { patience_ms } else { longest };
+        let patience = if patience_ms.is_finite() && patience_ms > 0.0 {
+            patience_ms
+        } else {
+            longest
+        };
         let patience = Duration::from_micros((patience * 1000.0) as u64);
         if !self.records.call(Call {
             who,
@@ -355,7 +401,9 @@
     }
     fn skip_call(&mut self, task: Handle) {
         let Some(slot) = self.slot(task) else { return };
-        let Some((no, _)) = slot.wants.take() else { return };
+        let Some((no, _)) = slot.wants.take() else {
+            return;
+        };
         let line = runtime::omit(&slot.id, no);
         self.counters.calls_skipped.add();
         self.command(task, line, true);
@@ -374,7 +422,9 @@
         let until = self.now + for_ms;
         let facts = self.facts.clone();
         let Some(slot) = self.slot(task) else { return };
-        let Some(mark) = slot.mark.clone() else { return };
+        let Some(mark) = slot.mark.clone() else {
+            return;
+        };
         let restartable = facts.told.stages[slot.stage].repeat == Repeat::Restartable;
         let (serial, sign) = (slot.serial, slot.sign);
         if restartable && self.fingerprints.is_full() {
@@ -382,25 +432,36 @@
         }
         #[cfg(feature = "handover")]
         if let (false, Some(mirror)) = (restartable, &mut self.mirror) {
-            mirror(Mirrored::Remembered { mark: mark.clone(), owner: (serial, sign), until });
+            mirror(Mirrored::Remembered {
+                mark: mark.clone(),
+                owner: (serial, sign),
+                until,
+            });
         }
         #[cfg(feature = "takeover")]
         let known_by = mark.clone();
-        let before = self.fingerprints.remember(mark, (serial, sign), until, restartable.then_some(for_ms));
+        let before =
+            self.fingerprints
+                .remember(mark, (serial, sign), until, restartable.then_some(for_ms));
         #[cfg(feature = "takeover")]
         let before = self.rejoin(&known_by, before);
         self.tell(before, None);
     }
     fn forget(&mut self, task: Handle) {
         let Some(slot) = self.slot(task) else { return };
-        let (serial, id, Some(mark)) = (slot.serial, slot.id, slot.mark.clone()) else { return };
+        let (serial, id, Some(mark)) = (slot.serial, slot.id, slot.mark.clone()) else {
+            return;
+        };
         #[cfg(feature = "handover")]
         if self.elsewhere.contains_key(&id) {
             return; // another process has started it: it may have run
         }
         #[cfg(feature = "handover")]
         if let Some(mirror) = &mut self.mirror {
-            mirror(Mirrored::Forgotten { mark: mark.clone(), owner: serial });
+            mirror(Mirrored::Forgotten {
+                mark: mark.clone(),
+                owner: serial,
+            });
         }
         let _ = id;
         let waiting = self.fingerprints.forget(&mark, serial);
@@ -411,7 +472,13 @@
         if self.pass_on(task, last, stay_away_ms) {
             return;
         }
-        if self.answer(task, Reply::Rejected { last, stay_away_ms: stay_away_ms as u64 }) {
+        if self.answer(
+            task,
+            Reply::Rejected {
+                last,
+                stay_away_ms: stay_away_ms as u64,
+            },
+        ) {
             self.counters.tasks_rejected.add();
         }
     }
--- a/crates/asterdale-identity/benches/verdict.rs
+++ b/crates/asterdale-identity/benches/verdict.rs
@@ -11,7 +11,10 @@
 const NOW: f64 = 1e12;
 
 fn identity() -> (Identity, Secret) {
-    let (root, key) = (Secret::from_seed([1; 32], "root"), Secret::from_seed([2; 32], "k"));
+    let (root, key) = (
+        Secret::from_seed([1; 32], "root"),
+        Secret::from_seed([2; 32], "k"),
+    );
     let role = Role {
         name: "r".into(),
         stages: vec![0],
@@ -31,7 +34,11 @@
         per_edge: 1e12,
         in_all: 1e12,
         roles: vec![role],
-        tenants: vec![Tenant { name: "t".into(), customer: 0, roles: vec!["r".into()] }],
+        tenants: vec![Tenant {
+            name: "t".into(),
+            customer: 0,
+            roles: vec!["r".into()],
+        }],
         certificates: Vec::new(),
     };
     let mut identity = Identity::new(NOW, facts).unwrap();
@@ -59,7 +66,15 @@
 
 fn ask(identity: &mut Identity, token: &str) -> bool {
     identity
-        .identify(NOW, Ask { token: Some(token.as_bytes()), certificate: None, edge: 1, arrived_ms: NOW })
+        .identify(
+            NOW,
+            Ask {
+                token: Some(token.as_bytes()),
+                certificate: None,
+                edge: 1,
+                arrived_ms: NOW,
+            },
+        )
         .is_ok()
 }
 
@@ -67,7 +82,10 @@
 #[divan::bench(sample_count = 200)]
 fn new_token(bencher: Bencher<'_, '_>) {
     let (identity, key) = identity();
-    let (identity, n) = (std::cell::RefCell::new(identity), std::cell::Cell::new(0u64));
+    let (identity, n) = (
+        std::cell::RefCell::new(identity),
+        std::cell::Cell::new(0u64),
+    );
     bencher
         .with_inputs(|| {
             n.set(n.get() + 1);
@@ -99,8 +117,12 @@
     let token = token(&key, "1");
     bencher.bench_local(|| {
         let late = NOW * 1e3 + 1e6;
-        let ask =
-            Ask { token: Some(black_box(token.as_bytes())), certificate: None, edge: 1, arrived_ms: late };
+        let ask = Ask {
+            token: Some(black_box(token.as_bytes())),
+            certificate: None,
+            edge: 1,
+            arrived_ms: late,
+        };
         assert!(identity.identify(late, ask).is_err());
     });
 }
@@ -110,7 +132,12 @@
 fn permit(bencher: Bencher<'_, '_>) {
     let (mut identity, key) = identity();
     let token = token(&key, "1");
-    let ask = Ask { token: Some(token.as_bytes()), certificate: None, edge: 1, arrived_ms: NOW };
+    let ask = Ask {
+        token: Some(token.as_bytes()),
+        certificate: None,
+        edge: 1,
+        arrived_ms: NOW,
+    };
     let caller = identity.identify(NOW, ask).unwrap();
     bencher.bench_local(|| {
         let seat = identity.permit(NOW, &caller, 0, Some(1.0), false).unwrap();
--- a/crates/asterdale-identity/src/budget.rs
+++ b/crates/asterdale-identity/src/budget.rs
@@ -26,7 +26,10 @@
 impl Bucket {
     /// A full one.
     pub fn full(now: f64, burst: f64) -> Bucket {
-        Bucket { level: burst, at: now }
+        Bucket {
+            level: burst,
+            at: now,
+        }
     }
 
     fn fill(&mut self, now: f64, per_s: f64, burst: f64) {
@@ -42,7 +45,11 @@
             self.level -= 1.0;
             return Ok(());
         }
-        Err(if per_s > 0.0 { (1.0 - self.level) * 1000.0 / per_s } else { f64::INFINITY })
+        Err(if per_s > 0.0 {
+            (1.0 - self.level) * 1000.0 / per_s
+        } else {
+            f64::INFINITY
+        })
     }
 
     /// Takes more than was asked for; it may owe as much as its burst.
@@ -70,7 +77,13 @@
     /// So many signatures a second for each edge node, and in all.
     pub fn new(now: f64, per_edge: f64, in_all: f64) -> Budget {
         let half = Bucket::full(now, BURST * in_all / 2.0);
-        Budget { per_edge, in_all, edges: HashMap::new(), others: half, standing: half }
+        Budget {
+            per_edge,
+            in_all,
+            edges: HashMap::new(),
+            others: half,
+            standing: half,
+        }
     }
 
     /// Other rates from now on. Levels stay.
@@ -90,15 +103,18 @@
     pub fn take(&mut self, now: f64, edge: u32) -> Result<(), f64> {
         let (per_edge, half) = (self.per_edge, self.in_all / 2.0);
         if self.edges.len() >= MOST_EDGES && !self.edges.contains_key(&edge) {
-            let fullest = self.edges.iter().min_by(|a, b| a.1.bucket.at.total_cmp(&b.1.bucket.at));
+            let fullest = self
+                .edges
+                .iter()
+                .min_by(|a, b| a.1.bucket.at.total_cmp(&b.1.bucket.at));
             if let Some(idle) = fullest.map(|(&edge, _)| edge) {
                 self.edges.remove(&idle);
             }
         }
-        let known = self
-            .edges
-            .entry(edge)
-            .or_insert(Edge { bucket: Bucket::full(now, BURST * per_edge), good_at: f64::NEG_INFINITY });
+        let known = self.edges.entry(edge).or_insert(Edge {
+            bucket: Bucket::full(now, BURST * per_edge),
+            good_at: f64::NEG_INFINITY,
+        });
         known.bucket.take(now, per_edge, BURST * per_edge)?;
         let good = now - known.good_at < STANDING;
         let taken = self.pool(good).take(now, half, BURST * half);
@@ -112,7 +128,9 @@
     /// How a signature turned out that was taken for this edge node.
     pub fn turned_out(&mut self, now: f64, edge: u32, right: bool) {
         let (per_edge, half) = (self.per_edge, self.in_all / 2.0);
-        let Some(known) = self.edges.get_mut(&edge) else { return };
+        let Some(known) = self.edges.get_mut(&edge) else {
+            return;
+        };
         if right {
             known.good_at = now;
         } else {
@@ -128,7 +146,13 @@
     use super::*;
 
     /// Offers so many a second for ten seconds; how many were checked.
-    fn offer(budget: &mut Budget, from: f64, per_s: u32, right: bool, edge: impl Fn(u32) -> u32) -> u32 {
+    fn offer(
+        budget: &mut Budget,
+        from: f64,
+        per_s: u32,
+        right: bool,
+        edge: impl Fn(u32) -> u32,
+    ) -> u32 {
         (0..10 * per_s)
             .filter(|&n| {
                 let now = from + f64::from(n) * 1000.0 / f64::from(per_s);
--- a/crates/asterdale-identity/src/cache.rs
+++ b/crates/asterdale-identity/src/cache.rs
@@ -20,7 +20,9 @@
 impl Digests {
     /// From the process's seed.
     pub fn new(seed: u64) -> Digests {
-        Digests { key: Sha512::digest(seed.to_le_bytes()).into() }
+        Digests {
+            key: Sha512::digest(seed.to_le_bytes()).into(),
+        }
     }
 
     /// The digest of this text.
@@ -43,7 +45,9 @@
 impl RefusedTokens {
     /// With so many places.
     pub fn new(places: usize) -> RefusedTokens {
-        RefusedTokens { places: vec![None; places.max(1)] }
+        RefusedTokens {
+            places: vec![None; places.max(1)],
+        }
     }
 
     fn place(&self, digest: &Digest) -> usize {
@@ -53,7 +57,10 @@
 
     /// Why this one was refused, if it is known.
     pub fn get(&self, digest: &Digest) -> Option<Why> {
-        self.places[self.place(digest)].as_ref().filter(|(known, _)| known == digest).map(|(_, why)| *why)
+        self.places[self.place(digest)]
+            .as_ref()
+            .filter(|(known, _)| known == digest)
+            .map(|(_, why)| *why)
     }
 
     /// This one is refused for so long as the set of keys stays.
@@ -80,7 +87,11 @@
 impl Proven {
     /// With room for so many.
     pub fn new(most: usize) -> Proven {
-        Proven { most: most.max(1), all: HashMap::new(), tenants: Vec::new() }
+        Proven {
+            most: most.max(1),
+            all: HashMap::new(),
+            tenants: Vec::new(),
+        }
     }
 
     /// Who it speaks for, if it was proven.
@@ -92,7 +103,9 @@
     pub fn put(&mut self, digest: Digest, caller: Arc<Caller>) {
         while self.all.len() >= self.most {
             let most = self.tenants.iter_mut().max_by_key(|tokens| tokens.len());
-            let Some(oldest) = most.and_then(VecDeque::pop_front) else { break };
+            let Some(oldest) = most.and_then(VecDeque::pop_front) else {
+                break;
+            };
             self.all.remove(&oldest);
         }
         let tenant = caller.tenant as usize;
@@ -108,7 +121,9 @@
     pub fn retain(&mut self, mut holds: impl FnMut(&Caller) -> bool) {
         let all = &mut self.all;
         all.retain(|_, caller| holds(caller));
-        self.tenants.iter_mut().for_each(|tokens| tokens.retain(|digest| all.contains_key(digest)));
+        self.tenants
+            .iter_mut()
+            .for_each(|tokens| tokens.retain(|digest| all.contains_key(digest)));
     }
 
     /// How many there are.
@@ -153,9 +168,15 @@
         assert_ne!(one.of(b"token"), two.of(b"token"));
         let mut refused = RefusedTokens::new(1);
         refused.put(one.of(b"a"), Why::TokenRevoked);
-        assert_eq!((refused.get(&one.of(b"a")), refused.get(&one.of(b"b"))), (Some(Why::TokenRevoked), None));
+        assert_eq!(
+            (refused.get(&one.of(b"a")), refused.get(&one.of(b"b"))),
+            (Some(Why::TokenRevoked), None)
+        );
         refused.put(one.of(b"b"), Why::Signature);
-        assert_eq!((refused.get(&one.of(b"a")), refused.get(&one.of(b"b"))), (None, Some(Why::Signature)));
+        assert_eq!(
+            (refused.get(&one.of(b"a")), refused.get(&one.of(b"b"))),
+            (None, Some(Why::Signature))
+        );
         refused.clear();
         assert_eq!(refused.get(&one.of(b"b")), None);
     }
--- a/crates/asterdale-identity/src/keyring.rs
+++ b/crates/asterdale-identity/src/keyring.rs
@@ -169,7 +169,9 @@
 /// Reads a public key from its text.
 pub fn public_key(text: &str) -> Option<VerifyingKey> {
     let bytes: [u8; 32] = URL_SAFE_NO_PAD.decode(text).ok()?.try_into().ok()?;
-    VerifyingKey::from_bytes(&bytes).ok().filter(|key| !key.is_weak())
+    VerifyingKey::from_bytes(&bytes)
+        .ok()
+        .filter(|key| !key.is_weak())
 }
 
 impl Keyring {
@@ -221,7 +223,12 @@
         if set.issued_ms > now + MOST_AHEAD {
             return Err(Refused::Ahead);
         }
-        let Revoked { tokens, subjects, tenants, keys: revoked } = &set.revoked;
+        let Revoked {
+            tokens,
+            subjects,
+            tenants,
+            keys: revoked,
+        } = &set.revoked;
         let lists = [tokens, subjects, tenants, revoked];
         if lists.iter().any(|list| list.len() > MOST_REVOKED) {
             return Err(Refused::Unreadable);
@@ -234,11 +241,20 @@
                 && (1..=MOST_NAME).contains(&key.kid.len())
                 && keys.len() < MOST_KEYS;
             let public = public_key(&key.x).filter(|_| fits).ok_or_else(bad)?;
-            if self.seen.get(&key.kid).is_some_and(|seen| seen.bytes != *public.as_bytes()) {
+            if self
+                .seen
+                .get(&key.kid)
+                .is_some_and(|seen| seen.bytes != *public.as_bytes())
+            {
                 return Err(Refused::Reused(key.kid.clone()));
             }
             let until_ms = key.until_ms.unwrap_or(f64::INFINITY);
-            let key_now = Key { public, from_ms: key.from_ms, until_ms, ends: key.until_ms.is_some() };
+            let key_now = Key {
+                public,
+                from_ms: key.from_ms,
+                until_ms,
+                ends: key.until_ms.is_some(),
+            };
             if keys.insert(key.kid.clone(), key_now).is_some() {
                 return Err(bad());
             }
@@ -249,7 +265,11 @@
     fn adopt(&mut self, set: Published, keys: HashMap<String, Key>, text: &[u8]) {
         for (id, key) in &keys {
             let bytes = *key.public.as_bytes();
-            let seen = self.seen.entry(id.clone()).or_insert(Seen { bytes, revoked: false, last: 0 });
+            let seen = self.seen.entry(id.clone()).or_insert(Seen {
+                bytes,
+                revoked: false,
+                last: 0,
+            });
             seen.last = set.seq;
         }
         for id in &set.revoked.keys {
@@ -259,7 +279,9 @@
         }
         while self.seen.len() > MOST_SEEN {
             let idle = self.seen.iter().filter(|(id, _)| !keys.contains_key(*id));
-            let oldest = idle.min_by_key(|(_, seen)| (seen.revoked, seen.last)).map(|(id, _)| id.clone());
+            let oldest = idle
+                .min_by_key(|(_, seen)| (seen.revoked, seen.last))
+                .map(|(id, _)| id.clone());
             let Some(oldest) = oldest else { break };
             self.seen.remove(&oldest);
         }
@@ -272,7 +294,10 @@
     /// What the ring knows beyond the start file, for a process that goes on with it.
     pub fn pass(&self) -> Passed {
         let set = self.last.as_ref().map(|(_, text)| text.clone());
-        Passed { set, seen: self.seen.clone() }
+        Passed {
+            set,
+            seen: self.seen.clone(),
+        }
     }
 
     /// Goes on with what another process knew. The set is judged as any that is offered.
@@ -308,7 +333,9 @@
         if self.revoked.keys.contains(id) || self.seen.get(id).is_some_and(|seen| seen.revoked) {
             return Some(Phase::Revoked);
         }
-        let Some(key) = self.keys.get(id) else { return self.seen.get(id).map(|_| Phase::Retired) };
+        let Some(key) = self.keys.get(id) else {
+            return self.seen.get(id).map(|_| Phase::Retired);
+        };
         Some(match key {
             _ if at >= key.until_ms && !planted::is(Fault::Overlap) => Phase::Retired,
             _ if at < key.from_ms => Phase::Announced,
@@ -340,7 +367,12 @@
     /// Whether these claims are revoked by a name in them. Nothing is allocated but for a subject's name, and
     /// that only where subjects are revoked.
     pub fn revoked(&self, claims: &Claims) -> Result<(), Why> {
-        let Revoked { tokens, subjects, tenants, .. } = &self.revoked;
+        let Revoked {
+            tokens,
+            subjects,
+            tenants,
+            ..
+        } = &self.revoked;
         if tenants.contains(&claims.tenant) {
             return Err(Why::TenantRevoked);
         }
@@ -367,11 +399,23 @@
 
     fn published(secret: &Secret, from_ms: f64, until_ms: Option<f64>) -> PublicKey {
         let (kty, crv) = ("OKP".to_owned(), "Ed25519".to_owned());
-        PublicKey { kty, crv, kid: secret.id().to_owned(), x: secret.public_text(), from_ms, until_ms }
+        PublicKey {
+            kty,
+            crv,
+            kid: secret.id().to_owned(),
+            x: secret.public_text(),
+            from_ms,
+            until_ms,
+        }
     }
 
     fn set(seq: u64, keys: Vec<PublicKey>) -> Published {
-        Published { seq, issued_ms: 1000.0, keys, revoked: Revoked::default() }
+        Published {
+            seq,
+            issued_ms: 1000.0,
+            keys,
+            revoked: Revoked::default(),
+        }
     }
 
     fn root() -> Secret {
@@ -389,7 +433,10 @@
     #[test]
     fn a_key_goes_through_its_phases_by_time_alone() {
         let mut ring = ring();
-        let keys = vec![published(&secret(1), 1000.0, Some(3000.0)), published(&secret(2), 2000.0, None)];
+        let keys = vec![
+            published(&secret(1), 1000.0, Some(3000.0)),
+            published(&secret(2), 2000.0, None),
+        ];
         assert_eq!(offer(&mut ring, &set(1, keys)), Ok(Offered::Adopted));
         use Phase::*;
         for (at, one, two) in [
@@ -399,7 +446,11 @@
             (2999.9, Outgoing, Active),
             (3000.0, Retired, Active),
         ] {
-            assert_eq!((ring.phase("k1", at), ring.phase("k2", at)), (Some(one), Some(two)), "{at}");
+            assert_eq!(
+                (ring.phase("k1", at), ring.phase("k2", at)),
+                (Some(one), Some(two)),
+                "{at}"
+            );
         }
         assert_eq!(ring.phase("k3", 2000.0), None);
         assert_eq!(ring.passes("k2", 1999.0, 1.0), Ok(()));
@@ -407,7 +458,11 @@
         assert_eq!(ring.passes("k1", 3000.9, 1.0), Ok(()));
         assert_eq!(ring.passes("k1", 3001.1, 1.0), Err(Why::KeyRetired));
         // One that a later set leaves out is retired at once.
-        offer(&mut ring, &set(2, vec![published(&secret(2), 2000.0, None)])).unwrap();
+        offer(
+            &mut ring,
+            &set(2, vec![published(&secret(2), 2000.0, None)]),
+        )
+        .unwrap();
         assert_eq!(ring.phase("k1", 2000.0), Some(Retired));
     }
 
@@ -421,27 +476,45 @@
         let twice = published(&secret(2), 0.0, None);
         let mut weak = published(&secret(3), 0.0, None);
         weak.x = URL_SAFE_NO_PAD.encode([0; 32]);
-        let ahead = Published { issued_ms: 1e9, ..set(6, vec![]) };
+        let ahead = Published {
+            issued_ms: 1e9,
+            ..set(6, vec![])
+        };
         for (bad, why) in [
-            (set(4, vec![published(&secret(1), 0.0, None)]), Refused::Older),
+            (
+                set(4, vec![published(&secret(1), 0.0, None)]),
+                Refused::Older,
+            ),
             (set(5, vec![]), Refused::SameNumber),
             (set(6, vec![reused.clone()]), Refused::Reused("k1".into())),
-            (set(6, vec![twice.clone(), twice]), Refused::BadKey("k2".into())),
+            (
+                set(6, vec![twice.clone(), twice]),
+                Refused::BadKey("k2".into()),
+            ),
             (set(6, vec![weak]), Refused::BadKey("k3".into())),
             (ahead, Refused::Ahead),
         ] {
             assert_eq!(offer(&mut ring, &bad), Err(why));
         }
         let by_other = secret(1).set(&set(6, vec![]));
-        assert_eq!(ring.offer(1000.0, by_other.as_bytes()), Err(Refused::NotByRoot));
+        assert_eq!(
+            ring.offer(1000.0, by_other.as_bytes()),
+            Err(Refused::NotByRoot)
+        );
         for rubbish in [&b""[..], b"<html>", b"a.b.c", &[0xff; 99]] {
             assert_eq!(ring.offer(1000.0, rubbish), Err(Refused::Unreadable));
         }
         assert_eq!(offer(&mut ring, &good), Ok(Offered::Same));
-        assert_eq!((ring.seq(), ring.phase("k1", 1.0)), (Some(5), Some(Phase::Active)));
+        assert_eq!(
+            (ring.seq(), ring.phase("k1", 1.0)),
+            (Some(5), Some(Phase::Active))
+        );
         // The id stays taken after the key is gone from the sets.
         offer(&mut ring, &set(6, vec![])).unwrap();
-        assert_eq!(offer(&mut ring, &set(7, vec![reused])), Err(Refused::Reused("k1".into())));
+        assert_eq!(
+            offer(&mut ring, &set(7, vec![reused])),
+            Err(Refused::Reused("k1".into()))
+        );
     }
 
     #[test]
--- a/crates/asterdale-identity/src/mint.rs
+++ b/crates/asterdale-identity/src/mint.rs
@@ -37,14 +37,20 @@
     /// The key that these bytes make.
     pub fn from_seed(seed: [u8; 32], id: &str) -> Secret {
         let seed = Zeroizing::new(seed);
-        Secret { id: id.to_owned(), key: SigningKey::from_bytes(&seed) }
+        Secret {
+            id: id.to_owned(),
+            key: SigningKey::from_bytes(&seed),
+        }
     }
 
     /// A new key, from the system's source of chance.
     pub fn new(id: &str) -> Result<Secret, String> {
         let mut seed = Zeroizing::new([0; 32]);
         getrandom::fill(seed.as_mut()).map_err(|e| format!("no random bytes: {e}"))?;
-        Ok(Secret { id: id.to_owned(), key: SigningKey::from_bytes(&seed) })
+        Ok(Secret {
+            id: id.to_owned(),
+            key: SigningKey::from_bytes(&seed),
+        })
     }
 
     /// Its id.
@@ -77,11 +83,16 @@
 
     /// Reads such a text. An error names the field, never its content.
     pub fn from_jwk(text: &str) -> Result<Secret, String> {
-        let jwk: Jwk = serde_json::from_str(text).map_err(|_| "this is no private JWK".to_owned())?;
+        let jwk: Jwk =
+            serde_json::from_str(text).map_err(|_| "this is no private JWK".to_owned())?;
         if jwk.kty != "OKP" || jwk.crv != "Ed25519" {
             return Err("kty, crv: OKP and Ed25519 are wanted".to_owned());
         }
-        let bytes = Zeroizing::new(URL_SAFE_NO_PAD.decode(&jwk.d).map_err(|_| "d: base64url is wanted")?);
+        let bytes = Zeroizing::new(
+            URL_SAFE_NO_PAD
+                .decode(&jwk.d)
+                .map_err(|_| "d: base64url is wanted")?,
+        );
         let seed = <[u8; 32]>::try_from(bytes.as_slice()).map_err(|_| "d: 32 bytes are wanted")?;
         let secret = Secret::from_seed(seed, &jwk.kid);
         if secret.public_text() != jwk.x {
@@ -92,12 +103,20 @@
 
     /// A token with these claims.
     pub fn token(&self, claims: &Claims) -> String {
-        sign(self, &json!({"alg": ALGORITHM, "kid": self.id, "typ": "JWT"}), &json!(claims))
+        sign(
+            self,
+            &json!({"alg": ALGORITHM, "kid": self.id, "typ": "JWT"}),
+            &json!(claims),
+        )
     }
 
     /// A set of keys, signed. The key is a root.
     pub fn set(&self, set: &Published) -> String {
-        sign(self, &json!({"alg": ALGORITHM, "kid": self.id, "typ": TYPE}), &json!(set))
+        sign(
+            self,
+            &json!({"alg": ALGORITHM, "kid": self.id, "typ": TYPE}),
+            &json!(set),
+        )
     }
 }
 
--- a/crates/asterdale-identity/src/publish.rs
+++ b/crates/asterdale-identity/src/publish.rs
@@ -10,11 +10,19 @@
 impl Published {
     /// A set with nothing in it.
     pub fn empty() -> Published {
-        Published { seq: 0, issued_ms: 0.0, keys: Vec::new(), revoked: Default::default() }
+        Published {
+            seq: 0,
+            issued_ms: 0.0,
+            keys: Vec::new(),
+            revoked: Default::default(),
+        }
     }
 
     fn find(&mut self, id: &str) -> Result<&mut PublicKey, String> {
-        self.keys.iter_mut().find(|key| key.kid == id).ok_or(format!("{id}: no key of this id is in the set"))
+        self.keys
+            .iter_mut()
+            .find(|key| key.kid == id)
+            .ok_or(format!("{id}: no key of this id is in the set"))
     }
 
     /// Announces a key: it signs from then on. Serving processes need to have the set before that.
@@ -23,13 +31,21 @@
         if self.keys.iter().any(|key| key.kid == id) || self.revoked.keys.contains(id) {
             return Err(format!("{id}: this id is taken; a new key wants a new id"));
         }
-        self.keys.retain(|key| key.until_ms.is_none_or(|until| now < until + SHOWN));
+        self.keys
+            .retain(|key| key.until_ms.is_none_or(|until| now < until + SHOWN));
         if self.keys.len() >= MOST_KEYS {
             return Err(format!("the set holds {MOST_KEYS} keys, as many as it may"));
         }
         let (kty, crv) = ("OKP".to_owned(), "Ed25519".to_owned());
         let (kid, x) = (id.to_owned(), x.to_owned());
-        self.keys.push(PublicKey { kty, crv, kid, x, from_ms, until_ms: None });
+        self.keys.push(PublicKey {
+            kty,
+            crv,
+            kid,
+            x,
+            from_ms,
+            until_ms: None,
+        });
         Ok(())
     }
 
@@ -37,11 +53,20 @@
     pub fn activate(&mut self, now: f64, id: &str, overlap_ms: f64) -> Result<(), String> {
         let key = self.find(id)?;
         if key.until_ms.is_some() {
-            return Err(format!("{id}: this key goes, or is gone; announce a new one"));
+            return Err(format!(
+                "{id}: this key goes, or is gone; announce a new one"
+            ));
         }
         key.from_ms = key.from_ms.min(now);
-        for key in self.keys.iter_mut().filter(|key| key.kid != id && key.from_ms <= now) {
-            key.until_ms = Some(key.until_ms.map_or(now + overlap_ms, |until| until.min(now + overlap_ms)));
+        for key in self
+            .keys
+            .iter_mut()
+            .filter(|key| key.kid != id && key.from_ms <= now)
+        {
+            key.until_ms = Some(
+                key.until_ms
+                    .map_or(now + overlap_ms, |until| until.min(now + overlap_ms)),
+            );
         }
         Ok(())
     }
@@ -70,7 +95,10 @@
     fn a_rotation_goes_step_by_step_and_every_step_can_be_published() {
         let root = Secret::new("root").unwrap();
         let (one, two) = (Secret::new("one").unwrap(), Secret::new("two").unwrap());
-        let (mut set, mut ring) = (Published::empty(), Keyring::new(vec![root.public()], f64::INFINITY));
+        let (mut set, mut ring) = (
+            Published::empty(),
+            Keyring::new(vec![root.public()], f64::INFINITY),
+        );
         let mut publish = |set: &mut Published, now: f64| {
             set.next(now);
             ring.offer(now, root.set(set).as_bytes()).unwrap();
@@ -79,16 +107,31 @@
         set.announce(0.0, "one", &one.public_text(), 0.0).unwrap();
         assert_eq!(publish(&mut set, 0.0), (Some(Phase::Active), None));
         set.announce(10.0, "two", &two.public_text(), 1e6).unwrap();
-        assert_eq!(publish(&mut set, 10.0), (Some(Phase::Active), Some(Phase::Announced)));
+        assert_eq!(
+            publish(&mut set, 10.0),
+            (Some(Phase::Active), Some(Phase::Announced))
+        );
         set.activate(20.0, "two", 100.0).unwrap();
-        assert_eq!(publish(&mut set, 20.0), (Some(Phase::Outgoing), Some(Phase::Active)));
-        assert_eq!(publish(&mut set, 120.0), (Some(Phase::Retired), Some(Phase::Active)));
+        assert_eq!(
+            publish(&mut set, 20.0),
+            (Some(Phase::Outgoing), Some(Phase::Active))
+        );
+        assert_eq!(
+            publish(&mut set, 120.0),
+            (Some(Phase::Retired), Some(Phase::Active))
+        );
         // Activated again it prolongs nothing.
         set.activate(130.0, "two", 100.0).unwrap();
-        assert_eq!(publish(&mut set, 130.0), (Some(Phase::Retired), Some(Phase::Active)));
+        assert_eq!(
+            publish(&mut set, 130.0),
+            (Some(Phase::Retired), Some(Phase::Active))
+        );
         set.retire("two", 140.0).unwrap();
         set.retire("two", 999.0).unwrap();
-        assert_eq!(publish(&mut set, 140.0), (Some(Phase::Retired), Some(Phase::Retired)));
+        assert_eq!(
+            publish(&mut set, 140.0),
+            (Some(Phase::Retired), Some(Phase::Retired))
+        );
     }
 
     #[test]
@@ -100,9 +143,15 @@
             set.activate(now, &format!("k{n}"), 1.0).unwrap();
         }
         assert!(set.keys.len() <= 3, "{}", set.keys.len());
-        assert!(set.announce(0.0, "k39", &key, 0.0).is_err() && set.announce(0.0, "n", "x", 0.0).is_err());
+        assert!(
+            set.announce(0.0, "k39", &key, 0.0).is_err()
+                && set.announce(0.0, "n", "x", 0.0).is_err()
+        );
         set.revoked.keys.insert("gone".to_owned());
-        assert!(set.announce(0.0, "gone", &key, 0.0).is_err() && set.activate(0.0, "gone", 0.0).is_err());
+        assert!(
+            set.announce(0.0, "gone", &key, 0.0).is_err()
+                && set.activate(0.0, "gone", 0.0).is_err()
+        );
         (0..20).for_each(|n| drop(set.announce(0.0, &format!("m{n}"), &key, 0.0)));
         assert_eq!(set.keys.len(), MOST_KEYS);
     }
--- a/crates/asterdale-identity/src/refresh.rs
+++ b/crates/asterdale-identity/src/refresh.rs
@@ -23,7 +23,13 @@
     /// Asks at once, and then about as often as this.
     pub fn new(now: f64, every_ms: f64, seed: u64) -> Refresh {
         let chance = Pcg32::new(seed, 0x1d);
-        Refresh { every_ms, failures: 0, chance, asked_at: f64::NEG_INFINITY, next_at: now }
+        Refresh {
+            every_ms,
+            failures: 0,
+            chance,
+            asked_at: f64::NEG_INFINITY,
+            next_at: now,
+        }
     }
 
     /// When to ask next.
@@ -39,7 +45,11 @@
     /// It has answered, or not.
     pub fn turned_out(&mut self, now: f64, well: bool) {
         let share = f64::from(self.chance.next_u32()) / f64::from(u32::MAX);
-        self.failures = if well { 0 } else { self.failures.saturating_add(1) };
+        self.failures = if well {
+            0
+        } else {
+            self.failures.saturating_add(1)
+        };
         self.next_at = now
             + if well {
                 self.every_ms * (0.8 + 0.2 * share)
@@ -63,11 +73,18 @@
     fn failures_are_asked_about_ever_more_seldom_and_a_success_ends_that() {
         let mut refresh = Refresh::new(0.0, 30_000.0, 1);
         assert_eq!(refresh.next_at(), 0.0);
-        for (n, most) in
-            [250.0, 500.0, 1000.0, 2000.0, 4000.0, 8000.0, 16000.0, 30000.0, 30000.0].iter().enumerate()
+        for (n, most) in [
+            250.0, 500.0, 1000.0, 2000.0, 4000.0, 8000.0, 16000.0, 30000.0, 30000.0,
+        ]
+        .iter()
+        .enumerate()
         {
             refresh.turned_out(0.0, false);
-            assert!((most / 2.0..=*most).contains(&refresh.next_at()), "{n}: {}", refresh.next_at());
+            assert!(
+                (most / 2.0..=*most).contains(&refresh.next_at()),
+                "{n}: {}",
+                refresh.next_at()
+            );
         }
         refresh.turned_out(0.0, true);
         assert!((24_000.0..=30_000.0).contains(&refresh.next_at()));
--- a/crates/asterdale-identity/src/rights.rs
+++ b/crates/asterdale-identity/src/rights.rs
@@ -99,13 +99,20 @@
     /// names over the life of the process; nothing changes then.
     pub fn told(&mut self, roles: &[Role], tenants: &[Tenant]) -> Result<(), String> {
         let fresh = |known: &Numbers, names: &mut dyn Iterator<Item = &String>| {
-            names.filter(|name| !known.by_name.contains_key(*name)).count() + known.by_name.len()
+            names
+                .filter(|name| !known.by_name.contains_key(*name))
+                .count()
+                + known.by_name.len()
         };
         if fresh(&self.names, &mut tenants.iter().map(|t| &t.name)) > MOST_TENANTS {
-            return Err(format!("over {MOST_TENANTS} tenants in the life of this process"));
+            return Err(format!(
+                "over {MOST_TENANTS} tenants in the life of this process"
+            ));
         }
         if fresh(&self.role_names, &mut roles.iter().map(|r| &r.name)) > MOST_NAMED_ROLES {
-            return Err(format!("over {MOST_NAMED_ROLES} roles in the life of this process"));
+            return Err(format!(
+                "over {MOST_NAMED_ROLES} roles in the life of this process"
+            ));
         }
         self.tenants.fill(None);
         self.roles.fill(None);
@@ -121,7 +128,13 @@
         }
         self.quotas.resize(self.tenants.len(), Vec::new());
         for quotas in &mut self.quotas {
-            quotas.resize(self.roles.len(), Quota { open: 0, bucket: None });
+            quotas.resize(
+                self.roles.len(),
+                Quota {
+                    open: 0,
+                    bucket: None,
+                },
+            );
         }
         Ok(())
     }
@@ -139,7 +152,10 @@
 
     /// The customer of the settings that a tenant's tasks count for.
     pub fn customer(&self, tenant: u32) -> usize {
-        self.tenants.get(tenant as usize).and_then(Option::as_ref).map_or(0, |tenant| tenant.customer)
+        self.tenants
+            .get(tenant as usize)
+            .and_then(Option::as_ref)
+            .map_or(0, |tenant| tenant.customer)
     }
 
     /// Whether somebody of this tenant with these roles may have a task of this stage now. A repeat of one that
@@ -153,10 +169,16 @@
         (stage, hint_ms): (usize, Option<f64>),
         repeat: bool,
     ) -> Result<Option<Seat>, Denied> {
-        let told = self.tenants.get(tenant as usize).and_then(Option::as_ref).ok_or(Why::Tenant)?;
+        let told = self
+            .tenants
+            .get(tenant as usize)
+            .and_then(Option::as_ref)
+            .ok_or(Why::Tenant)?;
         let mut denied = Denied::from(Why::Role);
         for name in roles.iter().filter(|name| told.roles.contains(name)) {
-            let Some(n) = self.role_names.by_name.get(name).copied() else { continue };
+            let Some(n) = self.role_names.by_name.get(name).copied() else {
+                continue;
+            };
             let Some(role) = &self.roles[n] else { continue };
             if !role.stages.contains(&stage) {
                 // What another role lacks tells more than that this one is of no use here.
@@ -177,13 +199,20 @@
                 denied = Why::Open.into();
                 continue;
             }
-            let bucket = quota.bucket.get_or_insert_with(|| Bucket::full(now, role.burst));
+            let bucket = quota
+                .bucket
+                .get_or_insert_with(|| Bucket::full(now, role.burst));
             match bucket.take(now, role.per_s, role.burst) {
                 Ok(()) => {
                     quota.open += 1;
                     return Ok(Some(Seat { tenant, role: n }));
                 }
-                Err(wait_ms) => denied = Denied { why: Why::Rate, wait_ms },
+                Err(wait_ms) => {
+                    denied = Denied {
+                        why: Why::Rate,
+                        wait_ms,
+                    }
+                }
             }
         }
         Err(denied)
@@ -198,7 +227,10 @@
     /// All tenants' names by their numbers, for a process that goes on with them.
     pub fn names(&self) -> Vec<String> {
         let mut names = vec![String::new(); self.names.by_name.len()];
-        self.names.by_name.iter().for_each(|(name, n)| names[*n].clone_from(name));
+        self.names
+            .by_name
+            .iter()
+            .for_each(|(name, n)| names[*n].clone_from(name));
         names
     }
 
@@ -213,20 +245,32 @@
 
     /// Whose place this is, and by which role.
     pub fn place(&self, seat: &Seat) -> (u32, String) {
-        let role = self.role_names.by_name.iter().find(|(_, n)| **n == seat.role);
-        (seat.tenant, role.map_or_else(String::new, |(name, _)| name.clone()))
+        let role = self
+            .role_names
+            .by_name
+            .iter()
+            .find(|(_, n)| **n == seat.role);
+        (
+            seat.tenant,
+            role.map_or_else(String::new, |(name, _)| name.clone()),
+        )
     }
 
     /// Takes up a place that a task has had already; `None` if there is no such tenant or role any more.
     pub fn replace(&mut self, (tenant, role): &(u32, String)) -> Option<Seat> {
         let n = *self.role_names.by_name.get(role)?;
         self.quotas.get_mut(*tenant as usize)?.get_mut(n)?.open += 1;
-        Some(Seat { tenant: *tenant, role: n })
+        Some(Seat {
+            tenant: *tenant,
+            role: n,
+        })
     }
 
     /// How many tasks of a tenant are open, in all roles.
     pub fn open(&self, tenant: u32) -> usize {
-        self.quotas.get(tenant as usize).map_or(0, |quotas| quotas.iter().map(|quota| quota.open).sum())
+        self.quotas
+            .get(tenant as usize)
+            .map_or(0, |quotas| quotas.iter().map(|quota| quota.open).sum())
     }
 }
 
@@ -236,18 +280,31 @@
 
     fn role(name: &str, stages: &[usize]) -> Role {
         let (name, stages) = (name.to_owned(), stages.to_vec());
-        Role { name, stages, open: 2, per_s: 1.0, burst: 3.0, hint_ms: 50.0 }
+        Role {
+            name,
+            stages,
+            open: 2,
+            per_s: 1.0,
+            burst: 3.0,
+            hint_ms: 50.0,
+        }
     }
 
     fn tenant(name: &str, roles: &[&str]) -> Tenant {
         let roles = roles.iter().map(|role| (*role).to_owned()).collect();
-        Tenant { name: name.to_owned(), customer: 7, roles }
+        Tenant {
+            name: name.to_owned(),
+            customer: 7,
+            roles,
+        }
     }
 
     fn rights() -> Rights {
         let mut rights = Rights::default();
         let tenants = [tenant("a", &["clerk", "phone"]), tenant("b", &["clerk"])];
-        rights.told(&[role("clerk", &[0]), role("phone", &[1])], &tenants).unwrap();
+        rights
+            .told(&[role("clerk", &[0]), role("phone", &[1])], &tenants)
+            .unwrap();
         rights
     }
 
@@ -259,7 +316,9 @@
         stage: usize,
     ) -> Result<Option<Seat>, Why> {
         let roles: Vec<String> = roles.iter().map(|role| (*role).to_owned()).collect();
-        rights.permit(now, tenant, &roles, (stage, Some(1.0)), false).map_err(|denied| denied.why)
+        rights
+            .permit(now, tenant, &roles, (stage, Some(1.0)), false)
+            .map_err(|denied| denied.why)
     }
 
     #[test]
@@ -275,8 +334,16 @@
         assert_eq!(ask(&mut rights, 0.0, 9, &["clerk"], 0), Err(Why::Tenant));
         assert_eq!((rights.customer(a), rights.tenant("c")), (7, None));
         let roles = ["phone".to_owned()];
-        let much = rights.permit(0.0, a, &roles, (1, Some(50.1)), false).unwrap_err();
-        assert_eq!(much, Denied { why: Why::Hint, wait_ms: 0.0 });
+        let much = rights
+            .permit(0.0, a, &roles, (1, Some(50.1)), false)
+            .unwrap_err();
+        assert_eq!(
+            much,
+            Denied {
+                why: Why::Hint,
+                wait_ms: 0.0
+            }
+        );
         assert!(rights.permit(0.0, a, &roles, (1, None), false).is_ok());
     }
 
@@ -286,7 +353,10 @@
         let a = rights.tenant("a").unwrap();
         let one = ask(&mut rights, 0.0, a, &["clerk"], 0).unwrap().unwrap();
         let two = ask(&mut rights, 0.0, a, &["clerk"], 0).unwrap().unwrap();
-        assert_eq!((ask(&mut rights, 0.0, a, &["clerk"], 0), rights.open(a)), (Err(Why::Open), 2));
+        assert_eq!(
+            (ask(&mut rights, 0.0, a, &["clerk"], 0), rights.open(a)),
+            (Err(Why::Open), 2)
+        );
         // Other roles of the tenant, and other tenants, have their own.
         assert!(
             ask(&mut rights, 0.0, a, &["phone"], 1).is_ok()
@@ -297,8 +367,16 @@
         let three = ask(&mut rights, 0.0, a, &["clerk"], 0).unwrap().unwrap();
         rights.leave(three);
         let roles = ["clerk".to_owned()];
-        let wait = rights.permit(250.0, a, &roles, (0, None), false).unwrap_err();
-        assert_eq!(wait, Denied { why: Why::Rate, wait_ms: 750.0 });
+        let wait = rights
+            .permit(250.0, a, &roles, (0, None), false)
+            .unwrap_err();
+        assert_eq!(
+            wait,
+            Denied {
+                why: Why::Rate,
+                wait_ms: 750.0
+            }
+        );
         // A repeat passes all the same, and takes nothing.
         assert_eq!(rights.permit(250.0, a, &roles, (0, None), true), Ok(None));
         assert!(ask(&mut rights, 1000.0, a, &["clerk"], 0).is_ok());
@@ -309,16 +387,28 @@
         let mut rights = rights();
         let (a, b) = (rights.tenant("a").unwrap(), rights.tenant("b").unwrap());
         let seat = ask(&mut rights, 0.0, b, &["clerk"], 0).unwrap().unwrap();
-        rights.told(&[role("other", &[]), role("clerk", &[0, 1])], &[tenant("c", &["clerk"])]).unwrap();
+        rights
+            .told(
+                &[role("other", &[]), role("clerk", &[0, 1])],
+                &[tenant("c", &["clerk"])],
+            )
+            .unwrap();
         assert_eq!((rights.tenant("a"), rights.tenant("b")), (None, None));
         let c = rights.tenant("c").unwrap();
-        assert!(c != a && c != b, "a number that fingerprints may hold was given out anew");
+        assert!(
+            c != a && c != b,
+            "a number that fingerprints may hold was given out anew"
+        );
         assert_eq!(ask(&mut rights, 0.0, b, &["clerk"], 0), Err(Why::Tenant));
-        rights.told(&[role("clerk", &[0])], &[tenant("b", &["clerk"])]).unwrap();
+        rights
+            .told(&[role("clerk", &[0])], &[tenant("b", &["clerk"])])
+            .unwrap();
         assert_eq!((rights.tenant("b"), rights.open(b)), (Some(b), 1));
         rights.leave(seat);
         assert_eq!(rights.open(b), 0);
-        let many: Vec<Tenant> = (0..MOST_TENANTS).map(|n| tenant(&format!("n{n}"), &[])).collect();
+        let many: Vec<Tenant> = (0..MOST_TENANTS)
+            .map(|n| tenant(&format!("n{n}"), &[]))
+            .collect();
         assert!(rights.told(&[], &many).is_err());
         assert_eq!(rights.tenant("b"), Some(b));
     }
--- a/crates/asterdale-identity/src/tests.rs
+++ b/crates/asterdale-identity/src/tests.rs
@@ -27,7 +27,11 @@
         burst: 100.0,
         hint_ms: f64::INFINITY,
     };
-    let tenant = |name: &str| Tenant { name: text(name), customer: 1, roles: vec![text("clerk")] };
+    let tenant = |name: &str| Tenant {
+        name: text(name),
+        customer: 1,
+        roles: vec![text("clerk")],
+    };
     Facts {
         seed: 5,
         issuer: text("issuer"),
@@ -53,7 +57,14 @@
     let key = |n: u8, from_ms, until_ms| {
         let secret = secret(n);
         let (kty, crv) = (text("OKP"), text("Ed25519"));
-        PublicKey { kty, crv, kid: text(secret.id()), x: secret.public_text(), from_ms, until_ms }
+        PublicKey {
+            kty,
+            crv,
+            kid: text(secret.id()),
+            x: secret.public_text(),
+            from_ms,
+            until_ms,
+        }
     };
     let keys = vec![
         key(1, 0.0, Some(NOW + 5_000.0)),
@@ -61,14 +72,22 @@
         key(3, NOW + 5_000.0, None),
         key(4, 0.0, Some(NOW - 5_000.0)),
     ];
-    let mut set = Published { seq, issued_ms: NOW, keys, revoked: Revoked::default() };
+    let mut set = Published {
+        seq,
+        issued_ms: NOW,
+        keys,
+        revoked: Revoked::default(),
+    };
     change(&mut set);
     secret(99).set(&set)
 }
 
 fn identity() -> Identity {
     let mut identity = Identity::new(NOW, facts()).unwrap();
-    assert_eq!(identity.offer(NOW, set(1, |_| ()).as_bytes()), Ok(Offered::Adopted));
+    assert_eq!(
+        identity.offer(NOW, set(1, |_| ()).as_bytes()),
+        Ok(Offered::Adopted)
+    );
     identity
 }
 
@@ -93,8 +112,16 @@
 }
 
 fn ask(identity: &mut Identity, now: f64, token: &str) -> Result<u32, Why> {
-    let ask = Ask { token: Some(token.as_bytes()), certificate: None, edge: 4, arrived_ms: now };
-    identity.identify(now, ask).map(|caller| caller.tenant).map_err(|denied| denied.why)
+    let ask = Ask {
+        token: Some(token.as_bytes()),
+        certificate: None,
+        edge: 4,
+        arrived_ms: now,
+    };
+    identity
+        .identify(now, ask)
+        .map(|caller| caller.tenant)
+        .map_err(|denied| denied.why)
 }
 
 #[test]
@@ -112,7 +139,12 @@
         (2, NOW + 10_499.0, Ok(0)),
         (2, NOW + 10_500.0, Err(Why::Expired)),
     ] {
-        assert_eq!(ask(&mut identity, now, &token(key, |_| ())), want, "key {key} at {}", now - NOW);
+        assert_eq!(
+            ask(&mut identity, now, &token(key, |_| ())),
+            want,
+            "key {key} at {}",
+            now - NOW
+        );
     }
     let early = token(2, |claims| claims.nbf = Some((NOW + 1_000.0) / 1000.0));
     assert_eq!(ask(&mut identity, NOW + 499.0, &early), Err(Why::Early));
@@ -125,17 +157,35 @@
     type Change = fn(&mut Claims);
     let changes: [(Change, Why); 3] = [
         (|claims| claims.iss = text("other"), Why::Issuer),
-        (|claims| claims.aud = Audience::Several(vec![text("x")]), Why::Audience),
+        (
+            |claims| claims.aud = Audience::Several(vec![text("x")]),
+            Why::Audience,
+        ),
         (|claims| claims.tenant = text("c"), Why::Tenant),
     ];
     for (change, why) in changes {
         assert_eq!(ask(&mut identity, NOW, &token(2, change)), Err(why));
     }
-    let forged = sign(&secret(7), &json!({"alg": "EdDSA", "kid": "k2"}), &json!(claims("a", "1")));
+    let forged = sign(
+        &secret(7),
+        &json!({"alg": "EdDSA", "kid": "k2"}),
+        &json!(claims("a", "1")),
+    );
     assert_eq!(ask(&mut identity, NOW, &forged), Err(Why::Signature));
-    let none = Ask { token: None, certificate: None, edge: 4, arrived_ms: NOW };
-    assert_eq!(identity.identify(NOW, none).unwrap_err(), Denied::from(Why::Missing));
-    assert_eq!(ask(&mut identity, NOW, &"x".repeat(5000)), Err(Why::Malformed));
+    let none = Ask {
+        token: None,
+        certificate: None,
+        edge: 4,
+        arrived_ms: NOW,
+    };
+    assert_eq!(
+        identity.identify(NOW, none).unwrap_err(),
+        Denied::from(Why::Missing)
+    );
+    assert_eq!(
+        ask(&mut identity, NOW, &"x".repeat(5000)),
+        Err(Why::Malformed)
+    );
 }
 
 #[test]
@@ -166,13 +216,27 @@
             },
             Why::KeyRevoked,
         ),
-        (|set| set.keys.retain(|key| key.kid != "k2"), Why::KeyRetired),
+        (
+            |set| set.keys.retain(|key| key.kid != "k2"),
+            Why::KeyRetired,
+        ),
     ];
     for (change, why) in changes {
         let mut identity = identity();
         let (good, other) = (token(2, |_| ()), token(1, |claims| *claims = claims_of_b()));
-        assert_eq!((ask(&mut identity, NOW, &good), ask(&mut identity, NOW, &other)), (Ok(0), Ok(1)));
-        let caller = Ask { token: Some(good.as_bytes()), certificate: None, edge: 4, arrived_ms: NOW };
+        assert_eq!(
+            (
+                ask(&mut identity, NOW, &good),
+                ask(&mut identity, NOW, &other)
+            ),
+            (Ok(0), Ok(1))
+        );
+        let caller = Ask {
+            token: Some(good.as_bytes()),
+            certificate: None,
+            edge: 4,
+            arrived_ms: NOW,
+        };
         let caller = identity.identify(NOW, caller).unwrap();
         assert_eq!(identity.revoked(&caller), None);
         identity.offer(NOW, set(2, change).as_bytes()).unwrap();
@@ -180,14 +244,20 @@
         for _ in 0..1000 {
             assert_eq!(ask(&mut identity, NOW, &good), Err(why));
         }
-        assert_eq!(identity.revoked(&caller), (why != Why::KeyRetired).then_some(why));
+        assert_eq!(
+            identity.revoked(&caller),
+            (why != Why::KeyRetired).then_some(why)
+        );
         assert_eq!(ask(&mut identity, NOW, &other), Ok(1));
         assert_eq!(identity.cost().0, checked, "a signature was checked");
     }
 }
 
 fn claims_of_b() -> Claims {
-    Claims { sub: text("other"), ..claims("b", "2") }
+    Claims {
+        sub: text("other"),
+        ..claims("b", "2")
+    }
 }
 
 #[test]
@@ -208,7 +278,10 @@
     assert_eq!(ask(&mut identity, NOW + 60_000.0, &good), Ok(0));
     let revoked = token(2, |claims| (claims.exp, claims.jti) = (1e9, text("9")));
     assert_eq!(ask(&mut identity, NOW + 60_001.0, &good), Err(Why::NoKeys));
-    assert_eq!(ask(&mut identity, NOW + 60_001.0, &revoked), Err(Why::TokenRevoked));
+    assert_eq!(
+        ask(&mut identity, NOW + 60_001.0, &revoked),
+        Err(Why::TokenRevoked)
+    );
     let fresh = set(2, |set| set.issued_ms = NOW + 60_000.0);
     identity.offer(NOW + 60_001.0, fresh.as_bytes()).unwrap();
     assert_eq!(ask(&mut identity, NOW + 60_001.0, &good), Ok(0));
@@ -219,22 +292,50 @@
     let mut identity = identity();
     let known = token(2, |_| ());
     assert_eq!(ask(&mut identity, NOW, &known), Ok(0));
-    let wrong =
-        |n: u32| sign(&secret(7), &json!({"alg": "EdDSA", "kid": "k2"}), &json!(claims("a", &n.to_string())));
+    let wrong = |n: u32| {
+        sign(
+            &secret(7),
+            &json!({"alg": "EdDSA", "kid": "k2"}),
+            &json!(claims("a", &n.to_string())),
+        )
+    };
     let mut busy = 0;
     for n in 0..500 {
         busy += u32::from(ask(&mut identity, NOW, &wrong(n)) == Err(Why::Busy));
     }
     assert!(busy > 480, "{busy}");
-    assert_eq!(ask(&mut identity, NOW, &known), Ok(0), "a known one through the same edge node");
+    assert_eq!(
+        ask(&mut identity, NOW, &known),
+        Ok(0),
+        "a known one through the same edge node"
+    );
     let new = token(2, |claims| claims.jti = text("new"));
-    let elsewhere = Ask { token: Some(new.as_bytes()), certificate: None, edge: 5, arrived_ms: NOW };
+    let elsewhere = Ask {
+        token: Some(new.as_bytes()),
+        certificate: None,
+        edge: 5,
+        arrived_ms: NOW,
+    };
     assert!(identity.identify(NOW, elsewhere).is_ok());
-    let here = Ask { edge: 4, ..elsewhere };
+    let here = Ask {
+        edge: 4,
+        ..elsewhere
+    };
     assert!(identity.identify(NOW, here).is_ok(), "it is known by now");
     let late = token(2, |claims| claims.jti = text("late"));
-    let denied = identity.identify(NOW, Ask { token: Some(late.as_bytes()), ..here }).unwrap_err();
-    assert!(denied.why == Why::Busy && denied.wait_ms > 0.0, "{denied:?}");
+    let denied = identity
+        .identify(
+            NOW,
+            Ask {
+                token: Some(late.as_bytes()),
+                ..here
+            },
+        )
+        .unwrap_err();
+    assert!(
+        denied.why == Why::Busy && denied.wait_ms > 0.0,
+        "{denied:?}"
+    );
 }
 
 #[test]
@@ -247,13 +348,29 @@
     // It was valid then; that it is not now is not remembered against it.
     assert_eq!(ask(&mut identity, NOW, &short), Ok(0));
     // One that says that it arrives later than now is judged at now.
-    let ahead = Ask { token: Some(short.as_bytes()), certificate: None, edge: 4, arrived_ms: NOW + 1e9 };
+    let ahead = Ask {
+        token: Some(short.as_bytes()),
+        certificate: None,
+        edge: 4,
+        arrived_ms: NOW + 1e9,
+    };
     assert!(identity.identify(NOW, ahead).is_ok());
     assert_eq!(ask(&mut identity, 0.0, &short), Err(Why::KeyEarly));
     // A stamp from long ago is worth no more than the skew.
-    let old = |now| Ask { token: Some(short.as_bytes()), certificate: None, edge: 4, arrived_ms: now - 1e6 };
+    let old = |now| Ask {
+        token: Some(short.as_bytes()),
+        certificate: None,
+        edge: 4,
+        arrived_ms: now - 1e6,
+    };
     assert!(identity.identify(NOW + 1_999.0, old(NOW + 1_999.0)).is_ok());
-    assert_eq!(identity.identify(NOW + 2_000.0, old(NOW + 2_000.0)).unwrap_err().why, Why::Expired);
+    assert_eq!(
+        identity
+            .identify(NOW + 2_000.0, old(NOW + 2_000.0))
+            .unwrap_err()
+            .why,
+        Why::Expired
+    );
 }
 
 #[test]
@@ -261,9 +378,18 @@
     let mut identity = identity();
     let good = token(2, |_| ());
     assert_eq!(ask(&mut identity, NOW, &good), Ok(0));
-    identity.retold(Facts { audience: text("other"), ..facts() }).unwrap();
+    identity
+        .retold(Facts {
+            audience: text("other"),
+            ..facts()
+        })
+        .unwrap();
     assert_eq!(ask(&mut identity, NOW, &good), Err(Why::Audience));
-    let tenants = vec![Tenant { name: text("b"), customer: 0, roles: vec![] }];
+    let tenants = vec![Tenant {
+        name: text("b"),
+        customer: 0,
+        roles: vec![],
+    }];
     identity.retold(Facts { tenants, ..facts() }).unwrap();
     assert_eq!(ask(&mut identity, NOW, &good), Err(Why::Tenant));
     identity.retold(facts()).unwrap();
@@ -273,8 +399,16 @@
 #[test]
 fn only_what_never_ran_is_told_as_such() {
     use Why::*;
-    for why in [Missing, Malformed, Signature, Expired, TokenRevoked, SubjectRevoked, KeyRevoked, KeyRetired]
-    {
+    for why in [
+        Missing,
+        Malformed,
+        Signature,
+        Expired,
+        TokenRevoked,
+        SubjectRevoked,
+        KeyRevoked,
+        KeyRetired,
+    ] {
         assert_eq!(why.kind(), Kind::Unknown);
     }
     for why in [Tenant, Role, Stage, Hint] {
@@ -286,7 +420,10 @@
 
 #[test]
 fn a_root_key_is_read_from_its_text() {
-    assert_eq!(public_key(&secret(1).public_text()), Some(secret(1).public()));
+    assert_eq!(
+        public_key(&secret(1).public_text()),
+        Some(secret(1).public())
+    );
     for bad in ["", "x", "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA"] {
         assert_eq!(public_key(bad), None, "{bad}");
     }
@@ -306,23 +443,51 @@
             identity.offer(now, set.as_bytes()).unwrap();
         }
         let token = token.map(str::as_bytes);
-        let ask = Ask { token, certificate: Some(shown), edge: 4, arrived_ms: now };
-        identity.identify(now, ask).map(|caller| caller.claims.sub.clone()).map_err(|denied| denied.why)
+        let ask = Ask {
+            token,
+            certificate: Some(shown),
+            edge: 4,
+            arrived_ms: now,
+        };
+        identity
+            .identify(now, ask)
+            .map(|caller| caller.claims.sub.clone())
+            .map_err(|denied| denied.why)
     };
     assert_eq!(ask_by(NOW, &shown, None, None), Ok(text("desk")));
     // A token is asked first, and one that is wrong is not made good by the connection.
-    assert_eq!(ask_by(NOW, &shown, Some(&token(2, |_| ())), None), Ok(text("s")));
-    assert_eq!(ask_by(NOW, &shown, Some("rubbish"), None), Err(Why::Malformed));
-    let other = Certificate { names: vec![text("uri:desk2")], ..shown.clone() };
+    assert_eq!(
+        ask_by(NOW, &shown, Some(&token(2, |_| ())), None),
+        Ok(text("s"))
+    );
+    assert_eq!(
+        ask_by(NOW, &shown, Some("rubbish"), None),
+        Err(Why::Malformed)
+    );
+    let other = Certificate {
+        names: vec![text("uri:desk2")],
+        ..shown.clone()
+    };
     assert_eq!(ask_by(NOW, &other, None, None), Err(Why::CertificateName));
     assert_eq!(ask_by(NOW + 5_499.0, &shown, None, None), Ok(text("desk")));
     assert_eq!(ask_by(NOW + 5_500.0, &shown, None, None), Err(Why::Expired));
     let revoked = set(2, |set| {
         set.revoked.tokens.insert(text("00ff"));
     });
-    assert_eq!(ask_by(NOW, &shown, None, Some(revoked)), Err(Why::TokenRevoked));
     assert_eq!(
-        ask_by(NOW + 60_001.0, &Certificate { print: text("1"), ..shown }, None, None),
+        ask_by(NOW, &shown, None, Some(revoked)),
+        Err(Why::TokenRevoked)
+    );
+    assert_eq!(
+        ask_by(
+            NOW + 60_001.0,
+            &Certificate {
+                print: text("1"),
+                ..shown
+            },
+            None,
+            None
+        ),
         Err(Why::NoKeys)
     );
 }
@@ -336,23 +501,50 @@
     before.offer(NOW, revoked.as_bytes()).unwrap();
     before.offer(NOW, set(3, |_| ()).as_bytes()).unwrap();
     let other = token(2, |claims| *claims = claims_of_b());
-    let caller = Ask { token: Some(other.as_bytes()), certificate: None, edge: 4, arrived_ms: NOW };
+    let caller = Ask {
+        token: Some(other.as_bytes()),
+        certificate: None,
+        edge: 4,
+        arrived_ms: NOW,
+    };
     let caller = before.identify(NOW, caller).unwrap();
-    let seat = before.permit(NOW, &caller, 0, None, false).unwrap().unwrap();
+    let seat = before
+        .permit(NOW, &caller, 0, None, false)
+        .unwrap()
+        .unwrap();
     let place = before.place(&seat);
     // The next start file names the tenants in another order, and one more.
     let mut told = facts();
     told.tenants.reverse();
-    told.tenants.insert(0, Tenant { name: text("c"), customer: 0, roles: vec![] });
+    told.tenants.insert(
+        0,
+        Tenant {
+            name: text("c"),
+            customer: 0,
+            roles: vec![],
+        },
+    );
     let mut after = Identity::new(NOW, told).unwrap();
     after.continue_from(NOW, before.pass()).unwrap();
     assert_eq!(ask(&mut after, NOW, &other), Ok(caller.tenant));
-    assert_eq!(ask(&mut after, NOW, &token(1, |_| ())), Err(Why::KeyRevoked));
-    assert_eq!(after.offer(NOW, set(2, |_| ()).as_bytes()), Err(crate::keyring::Refused::Older));
+    assert_eq!(
+        ask(&mut after, NOW, &token(1, |_| ())),
+        Err(Why::KeyRevoked)
+    );
+    assert_eq!(
+        after.offer(NOW, set(2, |_| ()).as_bytes()),
+        Err(crate::keyring::Refused::Older)
+    );
     let seat = after.replace(&place).unwrap();
     assert_eq!(after.rights().open(caller.tenant), 1);
     after.leave(seat);
-    assert_eq!((after.rights().open(caller.tenant), after.replace(&(9, text("clerk")))), (0, None));
+    assert_eq!(
+        (
+            after.rights().open(caller.tenant),
+            after.replace(&(9, text("clerk")))
+        ),
+        (0, None)
+    );
 }
 
 #[test]
--- a/crates/asterdale-identity/src/token.rs
+++ b/crates/asterdale-identity/src/token.rs
@@ -101,7 +101,11 @@
 /// Takes the compact form apart. Anything but two dots (the JSON forms, with their several signatures, among
 /// them) and strict base64url is malformed.
 fn parts(text: &[u8]) -> Option<Parts<'_>> {
-    let mut dots = text.iter().enumerate().filter(|(_, &byte)| byte == b'.').map(|(at, _)| at);
+    let mut dots = text
+        .iter()
+        .enumerate()
+        .filter(|(_, &byte)| byte == b'.')
+        .map(|(at, _)| at);
     let (first, second) = (dots.next()?, dots.next()?);
     if dots.next().is_some() {
         return None;
@@ -160,18 +164,34 @@
         return Err(Why::Algorithm);
     }
     let head: Head = parse(&parts.head).ok_or(Why::Malformed)?;
-    if !named(&head.kid) || head.typ.as_deref().is_some_and(|typ| !typ.eq_ignore_ascii_case("JWT")) {
+    if !named(&head.kid)
+        || head
+            .typ
+            .as_deref()
+            .is_some_and(|typ| !typ.eq_ignore_ascii_case("JWT"))
+    {
         return Err(Why::Malformed);
     }
     let claims: Claims = parse(&parts.body).ok_or(Why::Malformed)?;
     let names = [&claims.iss, &claims.sub, &claims.tenant, &claims.jti];
-    let sensible = names.into_iter().chain(&claims.roles).all(|name| named(name))
+    let sensible = names
+        .into_iter()
+        .chain(&claims.roles)
+        .all(|name| named(name))
         && claims.roles.len() <= MOST_ROLES
-        && [Some(claims.exp), claims.nbf, claims.iat].into_iter().flatten().all(f64::is_finite);
+        && [Some(claims.exp), claims.nbf, claims.iat]
+            .into_iter()
+            .flatten()
+            .all(f64::is_finite);
     if !sensible {
         return Err(Why::Malformed);
     }
-    Ok(Unproven { head, claims, signed: parts.signed, signature: parts.signature })
+    Ok(Unproven {
+        head,
+        claims,
+        signed: parts.signed,
+        signature: parts.signature,
+    })
 }
 
 impl Unproven<'_> {
@@ -192,7 +212,9 @@
     if head.typ.as_deref() != Some(typ) {
         return Err(Why::Malformed);
     }
-    let proven = keys.iter().any(|key| key.verify_strict(parts.signed, &parts.signature).is_ok());
+    let proven = keys
+        .iter()
+        .any(|key| key.verify_strict(parts.signed, &parts.signature).is_ok());
     if !proven {
         return Err(Why::Signature);
     }
@@ -226,12 +248,18 @@
         let text = made(head.clone(), claims());
         let token = read(text.as_bytes()).unwrap();
         assert!(token.claims.aud.holds("asterdale") && !token.claims.aud.holds("aster"));
-        let (own, other) = (Secret::from_seed([7; 32], "k"), Secret::from_seed([8; 32], "k"));
+        let (own, other) = (
+            Secret::from_seed([7; 32], "k"),
+            Secret::from_seed([8; 32], "k"),
+        );
         assert!(token.signed_by(&own.public()) && !token.signed_by(&other.public()));
         let mut changed = claims();
         changed["sub"] = json!("other");
         let changed = made(head, changed);
-        let (body, signature) = (changed.rsplit_once('.').unwrap().0, text.rsplit_once('.').unwrap().1);
+        let (body, signature) = (
+            changed.rsplit_once('.').unwrap().0,
+            text.rsplit_once('.').unwrap().1,
+        );
         let grafted = format!("{body}.{signature}");
         assert!(!read(grafted.as_bytes()).unwrap().signed_by(&own.public()));
     }
@@ -258,7 +286,11 @@
         ] {
             let mut head = json!({"alg": "EdDSA", "kid": "k"});
             head[field] = value;
-            assert_eq!(reason(made(head, claims()).as_bytes()), Some(Why::Malformed), "{field}");
+            assert_eq!(
+                reason(made(head, claims()).as_bytes()),
+                Some(Why::Malformed),
+                "{field}"
+            );
         }
     }
 
@@ -280,11 +312,20 @@
         ] {
             let mut all = claims();
             all[field] = value;
-            assert_eq!(reason(made(head(), all).as_bytes()), Some(Why::Malformed), "{field}");
+            assert_eq!(
+                reason(made(head(), all).as_bytes()),
+                Some(Why::Malformed),
+                "{field}"
+            );
         }
         let twice = r#"{"iss":"i","aud":"a","sub":"s","sub":"t","tenant":"t","roles":[],"exp":1,"jti":"1"}"#;
-        let text = crate::mint::sign_bytes(&Secret::from_seed([7; 32], "k"), &head(), twice.as_bytes());
-        assert_eq!(reason(text.as_bytes()), Some(Why::Malformed), "a claim that comes twice");
+        let text =
+            crate::mint::sign_bytes(&Secret::from_seed([7; 32], "k"), &head(), twice.as_bytes());
+        assert_eq!(
+            reason(text.as_bytes()),
+            Some(Why::Malformed),
+            "a claim that comes twice"
+        );
     }
 
     #[test]
--- a/crates/asterdale-identity/src/verdict.rs
+++ b/crates/asterdale-identity/src/verdict.rs
@@ -144,7 +144,10 @@
             self.refused.clear();
             let ring = &self.ring;
             self.proven.retain(|caller| {
-                let known = caller.key.as_ref().is_none_or(|key| ring.key(key).is_some());
+                let known = caller
+                    .key
+                    .as_ref()
+                    .is_none_or(|key| ring.key(key).is_some());
                 known && ring.revoked(&caller.claims).is_ok()
             });
         }
@@ -154,7 +157,10 @@
     /// What a process that goes on needs: numbers of tenants, and what the ring knows. Levels of quotas are not
     /// among it, which costs one burst at most; places are taken again task by task.
     pub fn pass(&self) -> Passed {
-        Passed { tenants: self.rights.names(), ring: self.ring.pass() }
+        Passed {
+            tenants: self.rights.names(),
+            ring: self.ring.pass(),
+        }
     }
 
     /// Goes on where another process stood. To be done before anything is asked.
@@ -163,7 +169,9 @@
         rights.go_on(&passed.tenants);
         rights.told(&self.facts.roles, &self.facts.tenants)?;
         self.rights = rights;
-        self.ring.go_on(now, passed.ring).map_err(|why| format!("the set of keys: {why:?}"))
+        self.ring
+            .go_on(now, passed.ring)
+            .map_err(|why| format!("the set of keys: {why:?}"))
     }
 
     /// Whose place this is, and by which role.
@@ -234,21 +242,32 @@
         let token = token::read(text)?;
         let tenant = self.standing(now, at, Some(&token.head.kid), &token.claims)?;
         let key = *self.ring.key(&token.head.kid).ok_or(Why::KeyUnknown)?;
-        self.budget.take(now, edge).map_err(|wait_ms| Denied { why: Why::Busy, wait_ms })?;
+        self.budget.take(now, edge).map_err(|wait_ms| Denied {
+            why: Why::Busy,
+            wait_ms,
+        })?;
         self.checked += 1;
         let right = token.signed_by(&key);
         self.budget.turned_out(now, edge, right);
         if !right {
             return Err(Why::Signature.into());
         }
-        Ok(Arc::new(Caller { tenant, key: Some(token.head.kid), claims: token.claims }))
+        Ok(Arc::new(Caller {
+            tenant,
+            key: Some(token.head.kid),
+            claims: token.claims,
+        }))
     }
 
     /// For whom the connection's certificate speaks. Its caller is made anew for each task: it costs no
     /// signature, and what the start file says of it holds at once.
     fn vouch(&self, now: f64, ask: Ask<'_>) -> Result<Arc<Caller>, Why> {
         let shown = ask.certificate.ok_or(Why::Missing)?;
-        let named = self.facts.certificates.iter().find(|named| shown.names.contains(&named.name));
+        let named = self
+            .facts
+            .certificates
+            .iter()
+            .find(|named| shown.names.contains(&named.name));
         let named = named.ok_or(Why::CertificateName)?;
         let claims = Claims {
             iss: self.facts.issuer.clone(),
@@ -263,7 +282,11 @@
         };
         let at = ask.arrived_ms.clamp(now - self.facts.skew_ms, now);
         let tenant = self.standing(now, at, None, &claims)?;
-        Ok(Arc::new(Caller { tenant, key: None, claims }))
+        Ok(Arc::new(Caller {
+            tenant,
+            key: None,
+            claims,
+        }))
     }
 
     /// Whether somebody with this key and these claims passes, the signature aside; the tenant's number.
@@ -297,7 +320,10 @@
 
     /// Whether this caller is revoked by now. What only lapses (a token, an overlap) is judged at arrival, once.
     pub fn revoked(&self, caller: &Caller) -> Option<Why> {
-        let phase = caller.key.as_ref().and_then(|key| self.ring.phase(key, 0.0));
+        let phase = caller
+            .key
+            .as_ref()
+            .and_then(|key| self.ring.phase(key, 0.0));
         if phase == Some(Phase::Revoked) {
             return Some(Why::KeyRevoked);
         }
@@ -314,7 +340,13 @@
         hint_ms: Option<f64>,
         repeat: bool,
     ) -> Result<Option<Seat>, Denied> {
-        self.rights.permit(now, caller.tenant, &caller.claims.roles, (stage, hint_ms), repeat)
+        self.rights.permit(
+            now,
+            caller.tenant,
+            &caller.claims.roles,
+            (stage, hint_ms),
+            repeat,
+        )
     }
 
     /// The customer of the settings that this tenant's tasks count for.
--- a/crates/asterdale-identity/src/who.rs
+++ b/crates/asterdale-identity/src/who.rs
@@ -118,8 +118,21 @@
         let text = |text: &str| text.to_owned();
         let aud = crate::token::Audience::One(text("asterdale"));
         let (iss, sub, name, jti) = (text("i"), text("s"), tenant.to_string(), text(jti));
-        let claims =
-            Claims { iss, aud, sub, tenant: name, roles: vec![], exp: 1e9, nbf: None, iat: None, jti };
-        Caller { tenant, key: Some(text("k")), claims }
+        let claims = Claims {
+            iss,
+            aud,
+            sub,
+            tenant: name,
+            roles: vec![],
+            exp: 1e9,
+            nbf: None,
+            iat: None,
+            jti,
+        };
+        Caller {
+            tenant,
+            key: Some(text("k")),
+            claims,
+        }
     }
 }
--- a/crates/asterdale-journal/src/entry.rs
+++ b/crates/asterdale-journal/src/entry.rs
@@ -96,12 +96,27 @@
 
     #[test]
     fn what_was_written_is_read_and_other_bytes_are_not() {
-        let entry =
-            Entry { stage: 1, sign: 7, id: vec![b'a'; 16], until_ms: 5.0, result: vec![1, 2], run: 3 };
+        let entry = Entry {
+            stage: 1,
+            sign: 7,
+            id: vec![b'a'; 16],
+            until_ms: 5.0,
+            result: vec![1, 2],
+            run: 3,
+        };
         let bytes = write(&entry);
         assert_eq!(read::<Entry>(&bytes), Some(entry.clone()));
-        assert!(is_sound(&entry) && !is_sound(&Entry { stage: 9, ..entry.clone() }));
-        assert!(!is_sound(&Entry { until_ms: f64::NAN, ..entry }));
+        assert!(
+            is_sound(&entry)
+                && !is_sound(&Entry {
+                    stage: 9,
+                    ..entry.clone()
+                })
+        );
+        assert!(!is_sound(&Entry {
+            until_ms: f64::NAN,
+            ..entry
+        }));
         assert_eq!(read::<Entry>(&[]), None);
         assert_eq!(read::<Entry>(&[&[2], &bytes[1..]].concat()), None);
     }
--- a/crates/asterdale-journal/src/ledger.rs
+++ b/crates/asterdale-journal/src/ledger.rs
@@ -78,7 +78,11 @@
 
 impl Ledger {
     /// One that knows what earlier runs wrote. Nothing is run before [`Ledger::quiet_until`] is told.
-    pub fn new(run: u64, bounds: Bounds, found: impl IntoIterator<Item = (Vec<u8>, Entry)>) -> Ledger {
+    pub fn new(
+        run: u64,
+        bounds: Bounds,
+        found: impl IntoIterator<Item = (Vec<u8>, Entry)>,
+    ) -> Ledger {
         let mut ledger = Ledger {
             held: HashMap::new(),
             ends: BTreeMap::new(),
@@ -88,7 +92,9 @@
             claims: 0,
             quiet_until: f64::INFINITY,
         };
-        found.into_iter().for_each(|(key, entry)| ledger.put(key, Held { entry, claim: 0 }));
+        found
+            .into_iter()
+            .for_each(|(key, entry)| ledger.put(key, Held { entry, claim: 0 }));
         ledger
     }
 
@@ -105,14 +111,16 @@
     fn put(&mut self, key: Vec<u8>, held: Held) {
         self.remove(&key);
         self.bytes += size(&key, &held.entry);
-        self.ends.insert((end_of(held.entry.until_ms), key.clone()), ());
+        self.ends
+            .insert((end_of(held.entry.until_ms), key.clone()), ());
         self.held.insert(key, held);
     }
 
     fn remove(&mut self, key: &[u8]) -> Option<Held> {
         let held = self.held.remove(key)?;
         self.bytes -= size(key, &held.entry);
-        self.ends.remove(&(end_of(held.entry.until_ms), key.to_vec()));
+        self.ends
+            .remove(&(end_of(held.entry.until_ms), key.to_vec()));
         Some(held)
     }
 
@@ -121,7 +129,11 @@
         let Some(held) = self.held.get(key) else {
             return if now < self.quiet_until {
                 // Where that is not known yet, whoever asks comes again soon: the fleet answers within some intervals.
-                Known::Unknown(if self.quiet_until.is_finite() { self.quiet_until - now } else { SOON_MS })
+                Known::Unknown(if self.quiet_until.is_finite() {
+                    self.quiet_until - now
+                } else {
+                    SOON_MS
+                })
             } else {
                 Known::Nothing
             };
@@ -162,13 +174,22 @@
             result: Vec::new(),
             run: self.run,
         };
-        self.put(key.to_vec(), Held { entry: entry.clone(), claim: self.claims });
+        self.put(
+            key.to_vec(),
+            Held {
+                entry: entry.clone(),
+                claim: self.claims,
+            },
+        );
         Ok((self.claims, Write::Put(key.to_vec(), entry)))
     }
 
     /// A task that was claimed has ended: what has to be on disk before anybody hears so. `None` if it is not this claim's.
     pub fn end(&mut self, key: &[u8], claim: u64, result: Option<Vec<u8>>) -> Option<Write> {
-        let held = self.held.get(key).filter(|held| held.claim == claim && claim > 0)?;
+        let held = self
+            .held
+            .get(key)
+            .filter(|held| held.claim == claim && claim > 0)?;
         if held.entry.stage() != Stage::Intent {
             return None;
         }
@@ -182,13 +203,22 @@
             }
             None => entry.stage = Stage::Failed.into(),
         }
-        self.put(key.to_vec(), Held { entry: entry.clone(), claim });
+        self.put(
+            key.to_vec(),
+            Held {
+                entry: entry.clone(),
+                claim,
+            },
+        );
         Some(Write::Put(key.to_vec(), entry))
     }
 
     /// What was claimed never started.
     pub fn never(&mut self, key: &[u8], claim: u64) -> Option<Write> {
-        let held = self.held.get(key).filter(|held| held.claim == claim && claim > 0)?;
+        let held = self
+            .held
+            .get(key)
+            .filter(|held| held.claim == claim && claim > 0)?;
         if held.entry.stage() != Stage::Intent {
             return None;
         }
@@ -198,7 +228,10 @@
 
     /// Forgets what no repeat can reach any more, at most so many at once. What still runs stays.
     pub fn sweep(&mut self, now: f64, most: usize) -> Vec<Write> {
-        let over = self.ends.range(..(end_of(now), Vec::new())).map(|((_, key), ())| key.clone());
+        let over = self
+            .ends
+            .range(..(end_of(now), Vec::new()))
+            .map(|((_, key), ())| key.clone());
         let over: Vec<Vec<u8>> = over.take(most).collect();
         let mut gone = Vec::new();
         for key in over {
@@ -221,7 +254,10 @@
 mod tests {
     use super::*;
 
-    const BOUNDS: Bounds = Bounds { entries: 3, bytes: 1000 };
+    const BOUNDS: Bounds = Bounds {
+        entries: 3,
+        bytes: 1000,
+    };
     const ID: &[u8] = b"0123456789abcdef";
 
     fn open() -> Ledger {
@@ -238,19 +274,28 @@
         assert_eq!(ledger.look(1.0, b"k", 7), Known::Open);
         assert_eq!(ledger.claim(1.0, (b"k", 7), ID, 100.0), Err(Known::Open));
         assert_eq!(ledger.look(1.0, b"k", 8), Known::Differs);
-        assert_eq!(ledger.end(b"k", claim + 1, Some(vec![1])), None, "not its claim");
+        assert_eq!(
+            ledger.end(b"k", claim + 1, Some(vec![1])),
+            None,
+            "not its claim"
+        );
         assert!(ledger.end(b"k", claim, Some(vec![1])).is_some());
         assert_eq!(ledger.end(b"k", claim, None), None, "it ends once");
         assert_eq!(ledger.look(99.0, b"k", 7), Known::Passed(vec![1]));
         assert_eq!(ledger.sweep(99.0, 10), []);
         assert_eq!(ledger.sweep(101.0, 10), [Write::Delete(b"k".to_vec())]);
-        assert_eq!((ledger.look(101.0, b"k", 7), ledger.size()), (Known::Nothing, (0, 0)));
+        assert_eq!(
+            (ledger.look(101.0, b"k", 7), ledger.size()),
+            (Known::Nothing, (0, 0))
+        );
     }
 
     #[test]
     fn what_an_earlier_run_began_and_did_not_end_is_unknown_and_never_run() {
         let mut before = open();
-        let (_, Write::Put(key, entry)) = before.claim(0.0, (b"k", 7), ID, 100.0).unwrap() else { panic!() };
+        let (_, Write::Put(key, entry)) = before.claim(0.0, (b"k", 7), ID, 100.0).unwrap() else {
+            panic!()
+        };
         let mut ledger = Ledger::new(2, BOUNDS, [(key, entry)]);
         assert_eq!(
             ledger.look(10.0, b"other", 7),
@@ -258,8 +303,15 @@
             "nobody has said yet what to believe"
         );
         ledger.quiet_until(0.0);
-        assert_eq!(ledger.claim(10.0, (b"k", 7), ID, 100.0), Err(Known::Unknown(90.0)));
-        assert_eq!(ledger.end(b"k", 1, Some(vec![1])), None, "an earlier run's claim is nobody's");
+        assert_eq!(
+            ledger.claim(10.0, (b"k", 7), ID, 100.0),
+            Err(Known::Unknown(90.0))
+        );
+        assert_eq!(
+            ledger.end(b"k", 1, Some(vec![1])),
+            None,
+            "an earlier run's claim is nobody's"
+        );
         ledger.sweep(101.0, 10);
         assert!(ledger.claim(101.0, (b"k", 7), ID, 100.0).is_ok());
     }
@@ -268,14 +320,19 @@
     fn while_it_is_quiet_nothing_that_is_not_known_runs() {
         let mut ledger = Ledger::new(2, BOUNDS, []);
         ledger.quiet_until(500.0);
-        assert_eq!(ledger.claim(100.0, (b"k", 7), ID, 100.0), Err(Known::Unknown(400.0)));
+        assert_eq!(
+            ledger.claim(100.0, (b"k", 7), ID, 100.0),
+            Err(Known::Unknown(400.0))
+        );
         assert!(ledger.claim(500.0, (b"k", 7), ID, 100.0).is_ok());
     }
 
     #[test]
     fn at_its_bounds_it_takes_no_more_and_what_never_started_leaves_no_trace() {
         let mut ledger = open();
-        let claims: Vec<u64> = (0..3u8).map(|n| ledger.claim(0.0, (&[n], 7), ID, 100.0).unwrap().0).collect();
+        let claims: Vec<u64> = (0..3u8)
+            .map(|n| ledger.claim(0.0, (&[n], 7), ID, 100.0).unwrap().0)
+            .collect();
         assert_eq!(ledger.claim(0.0, (b"k", 7), ID, 100.0), Err(Known::Full));
         assert_eq!(ledger.never(&[1], claims[1]), Some(Write::Delete(vec![1])));
         assert_eq!(ledger.never(&[1], claims[1]), None);
--- a/crates/asterdale-journal/src/shelf.rs
+++ b/crates/asterdale-journal/src/shelf.rs
@@ -45,7 +45,9 @@
 }
 
 fn unix_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64() * 1e3)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |since| since.as_secs_f64() * 1e3)
 }
 
 fn failed(e: impl Into<redb::Error>) -> Broken {
@@ -68,22 +70,35 @@
     }
 
     fn open_once(folder: &Path, name: &str, most: u64) -> Result<(Shelf, Contents), Broken> {
-        let mut shelf = Shelf { store: Store::file(folder, FILE, most)? };
+        let mut shelf = Shelf {
+            store: Store::file(folder, FILE, most)?,
+        };
         if !shelf.store.check()? {
             return Err(Broken::Damaged("pages that do not fit together".to_owned()));
         }
         let contents = shelf.load()?;
-        let fact =
-            |name: &str| contents.facts.iter().find(|(known, _)| known == name).map(|(_, value)| value);
+        let fact = |name: &str| {
+            contents
+                .facts
+                .iter()
+                .find(|(known, _)| known == name)
+                .map(|(_, value)| value)
+        };
         let mark = fact(MARK).and_then(|mark| Some(f64::from_be_bytes(mark[..].try_into().ok()?)));
         let own = fact(NAME).is_some_and(|known| known == name.as_bytes());
-        let folder = mark.map(|mark| Folder { generation: 0, gap_ms: unix_ms() - mark });
+        let folder = mark.map(|mark| Folder {
+            generation: 0,
+            gap_ms: unix_ms() - mark,
+        });
         if own && trust::judge(folder, 0).is_trusted() {
             shelf.change(&[])?;
             return Ok((shelf, contents));
         }
         // Whatever it says is of another time: it is not to be found again.
-        let forget = contents.facts.iter().filter(|(known, _)| ![MARK, NAME].contains(&known.as_str()));
+        let forget = contents
+            .facts
+            .iter()
+            .filter(|(known, _)| ![MARK, NAME].contains(&known.as_str()));
         let forget: Vec<String> = forget.map(|(known, _)| known.clone()).collect();
         shelf.reset(name, &forget)?;
         Ok((shelf, Contents::default()))
@@ -97,7 +112,9 @@
             Ok(facts) => {
                 for one in facts.iter().map_err(damaged)? {
                     let (name, value) = one.map_err(damaged)?;
-                    contents.facts.push((name.value().to_owned(), value.value().to_vec()));
+                    contents
+                        .facts
+                        .push((name.value().to_owned(), value.value().to_vec()));
                 }
             }
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(contents),
@@ -106,7 +123,9 @@
         if let Ok(log) = read.open_table(LOG) {
             for one in log.iter().map_err(damaged)? {
                 let (number, value) = one.map_err(damaged)?;
-                contents.entries.push((number.value(), value.value().to_vec()));
+                contents
+                    .entries
+                    .push((number.value(), value.value().to_vec()));
             }
         }
         Ok(contents)
@@ -120,7 +139,9 @@
                 facts.remove(known.as_str()).map_err(failed)?;
             }
             facts.insert(NAME, name.as_bytes()).map_err(failed)?;
-            facts.insert(MARK, &unix_ms().to_be_bytes()[..]).map_err(failed)?;
+            facts
+                .insert(MARK, &unix_ms().to_be_bytes()[..])
+                .map_err(failed)?;
             let mut log = commit.open_table(LOG).map_err(failed)?;
             log.retain(|_, _| false).map_err(failed)?;
         }
@@ -136,20 +157,26 @@
             let mut log = commit.open_table(LOG).map_err(failed)?;
             for change in changes {
                 match change {
-                    Change::Fact(name, value) => drop(facts.insert(*name, &value[..]).map_err(failed)?),
+                    Change::Fact(name, value) => {
+                        drop(facts.insert(*name, &value[..]).map_err(failed)?)
+                    }
                     Change::Entries(first, entries) => {
-                        log.retain_in::<u64, _>(*first.., |_, _| false).map_err(failed)?;
+                        log.retain_in::<u64, _>(*first.., |_, _| false)
+                            .map_err(failed)?;
                         for (number, entry) in (*first..).zip(entries) {
                             log.insert(number, &entry[..]).map_err(failed)?;
                         }
                     }
                     Change::Cut(Some(number)) => {
-                        log.retain_in::<u64, _>(..=*number, |_, _| false).map_err(failed)?;
+                        log.retain_in::<u64, _>(..=*number, |_, _| false)
+                            .map_err(failed)?;
                     }
                     Change::Cut(None) => log.retain(|_, _| false).map_err(failed)?,
                 }
             }
-            facts.insert(MARK, &unix_ms().to_be_bytes()[..]).map_err(failed)?;
+            facts
+                .insert(MARK, &unix_ms().to_be_bytes()[..])
+                .map_err(failed)?;
         }
         commit.commit().map_err(failed)
     }
@@ -166,11 +193,21 @@
         let open = |name: &str| Shelf::open(&folder, name, 64 << 20).unwrap();
         let (shelf, found) = open("a");
         assert_eq!(found, Contents::default());
-        assert_eq!(Shelf::open(&folder, "a", 64 << 20).unwrap_err(), Broken::Taken);
+        assert_eq!(
+            Shelf::open(&folder, "a", 64 << 20).unwrap_err(),
+            Broken::Taken
+        );
         let entries = |from: u64, to: u64| (from..to).map(|n| vec![n as u8]).collect::<Vec<_>>();
-        shelf.change(&[Change::Entries(1, entries(1, 9)), Change::Fact("hard", vec![7])]).unwrap();
+        shelf
+            .change(&[
+                Change::Entries(1, entries(1, 9)),
+                Change::Fact("hard", vec![7]),
+            ])
+            .unwrap();
         // A later leader's entries take the place of an earlier one's; the book has the first ones.
-        shelf.change(&[Change::Entries(5, vec![vec![50]]), Change::Cut(Some(2))]).unwrap();
+        shelf
+            .change(&[Change::Entries(5, vec![vec![50]]), Change::Cut(Some(2))])
+            .unwrap();
         drop(shelf);
         let (shelf, found) = open("a");
         assert_eq!(found.entries, [(3, vec![3]), (4, vec![4]), (5, vec![50])]);
@@ -178,7 +215,11 @@
         // Marked long ago, as a copy of yesterday is.
         let old = (unix_ms() - 10.0 * trust::FRESH_MS).to_be_bytes().to_vec();
         let commit = shelf.store.begin().unwrap();
-        commit.open_table(FACTS).unwrap().insert(MARK, &old[..]).unwrap();
+        commit
+            .open_table(FACTS)
+            .unwrap()
+            .insert(MARK, &old[..])
+            .unwrap();
         commit.commit().unwrap();
         drop(shelf);
         let (shelf, found) = open("a");
--- a/crates/asterdale-journal/src/store.rs
+++ b/crates/asterdale-journal/src/store.rs
@@ -9,8 +9,8 @@
 
 use redb::backends::FileBackend;
 use redb::{
-    Database, DatabaseError, ReadableDatabase, ReadableTable, ReadableTableMetadata, StorageBackend,
-    TableDefinition,
+    Database, DatabaseError, ReadableDatabase, ReadableTable, ReadableTableMetadata,
+    StorageBackend, TableDefinition,
 };
 
 use crate::entry::{self, Entry, Face};
@@ -62,7 +62,11 @@
     let before = SPARED.replace(true);
     let looked = catch_unwind(AssertUnwindSafe(look));
     SPARED.set(before);
-    looked.unwrap_or_else(|_| Err(Broken::Damaged("the library could make nothing of it".to_owned())))
+    looked.unwrap_or_else(|_| {
+        Err(Broken::Damaged(
+            "the library could make nothing of it".to_owned(),
+        ))
+    })
 }
 
 /// A disk with a bound on its length, which remembers whether a sync has failed: what was written before that may be
@@ -92,7 +96,10 @@
             return Ok(());
         }
         if len > self.most {
-            return Err(std::io::Error::new(std::io::ErrorKind::StorageFull, "the bound of this folder"));
+            return Err(std::io::Error::new(
+                std::io::ErrorKind::StorageFull,
+                "the bound of this folder",
+            ));
         }
         self.disk.set_len(len)?;
         self.sync_data()
@@ -120,7 +127,9 @@
 
 impl Image {
     fn bytes(&self) -> std::sync::MutexGuard<'_, Vec<u8>> {
-        self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.0
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
@@ -131,7 +140,9 @@
 
     fn read(&self, offset: u64, out: &mut [u8]) -> std::io::Result<()> {
         let bytes = self.bytes();
-        let there = bytes.get(offset as usize..).and_then(|rest| rest.get(..out.len()));
+        let there = bytes
+            .get(offset as usize..)
+            .and_then(|rest| rest.get(..out.len()));
         out.copy_from_slice(there.ok_or(std::io::ErrorKind::UnexpectedEof)?);
         Ok(())
     }
@@ -147,8 +158,12 @@
 
     fn write(&self, offset: u64, data: &[u8]) -> std::io::Result<()> {
         let mut bytes = self.bytes();
-        let place = bytes.get_mut(offset as usize..).and_then(|rest| rest.get_mut(..data.len()));
-        place.ok_or(std::io::ErrorKind::UnexpectedEof)?.copy_from_slice(data);
+        let place = bytes
+            .get_mut(offset as usize..)
+            .and_then(|rest| rest.get_mut(..data.len()));
+        place
+            .ok_or(std::io::ErrorKind::UnexpectedEof)?
+            .copy_from_slice(data);
         Ok(())
     }
 }
@@ -186,7 +201,12 @@
         let told = |e: std::io::Error| Broken::Failed(format!("{}: {e}", folder.display()));
         std::fs::create_dir_all(folder).map_err(told)?;
         let mut options = std::fs::OpenOptions::new();
-        let file = options.read(true).write(true).create(true).truncate(false).open(folder.join(name));
+        let file = options
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(folder.join(name));
         let file = file.map_err(told)?;
         // The library locks a file that it opens by its path, and not one that it is handed. The lock is the open file's: it
         // ends with the process, however that ends, and holds while the process stands still.
@@ -203,7 +223,9 @@
         })?;
         let store = Store::over(backend, most)?;
         // A file that was just made is there after a crash once its folder says so.
-        std::fs::File::open(folder).and_then(|folder| folder.sync_all()).map_err(told)?;
+        std::fs::File::open(folder)
+            .and_then(|folder| folder.sync_all())
+            .map_err(told)?;
         Ok(store)
     }
 
@@ -214,15 +236,23 @@
     /// A commit that is synced.
     pub(crate) fn begin(&self) -> Result<redb::WriteTransaction, Broken> {
         let mut commit = self.database.begin_write().map_err(failed)?;
-        commit.set_durability(redb::Durability::Immediate).map_err(failed)?;
+        commit
+            .set_durability(redb::Durability::Immediate)
+            .map_err(failed)?;
         Ok(commit)
     }
 
     /// Opens what is on this disk.
     pub fn over(disk: impl StorageBackend, most: u64) -> Result<Store, Broken> {
         let sync_failed = Arc::new(AtomicBool::new(false));
-        let disk = Guarded { disk, most, sync_failed: sync_failed.clone() };
-        let opened = Database::builder().set_cache_size(CACHE).create_with_backend(disk);
+        let disk = Guarded {
+            disk,
+            most,
+            sync_failed: sync_failed.clone(),
+        };
+        let opened = Database::builder()
+            .set_cache_size(CACHE)
+            .create_with_backend(disk);
         let database = opened.map_err(|e| match e {
             DatabaseError::DatabaseAlreadyOpen => Broken::Taken,
             DatabaseError::Storage(redb::StorageError::Io(e))
@@ -232,7 +262,10 @@
             }
             e => Broken::Damaged(e.to_string()),
         })?;
-        Ok(Store { database, sync_failed })
+        Ok(Store {
+            database,
+            sync_failed,
+        })
     }
 
     /// All that is there.
@@ -247,7 +280,8 @@
         let damaged = |e: redb::StorageError| Broken::Damaged(e.to_string());
         if let Some(bytes) = facts.get(FACE).map_err(damaged)? {
             let face = entry::read(bytes.value());
-            found.face = Some(face.ok_or_else(|| Broken::Damaged("what it says of itself".to_owned()))?);
+            found.face =
+                Some(face.ok_or_else(|| Broken::Damaged("what it says of itself".to_owned()))?);
         }
         let entries = match read.open_table(ENTRIES) {
             Ok(entries) => entries,
@@ -280,7 +314,9 @@
             for write in writes {
                 match write {
                     Write::Put(key, entry) => {
-                        entries.insert(&key[..], &entry::write(entry)[..]).map_err(failed)?;
+                        entries
+                            .insert(&key[..], &entry::write(entry)[..])
+                            .map_err(failed)?;
                     }
                     Write::Delete(key) => {
                         entries.remove(&key[..]).map_err(failed)?;
@@ -288,7 +324,9 @@
                 }
             }
             let mut facts = commit.open_table(FACTS).map_err(failed)?;
-            facts.insert(FACE, &entry::write(face)[..]).map_err(failed)?;
+            facts
+                .insert(FACE, &entry::write(face)[..])
+                .map_err(failed)?;
         }
         commit.commit().map_err(failed)
     }
@@ -305,7 +343,9 @@
 
     /// Checks every page; `false` if something had to be put right.
     pub fn check(&mut self) -> Result<bool, Broken> {
-        self.database.check_integrity().map_err(|e| Broken::Damaged(e.to_string()))
+        self.database
+            .check_integrity()
+            .map_err(|e| Broken::Damaged(e.to_string()))
     }
 
     /// How many keys it holds.
--- a/crates/asterdale-journal/src/trust.rs
+++ b/crates/asterdale-journal/src/trust.rs
@@ -54,7 +54,11 @@
 /// does or there is nobody to ask.
 pub fn judge(folder: Option<Folder>, remembered: u64) -> Standing {
     let Some(folder) = folder else {
-        return if remembered > 0 { Standing::Lost } else { Standing::First };
+        return if remembered > 0 {
+            Standing::Lost
+        } else {
+            Standing::First
+        };
     };
     if remembered > folder.generation {
         Standing::Older
@@ -91,7 +95,11 @@
             (folder(0, 60_000.0), 0, Standing::Unsure),
             (folder(0, 100.0), 1, Standing::Older),
         ] {
-            assert_eq!(judge(given, remembered), expected, "{given:?}, {remembered}");
+            assert_eq!(
+                judge(given, remembered),
+                expected,
+                "{given:?}, {remembered}"
+            );
         }
     }
 }
--- a/crates/asterdale-journal/src/writer.rs
+++ b/crates/asterdale-journal/src/writer.rs
@@ -136,7 +136,9 @@
 }
 
 fn unix_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64() * 1e3)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |since| since.as_secs_f64() * 1e3)
 }
 
 struct Actor<H> {
@@ -179,7 +181,11 @@
     };
     let folder = found.face.as_ref().map(|face| Folder {
         generation: face.generation,
-        gap_ms: if found.damaged > 0 { f64::INFINITY } else { unix_ms() - face.unix_ms },
+        gap_ms: if found.damaged > 0 {
+            f64::INFINITY
+        } else {
+            unix_ms() - face.unix_ms
+        },
     });
     let mut face = found.face.unwrap_or_else(|| Face {
         name: place.name.clone(),
@@ -188,7 +194,11 @@
         ..Face::default()
     });
     if face.name != place.name {
-        return Err(format!("{}: it is the folder of {}", place.folder.display(), face.name));
+        return Err(format!(
+            "{}: it is the folder of {}",
+            place.folder.display(),
+            face.name
+        ));
     }
     face.run += 1;
     let (since_ms, quiet_before) = (face.now_ms, face.quiet_until_ms);
@@ -200,7 +210,12 @@
     let ledger = Ledger::new(face.run, place.bounds, found.entries);
     let (orders, ordered) = crossbeam_channel::unbounded();
     let now = Instant::now();
-    let journal = Journal { orders, generation: face.generation, found: count, secret: face.secret };
+    let journal = Journal {
+        orders,
+        generation: face.generation,
+        found: count,
+        secret: face.secret,
+    };
     if let Some((to, why)) = aside {
         heard(Heard::Aside(to, why));
     }
@@ -220,8 +235,12 @@
         marked: now,
         heard,
     };
-    let thread = std::thread::Builder::new().name("journal".to_owned()).stack_size(512 * 1024);
-    thread.spawn(move || actor.serve(&ordered)).map_err(|e| format!("no thread for the journal: {e}"))?;
+    let thread = std::thread::Builder::new()
+        .name("journal".to_owned())
+        .stack_size(512 * 1024);
+    thread
+        .spawn(move || actor.serve(&ordered))
+        .map_err(|e| format!("no thread for the journal: {e}"))?;
     Ok(journal)
 }
 
@@ -269,10 +288,20 @@
                 Order::Look(number, key, sign) => {
                     words.push((number, Word::Known(self.ledger.look(now, &key, sign))));
                 }
-                Order::Claim { number, key, sign, id, window_ms } => {
+                Order::Claim {
+                    number,
+                    key,
+                    sign,
+                    id,
+                    window_ms,
+                } => {
                     if self.lost || self.store.is_none() {
                         let known = self.ledger.look(now, &key, sign);
-                        let known = if known == Known::Nothing { Known::Full } else { known };
+                        let known = if known == Known::Nothing {
+                            Known::Full
+                        } else {
+                            known
+                        };
                         words.push((number, Word::Known(known)));
                         continue;
                     }
@@ -302,7 +331,10 @@
                         writes.extend(self.ledger.never(&key, claim));
                     }
                 }
-                Order::Joined { generation, remembered } => {
+                Order::Joined {
+                    generation,
+                    remembered,
+                } => {
                     self.judge(now, remembered);
                     self.face.generation = self.face.generation.max(generation);
                     told = true;
@@ -330,8 +362,13 @@
                 }
             }
         }
-        let yours = claims.into_iter().map(|(number, _, claim)| (number, Word::Yours(claim)));
-        words.into_iter().chain(yours).for_each(|(number, word)| (self.heard)(Heard::Word(number, word)));
+        let yours = claims
+            .into_iter()
+            .map(|(number, _, claim)| (number, Word::Yours(claim)));
+        words
+            .into_iter()
+            .chain(yours)
+            .for_each(|(number, word)| (self.heard)(Heard::Word(number, word)));
         if let Some(over) = left {
             let _ = over.send(());
         }
@@ -360,7 +397,9 @@
         if self.owed.len() > MOST_OWED {
             self.owed.drain(..self.owed.len() - MOST_OWED);
         }
-        let Some(store) = &self.store else { return Ok(()) };
+        let Some(store) = &self.store else {
+            return Ok(());
+        };
         (self.face.now_ms, self.face.unix_ms) = (self.now(), unix_ms());
         match store.commit(&self.owed, &self.face) {
             Ok(()) => {
@@ -385,7 +424,9 @@
         let opened = open(&self.place);
         let Ok((store, found)) = opened else { return };
         let same = Some(found).is_some_and(|found| {
-            found.face.is_some_and(|face| (face.folder, face.run) == (self.face.folder, self.face.run))
+            found
+                .face
+                .is_some_and(|face| (face.folder, face.run) == (self.face.folder, self.face.run))
         });
         if !same {
             // The folder is gone, or another's by now.
--- a/crates/asterdale-journal/tests/crashes.rs
+++ b/crates/asterdale-journal/tests/crashes.rs
@@ -14,7 +14,10 @@
 use rand_pcg::Pcg64Mcg;
 
 const MOST: u64 = 64 << 20;
-const BOUNDS: Bounds = Bounds { entries: 200, bytes: 1 << 20 };
+const BOUNDS: Bounds = Bounds {
+    entries: 200,
+    bytes: 1 << 20,
+};
 
 type Map = BTreeMap<Vec<u8>, Entry>;
 
@@ -45,7 +48,9 @@
     run: u64,
     commits: u32,
 ) -> (Map, Option<Map>, bool) {
-    let Ok(store) = Store::over(disk.clone(), MOST) else { return (map.clone(), Some(map), true) };
+    let Ok(store) = Store::over(disk.clone(), MOST) else {
+        return (map.clone(), Some(map), true);
+    };
     let mut ledger = Ledger::new(run, BOUNDS, map.clone());
     ledger.quiet_until(0.0);
     let (mut now, mut open) = (f64::from(run as u32) * 1e6, Vec::new());
@@ -73,7 +78,12 @@
             }
         }
         writes.extend(ledger.sweep(now, 20));
-        let face = Face { name: "n".to_owned(), run, now_ms: now, ..Face::default() };
+        let face = Face {
+            name: "n".to_owned(),
+            run,
+            now_ms: now,
+            ..Face::default()
+        };
         let mut after = map.clone();
         put(&mut after, &writes);
         match store.commit(&writes, &face) {
@@ -102,7 +112,9 @@
         let disk = Disk::new(bytes.clone(), fault);
         let (acknowledged, failing, again) = live(&mut random, &disk, map.clone(), run, 12);
         if again && failing.as_ref().is_some_and(|after| *after != acknowledged) {
-            return Err(format!("{fault:?}: a commit was said to be made after one had failed"));
+            return Err(format!(
+                "{fault:?}: a commit was said to be made after one had failed"
+            ));
         }
         bytes = disk.crashed(random.next_u64());
         crashes += 1;
@@ -112,8 +124,9 @@
                 bytes.clear();
             }
         }
-        let (there, _) = found(Disk::new(bytes.clone(), Fault::None))
-            .map_err(|e| format!("{fault:?}, run {run}: what was acknowledged can't be read: {e}"))?;
+        let (there, _) = found(Disk::new(bytes.clone(), Fault::None)).map_err(|e| {
+            format!("{fault:?}, run {run}: what was acknowledged can't be read: {e}")
+        })?;
         if there != acknowledged && failing.as_ref() != Some(&there) {
             return Err(format!(
                 "{fault:?}, run {run}: {} keys are there, {} were acknowledged",
@@ -153,13 +166,20 @@
     assert!(whole.ops() > 20);
     for at in 1..=whole.ops() {
         let disk = Disk::new(Vec::new(), Fault::Power(at));
-        let (acknowledged, failing, _) = live(&mut Pcg64Mcg::seed_from_u64(5), &disk, Map::new(), 1, 6);
+        let (acknowledged, failing, _) =
+            live(&mut Pcg64Mcg::seed_from_u64(5), &disk, Map::new(), 1, 6);
         for seed in 0..4 {
             let Ok((there, _)) = found(Disk::new(disk.crashed(seed), Fault::None)) else {
-                assert!(acknowledged.is_empty(), "operation {at}: what was acknowledged can't be read");
+                assert!(
+                    acknowledged.is_empty(),
+                    "operation {at}: what was acknowledged can't be read"
+                );
                 continue;
             };
-            assert!(there == acknowledged || failing.as_ref() == Some(&there), "operation {at}");
+            assert!(
+                there == acknowledged || failing.as_ref() == Some(&there),
+                "operation {at}"
+            );
         }
     }
 }
@@ -211,7 +231,10 @@
         };
         let (to, heard) = crossbeam_channel::unbounded();
         let journal = begin(place, move |word| drop(to.send(word))).unwrap();
-        journal.order(Order::Joined { generation: 1, remembered: 0 });
+        journal.order(Order::Joined {
+            generation: 1,
+            remembered: 0,
+        });
         journal.leave();
         let found = journal.found;
         // Its thread ends with the last who could ask it, and with it the lock.
@@ -231,8 +254,13 @@
         bytes[at] ^= 1 << (random.next_u32() % 8);
         std::fs::write(&file, bytes).unwrap();
         let (heard, _) = life(n);
-        let judged =
-            heard.iter().find_map(|heard| if let Heard::Judged(it, _) = heard { Some(*it) } else { None });
+        let judged = heard.iter().find_map(|heard| {
+            if let Heard::Judged(it, _) = heard {
+                Some(*it)
+            } else {
+                None
+            }
+        });
         if heard.iter().any(|heard| matches!(heard, Heard::Aside(..))) {
             assert_eq!(judged, Some(Standing::First), "flip {n} at {at}");
             aside += 1;
--- a/crates/asterdale-journal/tests/disk/mod.rs
+++ b/crates/asterdale-journal/tests/disk/mod.rs
@@ -65,7 +65,15 @@
     pub fn new(bytes: Vec<u8>, fault: Fault) -> Disk {
         let seen = bytes.clone();
         let (pending, ops, syncs, off) = (Vec::new(), 0, 0, false);
-        Disk(Arc::new(Mutex::new(State { durable: bytes, seen, pending, ops, syncs, fault, off })))
+        Disk(Arc::new(Mutex::new(State {
+            durable: bytes,
+            seen,
+            pending,
+            ops,
+            syncs,
+            fault,
+            off,
+        })))
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -93,8 +101,13 @@
                     let sectors = data.len().div_ceil(SECTOR);
                     let from = random.next_u32() as usize % (sectors + 1) * SECTOR;
                     if from < data.len() {
-                        let to = data.len().min(from + (1 + random.next_u32() as usize % sectors) * SECTOR);
-                        apply(&mut bytes, &Op::Write(offset + from as u64, data[from..to].to_vec()));
+                        let to = data
+                            .len()
+                            .min(from + (1 + random.next_u32() as usize % sectors) * SECTOR);
+                        apply(
+                            &mut bytes,
+                            &Op::Write(offset + from as u64, data[from..to].to_vec()),
+                        );
                     }
                 }
                 (_, op) => apply(&mut bytes, &op),
@@ -135,7 +148,9 @@
         let state = self.state();
         let from = offset as usize;
         let there = state.seen.get(from..from + out.len());
-        out.copy_from_slice(there.ok_or_else(|| Error::new(ErrorKind::UnexpectedEof, "past the end"))?);
+        out.copy_from_slice(
+            there.ok_or_else(|| Error::new(ErrorKind::UnexpectedEof, "past the end"))?,
+        );
         Ok(())
     }
 
--- a/crates/asterdale-members/src/fleet.rs
+++ b/crates/asterdale-members/src/fleet.rs
@@ -8,7 +8,9 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::health::Health;
-use crate::message::{self, wire, Ack, Bad, Message, Nack, Ping, What, Whole, MOST_DATAGRAM, MOST_EXCHANGE};
+use crate::message::{
+    self, wire, Ack, Bad, Message, Nack, Ping, What, Whole, MOST_DATAGRAM, MOST_EXCHANGE,
+};
 use crate::news::News;
 use crate::planted::{self, Fault};
 use crate::record::{Notes, Record, Status};
@@ -134,9 +136,16 @@
     /// It is a member.
     In,
     /// It has to give up what it holds; then it takes a generation above this one, and tells this one.
-    Fallen { floor: u64, tell: Option<SocketAddr> },
+    Fallen {
+        floor: u64,
+        tell: Option<SocketAddr>,
+    },
     /// Another may live under its name.
-    Doubled { rival: Record, until: f64, ask_at: f64 },
+    Doubled {
+        rival: Record,
+        until: f64,
+        ask_at: f64,
+    },
     /// It has said that it leaves, and says so again then.
     Leaving { again: f64, until: f64 },
     /// It takes no part any more.
@@ -267,7 +276,16 @@
 impl Fleet {
     /// A process that starts now. It is no member before [`Event::Joined`].
     pub fn new(now: f64, start: Start) -> Fleet {
-        let Start { name, at, generation, nonce, mut seeds, key, terms, seed } = start;
+        let Start {
+            name,
+            at,
+            generation,
+            nonce,
+            mut seeds,
+            key,
+            terms,
+            seed,
+        } = start;
         seeds.retain(|&seed| seed != at);
         let me = Record {
             name,
@@ -279,7 +297,11 @@
             notes: Notes::default(),
             by: String::new(),
         };
-        let until = if seeds.is_empty() { now } else { now + terms.join * terms.interval_ms };
+        let until = if seeds.is_empty() {
+            now
+        } else {
+            now + terms.join * terms.interval_ms
+        };
         let mut fleet = Fleet {
             seal: Seal::new(&key),
             me,
@@ -332,7 +354,12 @@
 
     /// Of the view, this process in it: two that hold the same hold the same members, in the same generations.
     pub fn hash(&self) -> u64 {
-        self.view.hash() ^ if self.is_member() { view::hash(&self.me) } else { 0 }
+        self.view.hash()
+            ^ if self.is_member() {
+                view::hash(&self.me)
+            } else {
+                0
+            }
     }
 
     /// It is a member.
@@ -388,9 +415,18 @@
             Standing::Doubled { until, ask_at, .. } => until.min(ask_at),
             Standing::Leaving { again, until } => again.min(until),
             Standing::In => {
-                let probe = self.probe.as_ref().map_or(f64::INFINITY, |probe| probe.ask_at);
-                let timers =
-                    [self.probe_at, self.exchange_at, self.dead_at, self.sweep_at, probe].into_iter();
+                let probe = self
+                    .probe
+                    .as_ref()
+                    .map_or(f64::INFINITY, |probe| probe.ask_at);
+                let timers = [
+                    self.probe_at,
+                    self.exchange_at,
+                    self.dead_at,
+                    self.sweep_at,
+                    probe,
+                ]
+                .into_iter();
                 timers.fold(f64::INFINITY, f64::min)
             }
             Standing::Fallen { .. } | Standing::Ended => f64::INFINITY,
@@ -398,8 +434,17 @@
         if self.standing == Standing::Ended {
             return f64::INFINITY;
         }
-        let ends = self.view.suspects().filter_map(|seen| Some(seen.suspicion.as_ref()?.end()));
-        let nacks = self.relays.values().map(|relay| if relay.nacked { relay.until } else { relay.nack_at });
+        let ends = self
+            .view
+            .suspects()
+            .filter_map(|seen| Some(seen.suspicion.as_ref()?.end()));
+        let nacks = self.relays.values().map(|relay| {
+            if relay.nacked {
+                relay.until
+            } else {
+                relay.nack_at
+            }
+        });
         ends.chain(nacks).fold(standing, f64::min)
     }
 
@@ -464,7 +509,10 @@
                 self.me.status = Status::Left;
                 self.me.by.clone_from(&self.me.name);
                 let interval = self.terms.interval_ms;
-                self.standing = Standing::Leaving { again: now + interval / 2.0, until: now + interval };
+                self.standing = Standing::Leaving {
+                    again: now + interval / 2.0,
+                    until: now + interval,
+                };
                 self.say_left();
             }
             Standing::Leaving { .. } => {}
@@ -522,15 +570,26 @@
             Standing::Doubled { rival, until, .. } if now >= until => {
                 self.fall(rival.generation, None, &rival.by)
             }
-            Standing::Doubled { rival, until, ask_at } if now >= ask_at => {
+            Standing::Doubled {
+                rival,
+                until,
+                ask_at,
+            } if now >= ask_at => {
                 self.say(rival.at, What::Ping(Ping { seq: 0 }), None);
                 let ask_at = now + self.terms.timeout_ms;
-                self.standing = Standing::Doubled { rival, until, ask_at };
+                self.standing = Standing::Doubled {
+                    rival,
+                    until,
+                    ask_at,
+                };
             }
             Standing::Leaving { until, .. } if now >= until => self.standing = Standing::Ended,
             Standing::Leaving { again, until } if now >= again => {
                 self.say_left();
-                self.standing = Standing::Leaving { again: f64::INFINITY, until };
+                self.standing = Standing::Leaving {
+                    again: f64::INFINITY,
+                    until,
+                };
             }
             _ => {}
         }
@@ -556,7 +615,8 @@
         }
         if now >= self.dead_at {
             self.ask_dead();
-            self.dead_at = now + self.terms.ask_dead * self.terms.interval_ms * (0.75 + 0.5 * self.share());
+            self.dead_at =
+                now + self.terms.ask_dead * self.terms.interval_ms * (0.75 + 0.5 * self.share());
         }
         if now >= self.sweep_at {
             self.sweep(now);
@@ -581,7 +641,11 @@
     }
 
     fn join(&mut self, now: f64) {
-        self.me.generation = if planted::is(Fault::Generation) { 1 } else { self.known + 1 };
+        self.me.generation = if planted::is(Fault::Generation) {
+            1
+        } else {
+            self.known + 1
+        };
         self.standing = Standing::In;
         self.begin_rounds(now);
         self.announce();
@@ -605,11 +669,15 @@
 
     /// The probe of this interval is over: if nobody has heard from its target, it is suspected.
     fn probe_over(&mut self, now: f64) {
-        let Some(probe) = self.probe.take().filter(|probe| !probe.acked) else { return };
+        let Some(probe) = self.probe.take().filter(|probe| !probe.acked) else {
+            return;
+        };
         self.health.worse();
         // A helper that says nothing, not even that it heard nothing, may mean that this process hears badly.
         (probe.nacks..probe.helpers).for_each(|_| self.health.worse());
-        let Some(seen) = self.view.get(&probe.name) else { return };
+        let Some(seen) = self.view.get(&probe.name) else {
+            return;
+        };
         if seen.record.generation == probe.generation && seen.record.is_in() {
             let mut word = seen.record.clone();
             (word.status, word.by) = (Status::Suspect, self.me.name.clone());
@@ -637,7 +705,9 @@
                 }
             }
         };
-        let Some(record) = self.view.get(&target).map(|seen| seen.record.clone()) else { return };
+        let Some(record) = self.view.get(&target).map(|seen| seen.record.clone()) else {
+            return;
+        };
         self.seq = self.seq.wrapping_add(1);
         self.probe = Some(Probe {
             seq: self.seq,
@@ -648,7 +718,11 @@
             nacks: 0,
             acked: false,
         });
-        self.say(record.at, What::Ping(Ping { seq: self.seq }), Some(&record.name));
+        self.say(
+            record.at,
+            What::Ping(Ping { seq: self.seq }),
+            Some(&record.name),
+        );
     }
 
     /// No answer in time: others are asked.
@@ -659,7 +733,9 @@
             return;
         }
         let (seq, name) = (probe.seq, probe.name.clone());
-        let Some(target) = self.view.get(&name).map(|seen| seen.record.clone()) else { return };
+        let Some(target) = self.view.get(&name).map(|seen| seen.record.clone()) else {
+            return;
+        };
         let mut others: Vec<SocketAddr> = self
             .view
             .iter()
@@ -686,7 +762,8 @@
                 (relay.to, relay.seq)
             })
             .collect();
-        late.into_iter().for_each(|(to, seq)| self.say(to, What::Nack(Nack { seq }), None));
+        late.into_iter()
+            .for_each(|(to, seq)| self.say(to, What::Nack(Nack { seq }), None));
         self.relays.retain(|_, relay| now < relay.until);
     }
 
@@ -695,8 +772,10 @@
         if planted::is(Fault::Suspicion) || self.standing == Standing::Ended {
             return;
         }
-        let over =
-            self.view.suspects().filter(|seen| seen.suspicion.as_ref().is_some_and(|s| s.end() <= now));
+        let over = self
+            .view
+            .suspects()
+            .filter(|seen| seen.suspicion.as_ref().is_some_and(|s| s.end() <= now));
         let over: Vec<Record> = over.map(|seen| seen.record.clone()).collect();
         for mut word in over {
             self.counts.died += 1;
@@ -712,8 +791,13 @@
     fn ask_doubted(&mut self) {
         let mut asked = 0;
         while asked < ASKED_SOON {
-            let Some(name) = self.doubted.pop_first() else { return };
-            let suspect = self.view.get(&name).filter(|seen| seen.record.status == Status::Suspect);
+            let Some(name) = self.doubted.pop_first() else {
+                return;
+            };
+            let suspect = self
+                .view
+                .get(&name)
+                .filter(|seen| seen.record.status == Status::Suspect);
             if let Some(word) = suspect.map(|seen| seen.record.clone()) {
                 self.send_bare(word.at, What::Ping(Ping { seq: 0 }), &[word]);
                 asked += 1;
@@ -726,16 +810,26 @@
         if planted::is(Fault::Dead) {
             return;
         }
-        let dead = self.view.iter().filter(|seen| seen.record.status == Status::Dead);
+        let dead = self
+            .view
+            .iter()
+            .filter(|seen| seen.record.status == Status::Dead);
         let mut places: Vec<SocketAddr> = dead.map(|seen| seen.record.at).collect();
-        let there: Vec<SocketAddr> =
-            self.view.iter().filter(|seen| seen.record.is_in()).map(|seen| seen.record.at).collect();
+        let there: Vec<SocketAddr> = self
+            .view
+            .iter()
+            .filter(|seen| seen.record.is_in())
+            .map(|seen| seen.record.at)
+            .collect();
         places.extend(self.seeds.iter().filter(|seed| !there.contains(seed)));
         places.sort_unstable();
         places.dedup();
         if let Some(&at) = self.one_of(&places) {
-            let name =
-                self.view.iter().find(|seen| seen.record.at == at).map(|seen| seen.record.name.clone());
+            let name = self
+                .view
+                .iter()
+                .find(|seen| seen.record.at == at)
+                .map(|seen| seen.record.name.clone());
             self.say(at, What::Ping(Ping { seq: 0 }), name.as_deref());
         }
     }
@@ -745,11 +839,15 @@
     fn exchange_next(&mut self, now: f64) {
         let there = self.view.iter().filter(|seen| seen.record.is_in());
         let places: Vec<SocketAddr> = there.map(|seen| seen.record.at).collect();
-        let with = self.exchange_with.take().or_else(|| self.one_of(&places).copied());
+        let with = self
+            .exchange_with
+            .take()
+            .or_else(|| self.one_of(&places).copied());
         if let Some(at) = with {
             self.exchange_to(now, at);
         }
-        self.exchange_at = now + self.terms.exchange * self.terms.interval_ms * (0.75 + 0.5 * self.share());
+        self.exchange_at =
+            now + self.terms.exchange * self.terms.interval_ms * (0.75 + 0.5 * self.share());
     }
 
     fn exchange_to(&mut self, now: f64, at: SocketAddr) {
@@ -770,7 +868,11 @@
     }
 
     fn whole(&mut self, reply: bool) -> Vec<u8> {
-        let news = self.view.iter().map(|seen| message::write(&seen.record)).collect();
+        let news = self
+            .view
+            .iter()
+            .map(|seen| message::write(&seen.record))
+            .collect();
         let message = self.message(What::Whole(Whole { reply }), news);
         let bytes = message::encode(&self.seal, &message);
         self.counts.sent += 1;
@@ -793,8 +895,14 @@
     /// Sends a datagram with what news there are; first of all what is held of the one that it goes to, where that is
     /// not simply that it lives.
     fn say(&mut self, to: SocketAddr, what: What, about: Option<&str>) {
-        let about = about.and_then(|name| self.view.get(name)).map(|seen| &seen.record);
-        let first = about.filter(|record| record.status != Status::Alive).cloned().into_iter().collect();
+        let about = about
+            .and_then(|name| self.view.get(name))
+            .map(|seen| &seen.record);
+        let first = about
+            .filter(|record| record.status != Status::Alive)
+            .cloned()
+            .into_iter()
+            .collect();
         self.send(to, what, first);
     }
 
@@ -820,7 +928,11 @@
 
     /// Somebody hears this word on its own name, however well the one that it speaks of is held to be.
     fn tell_of(&mut self, to: SocketAddr, word: Record) {
-        let ack = Ack { seq: 0, of: self.me.name.clone(), generation: self.me.generation };
+        let ack = Ack {
+            seq: 0,
+            of: self.me.name.clone(),
+            generation: self.me.generation,
+        };
         self.send(to, What::Ack(ack), vec![word]);
     }
 
@@ -892,7 +1004,12 @@
             return;
         }
         let whole = matches!(message.what, Some(What::Whole(_)));
-        for word in message.news.iter().take(self.terms.most).filter_map(message::read) {
+        for word in message
+            .news
+            .iter()
+            .take(self.terms.most)
+            .filter_map(message::read)
+        {
             self.hear(now, word, Some(place));
         }
         if self.is_member()
@@ -903,11 +1020,18 @@
         {
             self.differs(now, place);
         }
-        let silent = matches!(self.standing, Standing::Fallen { .. } | Standing::Doubled { .. });
+        let silent = matches!(
+            self.standing,
+            Standing::Fallen { .. } | Standing::Doubled { .. }
+        );
         match message.what.as_ref() {
             Some(What::Ping(ping)) if !silent => {
                 let generation = self.me.generation;
-                let ack = Ack { seq: ping.seq, of: self.me.name.clone(), generation };
+                let ack = Ack {
+                    seq: ping.seq,
+                    of: self.me.name.clone(),
+                    generation,
+                };
                 self.say(place, What::Ack(ack), Some(&from.name));
             }
             Some(What::Ack(ack)) => self.acked(now, ack),
@@ -916,12 +1040,22 @@
                 probe.into_iter().for_each(|probe| probe.nacks += 1);
             }
             Some(What::Ask(ask)) if !silent && self.relays.len() < MOST_RELAYS => {
-                let Some(at) = message::asked(ask) else { return };
+                let Some(at) = message::asked(ask) else {
+                    return;
+                };
                 self.seq = self.seq.wrapping_add(1);
                 let time = self.terms.timeout_ms;
                 let (nack_at, until) = (now + NACK * time, now + 4.0 * time);
-                self.relays
-                    .insert(self.seq, Relay { to: place, seq: ask.seq, nack_at, until, nacked: false });
+                self.relays.insert(
+                    self.seq,
+                    Relay {
+                        to: place,
+                        seq: ask.seq,
+                        nack_at,
+                        until,
+                        nacked: false,
+                    },
+                );
                 let seq = self.seq;
                 self.say(at, What::Ping(Ping { seq }), Some(&ask.name));
             }
@@ -932,10 +1066,16 @@
 
     fn acked(&mut self, now: f64, ack: &Ack) {
         if let Some(relay) = self.relays.remove(&ack.seq) {
-            let passed = Ack { seq: relay.seq, of: ack.of.clone(), generation: ack.generation };
+            let passed = Ack {
+                seq: relay.seq,
+                of: ack.of.clone(),
+                generation: ack.generation,
+            };
             return self.say(relay.to, What::Ack(passed), None);
         }
-        let Some(probe) = self.probe.as_mut().filter(|probe| probe.seq == ack.seq) else { return };
+        let Some(probe) = self.probe.as_mut().filter(|probe| probe.seq == ack.seq) else {
+            return;
+        };
         if probe.name == ack.of && !probe.acked {
             probe.acked = true;
             self.acked_at = now;
@@ -950,14 +1090,21 @@
         }
         self.known = self.known.max(from.generation);
         self.remembered = self.remembered.max(from.generation);
-        if matches!(self.standing, Standing::Joining { .. } | Standing::Leaving { .. }) {
+        if matches!(
+            self.standing,
+            Standing::Joining { .. } | Standing::Leaving { .. }
+        ) {
             return;
         }
         if from.run() > self.me.run() {
             self.standing = Standing::Ended;
             self.event(Event::Superseded(from.at));
         } else if matches!(message.what, Some(What::Ping(_))) && self.is_member() {
-            let ack = Ack { seq: 0, of: self.me.name.clone(), generation: self.me.generation };
+            let ack = Ack {
+                seq: 0,
+                of: self.me.name.clone(),
+                generation: self.me.generation,
+            };
             self.say(from.at, What::Ack(ack), None);
         }
     }
@@ -1015,7 +1162,11 @@
                 }
             }
             Ordering::Greater => {
-                let what = if word.status == Status::Left { Change::Left } else { Change::Died };
+                let what = if word.status == Status::Left {
+                    Change::Left
+                } else {
+                    Change::Died
+                };
                 self.put(now, word, what);
             }
             Ordering::Equal => self.hear_again(now, word, &held),
@@ -1046,7 +1197,9 @@
                     }
                 }
             }
-            Status::Suspect if held.status != Status::Dead || word.incarnation > held.incarnation => {
+            Status::Suspect
+                if held.status != Status::Dead || word.incarnation > held.incarnation =>
+            {
                 self.suspect(now, word);
             }
             // A death that others tell is believed of one that is dead here, or not known to live; of one that lives
@@ -1059,7 +1212,11 @@
                 if held.status == Status::Alive {
                     self.suspect(now, suspect);
                 }
-                if self.view.suspicion(&word.name).is_some_and(|suspicion| suspicion.death(now)) {
+                if self
+                    .view
+                    .suspicion(&word.name)
+                    .is_some_and(|suspicion| suspicion.death(now))
+                {
                     self.round.push(word.name.clone());
                     self.doubted.insert(word.name);
                 }
@@ -1072,12 +1229,21 @@
     /// Somebody got no answer from this process.
     fn suspect(&mut self, now: f64, word: Record) {
         let size = self.view.there() + 1;
-        let (least, most) = (self.terms.least_suspicion_ms(size), self.terms.most_suspicion_ms(size));
-        let Some(seen) = self.view.get(&word.name) else { return };
+        let (least, most) = (
+            self.terms.least_suspicion_ms(size),
+            self.terms.most_suspicion_ms(size),
+        );
+        let Some(seen) = self.view.get(&word.name) else {
+            return;
+        };
         let (status, incarnation) = (seen.record.status, seen.record.incarnation);
         if status == Status::Suspect && incarnation == word.incarnation {
             let by = word.by.clone();
-            if self.view.suspicion(&word.name).is_some_and(|suspicion| suspicion.confirmed(&by)) {
+            if self
+                .view
+                .suspicion(&word.name)
+                .is_some_and(|suspicion| suspicion.confirmed(&by))
+            {
                 self.news.add(word);
             }
             return;
@@ -1140,7 +1306,11 @@
             }
             Ordering::Greater => {
                 let until = now + self.terms.most_suspicion_ms(self.view.there() + 1);
-                self.standing = Standing::Doubled { rival: word.clone(), until, ask_at: now };
+                self.standing = Standing::Doubled {
+                    rival: word.clone(),
+                    until,
+                    ask_at: now,
+                };
                 self.event(Event::Doubled(word.at));
             }
         }
@@ -1163,7 +1333,9 @@
             // has only now been found again.
             Status::Dead if self.has_been_certain(now) => self.defend(word.incarnation),
             Status::Dead => self.fall(word.generation, from, &word.by),
-            Status::Alive if word.incarnation > self.me.incarnation => self.defend(word.incarnation),
+            Status::Alive if word.incarnation > self.me.incarnation => {
+                self.defend(word.incarnation)
+            }
             Status::Alive => {}
         }
     }
@@ -1199,8 +1371,18 @@
     }
 
     fn change(&mut self, word: &Record, what: Change) {
-        let Record { name, generation, by, .. } = word.clone();
-        self.event(Event::Changed { name, generation, what, by });
+        let Record {
+            name,
+            generation,
+            by,
+            ..
+        } = word.clone();
+        self.event(Event::Changed {
+            name,
+            generation,
+            what,
+            by,
+        });
     }
 
     fn done(&mut self, now: f64) -> Vec<Action> {
--- a/crates/asterdale-members/src/message.rs
+++ b/crates/asterdale-members/src/message.rs
@@ -45,7 +45,10 @@
         IpAddr::V4(ip) => ip.octets().to_vec(),
         IpAddr::V6(ip) => ip.octets().to_vec(),
     };
-    wire::Address { ip, port: at.port().into() }
+    wire::Address {
+        ip,
+        port: at.port().into(),
+    }
 }
 
 fn read_address(at: Option<&wire::Address>) -> Option<SocketAddr> {
@@ -110,7 +113,11 @@
 
 /// A question to another for a third.
 pub fn ask(seq: u32, record: &Record) -> What {
-    What::Ask(Ask { seq, name: record.name.clone(), at: Some(address(record.at)) })
+    What::Ask(Ask {
+        seq,
+        name: record.name.clone(),
+        at: Some(address(record.at)),
+    })
 }
 
 /// Whom a question is about.
@@ -150,11 +157,18 @@
         }
     };
     let message = Message::decode(body).map_err(|_| Bad::Unreadable)?;
-    let from = message.from.as_ref().and_then(read).ok_or(Bad::Unreadable)?;
+    let from = message
+        .from
+        .as_ref()
+        .and_then(read)
+        .ok_or(Bad::Unreadable)?;
     Ok((message, from))
 }
 
 /// What is said to a message of another version.
 pub fn refusal() -> What {
-    What::Refusal(Refusal { least: VERSION.into(), most: VERSION.into() })
+    What::Refusal(Refusal {
+        least: VERSION.into(),
+        most: VERSION.into(),
+    })
 }
--- a/crates/asterdale-members/src/news.rs
+++ b/crates/asterdale-members/src/news.rs
@@ -21,7 +21,12 @@
     /// What rides on the next message: as many as there is room for by this measure of each. That somebody is suspected,
     /// dead or gone goes first, as a suspect has little time to speak and a dead one is still sent work; then those told
     /// least: that hundreds came at once must not hold up the loss of one. One that has ridden `rides` times is told no more.
-    pub fn take(&mut self, mut room: usize, rides: u32, size: impl Fn(&Record) -> usize) -> Vec<Record> {
+    pub fn take(
+        &mut self,
+        mut room: usize,
+        rides: u32,
+        size: impl Fn(&Record) -> usize,
+    ) -> Vec<Record> {
         let rank = |(name, (told, record)): (&String, &(u32, Record))| {
             (record.status == Status::Alive, *told, name.clone())
         };
@@ -29,7 +34,9 @@
         order.sort_unstable();
         let mut taken = Vec::new();
         for (.., name) in order {
-            let Some((told, record)) = self.all.get_mut(&name) else { continue };
+            let Some((told, record)) = self.all.get_mut(&name) else {
+                continue;
+            };
             let takes = size(record);
             if takes > room {
                 break;
@@ -78,7 +85,11 @@
         for _ in 0..5 {
             assert_eq!(news.take(20, 5, |_| 10)[0].name, "m99");
         }
-        assert_ne!(news.take(20, 5, |_| 10)[0].name, "m99", "no more than its rides");
+        assert_ne!(
+            news.take(20, 5, |_| 10)[0].name,
+            "m99",
+            "no more than its rides"
+        );
     }
 
     #[test]
@@ -101,10 +112,15 @@
         while !news.is_empty() {
             let taken = news.take(30, 5, |_| 10);
             assert!((1..=3).contains(&taken.len()));
-            taken.into_iter().for_each(|record| *told.entry(record.name).or_insert(0) += 1);
+            taken
+                .into_iter()
+                .for_each(|record| *told.entry(record.name).or_insert(0) += 1);
             messages += 1;
         }
-        assert!(told.len() == 10 && told.values().all(|&times| times == 5), "{told:?}");
+        assert!(
+            told.len() == 10 && told.values().all(|&times| times == 5),
+            "{told:?}"
+        );
         assert_eq!(messages, 17);
     }
 }
--- a/crates/asterdale-members/src/seal.rs
+++ b/crates/asterdale-members/src/seal.rs
@@ -49,7 +49,9 @@
     pub fn open<'a>(&self, message: &'a [u8]) -> Result<&'a [u8], Unheard> {
         let (&version, rest) = message.split_first().ok_or(Unheard::Foreign)?;
         let (check, body) = rest.split_at_checked(CHECK).ok_or(Unheard::Foreign)?;
-        self.check(version, body).verify_truncated_left(check).map_err(|_| Unheard::Foreign)?;
+        self.check(version, body)
+            .verify_truncated_left(check)
+            .map_err(|_| Unheard::Foreign)?;
         if version == VERSION {
             Ok(body)
         } else {
--- a/crates/asterdale-members/src/suspicion.rs
+++ b/crates/asterdale-members/src/suspicion.rs
@@ -19,7 +19,13 @@
 impl Suspicion {
     /// One that begins now, by this one's word, and lasts so long.
     pub fn new(now: f64, by: &str, least: f64, most: f64) -> Suspicion {
-        Suspicion { began: now, least, most, by: vec![by.to_owned()], death: false }
+        Suspicion {
+            began: now,
+            least,
+            most,
+            by: vec![by.to_owned()],
+            death: false,
+        }
     }
 
     /// This one shares it; `true` if that is news.
--- a/crates/asterdale-members/src/terms.rs
+++ b/crates/asterdale-members/src/terms.rs
@@ -83,6 +83,11 @@
         let probed = 2.0 * self.interval_ms * 2.0;
         let spread = f64::from(self.rides(size)) * self.interval_ms;
         let whole = self.exchange * self.interval_ms * 1.5;
-        2.0 * (found + probed + self.most_suspicion_ms(size) + self.least_suspicion_ms(size) + spread + whole)
+        2.0 * (found
+            + probed
+            + self.most_suspicion_ms(size)
+            + self.least_suspicion_ms(size)
+            + spread
+            + whole)
     }
 }
--- a/crates/asterdale-members/src/view.rs
+++ b/crates/asterdale-members/src/view.rs
@@ -89,7 +89,9 @@
     pub fn put(&mut self, now: f64, record: Record, suspicion: Option<Suspicion>) {
         let was = self.all.remove(&record.name);
         let since = match &was {
-            Some(was) if was.record.status == record.status && was.record.run() == record.run() => was.since,
+            Some(was) if was.record.status == record.status && was.record.run() == record.run() => {
+                was.since
+            }
             _ => now,
         };
         let heard = was.as_ref().map_or(f64::NEG_INFINITY, |was| was.heard);
@@ -97,7 +99,15 @@
             self.count(&was.record, false);
         }
         self.count(&record, true);
-        self.all.insert(record.name.clone(), Seen { record, since, heard, suspicion });
+        self.all.insert(
+            record.name.clone(),
+            Seen {
+                record,
+                since,
+                heard,
+                suspicion,
+            },
+        );
     }
 
     /// Something came from this process itself.
@@ -115,8 +125,13 @@
     /// All suspicions last so much longer.
     pub fn extend(&mut self, by: f64) {
         for name in &self.suspects {
-            let suspicion = self.all.get_mut(name).and_then(|seen| seen.suspicion.as_mut());
-            suspicion.into_iter().for_each(|suspicion| suspicion.extend(by));
+            let suspicion = self
+                .all
+                .get_mut(name)
+                .and_then(|seen| seen.suspicion.as_mut());
+            suspicion
+                .into_iter()
+                .for_each(|suspicion| suspicion.extend(by));
         }
     }
 
--- a/crates/asterdale-members/tests/explore.rs
+++ b/crates/asterdale-members/tests/explore.rs
@@ -56,9 +56,24 @@
 }
 
 fn told(n: usize, nonce: u64) -> Start {
-    let terms = Terms { suspicion: 2.0, doubt: 2.0, exchange: 8.0, ask_dead: 2.0, ..Terms::default() };
+    let terms = Terms {
+        suspicion: 2.0,
+        doubt: 2.0,
+        exchange: 8.0,
+        ask_dead: 2.0,
+        ..Terms::default()
+    };
     let (name, seeds) = (format!("m{n}"), vec![at(0), at(1)]);
-    Start { name, at: at(n), generation: 0, nonce, seeds, key: b"key".to_vec(), terms, seed: n as u64 }
+    Start {
+        name,
+        at: at(n),
+        generation: 0,
+        nonce,
+        seeds,
+        key: b"key".to_vec(),
+        terms,
+        seed: n as u64,
+    }
 }
 
 impl World {
@@ -74,7 +89,13 @@
             taken: BTreeMap::new(),
             held: BTreeMap::new(),
         };
-        (0..3).for_each(|n| drop(world.all.insert(at(n), Fleet::new(0.0, told(n, n as u64 + 1)))));
+        (0..3).for_each(|n| {
+            drop(
+                world
+                    .all
+                    .insert(at(n), Fleet::new(0.0, told(n, n as u64 + 1))),
+            )
+        });
         world.fairly(30_000.0);
         assert_eq!(world.unsettled(), None);
         world.under_way.clear();
@@ -85,9 +106,14 @@
         for action in actions {
             match action {
                 Action::Send(to, bytes) => self.under_way.push((to, What::Datagram(bytes))),
-                Action::Exchange(to, bytes) => self.under_way.push((to, What::Exchange(from, bytes))),
+                Action::Exchange(to, bytes) => {
+                    self.under_way.push((to, What::Exchange(from, bytes)))
+                }
                 Action::Event(Event::Fallen { .. }) => {
-                    let actions = self.all.get_mut(&from).map(|fleet| fleet.given_up(self.now));
+                    let actions = self
+                        .all
+                        .get_mut(&from)
+                        .map(|fleet| fleet.given_up(self.now));
                     self.act(from, actions.unwrap_or_default());
                 }
                 Action::Event(_) => {}
@@ -97,12 +123,15 @@
 
     fn deliver(&mut self, to: SocketAddr, what: What) {
         let now = self.now;
-        let Some(fleet) = self.all.get_mut(&to) else { return };
+        let Some(fleet) = self.all.get_mut(&to) else {
+            return;
+        };
         let actions = match what {
             What::Datagram(bytes) => fleet.datagram(now, &bytes),
             What::Exchange(from, bytes) => {
                 let (back, actions) = fleet.exchange(now, &bytes);
-                self.under_way.extend(back.map(|back| (from, What::Exchanged(back))));
+                self.under_way
+                    .extend(back.map(|back| (from, What::Exchanged(back))));
                 actions
             }
             What::Exchanged(bytes) => fleet.exchanged(now, &bytes),
@@ -112,11 +141,19 @@
     }
 
     fn time(&mut self) {
-        let wake = self.all.iter().map(|(&at, fleet)| (fleet.next(), at)).min_by(|a, b| a.0.total_cmp(&b.0));
+        let wake = self
+            .all
+            .iter()
+            .map(|(&at, fleet)| (fleet.next(), at))
+            .min_by(|a, b| a.0.total_cmp(&b.0));
         if let Some((due, who)) = wake.filter(|(due, _)| due.is_finite()) {
             self.now = self.now.max(due);
             let now = self.now;
-            let actions = self.all.get_mut(&who).map(|fleet| fleet.wake(now)).unwrap_or_default();
+            let actions = self
+                .all
+                .get_mut(&who)
+                .map(|fleet| fleet.wake(now))
+                .unwrap_or_default();
             self.act(who, actions);
             self.check();
         }
@@ -140,7 +177,11 @@
             steps.extend([0, 2].map(Step::Crash));
         }
         if self.restarts > 0 {
-            steps.extend((0..3).filter(|&n| !self.all.contains_key(&at(n))).map(Step::Restart));
+            steps.extend(
+                (0..3)
+                    .filter(|&n| !self.all.contains_key(&at(n)))
+                    .map(Step::Restart),
+            );
         }
         steps
     }
@@ -168,7 +209,8 @@
             }
             Step::Restart(n) => {
                 self.restarts -= 1;
-                self.all.insert(at(n), Fleet::new(self.now, told(n, 10 + n as u64)));
+                self.all
+                    .insert(at(n), Fleet::new(self.now, told(n, 10 + n as u64)));
             }
         }
     }
@@ -177,7 +219,10 @@
     fn check(&mut self) {
         for fleet in self.all.values().filter(|fleet| fleet.is_member()) {
             let me = fleet.me();
-            let said = self.taken.entry((me.name.clone(), me.generation, me.nonce)).or_default();
+            let said = self
+                .taken
+                .entry((me.name.clone(), me.generation, me.nonce))
+                .or_default();
             assert!(me.incarnation >= *said, "{me:?} goes back");
             *said = me.incarnation;
         }
@@ -186,8 +231,13 @@
                 let record = &seen.record;
                 assert_ne!(record.name, fleet.me().name);
                 let run = (record.name.clone(), record.generation, record.nonce);
-                let said = self.taken.get(&run).unwrap_or_else(|| panic!("{record:?} never was"));
-                let spoken = record.incarnation.saturating_sub(u32::from(record.status != Status::Alive));
+                let said = self
+                    .taken
+                    .get(&run)
+                    .unwrap_or_else(|| panic!("{record:?} never was"));
+                let spoken = record
+                    .incarnation
+                    .saturating_sub(u32::from(record.status != Status::Alive));
                 assert!(spoken <= *said, "{record:?} was never said");
                 let held = self.held.entry((holder, record.name.clone())).or_default();
                 assert!(record.run() >= *held, "{holder} goes back to {record:?}");
@@ -213,7 +263,10 @@
         let there = |fleet: &Fleet| fleet.view().there() + 1 == self.all.len() && fleet.is_member();
         let well = hashes.len() == 1 && self.all.values().all(there);
         let views = || {
-            let all = self.all.values().map(|f| (f.me().name.clone(), f.standing(), f.view().there()));
+            let all = self
+                .all
+                .values()
+                .map(|f| (f.me().name.clone(), f.standing(), f.view().there()));
             format!("{:?}", all.collect::<Vec<_>>())
         };
         (!well).then(views)
@@ -238,7 +291,14 @@
         }
         let mut under_way = self.under_way.clone();
         under_way.sort();
-        (under_way, self.losses, self.doubles, self.crashes, self.restarts).hash(&mut hasher);
+        (
+            under_way,
+            self.losses,
+            self.doubles,
+            self.crashes,
+            self.restarts,
+        )
+            .hash(&mut hasher);
         hasher.finish()
     }
 }
--- a/crates/asterdale-members/tests/faults.rs
+++ b/crates/asterdale-members/tests/faults.rs
@@ -15,7 +15,13 @@
 }
 
 fn died(event: &Event) -> bool {
-    matches!(event, Event::Changed { what: Change::Died, .. })
+    matches!(
+        event,
+        Event::Changed {
+            what: Change::Died,
+            ..
+        }
+    )
 }
 
 #[test]
@@ -40,8 +46,9 @@
         net.kill(4);
         net.settles();
         assert!(net.count(|_, event| died(event)) >= 8);
-        let others = net
-            .count(|_, e| matches!(e, Event::Changed { what: Change::Died, name: n, .. } if *n != name(4)));
+        let others = net.count(
+            |_, e| matches!(e, Event::Changed { what: Change::Died, name: n, .. } if *n != name(4)),
+        );
         assert_eq!(others, 0);
     }
 }
@@ -125,7 +132,11 @@
     net.run(1_000.0);
     (0..6).for_each(|n| net.start(n));
     net.settles();
-    let before: Vec<u64> = net.all.values().map(|fleet| fleet.me().generation).collect();
+    let before: Vec<u64> = net
+        .all
+        .values()
+        .map(|fleet| fleet.me().generation)
+        .collect();
     assert_eq!(before, [1; 6]);
     for action in late {
         if let asterdale_members::Action::Send(to, bytes) = action {
@@ -136,7 +147,10 @@
     net.run(1_000.0);
     net.settles();
     assert!([1, old + 1].contains(&net.fleet(2).me().generation));
-    assert!(net.events.iter().all(|(_, _, event)| !matches!(event, Event::Superseded(_))));
+    assert!(net
+        .events
+        .iter()
+        .all(|(_, _, event)| !matches!(event, Event::Superseded(_))));
 }
 
 #[test]
@@ -152,7 +166,10 @@
     net.kill(5);
     net.settles();
     assert_eq!(net.count(|_, event| died(event)), 0);
-    assert!(net.all.values().all(|fleet| fleet.view().get(&name(5)).unwrap().record.status == Status::Left));
+    assert!(net
+        .all
+        .values()
+        .all(|fleet| fleet.view().get(&name(5)).unwrap().record.status == Status::Left));
     assert!(net.all.values().all(|fleet| fleet.part() == 1.0));
     // It comes back as a new one.
     net.start(5);
@@ -167,7 +184,10 @@
     net.part(one, other, true);
     net.run(600_000.0);
     // Neither is more than a half.
-    assert!(net.all.values().all(|fleet| !fleet.is_certain(net.now) && fleet.part() == 0.5));
+    assert!(net
+        .all
+        .values()
+        .all(|fleet| !fleet.is_certain(net.now) && fleet.part() == 0.5));
     net.part(one, other, false);
     net.settles();
     assert!(net.all.values().all(|fleet| fleet.part() == 1.0));
@@ -186,7 +206,11 @@
     net.settles();
     for n in 0..9 {
         let generation = net.fleet(n).me().generation;
-        assert_eq!(generation > 1, few.contains(&n), "{n} has generation {generation}");
+        assert_eq!(
+            generation > 1,
+            few.contains(&n),
+            "{n} has generation {generation}"
+        );
     }
 }
 
@@ -211,12 +235,28 @@
     net.run(1.0);
     assert!(!net.fleet(3).is_certain(net.now), "it can't know yet");
     net.settles();
-    let its = |event: &Event| matches!(event, Event::Changed { what: Change::Died | Change::Suspected, .. });
-    let accused =
-        net.events.iter().filter(|(when, who, event)| *when >= woke && *who == name(3) && its(event));
+    let its = |event: &Event| {
+        matches!(
+            event,
+            Event::Changed {
+                what: Change::Died | Change::Suspected,
+                ..
+            }
+        )
+    };
+    let accused = net
+        .events
+        .iter()
+        .filter(|(when, who, event)| *when >= woke && *who == name(3) && its(event));
     assert_eq!(accused.count(), 0);
-    assert_eq!(net.count(|who, event| who == name(3) && matches!(event, Event::Paused(_))), 1);
-    assert_eq!(net.count(|who, event| who == name(3) && matches!(event, Event::Fallen { .. })), 1);
+    assert_eq!(
+        net.count(|who, event| who == name(3) && matches!(event, Event::Paused(_))),
+        1
+    );
+    assert_eq!(
+        net.count(|who, event| who == name(3) && matches!(event, Event::Fallen { .. })),
+        1
+    );
     assert_eq!(net.fleet(3).me().generation, 2);
     // A short one is no matter.
     net.events.clear();
@@ -224,7 +264,10 @@
     net.run(2_000.0);
     net.paused.clear();
     net.run(30_000.0);
-    assert_eq!(net.count(|_, event| died(event) || matches!(event, Event::Fallen { .. })), 0);
+    assert_eq!(
+        net.count(|_, event| died(event) || matches!(event, Event::Fallen { .. })),
+        0
+    );
     assert_eq!(net.unsettled(), None);
 }
 
@@ -236,7 +279,10 @@
     net.run(60_000.0);
     net.paused.clear();
     net.run(60_000.0);
-    assert_eq!((net.fleet(3).standing(), net.fleet(3).me().generation), ("fallen", 1));
+    assert_eq!(
+        (net.fleet(3).standing(), net.fleet(3).me().generation),
+        ("fallen", 1)
+    );
     let held = net.fleet(0).view().get(&name(3)).unwrap().record.status;
     assert_eq!(held, Status::Dead, "it is silent until then");
     let now = net.now;
@@ -257,7 +303,10 @@
     let (old, new) = (&net.all[&at(2)], &net.all[&at(20)]);
     assert!(old.is_over() && new.is_member());
     assert_eq!(new.me().generation, 2);
-    assert_eq!(net.count(|_, event| matches!(event, Event::Superseded(to) if *to == at(20))), 1);
+    assert_eq!(
+        net.count(|_, event| matches!(event, Event::Superseded(to) if *to == at(20))),
+        1
+    );
     net.kill(2);
     net.settles();
     // One that is gone, at an address that it had alone, does not keep its name from coming back elsewhere.
@@ -283,7 +332,14 @@
     }
     net.run(120_000.0);
     assert_eq!(net.count(|_, event| died(event)), 0);
-    assert!(net.all.values().map(|fleet| fleet.counts.defended).sum::<u64>() > 0, "nobody was accused");
+    assert!(
+        net.all
+            .values()
+            .map(|fleet| fleet.counts.defended)
+            .sum::<u64>()
+            > 0,
+        "nobody was accused"
+    );
     assert_eq!(net.unsettled(), None);
 }
 
@@ -316,15 +372,25 @@
 #[test]
 fn notes_reach_all_and_are_news_no_more_often_than_stated() {
     let mut net = settled(25, 6);
-    let notes = Notes { phase: Phase::Full, load: 97, warm: 100 };
+    let notes = Notes {
+        phase: Phase::Full,
+        load: 97,
+        warm: 100,
+    };
     net.all.get_mut(&at(4)).unwrap().note(notes);
     net.run(10_000.0);
     for n in [0, 1, 2, 3, 5] {
-        assert_eq!(net.fleet(n).view().get(&name(4)).unwrap().record.notes, notes);
+        assert_eq!(
+            net.fleet(n).view().get(&name(4)).unwrap().record.notes,
+            notes
+        );
     }
     let before = net.fleet(4).me().incarnation;
     for n in 0..200u8 {
-        net.all.get_mut(&at(4)).unwrap().note(Notes { load: n % 100, ..notes });
+        net.all.get_mut(&at(4)).unwrap().note(Notes {
+            load: n % 100,
+            ..notes
+        });
         net.run(50.0);
     }
     assert!(net.fleet(4).me().incarnation - before <= 6);
@@ -351,7 +417,10 @@
     net.send(at(0), What::Datagram(vec![1; 2000]), 5_000.0);
     net.run(6_000.0);
     let counts = &net.fleet(0).counts;
-    assert!(counts.foreign > 100 && counts.flooded > 1000 && counts.unreadable == 1, "{counts:?}");
+    assert!(
+        counts.foreign > 100 && counts.flooded > 1000 && counts.unreadable == 1,
+        "{counts:?}"
+    );
     assert_eq!(net.fleet(0).hash(), hash);
     net.settles();
 }
--- a/crates/asterdale-members/tests/net/mod.rs
+++ b/crates/asterdale-members/tests/net/mod.rs
@@ -129,7 +129,8 @@
     pub fn send(&mut self, to: SocketAddr, what: What, after: f64) {
         self.came += 1;
         let due = ((self.now + after) * 1000.0) as Micros;
-        self.under_way.push(std::cmp::Reverse((due, self.came, to, what)));
+        self.under_way
+            .push(std::cmp::Reverse((due, self.came, to, what)));
     }
 
     fn act(&mut self, from: SocketAddr, actions: Vec<Action>) {
@@ -155,8 +156,11 @@
                 Action::Event(event) => {
                     let name = self.all[&from].me().name.clone();
                     if matches!(event, Event::Fallen { .. }) && self.gives_up {
-                        let actions =
-                            self.all.get_mut(&from).map(|fleet| fleet.given_up(self.now)).unwrap_or_default();
+                        let actions = self
+                            .all
+                            .get_mut(&from)
+                            .map(|fleet| fleet.given_up(self.now))
+                            .unwrap_or_default();
                         self.act(from, actions);
                     }
                     self.events.push((self.now, name, event));
@@ -170,8 +174,13 @@
         let end = self.now + ms;
         loop {
             let awake = self.all.iter().filter(|(at, _)| !self.paused.contains(at));
-            let wake = awake.map(|(&at, fleet)| (fleet.next(), at)).min_by(|a, b| a.0.total_cmp(&b.0));
-            let due = self.under_way.peek().map_or(f64::INFINITY, |next| next.0 .0 as f64 / 1000.0);
+            let wake = awake
+                .map(|(&at, fleet)| (fleet.next(), at))
+                .min_by(|a, b| a.0.total_cmp(&b.0));
+            let due = self
+                .under_way
+                .peek()
+                .map_or(f64::INFINITY, |next| next.0 .0 as f64 / 1000.0);
             let (wakes, who) = wake.unwrap_or((f64::INFINITY, at(0)));
             if wakes.min(due) > end {
                 self.now = end;
@@ -179,7 +188,9 @@
             }
             self.now = self.now.max(wakes.min(due));
             if due <= wakes {
-                let Some(std::cmp::Reverse((.., to, what))) = self.under_way.pop() else { return };
+                let Some(std::cmp::Reverse((.., to, what))) = self.under_way.pop() else {
+                    return;
+                };
                 if self.paused.contains(&to) {
                     // What waits for it lies there until it goes on, as in a socket's buffer.
                     self.send(to, what, 100.0);
@@ -188,7 +199,11 @@
                 self.deliver(to, what);
             } else {
                 let now = self.now;
-                let actions = self.all.get_mut(&who).map(|fleet| fleet.wake(now)).unwrap_or_default();
+                let actions = self
+                    .all
+                    .get_mut(&who)
+                    .map(|fleet| fleet.wake(now))
+                    .unwrap_or_default();
                 self.act(who, actions);
             }
         }
@@ -196,7 +211,9 @@
 
     fn deliver(&mut self, to: SocketAddr, what: What) {
         let now = self.now;
-        let Some(fleet) = self.all.get_mut(&to) else { return };
+        let Some(fleet) = self.all.get_mut(&to) else {
+            return;
+        };
         let actions = match what {
             What::Datagram(bytes) => fleet.datagram(now, &bytes),
             What::Exchange(from, bytes) => {
@@ -214,15 +231,19 @@
     /// Why it has not settled: every process that runs is a member, holds those who run and nobody else, and all
     /// have the same hash.
     pub fn unsettled(&self) -> Option<String> {
-        let live: BTreeMap<String, u64> =
-            self.all.values().map(|fleet| (fleet.me().name.clone(), fleet.me().generation)).collect();
+        let live: BTreeMap<String, u64> = self
+            .all
+            .values()
+            .map(|fleet| (fleet.me().name.clone(), fleet.me().generation))
+            .collect();
         for fleet in self.all.values() {
             if !fleet.is_member() {
                 return Some(format!("{} is {}", fleet.me().name, fleet.standing()));
             }
             let there = fleet.view().iter().filter(|seen| seen.record.is_in());
-            let mut held: BTreeMap<String, u64> =
-                there.map(|seen| (seen.record.name.clone(), seen.record.generation)).collect();
+            let mut held: BTreeMap<String, u64> = there
+                .map(|seen| (seen.record.name.clone(), seen.record.generation))
+                .collect();
             held.insert(fleet.me().name.clone(), fleet.me().generation);
             if held != live {
                 return Some(format!("{} holds {held:?} of {live:?}", fleet.me().name));
@@ -244,6 +265,9 @@
 
     /// How often this happened, as any process saw it.
     pub fn count(&self, holds: impl Fn(&str, &Event) -> bool) -> usize {
-        self.events.iter().filter(|(_, who, event)| holds(who, event)).count()
+        self.events
+            .iter()
+            .filter(|(_, who, event)| holds(who, event))
+            .count()
     }
 }
--- a/crates/asterdale-rig/src/caller.rs
+++ b/crates/asterdale-rig/src/caller.rs
@@ -23,7 +23,10 @@
     /// Of this lane, where so many together bring so many tasks a second.
     pub fn new(lane: u64, lanes: u64, rate: f64) -> Pace {
         let every = Duration::from_secs_f64(lanes as f64 / rate);
-        Pace { every, next: Instant::now() + every.mul_f64(lane as f64 / lanes as f64) }
+        Pace {
+            every,
+            next: Instant::now() + every.mul_f64(lane as f64 / lanes as f64),
+        }
     }
 
     /// Waits for the next one. A lane that is late goes on from now: it makes up for nothing.
@@ -55,7 +58,12 @@
 impl Caller {
     /// Nothing is connected before the first request.
     pub fn new(at: SocketAddr) -> Caller {
-        Caller { at, edge: None, number: 0, patience: PATIENCE }
+        Caller {
+            at,
+            edge: None,
+            number: 0,
+            patience: PATIENCE,
+        }
     }
 
     /// Waits no longer than this for an answer.
@@ -82,7 +90,9 @@
                     Err(_) => return Fate::Refused,
                 }
             }
-            let Some(edge) = &mut self.edge else { return Fate::Lost };
+            let Some(edge) = &mut self.edge else {
+                return Fate::Lost;
+            };
             self.number = self.number % 30_000 + 1;
             let began = Instant::now();
             let sent = edge.try_send(&request(self.number, path, fields, body));
--- a/crates/asterdale-rig/src/crowd.rs
+++ b/crates/asterdale-rig/src/crowd.rs
@@ -111,7 +111,14 @@
             ended: 0,
             times: histogram(),
         };
-        Ok(Crowd { order, poll: Poll::new()?, lines: HashMap::new(), made: 0, turn: 0, seen })
+        Ok(Crowd {
+            order,
+            poll: Poll::new()?,
+            lines: HashMap::new(),
+            made: 0,
+            turn: 0,
+            seen,
+        })
     }
 
     /// Opens a connection; its number.
@@ -122,7 +129,9 @@
             stream.set_nonblocking(true)?;
             let fd = stream.as_raw_fd();
             let token = Token(self.made);
-            self.poll.registry().register(&mut SourceFd(&fd), token, Interest::READABLE)?;
+            self.poll
+                .registry()
+                .register(&mut SourceFd(&fd), token, Interest::READABLE)?;
             Ok(stream)
         });
         let Ok(stream) = made else {
@@ -178,7 +187,10 @@
         self.seen.sent += 1;
         let id = format!("{:08x}{:08x}", self.order.seed, n as u32);
         let mark = format!("{:016x}{n:016x}", self.order.seed);
-        let (start, caller) = ((unix_ms() as u64).to_string(), (number % self.order.edges).to_string());
+        let (start, caller) = (
+            (unix_ms() as u64).to_string(),
+            (number % self.order.edges).to_string(),
+        );
         let timeout = self.order.timeout_ms.to_string();
         let stage = self.order.stages[n as usize % self.order.stages.len()];
         let other = [
@@ -189,18 +201,29 @@
             ("HTTP_IDEMPOTENCY_KEY", &mark),
         ];
         let fields = scripted::fields(&id, &start, &other);
-        let Some(line) = self.lines.get_mut(&number) else { return };
+        let Some(line) = self.lines.get_mut(&number) else {
+            return;
+        };
         line.next = line.next % 30_000 + 1;
         let bytes = scripted::request(line.next, &format!("/v1/{stage}"), &fields, b"ask");
         self.send(number, bytes, false);
     }
 
     fn send(&mut self, number: usize, bytes: Vec<u8>, again: bool) {
-        let Some(line) = self.lines.get_mut(&number) else { return };
+        let Some(line) = self.lines.get_mut(&number) else {
+            return;
+        };
         let request = line.next;
         // A request is far smaller than any way out; where it does not fit nobody reads.
         let sent = line.stream.write_all(&bytes);
-        line.open.insert(request, Asked { bytes, sent: Instant::now(), again });
+        line.open.insert(
+            request,
+            Asked {
+                bytes,
+                sent: Instant::now(),
+                again,
+            },
+        );
         if sent.is_err() {
             self.over(number);
         }
@@ -208,8 +231,13 @@
 
     /// A connection ended: what was open on it is sent once more where it crossed the end, or is lost.
     fn over(&mut self, number: usize) {
-        let Some(line) = self.lines.remove(&number) else { return };
-        let _ = self.poll.registry().deregister(&mut SourceFd(&line.stream.as_raw_fd()));
+        let Some(line) = self.lines.remove(&number) else {
+            return;
+        };
+        let _ = self
+            .poll
+            .registry()
+            .deregister(&mut SourceFd(&line.stream.as_raw_fd()));
         drop(line.stream);
         self.seen.ended += 1;
         for (request, asked) in line.open {
@@ -229,7 +257,9 @@
     /// Reads what has come over this connection.
     fn read(&mut self, number: usize) {
         loop {
-            let Some(line) = self.lines.get_mut(&number) else { return };
+            let Some(line) = self.lines.get_mut(&number) else {
+                return;
+            };
             match line.stream.read(line.incoming.room()) {
                 Ok(0) => return self.over(number),
                 Ok(count) => line.incoming.filled(count),
@@ -240,7 +270,10 @@
             loop {
                 match line.incoming.take() {
                     Ok(Some(record)) if record.kind == kind::STDOUT => {
-                        line.stdout.entry(record.id).or_default().extend_from_slice(record.content);
+                        line.stdout
+                            .entry(record.id)
+                            .or_default()
+                            .extend_from_slice(record.content);
                     }
                     Ok(Some(record)) if record.kind == kind::END_REQUEST => {
                         let head = line.stdout.remove(&record.id).unwrap_or_default();
@@ -252,7 +285,10 @@
                         let status = head.lines().find_map(|line| line.strip_prefix("Status: "));
                         let status = status.unwrap_or("none").to_owned();
                         if status == "200" {
-                            let _ = self.seen.times.record((asked.sent.elapsed().as_micros() as u64).max(1));
+                            let _ = self
+                                .seen
+                                .times
+                                .record((asked.sent.elapsed().as_micros() as u64).max(1));
                         }
                         *self.seen.answered.entry(status).or_default() += 1;
                     }
@@ -299,6 +335,10 @@
         while self.lines.values().any(|line| !line.open.is_empty()) && Instant::now() < last {
             self.wait(last.min(Instant::now() + Duration::from_millis(100)));
         }
-        self.seen.lost += self.lines.values().map(|line| line.open.len() as u64).sum::<u64>();
+        self.seen.lost += self
+            .lines
+            .values()
+            .map(|line| line.open.len() as u64)
+            .sum::<u64>();
     }
 }
--- a/crates/asterdale-rig/src/demo.rs
+++ b/crates/asterdale-rig/src/demo.rs
@@ -34,15 +34,25 @@
 pub fn run(order: &Order) -> Result<String, String> {
     let told = |e: std::io::Error| e.to_string();
     let worker = Worker::start(4, (5, 35)).map_err(told)?;
-    let (records, registry) = (services::records().map_err(told)?, services::registry().map_err(told)?);
+    let (records, registry) = (
+        services::records().map_err(told)?,
+        services::registry().map_err(told)?,
+    );
     let mut start = scripted::config(scripted::address(), worker.at, records, registry);
     start["settings"]["extra"]["cores"] = json!(4);
     for lane in 0..2 {
         start["settings"]["lanes"][lane]["objectiveNs"] = json!(500_000_000);
         start["settings"]["lanes"][lane]["deadlineNs"] = json!(2_000_000_000);
     }
-    let at = start["listen"].as_str().and_then(|at| at.parse().ok()).ok_or("no address")?;
-    let mut daemon = Daemon::start(&Recipe { program: program(), start, plant: None })?;
+    let at = start["listen"]
+        .as_str()
+        .and_then(|at| at.parse().ok())
+        .ok_or("no address")?;
+    let mut daemon = Daemon::start(&Recipe {
+        program: program(),
+        start,
+        plant: None,
+    })?;
     daemon.listens(at)?;
     let end = Instant::now() + Duration::from_secs(order.seconds);
     let (seen, times) = (Arc::new(Seen::default()), Arc::new(Mutex::new(histogram())));
@@ -60,7 +70,10 @@
                     thread::sleep(next.saturating_duration_since(Instant::now()));
                     next += every;
                     n += 1;
-                    let (id, start) = (format!("{:016x}", lane << 32 | n), (unix_ms() as u64).to_string());
+                    let (id, start) = (
+                        format!("{:016x}", lane << 32 | n),
+                        (unix_ms() as u64).to_string(),
+                    );
                     let (edge, bid) = ((lane % 4).to_string(), n % 4 == 0);
                     let fields = [
                         ("HTTP_X_REQUEST_ID", id.as_str()),
@@ -72,7 +85,8 @@
                         ("HTTP_IDEMPOTENCY_KEY", if bid { &id } else { "" }),
                     ];
                     let began = Instant::now();
-                    let fate = caller.ask(if bid { "/v1/bid" } else { "/v1/page" }, &fields, b"ask");
+                    let fate =
+                        caller.ask(if bid { "/v1/bid" } else { "/v1/page" }, &fields, b"ask");
                     let status = match &fate {
                         Fate::Answered(answer) => answer.status(),
                         Fate::Refused | Fate::Lost => "",
@@ -106,7 +120,10 @@
         ));
         if daemon.ended() {
             stop.store(true, Relaxed);
-            return Err(format!("the daemon ended by itself:\n{}", daemon.log().join("\n")));
+            return Err(format!(
+                "the daemon ended by itself:\n{}",
+                daemon.log().join("\n")
+            ));
         }
     }
     bar.finish_and_clear();
@@ -115,10 +132,21 @@
     }
     let (cpu_ms, kib) = daemon.usage();
     if !daemon.leave(Duration::from_secs(10)) {
-        return Err(format!("the daemon did not leave well:\n{}", daemon.log().join("\n")));
+        return Err(format!(
+            "the daemon did not leave well:\n{}",
+            daemon.log().join("\n")
+        ));
     }
-    let times = times.lock().map(|times| quantiles(&times)).unwrap_or_default();
-    let Seen { finished, rejected, abandoned, lost } = &*seen;
+    let times = times
+        .lock()
+        .map(|times| quantiles(&times))
+        .unwrap_or_default();
+    let Seen {
+        finished,
+        rejected,
+        abandoned,
+        lost,
+    } = &*seen;
     Ok(format!(
         "finished {finished:?}, rejected {rejected:?}, abandoned {abandoned:?}, lost {lost:?}\n\
          milliseconds of the finished: {times}\nthe daemon used {cpu_ms:.0} ms of CPU and has {kib} KiB"
--- a/crates/asterdale-rig/src/flood.rs
+++ b/crates/asterdale-rig/src/flood.rs
@@ -103,7 +103,10 @@
         })
         .collect();
     threads.into_iter().for_each(|thread| drop(thread.join()));
-    let times = times.lock().map(|times| quantiles(&times)).unwrap_or_default();
+    let times = times
+        .lock()
+        .map(|times| quantiles(&times))
+        .unwrap_or_default();
     (good.load(Relaxed), other.load(Relaxed), times)
 }
 
@@ -117,14 +120,24 @@
     let head = json!({"alg": "EdDSA", "kid": "root", "typ": asterdale_identity::keyring::TYPE});
     let file = std::env::temp_dir().join(format!("asterdale-flood-{}", std::process::id()));
     std::fs::write(&file, asterdale_identity::mint::sign(&root, &head, &set)).map_err(told)?;
-    let (records, registry) = (services::records().map_err(told)?, services::registry().map_err(told)?);
+    let (records, registry) = (
+        services::records().map_err(told)?,
+        services::registry().map_err(told)?,
+    );
     let mut start = scripted::config(scripted::address(), worker.at, records, registry);
     start["settings"]["extra"]["cores"] = json!(4);
     start["identity"] = json!({"issuer": "i", "audience": "asterdale", "roots": [root.public_text()],
         "keys": {"file": file}, "roles": [{"name": "r", "stages": ["page"]}],
         "tenants": [{"name": "t", "roles": ["r"]}]});
-    let at = start["listen"].as_str().and_then(|at| at.parse().ok()).ok_or("no address")?;
-    let daemon = Arc::new(Daemon::start(&Recipe { program: program(), start, plant: None })?);
+    let at = start["listen"]
+        .as_str()
+        .and_then(|at| at.parse().ok())
+        .ok_or("no address")?;
+    let daemon = Arc::new(Daemon::start(&Recipe {
+        program: program(),
+        start,
+        plant: None,
+    })?);
     let (good, bad) = (token(&key, "good", now), token(&key, "bad", now));
     let stop = Arc::new(AtomicBool::new(false));
     let (held, ended, share) = (daemon.clone(), stop.clone(), order.share);
@@ -135,7 +148,8 @@
         let (rate, seconds) = (order.rate, order.seconds);
         let (bad, flood) = (bad.clone(), order.flood);
         let used = daemon.usage().0;
-        let other = thread::spawn(move || flooded.then(|| drive(at, &bad, (flood, 64), "401", seconds)));
+        let other =
+            thread::spawn(move || flooded.then(|| drive(at, &bad, (flood, 64), "401", seconds)));
         let (finished, not, times) = drive(at, &good, (rate, 16), "200", seconds);
         let refused = other.join().map_err(|_| "the flood panicked".to_owned())?;
         let cpu = (daemon.usage().0 - used) / (seconds as f64 * 1e3);
@@ -147,9 +161,15 @@
     let _ = holder.join();
     let _ = std::fs::remove_file(file);
     let sum = |flood: bool| -> u64 {
-        turns.iter().filter(|turn| turn["flood"] == flood).filter_map(|turn| turn["finished"].as_u64()).sum()
+        turns
+            .iter()
+            .filter(|turn| turn["flood"] == flood)
+            .filter_map(|turn| turn["finished"].as_u64())
+            .sum()
     };
     let lost = 1.0 - sum(true) as f64 / sum(false).max(1) as f64;
-    Ok(json!({"turns": turns, "good_tasks_lost": (lost * 1e4).round() / 1e4,
-        "signatures": daemon.counter("signatures")}))
+    Ok(
+        json!({"turns": turns, "good_tasks_lost": (lost * 1e4).round() / 1e4,
+        "signatures": daemon.counter("signatures")}),
+    )
 }
--- a/crates/asterdale-rig/src/issuer.rs
+++ b/crates/asterdale-rig/src/issuer.rs
@@ -78,25 +78,39 @@
 
     /// When it handed out which set whole, as the last one: the time is after the last byte.
     pub fn handed(&self) -> Vec<(f64, u64)> {
-        self.state.lock().map(|state| state.handed.clone()).unwrap_or_default()
+        self.state
+            .lock()
+            .map(|state| state.handed.clone())
+            .unwrap_or_default()
     }
 
     /// How often it was asked, and how often the set had not changed.
     pub fn asked(&self) -> (u64, u64) {
-        self.state.lock().map_or((0, 0), |state| (state.asked, state.unchanged))
+        self.state
+            .lock()
+            .map_or((0, 0), |state| (state.asked, state.unchanged))
     }
 }
 
 fn answer(stream: &TcpStream, state: &Mutex<State>) {
     let mut reader = BufReader::new(stream);
-    let Some((head, _)) = services::request(&mut reader) else { return };
+    let Some((head, _)) = services::request(&mut reader) else {
+        return;
+    };
     let (mood, last, old, forged) = {
         let Ok(mut state) = state.lock() else { return };
         state.asked += 1;
         let mood = state.mood.unwrap_or(Mood::Good);
-        (mood, state.sets.last().cloned(), state.sets.first().cloned(), state.forged.clone())
+        (
+            mood,
+            state.sets.last().cloned(),
+            state.sets.first().cloned(),
+            state.forged.clone(),
+        )
+    };
+    let (Some(last), Some(old)) = (last, old) else {
+        return;
     };
-    let (Some(last), Some(old)) = (last, old) else { return };
     let mut out = stream;
     let send = |mut out: &TcpStream, tag: &str, body: &str| {
         let length = body.len();
@@ -108,7 +122,9 @@
     };
     match mood {
         Mood::Down => {}
-        Mood::Rubbish => drop(out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"keys\":1")),
+        Mood::Rubbish => {
+            drop(out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"keys\":1"))
+        }
         Mood::RolledBack => drop(send(stream, "old", &old.1)),
         Mood::Forged => drop(send(stream, "forged", &forged)),
         Mood::Good | Mood::Slow(_) => {
--- a/crates/asterdale-rig/src/lib.rs
+++ b/crates/asterdale-rig/src/lib.rs
@@ -23,5 +23,7 @@
 
 /// Unix milliseconds.
 pub fn unix_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64() * 1e3)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |since| since.as_secs_f64() * 1e3)
 }
--- a/crates/asterdale-rig/src/main.rs
+++ b/crates/asterdale-rig/src/main.rs
@@ -162,11 +162,14 @@
 
 fn main() -> ExitCode {
     let done = match Line::parse().command {
-        Command::Demo { rate, seconds } => demo::run(&demo::Order { rate: rate.clamp(1.0, 5000.0), seconds })
-            .map(|text| {
-                println!("{text}");
-                true
-            }),
+        Command::Demo { rate, seconds } => demo::run(&demo::Order {
+            rate: rate.clamp(1.0, 5000.0),
+            seconds,
+        })
+        .map(|text| {
+            println!("{text}");
+            true
+        }),
         Command::Prove {
             name,
             seed,
@@ -181,16 +184,31 @@
             journal,
             plant,
         } => {
-            let order = Order { seed, seconds, plant: plant.clone() };
+            let order = Order {
+                seed,
+                seconds,
+                plant: plant.clone(),
+            };
             let (called, figures) = match name {
                 Proof::Rotation => ("rotation", rotation::prove(&order)),
                 Proof::Fleet => {
                     let members = members.unwrap_or(12).clamp(3, 60);
-                    ("fleet", fleet::prove(&fleet::Told { order, members, interval_ms, rounds }))
+                    (
+                        "fleet",
+                        fleet::prove(&fleet::Told {
+                            order,
+                            members,
+                            interval_ms,
+                            rounds,
+                        }),
+                    )
                 }
                 Proof::Takeover => {
                     let members = members.unwrap_or(9).clamp(6, 60);
-                    let (keepers, rate) = ((keepers | 1).clamp(3, 7.min(members)), rate.clamp(1.0, 5000.0));
+                    let (keepers, rate) = (
+                        (keepers | 1).clamp(3, 7.min(members)),
+                        rate.clamp(1.0, 5000.0),
+                    );
                     (
                         "takeover",
                         takeover::prove(&takeover::Told {
@@ -204,10 +222,22 @@
                     )
                 }
                 Proof::Restarts => {
-                    let (members, rate) = (members.unwrap_or(6).clamp(3, 60), rate.clamp(1.0, 5000.0));
-                    ("restarts", restarts::prove(&restarts::Told { order, members, rate, rounds }))
+                    let (members, rate) =
+                        (members.unwrap_or(6).clamp(3, 60), rate.clamp(1.0, 5000.0));
+                    (
+                        "restarts",
+                        restarts::prove(&restarts::Told {
+                            order,
+                            members,
+                            rate,
+                            rounds,
+                        }),
+                    )
                 }
-                Proof::Upgrade => ("upgrade", upgrade::prove(&order, upgrades, fails.min(upgrades))),
+                Proof::Upgrade => (
+                    "upgrade",
+                    upgrade::prove(&order, upgrades, fails.min(upgrades)),
+                ),
             };
             figures.map(|mut figures| {
                 let held = figures["held"] == true;
@@ -221,8 +251,18 @@
             println!("{figures:#}");
             true
         }),
-        Command::Price { members, rates, keepers, journal, seconds, seed } => {
-            let rates = rates.into_iter().map(|rate| rate.clamp(1.0, 10_000.0)).collect();
+        Command::Price {
+            members,
+            rates,
+            keepers,
+            journal,
+            seconds,
+            seed,
+        } => {
+            let rates = rates
+                .into_iter()
+                .map(|rate| rate.clamp(1.0, 10_000.0))
+                .collect();
             price::measure(&price::Order {
                 members: members.clamp(1, 60),
                 rates,
@@ -236,30 +276,65 @@
                 true
             })
         }
-        Command::Third { members, rate, seconds, repeats, seed } => {
+        Command::Third {
+            members,
+            rate,
+            seconds,
+            repeats,
+            seed,
+        } => {
             let members = members.clamp(3, 60);
             let rate = rate.clamp(1.0, 5000.0);
-            third::measure(&third::Order { members, rate, seconds, seed }, repeats.clamp(1, 100)).map(
-                |figures| {
-                    println!("{figures}");
-                    true
+            third::measure(
+                &third::Order {
+                    members,
+                    rate,
+                    seconds,
+                    seed,
                 },
+                repeats.clamp(1, 100),
             )
+            .map(|figures| {
+                println!("{figures}");
+                true
+            })
         }
-        Command::Soak { connections, rate, seconds, once, seed } => {
+        Command::Soak {
+            connections,
+            rate,
+            seconds,
+            once,
+            seed,
+        } => {
             let (rate, lasts) = (rate.clamp(0.1, 5000.0), Duration::from_secs(seconds));
             let connections = connections.clamp(1, 8000);
-            soak::soak(&soak::Soak { connections, rate, lasts, once, seed }).map(|figures| {
+            soak::soak(&soak::Soak {
+                connections,
+                rate,
+                lasts,
+                once,
+                seed,
+            })
+            .map(|figures| {
                 println!("{figures}");
                 figures["held"] == true
             })
         }
-        Command::Flood { flood, rate, seconds, share } => {
-            flood::measure(&flood::Order { flood, rate, seconds, share }).map(|figures| {
-                println!("{figures:#}");
-                true
-            })
-        }
+        Command::Flood {
+            flood,
+            rate,
+            seconds,
+            share,
+        } => flood::measure(&flood::Order {
+            flood,
+            rate,
+            seconds,
+            share,
+        })
+        .map(|figures| {
+            println!("{figures:#}");
+            true
+        }),
     };
     match done {
         Ok(true) => ExitCode::SUCCESS,
