--- a/crates/asterdale-rig/src/many.rs
+++ b/crates/asterdale-rig/src/many.rs
@@ -65,9 +65,17 @@
 
 impl Order {
     /// A fleet whose bids have their effect at this records service, with planted faults where that is asked for.
-    pub fn bids(order: &crate::proofs::Order, members: usize, records: SocketAddr) -> Result<Order, String> {
+    pub fn bids(
+        order: &crate::proofs::Order,
+        members: usize,
+        records: SocketAddr,
+    ) -> Result<Order, String> {
         let planted = order.plant.is_some();
-        let program = if planted { crate::process::planted_program()? } else { crate::process::program() };
+        let program = if planted {
+            crate::process::planted_program()?
+        } else {
+            crate::process::program()
+        };
         Ok(Order {
             members,
             seeds: 3.min(members),
@@ -104,16 +112,25 @@
         std::fs::write(&key, KEY).map_err(told)?;
         // Each has a loopback address of its own; of its ports one is for edge nodes, one for talk.
         let places: Vec<SocketAddr> = (0..order.members).map(|_| scripted::address()).collect();
-        let listens: Vec<SocketAddr> =
-            places.iter().map(|at| SocketAddr::new(at.ip(), at.port() + 100)).collect();
+        let listens: Vec<SocketAddr> = places
+            .iter()
+            .map(|at| SocketAddr::new(at.ip(), at.port() + 100))
+            .collect();
         let names = (0..order.members).map(name).collect();
         let relays = Relays::begin(listens.clone(), names, order.seed).map_err(told)?;
-        let records = order.records.map_or_else(services::records, Ok).map_err(told)?;
+        let records = order
+            .records
+            .map_or_else(services::records, Ok)
+            .map_err(told)?;
         let registry = services::registry().map_err(told)?;
         let mut members = Vec::new();
         for (n, &at) in places.iter().enumerate() {
             // Where effects are counted, bids have one.
-            let (cores, calls) = if order.records.is_some() { (8, Some("bid")) } else { (2, None) };
+            let (cores, calls) = if order.records.is_some() {
+                (8, Some("bid"))
+            } else {
+                (2, None)
+            };
             let worker = Worker::start_calling(cores, order.runs, calls).map_err(told)?;
             let control = folder.join(format!("{n}.control"));
             let mut start = scripted::config(at, worker.at, records, registry);
@@ -140,12 +157,28 @@
                 start["settings"]["extra"]["callsOut"] = json!(2000.0);
                 let bid = &mut start["settings"]["lanes"][1];
                 bid["memorySpanNs"] = json!(WINDOW_MS * 1_000_000);
-                (bid["deadlineNs"], bid["objectiveNs"]) = (json!(5_000_000_000u64), json!(4_000_000_000u64));
+                (bid["deadlineNs"], bid["objectiveNs"]) =
+                    (json!(5_000_000_000u64), json!(4_000_000_000u64));
             }
-            let recipe = Recipe { program: order.program.clone(), start, plant: order.plant.clone() };
-            members.push(Member { recipe, at, control, worker, daemon: None, stopped: false });
+            let recipe = Recipe {
+                program: order.program.clone(),
+                start,
+                plant: order.plant.clone(),
+            };
+            members.push(Member {
+                recipe,
+                at,
+                control,
+                worker,
+                daemon: None,
+                stopped: false,
+            });
         }
-        Ok(Many { members, relays, folder })
+        Ok(Many {
+            members,
+            relays,
+            folder,
+        })
     }
 
     /// How many places there are.
@@ -193,12 +226,19 @@
         while !second.ended() && std::time::Instant::now() < until {
             std::thread::sleep(Duration::from_millis(5));
         }
-        Ok(second.ended() && second.log().iter().any(|line| line.contains("another process has this folder")))
+        Ok(second.ended()
+            && second
+                .log()
+                .iter()
+                .any(|line| line.contains("another process has this folder")))
     }
 
     /// Waits until it takes edge nodes' connections.
     pub fn listens(&self, n: usize) -> Result<(), String> {
-        self.members[n].daemon.as_ref().map_or(Ok(()), |daemon| daemon.listens(self.members[n].at))
+        self.members[n]
+            .daemon
+            .as_ref()
+            .map_or(Ok(()), |daemon| daemon.listens(self.members[n].at))
     }
 
     /// Kills it.
@@ -208,7 +248,10 @@
 
     /// Has it leave, and waits for its end.
     pub fn leave(&mut self, n: usize) -> bool {
-        let left = self.members[n].daemon.as_mut().is_some_and(|daemon| daemon.leave(Duration::from_secs(8)));
+        let left = self.members[n]
+            .daemon
+            .as_mut()
+            .is_some_and(|daemon| daemon.leave(Duration::from_secs(8)));
         self.kill(n);
         left
     }
@@ -224,18 +267,24 @@
 
     /// Those that run, standing still or not.
     pub fn live(&self) -> Vec<usize> {
-        (0..self.len()).filter(|&n| self.members[n].daemon.is_some()).collect()
+        (0..self.len())
+            .filter(|&n| self.members[n].daemon.is_some())
+            .collect()
     }
 
     /// Those that ended by themselves.
     pub fn ended(&mut self) -> Vec<usize> {
         let all = self.members.iter_mut().enumerate();
-        all.filter_map(|(n, member)| member.daemon.as_mut()?.ended().then_some(n)).collect()
+        all.filter_map(|(n, member)| member.daemon.as_mut()?.ended().then_some(n))
+            .collect()
     }
 
     /// CPU time that all have used, in milliseconds.
     pub fn cpu_ms(&self) -> f64 {
-        self.members.iter().filter_map(|member| Some(member.daemon.as_ref()?.usage().0)).sum()
+        self.members
+            .iter()
+            .filter_map(|member| Some(member.daemon.as_ref()?.usage().0))
+            .sum()
     }
 
     /// One of its counters, asked for now.
@@ -244,12 +293,20 @@
         if member.stopped {
             return 0;
         }
-        member.daemon.as_ref().and_then(|daemon| daemon.counter(name)).unwrap_or(0)
+        member
+            .daemon
+            .as_ref()
+            .and_then(|daemon| daemon.counter(name))
+            .unwrap_or(0)
     }
 
     /// The last lines of its log.
     pub fn log(&self, n: usize) -> Vec<String> {
-        self.members[n].daemon.as_ref().map(Daemon::log).unwrap_or_default()
+        self.members[n]
+            .daemon
+            .as_ref()
+            .map(Daemon::log)
+            .unwrap_or_default()
     }
 
     /// What it holds of the fleet, by its control socket; `None` if it does not answer.
@@ -269,16 +326,26 @@
 
 impl Drop for Many {
     fn drop(&mut self) {
-        self.members.iter_mut().for_each(|member| member.daemon = None);
+        self.members
+            .iter_mut()
+            .for_each(|member| member.daemon = None);
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 /// Those who count as there in what was shown, the one that tells among them: their generations by name.
 pub fn there(shown: &Value) -> BTreeMap<String, u64> {
-    let of = |member: &Value| Some((member["name"].as_str()?.to_owned(), member["generation"].as_u64()?));
+    let of = |member: &Value| {
+        Some((
+            member["name"].as_str()?.to_owned(),
+            member["generation"].as_u64()?,
+        ))
+    };
     let members = shown["members"].as_array().into_iter().flatten();
-    let held = members.filter(|member| matches!(member["status"].as_str(), Some("alive" | "suspect")));
-    let own = (shown["standing"] == "in").then(|| of(&shown["me"])).flatten();
+    let held =
+        members.filter(|member| matches!(member["status"].as_str(), Some("alive" | "suspect")));
+    let own = (shown["standing"] == "in")
+        .then(|| of(&shown["me"]))
+        .flatten();
     held.filter_map(of).chain(own).collect()
 }
--- a/crates/asterdale-rig/src/price.rs
+++ b/crates/asterdale-rig/src/price.rs
@@ -51,7 +51,10 @@
         let mut pace = Pace::new(lane, LANES, self.rate);
         while !self.stop.load(Ordering::Relaxed) {
             pace.wait();
-            let (id, key) = (format!("{:016x}", random.next_u64()), format!("{:016x}", random.next_u64()));
+            let (id, key) = (
+                format!("{:016x}", random.next_u64()),
+                format!("{:016x}", random.next_u64()),
+            );
             let start = (unix_ms() as u64).to_string();
             let fields = [
                 ("HTTP_X_REQUEST_ID", id.as_str()),
--- a/crates/asterdale-rig/src/process.rs
+++ b/crates/asterdale-rig/src/process.rs
@@ -19,21 +19,39 @@
         return path.into();
     }
     let own = std::env::current_exe().unwrap_or_default();
-    let beside = own.ancestors().skip(1).take(2).map(|folder| folder.join("asterdale"));
-    beside.filter(|path| path.is_file()).last().unwrap_or_else(|| "asterdale".into())
+    let beside = own
+        .ancestors()
+        .skip(1)
+        .take(2)
+        .map(|folder| folder.join("asterdale"));
+    beside
+        .filter(|path| path.is_file())
+        .last()
+        .unwrap_or_else(|| "asterdale".into())
 }
 
 /// Builds the daemon with faults that can be planted, in a folder of its own: no shipped build can have them.
 pub fn planted_program() -> Result<PathBuf, String> {
     let folder = Path::new("target/planted");
     let built = Command::new("cargo")
-        .args(["build", "--quiet", "--locked", "-p", "asterdale-daemon", "--features", "planted"])
+        .args([
+            "build",
+            "--quiet",
+            "--locked",
+            "-p",
+            "asterdale-daemon",
+            "--features",
+            "planted",
+        ])
         .arg("--target-dir")
         .arg(folder)
         .status()
         .map_err(|e| format!("cargo: {e}"))?;
     if !built.success() {
-        return Err("the daemon with planted faults can't be built: run this from the repository".to_owned());
+        return Err(
+            "the daemon with planted faults can't be built: run this from the repository"
+                .to_owned(),
+        );
     }
     Ok(folder.join("debug/asterdale"))
 }
@@ -64,17 +82,24 @@
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let file = std::env::temp_dir().join(format!("asterdale-rig-{}-{n}", std::process::id()));
-        std::fs::write(&file, recipe.start.to_string()).map_err(|e| format!("{}: {e}", file.display()))?;
+        std::fs::write(&file, recipe.start.to_string())
+            .map_err(|e| format!("{}: {e}", file.display()))?;
         let mut command = Command::new(&recipe.program);
-        command.env_remove("ROUTER_NAME").env_remove("ROUTER_LISTEN").env("ROUTER_CONFIG", &file);
+        command
+            .env_remove("ROUTER_NAME")
+            .env_remove("ROUTER_LISTEN")
+            .env("ROUTER_CONFIG", &file);
         if let Some(plant) = &recipe.plant {
             command.env("ASTERDALE_PLANT", plant);
         }
         let child = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn();
         let mut child = child.map_err(|e| format!("{}: {e}", recipe.program.display()))?;
         let kill = format!("read _; kill -KILL {}", child.id());
-        let guard =
-            Command::new("sh").args(["-c", &kill]).stdin(Stdio::piped()).stdout(Stdio::null()).spawn();
+        let guard = Command::new("sh")
+            .args(["-c", &kill])
+            .stdin(Stdio::piped())
+            .stdout(Stdio::null())
+            .spawn();
         let guard = match guard {
             Ok(guard) => Some(guard),
             Err(e) => {
@@ -96,7 +121,12 @@
                 }
             });
         }
-        Ok(Daemon { child, guard, file, log })
+        Ok(Daemon {
+            child,
+            guard,
+            file,
+            log,
+        })
     }
 
     /// Waits until it takes connections here.
@@ -104,7 +134,10 @@
         let end = Instant::now() + Duration::from_secs(20);
         while TcpStream::connect_timeout(&at, Duration::from_secs(1)).is_err() {
             if Instant::now() >= end {
-                return Err(format!("the daemon does not listen:\n{}", self.log().join("\n")));
+                return Err(format!(
+                    "the daemon does not listen:\n{}",
+                    self.log().join("\n")
+                ));
             }
             thread::sleep(Duration::from_millis(5));
         }
@@ -147,12 +180,20 @@
 
     /// The last lines of its log.
     pub fn log(&self) -> Vec<String> {
-        self.log.lock().map(|lines| lines.clone()).unwrap_or_default()
+        self.log
+            .lock()
+            .map(|lines| lines.clone())
+            .unwrap_or_default()
     }
 
     /// The counters, asked for now: the number of one of them.
     pub fn counter(&self, name: &str) -> Option<u64> {
-        let reports = || self.log().iter().filter(|line| line.contains("counters: ")).count();
+        let reports = || {
+            self.log()
+                .iter()
+                .filter(|line| line.contains("counters: "))
+                .count()
+        };
         let before = reports();
         self.signal("USR1");
         let end = Instant::now() + Duration::from_secs(10);
@@ -161,28 +202,44 @@
         }
         let log = self.log();
         let line = log.iter().rev().find(|line| line.contains("counters: "))?;
-        let found = line.split_whitespace().find_map(|part| part.strip_prefix(name)?.strip_prefix('='))?;
+        let found = line
+            .split_whitespace()
+            .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))?;
         found.trim_end_matches(',').parse().ok()
     }
 
     /// Its threads and its descriptors.
     pub fn holds(&self) -> (usize, usize) {
-        let count =
-            |what: &str| std::fs::read_dir(format!("/proc/{}/{what}", self.id())).map_or(0, Iterator::count);
+        let count = |what: &str| {
+            std::fs::read_dir(format!("/proc/{}/{what}", self.id())).map_or(0, Iterator::count)
+        };
         (count("task"), count("fd"))
     }
 
     /// CPU time that it has used, in milliseconds, and its memory, in KiB; as Linux tells them.
     pub fn usage(&self) -> (f64, u64) {
-        let read =
-            |what: &str| std::fs::read_to_string(format!("/proc/{}/{what}", self.id())).unwrap_or_default();
+        let read = |what: &str| {
+            std::fs::read_to_string(format!("/proc/{}/{what}", self.id())).unwrap_or_default()
+        };
         // The fields after the name in brackets: user and system time are the 12th and 13th, in hundredths.
         let stat = read("stat");
-        let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or("").split_whitespace().collect();
-        let ticks = |n: usize| fields.get(n).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
+        let fields: Vec<&str> = stat
+            .rsplit(") ")
+            .next()
+            .unwrap_or("")
+            .split_whitespace()
+            .collect();
+        let ticks = |n: usize| {
+            fields
+                .get(n)
+                .and_then(|field| field.parse::<f64>().ok())
+                .unwrap_or(0.0)
+        };
         let status = read("status");
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let kib = line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0);
+        let kib = line
+            .and_then(|line| line.split_whitespace().next()?.parse().ok())
+            .unwrap_or(0);
         ((ticks(11) + ticks(12)) * 10.0, kib)
     }
 }
--- a/crates/asterdale-rig/src/proofs/bids.rs
+++ b/crates/asterdale-rig/src/proofs/bids.rs
@@ -68,14 +68,29 @@
 
 /// The backend that a key is asked for at, where each has one.
 pub(super) fn home(key: &str, of: usize) -> usize {
-    key.bytes().fold(0usize, |sum, byte| sum.wrapping_mul(31).wrapping_add(byte.into())) % of
+    key.bytes().fold(0usize, |sum, byte| {
+        sum.wrapping_mul(31).wrapping_add(byte.into())
+    }) % of
 }
 
 impl Load {
     /// One that goes to these, so many tasks a second in all by so many lanes; each key at one of them, or at any.
-    pub(super) fn new(places: Vec<std::net::SocketAddr>, (rate, lanes): (f64, u64), home: bool) -> Load {
+    pub(super) fn new(
+        places: Vec<std::net::SocketAddr>,
+        (rate, lanes): (f64, u64),
+        home: bool,
+    ) -> Load {
         let (stop, seen) = (AtomicBool::new(false), Mutex::default());
-        Load { places, rate, lanes, home, stop, seen, recent: Mutex::default(), again: Mutex::default() }
+        Load {
+            places,
+            rate,
+            lanes,
+            home,
+            stop,
+            seen,
+            recent: Mutex::default(),
+            again: Mutex::default(),
+        }
     }
 
     pub(super) fn seen(&self) -> std::sync::MutexGuard<'_, Seen> {
@@ -114,9 +129,16 @@
             let (key, born) = key.map_or((None, 0.0), |(key, born)| (Some(key), born));
             let bid = self.bid(key, &mut callers, &mut random);
             // An answer may be lost on its last way: a third asks again for what it has.
-            if let Some(key) = bid.key.clone().filter(|_| bid.took < SOON && random.next_u32() % 3 == 0) {
+            if let Some(key) = bid
+                .key
+                .clone()
+                .filter(|_| bid.took < SOON && random.next_u32() % 3 == 0)
+            {
                 let at = unix_ms() + f64::from(random.next_u32() % (2 * SOON as u32));
-                self.again.lock().unwrap_or_else(PoisonError::into_inner).push((at, key, born));
+                self.again
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .push((at, key, born));
             }
             self.seen().bids.push(bid);
         }
@@ -124,9 +146,20 @@
 
     fn bid(&self, key: Option<String>, callers: &mut [Caller], random: &mut Pcg64Mcg) -> Bid {
         let began = unix_ms();
-        let mut bid = Bid { key, began, took: 0.0, last: None, body: Vec::new(), tries: 0 };
+        let mut bid = Bid {
+            key,
+            began,
+            took: 0.0,
+            last: None,
+            body: Vec::new(),
+            tries: 0,
+        };
         let number = (random.next_u32() % 4).to_string();
-        let path = if bid.key.is_some() { "/v1/bid" } else { "/v1/page" };
+        let path = if bid.key.is_some() {
+            "/v1/bid"
+        } else {
+            "/v1/page"
+        };
         let mut last = usize::MAX;
         loop {
             let now = unix_ms();
@@ -153,7 +186,10 @@
                 ("HTTP_X_TIMEOUT_MS", &timeout),
                 ("HTTP_X_COST_MS", "30"),
                 ("HTTP_X_MEMORY_KB", "8"),
-                ("HTTP_IDEMPOTENCY_KEY", bid.key.as_deref().unwrap_or_default()),
+                (
+                    "HTTP_IDEMPOTENCY_KEY",
+                    bid.key.as_deref().unwrap_or_default(),
+                ),
             ];
             callers[to].waits(Duration::from_secs_f64((waits + 100.0) / 1e3));
             let body = bid.key.clone().unwrap_or_default();
@@ -161,7 +197,8 @@
             match callers[to].ask(path, &fields, body.as_bytes()) {
                 Fate::Refused | Fate::Lost => {}
                 Fate::Answered(answer) => {
-                    let field = |name: &str| answer.head.lines().find_map(|line| line.strip_prefix(name));
+                    let field =
+                        |name: &str| answer.head.lines().find_map(|line| line.strip_prefix(name));
                     let unknown = field("X-Outcome: unknown").is_some();
                     let status = if unknown { "unknown" } else { answer.status() };
                     bid.last = Some(status.to_owned());
@@ -171,9 +208,14 @@
                     }
                     if matches!(status, "503" | "429") || answer.state != 0 {
                         let key = bid.key.clone();
-                        self.seen().never.push(Never { id, key, began: now });
+                        self.seen().never.push(Never {
+                            id,
+                            key,
+                            began: now,
+                        });
                     }
-                    let advice = field("Retry-After-Ms: ").and_then(|ms| ms.trim().parse::<f64>().ok());
+                    let advice =
+                        field("Retry-After-Ms: ").and_then(|ms| ms.trim().parse::<f64>().ok());
                     pause = advice.unwrap_or(pause).clamp(20.0, 400.0);
                 }
             }
--- a/crates/asterdale-rig/src/proofs/fleet.rs
+++ b/crates/asterdale-rig/src/proofs/fleet.rs
@@ -106,16 +106,26 @@
     fn look(&mut self) -> BTreeMap<usize, Value> {
         let mut all = BTreeMap::new();
         for n in self.many.live() {
-            let Some(shown) = self.many.shown(n) else { continue };
-            let members = shown["members"].as_array().into_iter().flatten().chain([&shown["me"]]);
+            let Some(shown) = self.many.shown(n) else {
+                continue;
+            };
+            let members = shown["members"]
+                .as_array()
+                .into_iter()
+                .flatten()
+                .chain([&shown["me"]]);
             for member in members {
-                let (Some(name), Some(generation)) = (member["name"].as_str(), member["generation"].as_u64())
+                let (Some(name), Some(generation)) =
+                    (member["name"].as_str(), member["generation"].as_u64())
                 else {
                     continue;
                 };
                 let held = self.held.entry((n, name.to_owned())).or_default();
                 if generation < *held {
-                    eprintln!("{} goes back from {held} to {generation} of {name}", many::name(n));
+                    eprintln!(
+                        "{} goes back from {held} to {generation} of {name}",
+                        many::name(n)
+                    );
                     self.back += 1;
                 }
                 *held = generation;
@@ -132,9 +142,16 @@
         let (live, all) = (self.many.live(), self.look());
         let mut first: Option<(BTreeMap<String, u64>, Value)> = None;
         for &n in &live {
-            let Some(shown) = all.get(&n) else { return Some(format!("{} does not answer", name(n))) };
+            let Some(shown) = all.get(&n) else {
+                return Some(format!("{} does not answer", name(n)));
+            };
             if shown["standing"] != "in" || shown["certain"] != true {
-                return Some(format!("{} is {}, certain {}", name(n), shown["standing"], shown["certain"]));
+                return Some(format!(
+                    "{} is {}, certain {}",
+                    name(n),
+                    shown["standing"],
+                    shown["certain"]
+                ));
             }
             let there = many::there(shown);
             let expected: Vec<String> = {
@@ -143,7 +160,11 @@
                 names
             };
             if there.keys().ne(expected.iter()) {
-                return Some(format!("{} holds {:?}", name(n), there.keys().collect::<Vec<_>>()));
+                return Some(format!(
+                    "{} holds {:?}",
+                    name(n),
+                    there.keys().collect::<Vec<_>>()
+                ));
             }
             match &first {
                 None => first = Some((there, shown["hash"].clone())),
@@ -154,8 +175,10 @@
             }
         }
         // Whoever took an earlier one's number has to hear so, and hears so from those who held that one.
-        let low =
-            self.above.iter().find(|(name, &above)| self.highest.get(*name).is_none_or(|&is| is <= above));
+        let low = self
+            .above
+            .iter()
+            .find(|(name, &above)| self.highest.get(*name).is_none_or(|&is| is <= above));
         low.map(|(name, above)| format!("{name} is not above {above}"))
     }
 
@@ -190,11 +213,14 @@
         for (name, above) in std::mem::take(&mut self.above) {
             let is = self.highest.get(&name).copied().unwrap_or(0);
             if is <= above {
-                eprintln!("{what}: {name} started anew with generation {is}, and {above} was remembered");
+                eprintln!(
+                    "{what}: {name} started anew with generation {is}, and {above} was remembered"
+                );
                 self.low += 1;
             }
         }
-        self.kinds.push(json!({"fault": what, "ms": ms, "settled": why.is_none()}));
+        self.kinds
+            .push(json!({"fault": what, "ms": ms, "settled": why.is_none()}));
     }
 
     fn start(&mut self, who: &[usize]) -> Result<(), String> {
@@ -225,15 +251,30 @@
     fn part(&self, one: &[usize], other: &[usize]) {
         for &a in one {
             for &b in other {
-                self.many.relays.set(a, b, Way { cut: true, ..Way::default() });
-                self.many.relays.set(b, a, Way { cut: true, ..Way::default() });
+                self.many.relays.set(
+                    a,
+                    b,
+                    Way {
+                        cut: true,
+                        ..Way::default()
+                    },
+                );
+                self.many.relays.set(
+                    b,
+                    a,
+                    Way {
+                        cut: true,
+                        ..Way::default()
+                    },
+                );
             }
         }
     }
 
     fn everywhere(&self, way: Way) {
         let all = 0..self.many.len();
-        all.clone().for_each(|a| all.clone().for_each(|b| self.many.relays.set(a, b, way)));
+        all.clone()
+            .for_each(|a| all.clone().for_each(|b| self.many.relays.set(a, b, way)));
     }
 
     fn fault(&mut self, fault: Fault, seeds: usize) -> Result<(), String> {
@@ -284,25 +325,46 @@
                 let who = self.some(&all, 1);
                 eprintln!("{what}: {who:?}");
                 self.many.stop(who[0], true);
-                self.sleep(if matches!(fault, Fault::StopShort) { 5.0 } else { long });
+                self.sleep(if matches!(fault, Fault::StopShort) {
+                    5.0
+                } else {
+                    long
+                });
                 self.many.stop(who[0], false);
             }
             Fault::HalvesShort | Fault::HalvesLong | Fault::ThirdsLong => {
-                let parts = if matches!(fault, Fault::ThirdsLong) { 3 } else { 2 };
+                let parts = if matches!(fault, Fault::ThirdsLong) {
+                    3
+                } else {
+                    2
+                };
                 let order = self.some(&all, all.len());
                 let parts: Vec<&[usize]> = order.chunks(order.len().div_ceil(parts)).collect();
                 eprintln!("{what}: {parts:?}");
                 for (n, one) in parts.iter().enumerate() {
-                    parts[n + 1..].iter().for_each(|other| self.part(one, other));
+                    parts[n + 1..]
+                        .iter()
+                        .for_each(|other| self.part(one, other));
                 }
-                self.sleep(if matches!(fault, Fault::HalvesShort) { 20.0 } else { long });
+                self.sleep(if matches!(fault, Fault::HalvesShort) {
+                    20.0
+                } else {
+                    long
+                });
                 self.many.relays.heal();
             }
             Fault::OneWay => {
                 for _ in 0..all.len() / 3 {
                     let two = self.some(&all, 2);
                     eprintln!("{what}: {two:?}");
-                    self.many.relays.set(two[0], two[1], Way { cut: true, ..Way::default() });
+                    self.many.relays.set(
+                        two[0],
+                        two[1],
+                        Way {
+                            cut: true,
+                            ..Way::default()
+                        },
+                    );
                 }
                 self.sleep(long);
                 self.settle(&what);
@@ -310,14 +372,22 @@
                 return Ok(());
             }
             Fault::Loss => {
-                self.everywhere(Way { loss: 0.2, doubled: 0.1, spread_ms: 20.0, ..Way::default() });
+                self.everywhere(Way {
+                    loss: 0.2,
+                    doubled: 0.1,
+                    spread_ms: 20.0,
+                    ..Way::default()
+                });
                 self.sleep(long);
                 self.many.relays.heal();
             }
             Fault::Slow => {
                 let who = self.some(&all, 1)[0];
                 eprintln!("{what}: {who}");
-                let way = Way { delay_ms: 0.8 * self.interval_ms, ..Way::default() };
+                let way = Way {
+                    delay_ms: 0.8 * self.interval_ms,
+                    ..Way::default()
+                };
                 for &n in &all {
                     self.many.relays.set(who, n, way);
                     self.many.relays.set(n, who, way);
@@ -341,7 +411,11 @@
 /// Proves it; the figures.
 pub fn prove(told: &Told) -> Result<Value, String> {
     let order = &told.order;
-    let program = if order.plant.is_some() { planted_program()? } else { program() };
+    let program = if order.plant.is_some() {
+        planted_program()?
+    } else {
+        program()
+    };
     let seeds = 3.min(told.members);
     let many = Many::new(&many::Order {
         members: told.members,
@@ -386,7 +460,11 @@
     }
     let seconds = began.elapsed().as_secs_f64();
     let all = play.look();
-    let sum = |field: &str| all.values().filter_map(|shown| shown["counts"][field].as_u64()).sum::<u64>();
+    let sum = |field: &str| {
+        all.values()
+            .filter_map(|shown| shown["counts"][field].as_u64())
+            .sum::<u64>()
+    };
     let ended = play.many.ended();
     for &n in &ended {
         eprintln!("{}:\n{}", name(n), play.many.log(n).join("\n"));
--- a/crates/asterdale-rig/src/proofs/mod.rs
+++ b/crates/asterdale-rig/src/proofs/mod.rs
@@ -24,7 +24,8 @@
 
 /// A histogram of milliseconds, in microseconds inside, up to a minute.
 pub fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 60_000_000, 3).unwrap_or_else(|e| panic!("bounds of a histogram: {e}"))
+    Histogram::new_with_bounds(1, 60_000_000, 3)
+        .unwrap_or_else(|e| panic!("bounds of a histogram: {e}"))
 }
 
 /// Quantiles of a histogram, in milliseconds.
--- a/crates/asterdale-rig/src/proofs/restarts.rs
+++ b/crates/asterdale-rig/src/proofs/restarts.rs
@@ -113,7 +113,10 @@
             self.deaths.push(unix_ms());
             // What a dead one left stands still: its copy is whole.
             if !self.copies.contains_key(&n) {
-                copy(&self.many.state(n), &self.many.state(n).with_extension("copy"))?;
+                copy(
+                    &self.many.state(n),
+                    &self.many.state(n).with_extension("copy"),
+                )?;
                 self.copies.insert(n, Instant::now());
             }
         }
@@ -131,9 +134,14 @@
 
     /// Puts an older copy in the place of what this one left, once there is one that is old enough.
     fn put_back(&mut self, n: usize) -> Result<(), String> {
-        let Some(taken) = self.copies.remove(&n) else { return Ok(()) };
+        let Some(taken) = self.copies.remove(&n) else {
+            return Ok(());
+        };
         thread::sleep(OLD.saturating_sub(taken.elapsed()));
-        copy(&self.many.state(n).with_extension("copy"), &self.many.state(n))
+        copy(
+            &self.many.state(n).with_extension("copy"),
+            &self.many.state(n),
+        )
     }
 
     fn fault(&mut self, fault: Fault) -> Result<(), String> {
@@ -203,8 +211,22 @@
                 let who = self.some(all.len() / 2);
                 for &a in &who {
                     for b in all.iter().copied().filter(|b| !who.contains(b)) {
-                        self.many.relays.set(a, b, Way { cut: true, ..Way::default() });
-                        self.many.relays.set(b, a, Way { cut: true, ..Way::default() });
+                        self.many.relays.set(
+                            a,
+                            b,
+                            Way {
+                                cut: true,
+                                ..Way::default()
+                            },
+                        );
+                        self.many.relays.set(
+                            b,
+                            a,
+                            Way {
+                                cut: true,
+                                ..Way::default()
+                            },
+                        );
                     }
                 }
                 wait(500);
@@ -225,8 +247,10 @@
                 self.many.stop(who[1], true);
                 for &n in &who {
                     if !self.many.second_refuses(n)? {
-                        self.wrong
-                            .push(format!("a second process began over the folder of {}", many::name(n)));
+                        self.wrong.push(format!(
+                            "a second process began over the folder of {}",
+                            many::name(n)
+                        ));
                     }
                 }
                 self.many.stop(who[1], false);
@@ -236,7 +260,8 @@
                 self.kill(&who)?;
                 let (one, other) = (self.many.state(who[0]), self.many.state(who[1]));
                 let aside = one.with_extension("aside");
-                let moved = |from: &Path, to: &Path| std::fs::rename(from, to).map_err(|e| e.to_string());
+                let moved =
+                    |from: &Path, to: &Path| std::fs::rename(from, to).map_err(|e| e.to_string());
                 moved(&one, &aside)?;
                 copy(&other, &one)?;
                 self.many.start(who[0])?;
@@ -245,7 +270,8 @@
                     wait(5);
                 }
                 if !self.many.ended().contains(&who[0]) {
-                    self.wrong.push("one started over another's folder".to_owned());
+                    self.wrong
+                        .push("one started over another's folder".to_owned());
                 }
                 self.many.kill(who[0]);
                 std::fs::remove_dir_all(&one).map_err(|e| e.to_string())?;
@@ -270,11 +296,17 @@
 /// Judges everything that happened: what was wrong, and figures.
 fn judge(play: &Play, seen: &Seen, keyed: &Keyed) -> (Vec<String>, Value) {
     let mut wrong = play.wrong.clone();
-    let (mut by_key, mut by_id) = (HashMap::<String, Vec<Instant>>::new(), HashMap::<String, bool>::new());
+    let (mut by_key, mut by_id) = (
+        HashMap::<String, Vec<Instant>>::new(),
+        HashMap::<String, bool>::new(),
+    );
     for n in 0..play.many.len() {
         for start in play.many.worker(n).starts() {
             if !start.body.is_empty() {
-                by_key.entry(String::from_utf8_lossy(&start.body).into_owned()).or_default().push(start.at);
+                by_key
+                    .entry(String::from_utf8_lossy(&start.body).into_owned())
+                    .or_default()
+                    .push(start.at);
             }
             by_id.insert(start.id, !start.body.is_empty());
         }
@@ -284,14 +316,24 @@
     }
     let effects = keyed.effects();
     for (key, effect) in effects.iter().filter(|(_, effect)| effect.times > 1) {
-        wrong.push(format!("{} had its effect {} times", String::from_utf8_lossy(key), effect.times));
+        wrong.push(format!(
+            "{} had its effect {} times",
+            String::from_utf8_lossy(key),
+            effect.times
+        ));
     }
-    let (mut results, mut counts) = (HashMap::<&str, &[u8]>::new(), BTreeMap::<String, u64>::new());
+    let (mut results, mut counts) = (
+        HashMap::<&str, &[u8]>::new(),
+        BTreeMap::<String, u64>::new(),
+    );
     let mut times = histogram();
     for bid in &seen.bids {
         let kind = if bid.key.is_some() { "bid" } else { "page" };
         let Some(last) = &bid.last else {
-            wrong.push(format!("a {kind} of {:.0} heard no final answer in {} tries", bid.began, bid.tries));
+            wrong.push(format!(
+                "a {kind} of {:.0} heard no final answer in {} tries",
+                bid.began, bid.tries
+            ));
             continue;
         };
         *counts.entry(format!("{kind} {last}")).or_default() += 1;
@@ -300,7 +342,10 @@
             if *results.entry(key).or_insert(&bid.body) != bid.body {
                 wrong.push(format!("two results under {key}"));
             }
-            if effects.get(key.as_bytes()).is_none_or(|effect| effect.times != 1) {
+            if effects
+                .get(key.as_bytes())
+                .is_none_or(|effect| effect.times != 1)
+            {
                 wrong.push(format!("{key} was finished without its effect"));
             }
         }
@@ -317,9 +362,16 @@
         after += u64::from(starts.is_some_and(|starts| starts.iter().any(ran)));
     }
     if after > 0 {
-        wrong.push(format!("{after} tries were rejected though their keys had run"));
+        wrong.push(format!(
+            "{after} tries were rejected though their keys had run"
+        ));
     }
-    let bids = seen.bids.iter().filter(|bid| bid.key.is_some()).count().max(1);
+    let bids = seen
+        .bids
+        .iter()
+        .filter(|bid| bid.key.is_some())
+        .count()
+        .max(1);
     let unknown = counts.get("bid unknown").copied().unwrap_or(0);
     let share = (unknown as f64 / bids as f64 * 1e4).round() / 1e4;
     let figures = json!({"answers": counts, "keys": by_key.len(), "unknown_share": share,
@@ -330,7 +382,8 @@
 /// Which faults come, in this order; a planted mistake is looked for where it shows.
 fn faults(plant: Option<&str>, rounds: u32) -> Vec<Fault> {
     use Fault::{
-        All, AllOneLost, AllOneRollback, Damaged, Half, Lost, One, Parted, Rollback, Second, Swapped, Twice,
+        All, AllOneLost, AllOneRollback, Damaged, Half, Lost, One, Parted, Rollback, Second,
+        Swapped, Twice,
     };
     match plant {
         Some("early") => vec![All; 12],
@@ -368,10 +421,20 @@
     let keyed = Keyed::default();
     let records = keyed.serve(20).map_err(|e| e.to_string())?;
     let fleet = many::Order::bids(order, told.members, records)?;
-    let many = Many::new(&many::Order { lasts: true, ..fleet })?;
+    let many = Many::new(&many::Order {
+        lasts: true,
+        ..fleet
+    })?;
     let random = Pcg64Mcg::seed_from_u64(order.seed);
     let (copies, deaths, wrong) = (HashMap::new(), Vec::new(), Vec::new());
-    let mut play = Play { many, random, kills: 0, copies, deaths, wrong };
+    let mut play = Play {
+        many,
+        random,
+        kills: 0,
+        copies,
+        deaths,
+        wrong,
+    };
     let all: Vec<usize> = (0..told.members).collect();
     play.start(&all)?;
     // Empty folders: quiet for a window, and for as long as a task may lie unread.
@@ -388,8 +451,15 @@
     // Until all but a few are finished: nobody is quiet any more.
     let well = || {
         let seen = load.seen();
-        let last = seen.bids.iter().rev().filter(|bid| bid.key.is_some()).take(60);
-        last.filter(|bid| bid.last.as_deref() == Some("200")).count() >= 55
+        let last = seen
+            .bids
+            .iter()
+            .rev()
+            .filter(|bid| bid.key.is_some())
+            .take(60);
+        last.filter(|bid| bid.last.as_deref() == Some("200"))
+            .count()
+            >= 55
     };
     while !well() && began.elapsed() < Duration::from_secs(40) {
         wait(100);
@@ -404,14 +474,24 @@
     lanes.into_iter().for_each(|lane| drop(lane.join()));
     let ended = play.many.ended();
     for &n in &ended {
-        eprintln!("{} ended by itself:\n{}", many::name(n), play.many.log(n).join("\n"));
+        eprintln!(
+            "{} ended by itself:\n{}",
+            many::name(n),
+            play.many.log(n).join("\n")
+        );
     }
     let seen = load.seen();
     let (mut wrong, mut figures) = judge(&play, &seen, &keyed);
     if !ended.is_empty() {
         wrong.push(format!("ended by themselves: {ended:?}"));
     }
-    if seen.bids.iter().filter(|bid| bid.key.is_some() && bid.last.as_deref() == Some("200")).count() < 50 {
+    if seen
+        .bids
+        .iter()
+        .filter(|bid| bid.key.is_some() && bid.last.as_deref() == Some("200"))
+        .count()
+        < 50
+    {
         wrong.push("hardly a bid was finished: nothing is shown".to_owned());
     }
     wrong.iter().take(20).for_each(|what| eprintln!("{what}"));
--- a/crates/asterdale-rig/src/proofs/rotation.rs
+++ b/crates/asterdale-rig/src/proofs/rotation.rs
@@ -144,7 +144,10 @@
     /// The key that signs at this time.
     fn active(&self, now: f64) -> Option<&Key> {
         let good = |key: &&Key| key.from <= now && !self.revoked_keys.contains(&key.id);
-        self.keys.iter().filter(good).max_by(|a, b| a.from.total_cmp(&b.from))
+        self.keys
+            .iter()
+            .filter(good)
+            .max_by(|a, b| a.from.total_cmp(&b.from))
     }
 
     fn publish(&mut self, play_root: &[u8; 32], issuer: &Issuer, now: f64) {
@@ -159,7 +162,10 @@
             revoked_tokens: self.revoked_tokens.clone(),
             revoked_subjects: self.revoked_subjects.clone(),
         };
-        issuer.publish(seq, Secret::from_seed(*play_root, "root").set(&published(&view)));
+        issuer.publish(
+            seq,
+            Secret::from_seed(*play_root, "root").set(&published(&view)),
+        );
         self.views.push(view);
     }
 }
@@ -243,7 +249,9 @@
                 // An endless retry of what has been revoked.
                 let revoked = |made: &&Made| {
                     issued.revoked_tokens.contains(&made.jti)
-                        || issued.revoked_subjects.contains(&format!("{}/{}", made.tenant, made.subject))
+                        || issued
+                            .revoked_subjects
+                            .contains(&format!("{}/{}", made.tenant, made.subject))
                 };
                 let all: Vec<&Made> = issued.kept.iter().filter(revoked).collect();
                 let made = all.get(chance(random, all.len() as u32) as usize)?;
@@ -251,7 +259,9 @@
             }
             50..60 => {
                 // Of any key that ever was: outgoing, retired, revoked ones among them.
-                let key = issued.keys.get(chance(random, issued.keys.len() as u32) as usize)?;
+                let key = issued
+                    .keys
+                    .get(chance(random, issued.keys.len() as u32) as usize)?;
                 (made.key, signer) = (key.id.clone(), by(key));
                 "older key"
             }
@@ -303,7 +313,9 @@
             }
             94..97 => {
                 made.sound = false;
-                let junk: Vec<u8> = (0..chance(random, 200)).map(|_| random.next_u32() as u8).collect();
+                let junk: Vec<u8> = (0..chance(random, 200))
+                    .map(|_| random.next_u32() as u8)
+                    .collect();
                 made.text = Some(URL_SAFE_NO_PAD.encode(junk));
                 return Some(("rubbish", made, stage));
             }
@@ -324,18 +336,27 @@
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut caller = Caller::new(at);
         let every = Duration::from_secs_f64(f64::from(EDGES * LANES) / RATE);
-        let mut next = Instant::now() + every.mul_f64(f64::from(chance(&mut random, 1000)) / 1000.0);
+        let mut next =
+            Instant::now() + every.mul_f64(f64::from(chance(&mut random, 1000)) / 1000.0);
         let number = edge.to_string();
         while next < self.end {
             thread::sleep(next.saturating_duration_since(Instant::now()));
             next += every;
-            let Some((kind, made, stage)) = self.token(&mut random, unix_ms()) else { continue };
+            let Some((kind, made, stage)) = self.token(&mut random, unix_ms()) else {
+                continue;
+            };
             // A fifth of the bids repeat a finished one: of their own tenant, or, to no avail, of the other.
             let (life, known) = {
-                let Ok(issued) = self.issued.lock() else { return };
+                let Ok(issued) = self.issued.lock() else {
+                    return;
+                };
                 let some = issued.finished.len() as u32;
-                let known = (stage == "bid" && chance(&mut random, 5) == 0)
-                    .then(|| issued.finished.get(chance(&mut random, some) as usize).cloned());
+                let known = (stage == "bid" && chance(&mut random, 5) == 0).then(|| {
+                    issued
+                        .finished
+                        .get(chance(&mut random, some) as usize)
+                        .cloned()
+                });
                 (issued.life, known.flatten())
             };
             let id = format!("{:016x}", random.next_u64());
@@ -344,8 +365,15 @@
                 None => format!("{life}-{:016x}", random.next_u64()),
             });
             let sent = unix_ms();
-            let (start, token) = ((sent as u64).to_string(), made.text.clone().unwrap_or_default());
-            let bearer = if made.text.is_some() { format!("Bearer {token}") } else { String::new() };
+            let (start, token) = (
+                (sent as u64).to_string(),
+                made.text.clone().unwrap_or_default(),
+            );
+            let bearer = if made.text.is_some() {
+                format!("Bearer {token}")
+            } else {
+                String::new()
+            };
             let fields = [
                 ("HTTP_X_REQUEST_ID", id.as_str()),
                 ("HTTP_X_REQUEST_START", &start),
@@ -371,13 +399,19 @@
                     let status = answer.status().to_owned();
                     if let (Some(mark), "200", true) = (&mark, status.as_str(), known.is_none()) {
                         if let Ok(mut issued) = self.issued.lock() {
-                            if issued.life == life && life % 2 == 0 && issued.finished.len() < 5000 {
+                            if issued.life == life && life % 2 == 0 && issued.finished.len() < 5000
+                            {
                                 let text = String::from_utf8_lossy(&answer.body).into_owned();
-                                issued.finished.push((made.tenant.clone(), mark.clone(), text));
+                                issued
+                                    .finished
+                                    .push((made.tenant.clone(), mark.clone(), text));
                             }
                         }
                     }
-                    let verdict = answer.head.lines().find_map(|line| line.strip_prefix("X-Denied: "));
+                    let verdict = answer
+                        .head
+                        .lines()
+                        .find_map(|line| line.strip_prefix("X-Denied: "));
                     let asked = Asked {
                         kind,
                         made,
@@ -408,12 +442,20 @@
             from,
             until: f64::INFINITY,
         };
-        let moods = [Mood::Slow(700), Mood::Down, Mood::RolledBack, Mood::Rubbish, Mood::Forged];
+        let moods = [
+            Mood::Slow(700),
+            Mood::Down,
+            Mood::RolledBack,
+            Mood::Rubbish,
+            Mood::Forged,
+        ];
         while Instant::now() < self.end {
             let now = unix_ms();
             round += 1;
             {
-                let Ok(mut issued) = self.issued.lock() else { return };
+                let Ok(mut issued) = self.issued.lock() else {
+                    return;
+                };
                 // The next key is announced two thirds of a period ahead; from its time on the last one goes.
                 let from = now + period * 2.0 / 3.0;
                 let next = key(round, &mut random, from);
@@ -423,7 +465,8 @@
                 issued.keys.push(next);
                 for _ in 0..1 + chance(&mut random, 3) {
                     let kept = issued.kept.len() as u32;
-                    if let Some(made) = issued.kept.get(chance(&mut random, kept) as usize).cloned() {
+                    if let Some(made) = issued.kept.get(chance(&mut random, kept) as usize).cloned()
+                    {
                         eprintln!("{now:.0} token {} is revoked", made.jti);
                         issued.revoked_tokens.push(made.jti);
                     }
@@ -443,7 +486,8 @@
                 issued.publish(&self.root, &self.issuer, now);
                 let mut forged = issued.views[0].clone();
                 forged.seq = 1_000_000;
-                self.issuer.forged(Secret::from_seed([66; 32], "root").set(&published(&forged)));
+                self.issuer
+                    .forged(Secret::from_seed([66; 32], "root").set(&published(&forged)));
             }
             // Every other round the issuer is not itself for a while.
             let mood = moods[chance(&mut random, 5) as usize];
@@ -485,7 +529,11 @@
         || view.revoked_keys.contains(&made.key);
     let key = view.keys.iter().find(|key| key.id == made.key);
     let Some(key) = key.filter(|_| names && !gone) else {
-        return May { pass: false, deny: true, unable: true };
+        return May {
+            pass: false,
+            deny: true,
+            unable: true,
+        };
     };
     let begins = key.from.max(made.from);
     let ends = key.until.min(made.until);
@@ -494,7 +542,11 @@
     let deny = from < begins + GREY || until > ends - GREY;
     let old = until - view.issued > most_age - GREY;
     let too_old = from - view.issued > most_age + GREY;
-    May { pass: pass && !too_old, deny, unable: old }
+    May {
+        pass: pass && !too_old,
+        deny,
+        unable: old,
+    }
 }
 
 /// The sets that the daemon may have had: one at least that was handed out well before, and all since.
@@ -505,14 +557,34 @@
     gaps: &Gaps,
 ) -> (Vec<&'a View>, bool) {
     // A daemon that has just begun knows only what was handed to it.
-    let begun = gaps.0.iter().filter(|gap| gap.0 <= asked.answered).map(|gap| gap.0).fold(0.0, f64::max);
-    let near = gaps.0.iter().any(|gap| asked.answered >= gap.0 && asked.sent <= gap.1);
-    let before =
-        handed.iter().filter(|(at, _)| *at >= begun && *at <= asked.sent - GREY).map(|(_, seq)| *seq).max();
-    let since = handed.iter().filter(|(at, _)| *at <= asked.answered + GREY).map(|(_, seq)| *seq);
+    let begun = gaps
+        .0
+        .iter()
+        .filter(|gap| gap.0 <= asked.answered)
+        .map(|gap| gap.0)
+        .fold(0.0, f64::max);
+    let near = gaps
+        .0
+        .iter()
+        .any(|gap| asked.answered >= gap.0 && asked.sent <= gap.1);
+    let before = handed
+        .iter()
+        .filter(|(at, _)| *at >= begun && *at <= asked.sent - GREY)
+        .map(|(_, seq)| *seq)
+        .max();
+    let since = handed
+        .iter()
+        .filter(|(at, _)| *at <= asked.answered + GREY)
+        .map(|(_, seq)| *seq);
     let least = before.unwrap_or(0);
     let all: Vec<u64> = since.filter(|seq| *seq >= least).chain(before).collect();
-    (views.iter().filter(|view| all.contains(&view.seq)).collect(), before.is_none() || near)
+    (
+        views
+            .iter()
+            .filter(|view| all.contains(&view.seq))
+            .collect(),
+        before.is_none() || near,
+    )
 }
 
 struct Verdicts {
@@ -542,18 +614,31 @@
 
 /// Judges everything that happened.
 fn judge_all(play: &Play, runs: &HashMap<String, u32>, seconds: u64) -> Verdicts {
-    let mut verdicts = Verdicts { counts: BTreeMap::new(), wrong: Vec::new() };
-    let (Ok(all), Ok(issued), Ok(gaps)) = (play.all.lock(), play.issued.lock(), play.gaps.lock()) else {
+    let mut verdicts = Verdicts {
+        counts: BTreeMap::new(),
+        wrong: Vec::new(),
+    };
+    let (Ok(all), Ok(issued), Ok(gaps)) = (play.all.lock(), play.issued.lock(), play.gaps.lock())
+    else {
         return verdicts;
     };
     let handed = play.issuer.handed();
     let mut few = 0;
     let mut by_mark: HashMap<(&str, &str), Vec<&Asked>> = HashMap::new();
     for asked in all.iter() {
-        *verdicts.counts.entry(format!("sent: {}", asked.kind)).or_default() += 1;
-        *verdicts.counts.entry(format!("answered {} {}", asked.status, asked.verdict)).or_default() += 1;
+        *verdicts
+            .counts
+            .entry(format!("sent: {}", asked.kind))
+            .or_default() += 1;
+        *verdicts
+            .counts
+            .entry(format!("answered {} {}", asked.status, asked.verdict))
+            .or_default() += 1;
         let (sets, none) = in_force(asked, &issued.views, &handed, &gaps);
-        let mut may = May { unable: none, ..May::default() };
+        let mut may = May {
+            unable: none,
+            ..May::default()
+        };
         for view in sets {
             let one = judge(asked, view, most_age(period(seconds)));
             (may.pass, may.deny) = (may.pass | one.pass, may.deny | one.deny);
@@ -584,7 +669,10 @@
         let text = String::from_utf8_lossy(&asked.body);
         if asked.status == "200" {
             if let Some(mark) = &asked.mark {
-                by_mark.entry((&asked.made.tenant, mark)).or_default().push(asked);
+                by_mark
+                    .entry((&asked.made.tenant, mark))
+                    .or_default()
+                    .push(asked);
             } else if text != String::from_utf8_lossy(&result(&asked.id)) {
                 verdicts.wrong("another task's result", asked);
             }
@@ -611,12 +699,19 @@
     let most = (1 + issued.life / 2) as f64 * FEW + FEW * (seconds as f64 + 2.0);
     verdicts.counts.insert("in the small quota".to_owned(), few);
     if few as f64 > most {
-        verdicts.wrong.push(format!("{few} tasks were let in by a quota for {most}"));
+        verdicts
+            .wrong
+            .push(format!("{few} tasks were let in by a quota for {most}"));
     }
     verdicts
 }
 
-fn start_file(worker: &Worker, issuer: &Issuer, root: &[u8; 32], most_age: f64) -> std::io::Result<Value> {
+fn start_file(
+    worker: &Worker,
+    issuer: &Issuer,
+    root: &[u8; 32],
+    most_age: f64,
+) -> std::io::Result<Value> {
     let (records, registry) = (services::records()?, services::registry()?);
     let mut start = scripted::config(scripted::address(), worker.at, records, registry);
     start["settings"]["extra"]["cores"] = json!(8);
@@ -644,17 +739,36 @@
 pub fn prove(order: &Order) -> Result<Value, String> {
     let told = |e: std::io::Error| e.to_string();
     let mut random = Pcg64Mcg::seed_from_u64(order.seed);
-    let program = if order.plant.is_some() { planted_program()? } else { program() };
-    let (worker, issuer) = (Worker::start(8, (1, 6)).map_err(told)?, Issuer::start().map_err(told)?);
+    let program = if order.plant.is_some() {
+        planted_program()?
+    } else {
+        program()
+    };
+    let (worker, issuer) = (
+        Worker::start(8, (1, 6)).map_err(told)?,
+        Issuer::start().map_err(told)?,
+    );
     let root = bytes(&mut random);
-    let start = start_file(&worker, &issuer, &root, most_age(period(order.seconds))).map_err(told)?;
-    let listen = start["listen"].as_str().and_then(|at| at.parse().ok()).ok_or("no address")?;
-    let recipe = Recipe { program, start, plant: order.plant.clone() };
+    let start =
+        start_file(&worker, &issuer, &root, most_age(period(order.seconds))).map_err(told)?;
+    let listen = start["listen"]
+        .as_str()
+        .and_then(|at| at.parse().ok())
+        .ok_or("no address")?;
+    let recipe = Recipe {
+        program,
+        start,
+        plant: order.plant.clone(),
+    };
     let now = unix_ms();
     // Something to begin with: a key that signs.
     let mut issued = Issued::default();
-    let first =
-        Key { id: "key-0".to_owned(), seed: bytes(&mut random), from: now - 60_000.0, until: f64::INFINITY };
+    let first = Key {
+        id: "key-0".to_owned(),
+        seed: bytes(&mut random),
+        from: now - 60_000.0,
+        until: f64::INFINITY,
+    };
     issued.keys.push(first);
     issued.publish(&root, &issuer, now);
     let play = Arc::new(Play {
@@ -700,7 +814,10 @@
                 gaps.0.push((gone, f64::INFINITY));
             }
             if !daemon.leave(Duration::from_secs(20)) {
-                return Err(format!("the daemon did not leave well:\n{}", daemon.log().join("\n")));
+                return Err(format!(
+                    "the daemon did not leave well:\n{}",
+                    daemon.log().join("\n")
+                ));
             }
             daemon = Daemon::start(&recipe)?;
             play.next_life();
@@ -715,24 +832,43 @@
         }
     }
     for thread in threads {
-        thread.join().map_err(|_| "a thread of the proof panicked".to_owned())?;
+        thread
+            .join()
+            .map_err(|_| "a thread of the proof panicked".to_owned())?;
     }
-    let counters: BTreeMap<&str, u64> =
-        ["keys_adopted", "keys_refused", "issuer_failed", "signatures", "tokens_kept"]
-            .into_iter()
-            .filter_map(|name| Some((name, daemon.counter(name)?)))
-            .collect();
+    let counters: BTreeMap<&str, u64> = [
+        "keys_adopted",
+        "keys_refused",
+        "issuer_failed",
+        "signatures",
+        "tokens_kept",
+    ]
+    .into_iter()
+    .filter_map(|name| Some((name, daemon.counter(name)?)))
+    .collect();
     let left = daemon.leave(Duration::from_secs(20));
     let verdicts = judge_all(&play, &worker.runs(), order.seconds);
-    verdicts.wrong.iter().take(20).for_each(|wrong| eprintln!("{wrong}"));
-    let counts = play.counts.lock().map(|counts| counts.clone()).unwrap_or_default();
+    verdicts
+        .wrong
+        .iter()
+        .take(20)
+        .for_each(|wrong| eprintln!("{wrong}"));
+    let counts = play
+        .counts
+        .lock()
+        .map(|counts| counts.clone())
+        .unwrap_or_default();
     let lost = counts.get("lost").copied().unwrap_or(0);
     let sent = play.all.lock().map_or(0, |all| all.len());
     // A proof in which next to nothing was let in, or nothing turned away, shows nothing.
     let finished = verdicts.counts.get("answered 200 ").copied().unwrap_or(0);
     let spoke = finished > sent as u64 / 5 && sent as u64 > order.seconds * 50;
     let rotations = play.issued.lock().map_or(0, |issued| issued.keys.len() - 1);
-    let times = play.times.lock().map(|times| quantiles(&times)).unwrap_or_default();
+    let times = play
+        .times
+        .lock()
+        .map(|times| quantiles(&times))
+        .unwrap_or_default();
     Ok(json!({
         "held": verdicts.wrong.is_empty() && lost == 0 && left && spoke,
         "sent": sent, "finished": finished, "lost": lost, "wrong": verdicts.wrong.len(),
--- a/crates/asterdale-rig/src/proofs/takeover.rs
+++ b/crates/asterdale-rig/src/proofs/takeover.rs
@@ -113,8 +113,11 @@
 impl Play {
     /// Some processes that keep nothing, or those that do.
     fn some(&mut self, keeps: bool, many: usize) -> Vec<usize> {
-        let mut all: Vec<usize> =
-            if keeps { (0..self.keepers).collect() } else { (self.keepers..self.many.len()).collect() };
+        let mut all: Vec<usize> = if keeps {
+            (0..self.keepers).collect()
+        } else {
+            (self.keepers..self.many.len()).collect()
+        };
         for n in (1..all.len()).rev() {
             all.swap(n, (self.random.next_u64() % (n as u64 + 1)) as usize);
         }
@@ -138,7 +141,10 @@
 
     /// What it counted is lost with it.
     fn kill(&mut self, who: &[usize]) {
-        self.taken += who.iter().map(|&n| self.many.counter(n, "tasks_taken_over")).sum::<u64>();
+        self.taken += who
+            .iter()
+            .map(|&n| self.many.counter(n, "tasks_taken_over"))
+            .sum::<u64>();
         who.iter().for_each(|&n| self.many.kill(n));
         self.deaths.push(unix_ms());
     }
@@ -151,8 +157,22 @@
         for &n in who {
             for other in 0..self.many.len() {
                 if other != n {
-                    self.many.relays.set(n, other, Way { cut, ..Way::default() });
-                    self.many.relays.set(other, n, Way { cut, ..Way::default() });
+                    self.many.relays.set(
+                        n,
+                        other,
+                        Way {
+                            cut,
+                            ..Way::default()
+                        },
+                    );
+                    self.many.relays.set(
+                        other,
+                        n,
+                        Way {
+                            cut,
+                            ..Way::default()
+                        },
+                    );
                 }
             }
         }
@@ -208,7 +228,11 @@
                 let slow = self.some(false, 2);
                 for &n in &slow {
                     for other in 0..self.many.len() {
-                        let way = Way { delay_ms: 40.0, spread_ms: 60.0, ..Way::default() };
+                        let way = Way {
+                            delay_ms: 40.0,
+                            spread_ms: 60.0,
+                            ..Way::default()
+                        };
                         self.many.relays.set(n, other, way);
                         self.many.relays.set(other, n, way);
                     }
@@ -253,7 +277,11 @@
                 // Without keepers nobody's lease goes on.
                 who = (0..self.many.len()).collect();
                 // What keepers have on disk they know; without it nothing is claimed for a window.
-                wait(if self.lasts { 4 * LEASE_MS } else { WINDOW_MS + 10 * LEASE_MS });
+                wait(if self.lasts {
+                    4 * LEASE_MS
+                } else {
+                    WINDOW_MS + 10 * LEASE_MS
+                });
             }
             Fault::Everybody => {
                 who = (0..self.many.len()).collect();
@@ -286,10 +314,19 @@
 
 /// When a process said that its lease had lapsed, or its epoch was over, by the time of the day.
 fn lapses(log: &[String]) -> Vec<f64> {
-    let said = |line: &&String| line.contains("the lease lapsed") || line.contains("may be another's");
+    let said =
+        |line: &&String| line.contains("the lease lapsed") || line.contains("may be another's");
     let time = |line: &String| {
-        let mut parts = line.split_whitespace().nth(2)?.splitn(3, ':').map(str::parse::<f64>);
-        let (hours, minutes, seconds) = (parts.next()?.ok()?, parts.next()?.ok()?, parts.next()?.ok()?);
+        let mut parts = line
+            .split_whitespace()
+            .nth(2)?
+            .splitn(3, ':')
+            .map(str::parse::<f64>);
+        let (hours, minutes, seconds) = (
+            parts.next()?.ok()?,
+            parts.next()?.ok()?,
+            parts.next()?.ok()?,
+        );
         Some(((hours * 60.0 + minutes) * 60.0 + seconds) * 1e3)
     };
     log.iter().filter(said).filter_map(time).collect()
@@ -308,7 +345,10 @@
     let mut by_id: HashMap<String, (u32, usize, bool)> = HashMap::new();
     for n in 0..play.many.len() {
         for start in play.many.worker(n).starts() {
-            by_id.entry(start.id).or_insert((0, n, !start.body.is_empty())).0 += 1;
+            by_id
+                .entry(start.id)
+                .or_insert((0, n, !start.body.is_empty()))
+                .0 += 1;
             if !start.body.is_empty() {
                 let key = String::from_utf8_lossy(&start.body).into_owned();
                 by_key.entry(key).or_default().push((start.at, n));
@@ -318,10 +358,16 @@
     let effects = keyed.effects();
     for (key, effect) in &effects {
         if effect.times > 1 {
-            wrong.push(format!("{} had its effect {} times", String::from_utf8_lossy(key), effect.times));
+            wrong.push(format!(
+                "{} had its effect {} times",
+                String::from_utf8_lossy(key),
+                effect.times
+            ));
         }
     }
-    let lapses: Vec<Vec<f64>> = (0..play.many.len()).map(|n| lapses(&play.many.log(n))).collect();
+    let lapses: Vec<Vec<f64>> = (0..play.many.len())
+        .map(|n| lapses(&play.many.log(n)))
+        .collect();
     let (now, unix) = (Instant::now(), unix_ms());
     let of_day = |at: Instant| (unix - now.duration_since(at).as_secs_f64() * 1e3) % DAY;
     let mut again = 0;
@@ -335,7 +381,9 @@
                 .iter()
                 .any(|&(who, from, to)| who == n && at + BEFORE >= from && two[1].0 <= to + AFTER);
             // On a busy machine a lease may lapse by itself; the process says so.
-            let lapsed = lapses[n].iter().any(|ms| (of_day(at) - 1e3..of_day(two[1].0) + 6e3).contains(ms));
+            let lapsed = lapses[n]
+                .iter()
+                .any(|ms| (of_day(at) - 1e3..of_day(two[1].0) + 6e3).contains(ms));
             if !hurt && !lapsed {
                 wrong.push(format!("{key} ran again though {} was well", many::name(n)));
             }
@@ -348,7 +396,10 @@
         let kind = if bid.key.is_some() { "bid" } else { "page" };
         let Some(last) = &bid.last else {
             unanswered += 1;
-            wrong.push(format!("a {kind} of {:.0} heard no final answer in {} tries", bid.began, bid.tries));
+            wrong.push(format!(
+                "a {kind} of {:.0} heard no final answer in {} tries",
+                bid.began, bid.tries
+            ));
             continue;
         };
         *counts.entry(format!("{kind} {last}")).or_default() += 1;
@@ -358,11 +409,18 @@
             if *results.entry(key).or_insert(&bid.body) != bid.body {
                 wrong.push(format!("two results under {key}"));
             }
-            if effects.get(key.as_bytes()).is_none_or(|effect| effect.times != 1) {
+            if effects
+                .get(key.as_bytes())
+                .is_none_or(|effect| effect.times != 1)
+            {
                 wrong.push(format!("{key} was finished without its effect"));
             }
         }
-        if play.deaths.iter().any(|at| bid.began < *at && bid.began + bid.took > *at) {
+        if play
+            .deaths
+            .iter()
+            .any(|at| bid.began < *at && bid.began + bid.took > *at)
+        {
             let _ = worst.record(((bid.took * 1e3) as u64).max(1));
         }
     }
@@ -370,8 +428,14 @@
     for (what, from, to) in &play.phases {
         let mut ends = BTreeMap::<&str, u64>::new();
         let mut times = histogram();
-        for bid in seen.bids.iter().filter(|bid| bid.key.is_some() && bid.began >= *from && bid.began < *to) {
-            *ends.entry(bid.last.as_deref().unwrap_or("none")).or_default() += 1;
+        for bid in seen
+            .bids
+            .iter()
+            .filter(|bid| bid.key.is_some() && bid.began >= *from && bid.began < *to)
+        {
+            *ends
+                .entry(bid.last.as_deref().unwrap_or("none"))
+                .or_default() += 1;
             let _ = times.record(((bid.took * 1e3) as u64).max(1));
         }
         let at = |quantile| times.value_at_quantile(quantile) / 1000;
@@ -391,11 +455,14 @@
     let older = keyed.older();
     let overtaken = older.iter().filter(|(at, id)| {
         let n = by_id.get(id).map(|(_, n, _)| *n);
-        cuts.iter().any(|&(who, from, to)| Some(who) == n && *at >= from && *at <= to)
+        cuts.iter()
+            .any(|&(who, from, to)| Some(who) == n && *at >= from && *at <= to)
     });
     let overtaken = overtaken.count();
     if overtaken > 0 {
-        wrong.push(format!("{overtaken} calls of an owner that was cut off came after a taker's"));
+        wrong.push(format!(
+            "{overtaken} calls of an owner that was cut off came after a taker's"
+        ));
     }
     let figures = json!({"answers": counts, "unanswered": unanswered, "ran_again": again, "keys": by_key.len(),
         "refused_older": keyed.older().len(), "pages_rejected_running": pages, "phases": phases, "milliseconds": quantiles(&times),
@@ -421,8 +488,12 @@
     let keyed = Keyed::default();
     let records = keyed.serve(20).map_err(|e| e.to_string())?;
     let fleet = many::Order::bids(order, told.members, records)?;
-    let many =
-        Many::new(&many::Order { interval_ms: 200.0, keepers: told.keepers, lasts: told.lasts, ..fleet })?;
+    let many = Many::new(&many::Order {
+        interval_ms: 200.0,
+        keepers: told.keepers,
+        lasts: told.lasts,
+        ..fleet
+    })?;
     let (random, keepers) = (Pcg64Mcg::seed_from_u64(order.seed), told.keepers);
     let mut play = Play {
         many,
@@ -452,14 +523,19 @@
         .collect();
     let began = Instant::now();
     wait(3000);
-    play.phases.push(("none".to_owned(), unix_ms() - 3000.0, unix_ms()));
+    play.phases
+        .push(("none".to_owned(), unix_ms() - 3000.0, unix_ms()));
     let mut cuts = Vec::new();
     for fault in faults(order.plant.as_deref(), told.rounds, told.lasts) {
         let (from, since) = (Instant::now(), unix_ms());
         eprintln!("{:.1} s: {fault:?}", began.elapsed().as_secs_f64());
         play.fault(fault)?;
         if fault == Fault::CutOwner {
-            cuts.extend(play.hurt.last().map(|&(n, ..)| (n, from, Instant::now() + AFTER)));
+            cuts.extend(
+                play.hurt
+                    .last()
+                    .map(|&(n, ..)| (n, from, Instant::now() + AFTER)),
+            );
         }
         wait(3 * LEASE_MS);
         play.phases.push((format!("{fault:?}"), since, unix_ms()));
@@ -468,7 +544,11 @@
     lanes.into_iter().for_each(|lane| drop(lane.join()));
     let ended = play.many.ended();
     for &n in &ended {
-        eprintln!("{} ended by itself:\n{}", many::name(n), play.many.log(n).join("\n"));
+        eprintln!(
+            "{} ended by itself:\n{}",
+            many::name(n),
+            play.many.log(n).join("\n")
+        );
     }
     if order.plant.is_some() {
         // What keepers said, for a look at why a fault was found, or not.
@@ -480,13 +560,22 @@
         }
     }
     let live = play.many.live();
-    play.taken += live.iter().map(|&n| play.many.counter(n, "tasks_taken_over")).sum::<u64>();
+    play.taken += live
+        .iter()
+        .map(|&n| play.many.counter(n, "tasks_taken_over"))
+        .sum::<u64>();
     let seen = load.seen();
     let (mut wrong, mut figures) = judge(&play, &seen, &keyed, &cuts);
     if !ended.is_empty() {
         wrong.push(format!("ended by themselves: {ended:?}"));
     }
-    if seen.bids.iter().filter(|bid| bid.key.is_some() && bid.last.as_deref() == Some("200")).count() < 50 {
+    if seen
+        .bids
+        .iter()
+        .filter(|bid| bid.key.is_some() && bid.last.as_deref() == Some("200"))
+        .count()
+        < 50
+    {
         wrong.push("hardly a bid was finished: nothing is shown".to_owned());
     }
     for what in wrong.iter().take(20) {
--- a/crates/asterdale-rig/src/proofs/upgrade.rs
+++ b/crates/asterdale-rig/src/proofs/upgrade.rs
@@ -78,7 +78,10 @@
             next += every;
             let id = format!("{:016x}", random.next_u64());
             let mark = (random.next_u32() % 3 == 0).then(|| {
-                let mut recent = self.recent.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+                let mut recent = self
+                    .recent
+                    .lock()
+                    .unwrap_or_else(std::sync::PoisonError::into_inner);
                 if random.next_u32() % 2 == 0 && !recent.is_empty() {
                     return recent[random.next_u32() as usize % recent.len()].clone();
                 }
@@ -100,14 +103,25 @@
                 ("HTTP_X_MEMORY_KB", "8"),
                 ("HTTP_IDEMPOTENCY_KEY", mark.as_deref().unwrap_or_default()),
             ];
-            let path = if mark.is_some() { "/v1/bid" } else { "/v1/page" };
+            let path = if mark.is_some() {
+                "/v1/bid"
+            } else {
+                "/v1/page"
+            };
             let body = mark.clone().unwrap_or_default();
             match caller.ask(path, &fields, body.as_bytes()) {
                 Fate::Refused => note(&self.refused, sent),
                 Fate::Lost => note(&self.lost, unix_ms()),
                 Fate::Answered(answer) => {
                     let status = answer.status().to_owned();
-                    let asked = Asked { mark, id, sent, answered: unix_ms(), status, body: answer.body };
+                    let asked = Asked {
+                        mark,
+                        id,
+                        sent,
+                        answered: unix_ms(),
+                        status,
+                        body: answer.body,
+                    };
                     if let Ok(mut all) = self.all.lock() {
                         all.push(asked);
                     }
@@ -125,13 +139,18 @@
 
 /// All processes that were started with this start file: the site's own, whoever their parent is by now.
 pub fn processes(file: &Path) -> Vec<u32> {
-    let Ok(all) = std::fs::read_dir("/proc") else { return Vec::new() };
+    let Ok(all) = std::fs::read_dir("/proc") else {
+        return Vec::new();
+    };
     let wanted = format!("ROUTER_CONFIG={}", file.display());
     let mut found: Vec<u32> = (all.flatten())
         .filter_map(|one| one.file_name().to_str()?.parse().ok())
         .filter(|id| {
             let environment = std::fs::read(format!("/proc/{id}/environ")).unwrap_or_default();
-            environment.split(|byte| *byte == 0).any(|one| one == wanted.as_bytes()) && alive(*id)
+            environment
+                .split(|byte| *byte == 0)
+                .any(|one| one == wanted.as_bytes())
+                && alive(*id)
         })
         .collect();
     found.sort_unstable();
@@ -140,18 +159,24 @@
 
 fn alive(id: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-    stat.rsplit(") ").next().and_then(|rest| rest.chars().next()).is_some_and(|state| !"ZX".contains(state))
+    stat.rsplit(") ")
+        .next()
+        .and_then(|rest| rest.chars().next())
+        .is_some_and(|state| !"ZX".contains(state))
 }
 
 /// Sends a signal to a process.
 pub fn signal(id: u32, name: &str) {
-    let _ = Command::new("sh").args(["-c", &format!("kill -{name} {id} 2>/dev/null")]).status();
+    let _ = Command::new("sh")
+        .args(["-c", &format!("kill -{name} {id} 2>/dev/null")])
+        .status();
 }
 
 fn resident(id: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|line| line.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0)
 }
 
 /// Asks for an upgrade by the command line; the process that serves from then on, if it was done.
@@ -161,9 +186,17 @@
     if let Some(binary) = binary {
         command.arg("--binary").arg(binary);
     }
-    let output = command.output().ok().filter(|output| output.status.success())?;
+    let output = command
+        .output()
+        .ok()
+        .filter(|output| output.status.success())?;
     let text = String::from_utf8(output.stdout).ok()?;
-    text.lines().find_map(|line| line.strip_prefix("done: process ")?.strip_suffix(" serves")?.parse().ok())
+    text.lines().find_map(|line| {
+        line.strip_prefix("done: process ")?
+            .strip_suffix(" serves")?
+            .parse()
+            .ok()
+    })
 }
 
 /// A folder with a control socket, and the processes that serve one after the other.
@@ -179,7 +212,9 @@
 impl Drop for Site {
     /// However the proof ended, nothing that it started stays behind.
     fn drop(&mut self) {
-        processes(&self.file).into_iter().for_each(|id| signal(id, "KILL"));
+        processes(&self.file)
+            .into_iter()
+            .for_each(|id| signal(id, "KILL"));
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -209,7 +244,9 @@
                 Some(thread::spawn(move || {
                     let end = Instant::now() + Duration::from_secs(5);
                     while Instant::now() < end {
-                        if let Some(new) = processes(&file).into_iter().find(|id| !known.contains(id)) {
+                        if let Some(new) =
+                            processes(&file).into_iter().find(|id| !known.contains(id))
+                        {
                             thread::sleep(Duration::from_millis(after));
                             signal(new, "KILL");
                             return Some(unix_ms());
@@ -226,7 +263,8 @@
             thread::spawn(move || upgrade(&program, &control, None).map(|id| (Instant::now(), id)))
         });
         let mut told =
-            vec![upgrade(&self.program, &self.control, binary.as_deref()).map(|id| (Instant::now(), id))];
+            vec![upgrade(&self.program, &self.control, binary.as_deref())
+                .map(|id| (Instant::now(), id))];
         if let Some(second) = second {
             // One of the two is turned away, unless they followed each other.
             told.push(second.join().ok().flatten());
@@ -241,19 +279,32 @@
         let _ = std::fs::write(&self.file, &self.text);
         let done = told.iter().flatten().count() as u32;
         // The last that was told and is there; if it was killed, the one before has the work again.
-        let after = told.into_iter().flatten().filter(|(_, id)| alive(*id)).max();
+        let after = told
+            .into_iter()
+            .flatten()
+            .filter(|(_, id)| alive(*id))
+            .max();
         (after.map_or(serving, |(_, id)| id), done)
     }
 }
 
 /// Judges everything that happened; what was wrong, and figures.
-fn judge(play: &Play, runs: &HashMap<String, u32>, kills: &[f64]) -> (Vec<String>, BTreeMap<String, u64>) {
+fn judge(
+    play: &Play,
+    runs: &HashMap<String, u32>,
+    kills: &[f64],
+) -> (Vec<String>, BTreeMap<String, u64>) {
     let (mut wrong, mut counts) = (Vec::new(), BTreeMap::new());
-    let all = play.all.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let all = play
+        .all
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     let mut results: HashMap<&str, &[u8]> = HashMap::new();
     let mut by_mark: HashMap<&str, u32> = HashMap::new();
     for asked in all.iter() {
-        *counts.entry(format!("answered {}", asked.status)).or_default() += 1;
+        *counts
+            .entry(format!("answered {}", asked.status))
+            .or_default() += 1;
         let ran = runs.get(&asked.id).copied().unwrap_or(0);
         if ran > 1 && asked.mark.is_none() {
             // A page may run again: its first run was lost with the process that was killed.
@@ -265,14 +316,23 @@
         if let Some(mark) = &asked.mark {
             *by_mark.entry(mark).or_default() += ran;
             if asked.status == "200" && *results.entry(mark).or_insert(&asked.body) != asked.body {
-                wrong.push(format!("two results under {mark}, one at {:.0}", asked.sent));
+                wrong.push(format!(
+                    "two results under {mark}, one at {:.0}",
+                    asked.sent
+                ));
             }
         }
     }
     wrong.extend(
-        by_mark.iter().filter(|(_, runs)| **runs > 1).map(|(mark, runs)| format!("{mark} ran {runs} times")),
+        by_mark
+            .iter()
+            .filter(|(_, runs)| **runs > 1)
+            .map(|(mark, runs)| format!("{mark} ran {runs} times")),
     );
-    let lost = play.lost.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let lost = play
+        .lost
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     for at in lost.iter() {
         if kills.iter().any(|kill| (at - kill).abs() < KILLED) {
             *counts.entry("lost to a kill".to_owned()).or_default() += 1;
@@ -280,7 +340,10 @@
             wrong.push(format!("lost at {at:.0}"));
         }
     }
-    let refused = play.refused.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let refused = play
+        .refused
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     wrong.extend(refused.iter().map(|at| format!("refused at {at:.0}")));
     (wrong, counts)
 }
@@ -294,7 +357,11 @@
 ) -> Result<(Site, SocketAddr, Recipe, Daemon), String> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let told = |e: std::io::Error| e.to_string();
-    let program = if plant.is_some() { planted_program()? } else { program() };
+    let program = if plant.is_some() {
+        planted_program()?
+    } else {
+        program()
+    };
     let program = std::fs::canonicalize(&program).unwrap_or(program);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
     let folder = std::env::temp_dir().join(format!("asterdale-upgrade-{}-{n}", std::process::id()));
@@ -304,11 +371,24 @@
     let mut start = scripted::config(scripted::address(), worker.at, records, registry);
     start["settings"]["extra"]["cores"] = json!(8);
     start["upgrade"] = json!({"control": control});
-    let at = start["listen"].as_str().and_then(|at| at.parse().ok()).ok_or("no address")?;
+    let at = start["listen"]
+        .as_str()
+        .and_then(|at| at.parse().ok())
+        .ok_or("no address")?;
     let text = start.to_string();
-    let recipe = Recipe { program: program.clone(), start, plant };
+    let recipe = Recipe {
+        program: program.clone(),
+        start,
+        plant,
+    };
     let daemon = Daemon::start(&recipe)?;
-    let site = Site { folder, file: daemon.file().to_owned(), control, program, text };
+    let site = Site {
+        folder,
+        file: daemon.file().to_owned(),
+        control,
+        program,
+        text,
+    };
     daemon.listens(at)?;
     Ok((site, at, recipe, daemon))
 }
@@ -318,7 +398,10 @@
     let told = |e: std::io::Error| e.to_string();
     let mut random = Pcg64Mcg::seed_from_u64(order.seed);
     let worker = Worker::start(8, (5, 40)).map_err(told)?;
-    let (records, registry) = (services::records().map_err(told)?, services::registry().map_err(told)?);
+    let (records, registry) = (
+        services::records().map_err(told)?,
+        services::registry().map_err(told)?,
+    );
     let (site, at, _, mut daemon) = begin(&worker, records, registry, order.plant.clone())?;
     let play = Arc::new(Play {
         at,
@@ -344,10 +427,14 @@
         _ => Failure::Killed(u64::from(random.next_u32() % 400)),
     };
     // Which of them fail: drawn without looking at how the ones before went.
-    let mut failing: Vec<Option<Failure>> =
-        (0..upgrades).map(|n| (n < fails).then(|| kinds(&mut random))).collect();
+    let mut failing: Vec<Option<Failure>> = (0..upgrades)
+        .map(|n| (n < fails).then(|| kinds(&mut random)))
+        .collect();
     // At least one is killed after it has had the work.
-    if let Some(last) = failing.get_mut(fails.saturating_sub(1) as usize).filter(|_| fails > 0) {
+    if let Some(last) = failing
+        .get_mut(fails.saturating_sub(1) as usize)
+        .filter(|_| fails > 0)
+    {
         *last = Some(Failure::Killed(500));
     }
     for n in (1..failing.len()).rev() {
@@ -364,10 +451,14 @@
         memory = memory.max(processes(&site.file).into_iter().map(resident).sum());
         // Whose the work is must be known at every step: a proof that lost sight of it shows nothing.
         if failure.is_none() && (well != 1 || after == serving || !alive(after)) {
-            lost_sight.push(format!("upgrade {n} should have gone well, and {after} serves after {serving}"));
+            lost_sight.push(format!(
+                "upgrade {n} should have gone well, and {after} serves after {serving}"
+            ));
         }
         if !alive(after) {
-            lost_sight.push(format!("after upgrade {n} {after} should serve, and is not there"));
+            lost_sight.push(format!(
+                "after upgrade {n} {after} should serve, and is not there"
+            ));
             break;
         }
         serving = after;
@@ -375,7 +466,8 @@
     }
     play.stop.store(true, Ordering::Relaxed);
     for lane in lanes {
-        lane.join().map_err(|_| "a lane of the proof panicked".to_owned())?;
+        lane.join()
+            .map_err(|_| "a lane of the proof panicked".to_owned())?;
     }
     signal(serving, "TERM");
     let end = Instant::now() + Duration::from_secs(20);
@@ -386,18 +478,28 @@
     let left = !alive(serving);
     thread::sleep(Duration::from_millis(500));
     let remained = processes(&site.file).len();
-    let kills =
-        kills.lock().map(|kills: std::sync::MutexGuard<'_, Vec<f64>>| kills.clone()).unwrap_or_default();
+    let kills = kills
+        .lock()
+        .map(|kills: std::sync::MutexGuard<'_, Vec<f64>>| kills.clone())
+        .unwrap_or_default();
     let (mut wrong, counts) = judge(&play, &worker.runs(), &kills);
     wrong.append(&mut lost_sight);
     // An upgrade makes a link, and a way back another. Two that serve take it from each other for ever.
     let links = worker.links();
     if links > 1 + 2 * upgrades {
-        wrong.push(format!("the link was made {links} times in {upgrades} upgrades: two processes serve"));
+        wrong.push(format!(
+            "the link was made {links} times in {upgrades} upgrades: two processes serve"
+        ));
     }
-    let meant = failing.iter().filter(|failure| matches!(failure, Some(Failure::Killed(_)))).count();
+    let meant = failing
+        .iter()
+        .filter(|failure| matches!(failure, Some(Failure::Killed(_))))
+        .count();
     if kills.len() != meant {
-        wrong.push(format!("{} processes were killed, {meant} should have been", kills.len()));
+        wrong.push(format!(
+            "{} processes were killed, {meant} should have been",
+            kills.len()
+        ));
     }
     if !left {
         wrong.push("the last process did not leave".to_owned());
@@ -410,9 +512,14 @@
     let (mut inside, mut outside) = (histogram(), histogram());
     let mut ends: Vec<f64> = all.iter().map(|asked| asked.answered).collect();
     ends.sort_by(f64::total_cmp);
-    let gap = ends.windows(2).map(|two| two[1] - two[0]).fold(0.0, f64::max);
+    let gap = ends
+        .windows(2)
+        .map(|two| two[1] - two[0])
+        .fold(0.0, f64::max);
     for asked in all.iter() {
-        let during = windows.iter().any(|(from, to)| asked.answered >= *from && asked.sent <= *to);
+        let during = windows
+            .iter()
+            .any(|(from, to)| asked.answered >= *from && asked.sent <= *to);
         let to = if during { &mut inside } else { &mut outside };
         let _ = to.record(((asked.answered - asked.sent) * 1e3).max(1.0) as u64);
     }
--- a/crates/asterdale-rig/src/relays.rs
+++ b/crates/asterdale-rig/src/relays.rs
@@ -92,10 +92,21 @@
             sockets.push(udp);
             listeners.push(tcp);
         }
-        let advertised = sockets.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
+        let advertised = sockets
+            .iter()
+            .map(UdpSocket::local_addr)
+            .collect::<io::Result<Vec<_>>>()?;
         let random = Pcg64Mcg::seed_from_u64(seed);
-        let state = State { ways: HashMap::new(), random, kept: HashMap::new(), again: Vec::new() };
-        let (state, end) = (Arc::new(Mutex::new(state)), Arc::new(AtomicBool::new(false)));
+        let state = State {
+            ways: HashMap::new(),
+            random,
+            kept: HashMap::new(),
+            again: Vec::new(),
+        };
+        let (state, end) = (
+            Arc::new(Mutex::new(state)),
+            Arc::new(AtomicBool::new(false)),
+        );
         let passed = Arc::new(AtomicU64::new(0));
         for (to, listener) in listeners.into_iter().enumerate() {
             let (state, at, names) = (state.clone(), listens[to], names.clone());
@@ -108,7 +119,12 @@
         }
         let (carried, ended, counted) = (state.clone(), end.clone(), passed.clone());
         thread::spawn(move || drop(datagrams(&sockets, &listens, &carried, &ended, &counted)));
-        Ok(Relays { state, advertised, passed, end })
+        Ok(Relays {
+            state,
+            advertised,
+            passed,
+            end,
+        })
     }
 
     /// From now on this holds from one to the other.
@@ -132,7 +148,11 @@
 
     /// What is kept of this process, taken away: of its earlier life, say.
     pub fn kept(&self, from: usize) -> Vec<(usize, Vec<u8>)> {
-        lock(&self.state).kept.remove(&from).unwrap_or_default().into()
+        lock(&self.state)
+            .kept
+            .remove(&from)
+            .unwrap_or_default()
+            .into()
     }
 
     /// These are said once more.
@@ -162,19 +182,29 @@
 ) -> io::Result<()> {
     let mut poll = Poll::new()?;
     for (n, socket) in sockets.iter().enumerate() {
-        poll.registry().register(&mut SourceFd(&socket.as_raw_fd()), Token(n), Interest::READABLE)?;
+        poll.registry().register(
+            &mut SourceFd(&socket.as_raw_fd()),
+            Token(n),
+            Interest::READABLE,
+        )?;
     }
     let mut events = Events::with_capacity(256);
     let (mut queue, mut came) = (BinaryHeap::<Reverse<Due>>::new(), 0);
     let mut bytes = vec![0; 65_536];
     while !end.load(Ordering::SeqCst) {
-        let next = queue.peek().map(|Reverse(due)| due.0.saturating_duration_since(Instant::now()));
-        let wait = next.unwrap_or(Duration::from_millis(5)).min(Duration::from_millis(5));
+        let next = queue
+            .peek()
+            .map(|Reverse(due)| due.0.saturating_duration_since(Instant::now()));
+        let wait = next
+            .unwrap_or(Duration::from_millis(5))
+            .min(Duration::from_millis(5));
         let _ = poll.poll(&mut events, Some(wait));
         for event in &events {
             let to = event.token().0;
             while let Ok((count, source)) = sockets[to].recv_from(&mut bytes) {
-                let Some(from) = listens.iter().position(|&listen| listen == source) else { continue };
+                let Some(from) = listens.iter().position(|&listen| listen == source) else {
+                    continue;
+                };
                 let mut state = lock(state);
                 let kept = state.kept.entry(from).or_default();
                 kept.push_back((to, bytes[..count].to_vec()));
@@ -198,8 +228,13 @@
             came += 1;
             queue.push(Reverse(Due(Instant::now(), came, to, bytes)));
         }
-        while queue.peek().is_some_and(|Reverse(due)| due.0 <= Instant::now()) {
-            let Some(Reverse(Due(_, _, to, bytes))) = queue.pop() else { break };
+        while queue
+            .peek()
+            .is_some_and(|Reverse(due)| due.0 <= Instant::now())
+        {
+            let Some(Reverse(Due(_, _, to, bytes))) = queue.pop() else {
+                break;
+            };
             // From the relay's own socket: nobody answers to where a message came from.
             let _ = sockets[to].send_to(&bytes, listens[to]);
             passed.fetch_add(1, Ordering::Relaxed);
@@ -277,7 +312,8 @@
             count => first.extend_from_slice(&chunk[..count]),
         }
     }
-    let Some(who) = sender(&first).and_then(|name| names.iter().position(|known| known == name)) else {
+    let Some(who) = sender(&first).and_then(|name| names.iter().position(|known| known == name))
+    else {
         return Ok(());
     };
     let ways = |a, b| lock(state).ways.get(&(a, b)).copied().unwrap_or_default();
@@ -289,7 +325,9 @@
         thread::sleep(LONGEST);
         return Ok(());
     }
-    thread::sleep(Duration::from_secs_f64((there.delay_ms + back.delay_ms) / 1e3));
+    thread::sleep(Duration::from_secs_f64(
+        (there.delay_ms + back.delay_ms) / 1e3,
+    ));
     let on = TcpStream::connect_timeout(&at, LONGEST)?;
     on.set_read_timeout(Some(LONGEST))?;
     (&on).write_all(&first)?;
--- a/crates/asterdale-rig/src/replace.rs
+++ b/crates/asterdale-rig/src/replace.rs
@@ -20,7 +20,10 @@
 fn once(rate: f64, handed: bool) -> Result<Value, String> {
     let told = |e: std::io::Error| e.to_string();
     let worker = Worker::start(8, (20, 40)).map_err(told)?;
-    let (records, registry) = (services::records().map_err(told)?, services::registry().map_err(told)?);
+    let (records, registry) = (
+        services::records().map_err(told)?,
+        services::registry().map_err(told)?,
+    );
     let (site, at, recipe, mut daemon) = begin(&worker, records, registry, None)?;
     let load = thread::spawn(move || drive(at, "", (rate, 64), "200", BEFORE + AFTER));
     thread::sleep(Duration::from_secs(BEFORE));
@@ -45,7 +48,9 @@
 
 /// Both ways, in turn, twice.
 pub fn measure(rate: f64) -> Result<Value, String> {
-    let turns: Result<Vec<Value>, String> =
-        [true, false, true, false].into_iter().map(|handed| once(rate, handed)).collect();
+    let turns: Result<Vec<Value>, String> = [true, false, true, false]
+        .into_iter()
+        .map(|handed| once(rate, handed))
+        .collect();
     Ok(json!({"rate": rate, "turns": turns?}))
 }
--- a/crates/asterdale-rig/src/scripted.rs
+++ b/crates/asterdale-rig/src/scripted.rs
@@ -40,11 +40,24 @@
 pub fn address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (n, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
-    SocketAddr::from(([127, 64 + (process % 128) as u8, (process / 128 % 256) as u8, n as u8], 8080))
+    SocketAddr::from((
+        [
+            127,
+            64 + (process % 128) as u8,
+            (process / 128 % 256) as u8,
+            n as u8,
+        ],
+        8080,
+    ))
 }
 
 /// A start file that works; the addresses are given.
-pub fn config(listen: SocketAddr, runtime: SocketAddr, records: SocketAddr, registry: SocketAddr) -> Value {
+pub fn config(
+    listen: SocketAddr,
+    runtime: SocketAddr,
+    records: SocketAddr,
+    registry: SocketAddr,
+) -> Value {
     json!({"name": "n1", "listen": listen, "runtime": runtime, "registry": registry, "records": records,
         "seed": "8c1f30d27a5be964", "stop_ms": 4000,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -80,7 +93,11 @@
 
 /// Starts the program with this start file.
 pub fn launch(config: &Value) -> (Child, PathBuf) {
-    let name = format!("asterdale-test-{}-{:?}", std::process::id(), thread::current().id());
+    let name = format!(
+        "asterdale-test-{}-{:?}",
+        std::process::id(),
+        thread::current().id()
+    );
     let file = std::env::temp_dir().join(name);
     std::fs::write(&file, config.to_string()).unwrap();
     let child = Command::new(crate::process::program())
@@ -113,7 +130,16 @@
         change(&mut config);
         let (child, file) = launch(&config);
         let log = Arc::default();
-        let mut backend = Backend { child, listen, runtime, records, reports, log, file, config };
+        let mut backend = Backend {
+            child,
+            listen,
+            runtime,
+            records,
+            reports,
+            log,
+            file,
+            config,
+        };
         backend.listen_to_log();
         backend
     }
@@ -147,7 +173,11 @@
                 stream.set_read_timeout(Some(PATIENCE)).unwrap();
                 return Edge::on(stream);
             }
-            assert!(Instant::now() < end, "the backend does not listen; its log: {}", self.log());
+            assert!(
+                Instant::now() < end,
+                "the backend does not listen; its log: {}",
+                self.log()
+            );
             thread::sleep(Duration::from_millis(2));
         }
     }
@@ -182,12 +212,17 @@
     /// before comes back.
     pub fn moved(&mut self) -> (Runtime, Records, Receiver<String>) {
         let (runtime, records, (reports, registry)) = (Runtime::new(), Records::new(), registry());
-        for (field, at) in [("runtime", runtime.at), ("records", records.at), ("registry", registry)] {
+        for (field, at) in [
+            ("runtime", runtime.at),
+            ("records", records.at),
+            ("registry", registry),
+        ] {
             self.config[field] = json!(at);
         }
         {
             let mut shared = runtime.shared.lock().unwrap();
-            (shared.up, shared.notices) = (true, self.runtime.shared.lock().unwrap().notices.clone());
+            (shared.up, shared.notices) =
+                (true, self.runtime.shared.lock().unwrap().notices.clone());
         }
         self.reload(&self.config.to_string());
         (
@@ -199,7 +234,11 @@
 
     pub fn signal(&self, name: &str) {
         let kill = format!("kill {name} {}", self.child.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
+        assert!(Command::new("sh")
+            .args(["-c", &kill])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// Waits for its end; how it ended, and its log.
@@ -218,7 +257,9 @@
         until("the counters", || {
             let before = self.log().matches("counters: ").count();
             self.signal("-USR1");
-            until("a report", || self.log().matches("counters: ").count() > before);
+            until("a report", || {
+                self.log().matches("counters: ").count() > before
+            });
             let log = self.log();
             holds(&|name| counter(&log, name))
         });
@@ -228,8 +269,14 @@
 /// A counter in the last report of this log.
 pub fn counter(log: &str, name: &str) -> u64 {
     let report = log.rsplit("counters: ").next().unwrap();
-    let found = report.split_whitespace().find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
-    found.unwrap_or_else(|| panic!("no {name} in {report}")).trim_end_matches(',').parse().unwrap()
+    let found = report
+        .split_whitespace()
+        .find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
+    found
+        .unwrap_or_else(|| panic!("no {name} in {report}"))
+        .trim_end_matches(',')
+        .parse()
+        .unwrap()
 }
 
 impl Drop for Backend {
@@ -246,8 +293,13 @@
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let mut reader = BufReader::new(&stream);
-            let Some((head, body)) = crate::services::request(&mut reader) else { continue };
-            assert!(head.starts_with("PUT /v1/instances/n1 HTTP/1.1\r\n"), "{head}");
+            let Some((head, body)) = crate::services::request(&mut reader) else {
+                continue;
+            };
+            assert!(
+                head.starts_with("PUT /v1/instances/n1 HTTP/1.1\r\n"),
+                "{head}"
+            );
             let _ = (&stream).write_all(b"HTTP/1.1 204 No Content\r\n\r\n");
             if sender.send(String::from_utf8(body).unwrap()).is_err() {
                 return;
@@ -280,7 +332,12 @@
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream);
                 if let Some((head, body)) = crate::services::request(&mut reader) {
-                    let _ = sender.send(Call { head, body, stream: reader.into_inner(), again });
+                    let _ = sender.send(Call {
+                        head,
+                        body,
+                        stream: reader.into_inner(),
+                        again,
+                    });
                 }
             })
         };
@@ -311,8 +368,13 @@
 
     /// Replies, and keeps the connection for the next call.
     pub fn reply(mut self, status: &str, body: &[u8]) {
-        let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
-        self.stream.write_all(&[head.as_bytes(), body].concat()).unwrap();
+        let head = format!(
+            "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n",
+            body.len()
+        );
+        self.stream
+            .write_all(&[head.as_bytes(), body].concat())
+            .unwrap();
         self.again.send(self.stream).unwrap();
     }
 }
@@ -341,7 +403,15 @@
 impl Default for Shared {
     fn default() -> Shared {
         let (up, deaf, ready) = (false, false, false);
-        Shared { up, up_ms: 60_000.0, deaf, link: None, notices: Vec::new(), synced: None, ready }
+        Shared {
+            up,
+            up_ms: 60_000.0,
+            deaf,
+            link: None,
+            notices: Vec::new(),
+            synced: None,
+            ready,
+        }
     }
 }
 
@@ -355,7 +425,10 @@
         if let (true, false, Some(no)) = (self.up, self.ready, self.synced) {
             self.ready = true;
             self.say(&json!({"t": "ready", "status": "LOADED", "time_ms": self.up_ms}));
-            self.notices.iter().skip(no as usize).for_each(|notice| self.say(notice));
+            self.notices
+                .iter()
+                .skip(no as usize)
+                .for_each(|notice| self.say(notice));
         }
     }
 }
@@ -385,7 +458,9 @@
                             shared.ready();
                         }
                         "gauges" if shared.ready => {
-                            shared.say(&json!({"t": "load", "mark": line["mark"], "v": [0.1, 1, 0.1, 1]}));
+                            shared.say(
+                                &json!({"t": "load", "mark": line["mark"], "v": [0.1, 1, 0.1, 1]}),
+                            );
                         }
                         "gauges" => shared.say(&json!({"t": "nack", "status": "gauges"})),
                         _ => drop(sender.send(line)),
@@ -393,7 +468,11 @@
                 }
             }
         });
-        Runtime { at, commands, shared }
+        Runtime {
+            at,
+            commands,
+            shared,
+        }
     }
 
     /// It comes up.
@@ -414,7 +493,10 @@
 
     /// The next command that is not about gauges.
     pub fn command(&self, name: &str) -> Value {
-        let command = self.commands.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no {name} came"));
+        let command = self
+            .commands
+            .recv_timeout(PATIENCE)
+            .unwrap_or_else(|_| panic!("no {name} came"));
         assert_eq!(command["t"], name, "{command}");
         command
     }
@@ -427,7 +509,12 @@
     /// Says a line that is no notice.
     pub fn say(&self, line: &str) {
         let shared = self.shared.lock().unwrap();
-        shared.link.as_ref().unwrap().write_all(format!("{line}\n").as_bytes()).unwrap();
+        shared
+            .link
+            .as_ref()
+            .unwrap()
+            .write_all(format!("{line}\n").as_bytes())
+            .unwrap();
     }
 
     fn notice(&self, mut notice: Value) {
@@ -487,7 +574,10 @@
 
 impl Answered {
     pub fn status(&self) -> &str {
-        self.head.lines().find_map(|line| line.strip_prefix("Status: ")).unwrap_or("none")
+        self.head
+            .lines()
+            .find_map(|line| line.strip_prefix("Status: "))
+            .unwrap_or("none")
     }
 }
 
@@ -504,7 +594,10 @@
 /// A request as records. The fields are CGI names; one that is empty is left out.
 pub fn request(request: u16, path: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut params = Vec::new();
-    for (name, value) in [("REQUEST_METHOD", "POST"), ("SCRIPT_NAME", path)].iter().chain(fields) {
+    for (name, value) in [("REQUEST_METHOD", "POST"), ("SCRIPT_NAME", path)]
+        .iter()
+        .chain(fields)
+    {
         if !value.is_empty() {
             params.push(name.len() as u8);
             params.extend((0x8000_0000 | value.len() as u32).to_be_bytes());
@@ -525,7 +618,11 @@
 }
 
 /// The fields of a task; those given replace the usual ones.
-pub fn fields<'a>(id: &'a str, start: &'a str, other: &[(&'a str, &'a str)]) -> Vec<(&'a str, &'a str)> {
+pub fn fields<'a>(
+    id: &'a str,
+    start: &'a str,
+    other: &[(&'a str, &'a str)],
+) -> Vec<(&'a str, &'a str)> {
     let mut fields = vec![
         ("HTTP_X_REQUEST_ID", id),
         ("HTTP_X_REQUEST_START", start),
@@ -544,13 +641,20 @@
 }
 
 pub fn now() -> String {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis().to_string()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis()
+        .to_string()
 }
 
 impl<S: Read + Write> Edge<S> {
     /// A connection that is open already.
     pub fn on(stream: S) -> Edge<S> {
-        Edge { stream, incoming: Incoming::default() }
+        Edge {
+            stream,
+            incoming: Incoming::default(),
+        }
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
@@ -565,12 +669,18 @@
     pub fn task(&mut self, number: u16, stage: &str, id: &str, other: &[(&str, &str)]) {
         let start = now();
         let path = format!("/v1/{stage}");
-        self.send(&request(number, &path, &fields(id, &start, other), b"ask\0\xff"));
+        self.send(&request(
+            number,
+            &path,
+            &fields(id, &start, other),
+            b"ask\0\xff",
+        ));
     }
 
     /// The next whole answer; `None` at the end of the connection.
     pub fn answer(&mut self) -> Option<Answered> {
-        self.try_answer().unwrap_or_else(|e| panic!("no answer came: {e}"))
+        self.try_answer()
+            .unwrap_or_else(|e| panic!("no answer came: {e}"))
     }
 
     /// The same; an answer that can't be read is an error, as is none in the time that the stream is given.
@@ -586,7 +696,8 @@
                         let at = at.map_or(stdout.len(), |at| at + 4);
                         return Ok(Some(Answered {
                             request: record.id,
-                            head: String::from_utf8(stdout[..at].to_vec()).map_err(|e| bad(e.to_string()))?,
+                            head: String::from_utf8(stdout[..at].to_vec())
+                                .map_err(|e| bad(e.to_string()))?,
                             body: stdout[at..].to_vec(),
                             state: record.content.get(4).copied().unwrap_or(u8::MAX),
                         }));
--- a/crates/asterdale-rig/src/services.rs
+++ b/crates/asterdale-rig/src/services.rs
@@ -19,8 +19,12 @@
             return None;
         }
     }
-    let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
-    let length: u64 = length.map_or(Some(0), |length| length.parse().ok()).filter(|&n| n <= MOST)?;
+    let length = head
+        .lines()
+        .find_map(|line| line.strip_prefix("Content-Length: "));
+    let length: u64 = length
+        .map_or(Some(0), |length| length.parse().ok())
+        .filter(|&n| n <= MOST)?;
     let mut body = Vec::new();
     reader.take(length).read_to_end(&mut body).ok()?;
     (body.len() as u64 == length).then_some((head, body))
@@ -80,16 +84,26 @@
 impl Keyed {
     /// What was had of each key.
     pub fn effects(&self) -> HashMap<Vec<u8>, Effect> {
-        self.effects.lock().map(|effects| effects.clone()).unwrap_or_default()
+        self.effects
+            .lock()
+            .map(|effects| effects.clone())
+            .unwrap_or_default()
     }
 
     /// Calls that were refused for an older fence.
     pub fn older(&self) -> Vec<(Instant, String)> {
-        self.older.lock().map(|older| older.clone()).unwrap_or_default()
+        self.older
+            .lock()
+            .map(|older| older.clone())
+            .unwrap_or_default()
     }
 
     fn call(&self, head: &str, body: &[u8]) -> Option<Vec<u8>> {
-        let field = |name: &str| head.lines().find_map(|line| line.strip_prefix(name)).map(str::trim);
+        let field = |name: &str| {
+            head.lines()
+                .find_map(|line| line.strip_prefix(name))
+                .map(str::trim)
+        };
         let fence: Option<u64> = field("Op-Fence: ").and_then(|fence| fence.parse().ok());
         let mut effects = self.effects.lock().ok()?;
         let effect = effects.entry(body.to_vec()).or_default();
@@ -103,8 +117,12 @@
         }
         if effect.times == 0 || fence.is_none() {
             effect.times += 1;
-            effect.reply =
-                format!("effect {} of {}", effect.times, String::from_utf8_lossy(body)).into_bytes();
+            effect.reply = format!(
+                "effect {} of {}",
+                effect.times,
+                String::from_utf8_lossy(body)
+            )
+            .into_bytes();
         }
         Some(effect.reply.clone())
     }
@@ -114,16 +132,21 @@
         let keyed = self.clone();
         serve(move |stream| {
             let mut reader = BufReader::new(&stream);
-            let Some((head, body)) = request(&mut reader) else { return };
+            let Some((head, body)) = request(&mut reader) else {
+                return;
+            };
             let reply = match keyed.call(&head, &body) {
                 Some(reply) => {
-                    let spread =
-                        body.iter().fold(0u64, |sum, byte| sum.wrapping_mul(31).wrapping_add((*byte).into()));
+                    let spread = body.iter().fold(0u64, |sum, byte| {
+                        sum.wrapping_mul(31).wrapping_add((*byte).into())
+                    });
                     thread::sleep(Duration::from_millis(spread % (late + 1)));
-                    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", reply.len());
+                    let head =
+                        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", reply.len());
                     [head.as_bytes(), &reply].concat()
                 }
-                None => b"HTTP/1.1 409 Conflict\r\nOp-Not-Begun: 1\r\nContent-Length: 0\r\n\r\n".to_vec(),
+                None => b"HTTP/1.1 409 Conflict\r\nOp-Not-Begun: 1\r\nContent-Length: 0\r\n\r\n"
+                    .to_vec(),
             };
             let _ = (&stream).write_all(&reply);
         })
--- a/crates/asterdale-rig/src/soak.rs
+++ b/crates/asterdale-rig/src/soak.rs
@@ -40,13 +40,23 @@
 /// back with it.
 pub fn daemon(worker: &Worker, sockets: usize) -> Result<(Daemon, std::net::SocketAddr), String> {
     let told = |e: std::io::Error| e.to_string();
-    let (records, registry) = (services::records().map_err(told)?, services::registry().map_err(told)?);
+    let (records, registry) = (
+        services::records().map_err(told)?,
+        services::registry().map_err(told)?,
+    );
     let mut start = scripted::config(scripted::address(), worker.at, records, registry);
     start["limits"]["sockets"] = json!(sockets);
     start["limits"]["memory_mb"] = json!(512);
     start["settings"]["extra"]["cores"] = json!(4);
-    let at = start["listen"].as_str().and_then(|at| at.parse().ok()).ok_or("no address")?;
-    let daemon = Daemon::start(&Recipe { program: program(), start, plant: None })?;
+    let at = start["listen"]
+        .as_str()
+        .and_then(|at| at.parse().ok())
+        .ok_or("no address")?;
+    let daemon = Daemon::start(&Recipe {
+        program: program(),
+        start,
+        plant: None,
+    })?;
     daemon.listens(at)?;
     Ok((daemon, at))
 }
@@ -57,7 +67,10 @@
 /// The slope of a straight line through these, from when all is full and no earlier than their half, per hour; 0
 /// where the play was too short to tell.
 fn slope(samples: &[Sample], of: impl Fn(&Sample) -> f64) -> f64 {
-    let full = samples.iter().position(|sample| sample.0 >= FULL).unwrap_or(samples.len());
+    let full = samples
+        .iter()
+        .position(|sample| sample.0 >= FULL)
+        .unwrap_or(samples.len());
     let half = &samples[full.max(samples.len() / 2)..];
     if half.len() < 30 {
         return 0.0;
@@ -96,7 +109,12 @@
     let cpu_before = daemon.usage().0;
     crowd.play(Duration::from_secs(1), |_| {
         let ((_, kib), (threads, descriptors)) = (daemon.usage(), daemon.holds());
-        samples.push((began.elapsed().as_secs_f64(), kib as f64, threads as f64, descriptors as f64));
+        samples.push((
+            began.elapsed().as_secs_f64(),
+            kib as f64,
+            threads as f64,
+            descriptors as f64,
+        ));
         died = daemon.ended();
         !died
     });
@@ -104,13 +122,25 @@
     let cpu_ms = daemon.usage().0 - cpu_before;
     let most = |of: &dyn Fn(&Sample) -> f64| samples.iter().map(of).fold(0.0, f64::max);
     let (threads, descriptors, kib) = (most(&|s| s.2), most(&|s| s.3), most(&|s| s.1));
-    let grows = (slope(&samples, |s| s.1), slope(&samples, |s| s.2), slope(&samples, |s| s.3));
+    let grows = (
+        slope(&samples, |s| s.1),
+        slope(&samples, |s| s.2),
+        slope(&samples, |s| s.3),
+    );
     let (open, seen) = (crowd.open(), &crowd.seen);
-    let twice: u32 = worker.runs().values().map(|&runs| runs.saturating_sub(1)).sum();
+    let twice: u32 = worker
+        .runs()
+        .values()
+        .map(|&runs| runs.saturating_sub(1))
+        .sum();
     let answered = seen.lost == 0 && seen.twice == 0 && seen.refused == 0 && twice == 0;
     // Connections that come and stay make memory and descriptors grow until the backend's bounds: no leak.
     let flat = order.once || grows.0 < MOST_KIB && grows.2 < MOST_DESCRIPTORS;
-    let held = answered && !died && flat && threads <= MOST_THREADS as f64 && seen.all_answers() == seen.sent;
+    let held = answered
+        && !died
+        && flat
+        && threads <= MOST_THREADS as f64
+        && seen.all_answers() == seen.sent;
     let round = |x: f64| (x * 100.0).round() / 100.0;
     let figures = json!({"held": held, "connections": order.connections, "rate": order.rate, "once": order.once,
         "seconds": round(seconds), "sent": seen.sent, "answered": seen.answered, "lost": seen.lost,
@@ -120,7 +150,10 @@
         "threads": threads, "descriptors": descriptors, "kib": kib,
         "slope_an_hour": {"kib": round(grows.0), "threads": round(grows.1), "descriptors": round(grows.2)}});
     if died {
-        return Err(format!("the daemon ended by itself: {figures}\n{}", daemon.log().join("\n")));
+        return Err(format!(
+            "the daemon ended by itself: {figures}\n{}",
+            daemon.log().join("\n")
+        ));
     }
     drop(crowd);
     daemon.leave(Duration::from_secs(10));
--- a/crates/asterdale-rig/src/third.rs
+++ b/crates/asterdale-rig/src/third.rs
@@ -51,8 +51,16 @@
 
 impl Seen {
     fn now(&self) -> [u64; 7] {
-        [&self.asked, &self.finished, &self.tries, &self.last, &self.open, &self.refused, &self.lost]
-            .map(|count| count.load(Relaxed))
+        [
+            &self.asked,
+            &self.finished,
+            &self.tries,
+            &self.last,
+            &self.open,
+            &self.refused,
+            &self.lost,
+        ]
+        .map(|count| count.load(Relaxed))
     }
 }
 
@@ -80,15 +88,20 @@
             let mut tried = Vec::new();
             while tried.len() < TRIES && unix_ms() < began + PATIENCE {
                 let now = unix_ms();
-                let free: Vec<usize> =
-                    (0..callers.len()).filter(|n| !tried.contains(n) && away[*n] <= now).collect();
-                let Some(&to) = free.get((random.next_u64() % free.len().max(1) as u64) as usize) else {
+                let free: Vec<usize> = (0..callers.len())
+                    .filter(|n| !tried.contains(n) && away[*n] <= now)
+                    .collect();
+                let Some(&to) = free.get((random.next_u64() % free.len().max(1) as u64) as usize)
+                else {
                     break;
                 };
                 tried.push(to);
                 self.seen.tries.fetch_add(1, Relaxed);
                 let id = format!("{:016x}", random.next_u64());
-                let (start, left) = ((now as u64).to_string(), ((began + PATIENCE - now) as u64).to_string());
+                let (start, left) = (
+                    (now as u64).to_string(),
+                    ((began + PATIENCE - now) as u64).to_string(),
+                );
                 let fields = [
                     ("HTTP_X_REQUEST_ID", id.as_str()),
                     ("HTTP_X_REQUEST_START", &start),
@@ -108,8 +121,11 @@
                         break;
                     }
                     Fate::Answered(answer) => {
-                        let field = |name: &str| answer.head.lines().find_map(|line| line.strip_prefix(name));
-                        let stay = field("Retry-After-Ms: ").and_then(|ms| ms.trim().parse::<f64>().ok());
+                        let field = |name: &str| {
+                            answer.head.lines().find_map(|line| line.strip_prefix(name))
+                        };
+                        let stay =
+                            field("Retry-After-Ms: ").and_then(|ms| ms.trim().parse::<f64>().ok());
                         away[to] = unix_ms() + stay.unwrap_or(0.0);
                         if field("X-Dont-Retry: 1").is_some() {
                             self.seen.last.fetch_add(1, Relaxed);
@@ -184,9 +200,15 @@
     }
     load.stop.store(true, Relaxed);
     lanes.into_iter().for_each(|lane| drop(lane.join()));
-    let twice: u32 =
-        (0..many.len()).flat_map(|n| many.worker(n).runs().into_values()).map(|runs| runs - 1).sum();
-    let times = load.times.lock().map(|times| quantiles(&times)).unwrap_or_default();
+    let twice: u32 = (0..many.len())
+        .flat_map(|n| many.worker(n).runs().into_values())
+        .map(|runs| runs - 1)
+        .sum();
+    let times = load
+        .times
+        .lock()
+        .map(|times| quantiles(&times))
+        .unwrap_or_default();
     Ok(json!({"view": talks, "parts": parts, "runs_twice": twice, "milliseconds": times}))
 }
 
@@ -195,7 +217,10 @@
     let mut plays = Vec::new();
     for repeat in 0..repeats {
         for talks in [true, false] {
-            let order = Order { seed: order.seed + repeat, ..*order };
+            let order = Order {
+                seed: order.seed + repeat,
+                ..*order
+            };
             let play = once(&order, talks)?;
             eprintln!("{play}");
             plays.push(play);
--- a/crates/asterdale-rig/src/worker.rs
+++ b/crates/asterdale-rig/src/worker.rs
@@ -64,7 +64,9 @@
 
 /// How long a run lasts follows from its id.
 fn spread(id: &str) -> u64 {
-    id.bytes().fold(0, |sum: u64, byte| sum.wrapping_mul(31).wrapping_add(byte.into()))
+    id.bytes().fold(0, |sum: u64, byte| {
+        sum.wrapping_mul(31).wrapping_add(byte.into())
+    })
 }
 
 /// What the run of this task results in: everybody can tell whose it is.
@@ -85,7 +87,13 @@
         calls: Option<&'static str>,
     ) -> std::io::Result<Worker> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let worker = Worker { at: listener.local_addr()?, cores, lasts, calls, shared: Arc::default() };
+        let worker = Worker {
+            at: listener.local_addr()?,
+            cores,
+            lasts,
+            calls,
+            shared: Arc::default(),
+        };
         let (linking, ending) = (worker.clone(), worker.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -99,12 +107,20 @@
 
     /// How often each task was started, by its id.
     pub fn runs(&self) -> HashMap<String, u32> {
-        self.shared.0.lock().map(|state| state.runs.clone()).unwrap_or_default()
+        self.shared
+            .0
+            .lock()
+            .map(|state| state.runs.clone())
+            .unwrap_or_default()
     }
 
     /// All that was started, in order.
     pub fn starts(&self) -> Vec<Start> {
-        self.shared.0.lock().map(|state| state.starts.clone()).unwrap_or_default()
+        self.shared
+            .0
+            .lock()
+            .map(|state| state.starts.clone())
+            .unwrap_or_default()
     }
 
     /// How often a link was made: one takes the place of the one before.
@@ -115,10 +131,16 @@
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         // Nothing is said on a link before it has said what it knows.
-        let Ok(mut writer) = stream.try_clone().map(Some) else { return };
+        let Ok(mut writer) = stream.try_clone().map(Some) else {
+            return;
+        };
         for line in BufReader::new(stream).lines().map_while(Result::ok) {
-            let Ok(line) = serde_json::from_str::<Value>(&line) else { return };
-            let Ok(mut state) = self.shared.0.lock() else { return };
+            let Ok(line) = serde_json::from_str::<Value>(&line) else {
+                return;
+            };
+            let Ok(mut state) = self.shared.0.lock() else {
+                return;
+            };
             if line["t"] == "sync" {
                 state.link = writer.take();
                 state.links += 1;
@@ -141,8 +163,12 @@
                     state.due.clear();
                 }
                 state.say(&json!({"t": "ready", "status": "LOADED", "time_ms": 5}));
-                let missed =
-                    state.notices.iter().skip(no.saturating_sub(state.before)).cloned().collect::<Vec<_>>();
+                let missed = state
+                    .notices
+                    .iter()
+                    .skip(no.saturating_sub(state.before))
+                    .cloned()
+                    .collect::<Vec<_>>();
                 missed.iter().for_each(|notice| state.say(notice));
             }
             "gauges" => {
@@ -150,27 +176,45 @@
                 let gauges = [(running / cores).min(1.0), running, 0.1, 1.0];
                 state.say(&json!({"t": "load", "mark": line["mark"], "v": gauges}));
             }
-            "selftest" => state.say(&json!({"t": "verdict", "mark": line["mark"], "status": "PASS"})),
+            "selftest" => {
+                state.say(&json!({"t": "verdict", "mark": line["mark"], "status": "PASS"}))
+            }
             "start" if !state.running.contains_key(id) => {
                 *state.runs.entry(id.to_owned()).or_default() += 1;
                 let (least, most) = self.lasts;
                 let spread = spread(id);
                 let mut lasts = least + spread % (most - least + 1);
-                let body = STANDARD.decode(line["b64"].as_str().unwrap_or_default()).unwrap_or_default();
-                state.starts.push(Start { at: Instant::now(), id: id.to_owned(), body: body.clone() });
+                let body = STANDARD
+                    .decode(line["b64"].as_str().unwrap_or_default())
+                    .unwrap_or_default();
+                state.starts.push(Start {
+                    at: Instant::now(),
+                    id: id.to_owned(),
+                    body: body.clone(),
+                });
                 if self.calls.is_some_and(|stage| line["route"] == stage) {
                     state.calling.insert(id.to_owned(), body);
                     // A few take far longer than a lease, and make their call late in it.
-                    lasts = if spread % LONG.0 == 0 { LONG.1 } else { lasts / 2 };
+                    lasts = if spread % LONG.0 == 0 {
+                        LONG.1
+                    } else {
+                        lasts / 2
+                    };
                 }
                 let end = Instant::now() + Duration::from_millis(lasts);
                 state.running.insert(id.to_owned(), end);
                 state.due.push(Due(std::cmp::Reverse(end), id.to_owned()));
                 self.shared.1.notify_one();
             }
-            "give" | "omit" if state.running.contains_key(id) && !state.calling.contains_key(id) => {
+            "give" | "omit"
+                if state.running.contains_key(id) && !state.calling.contains_key(id) =>
+            {
                 let spread = spread(id);
-                let rest = if spread % LONG.0 == 1 { LONG.1 } else { self.lasts.0 / 2 };
+                let rest = if spread % LONG.0 == 1 {
+                    LONG.1
+                } else {
+                    self.lasts.0 / 2
+                };
                 let end = Instant::now() + Duration::from_millis(rest);
                 state.due.push(Due(std::cmp::Reverse(end), id.to_owned()));
                 self.shared.1.notify_one();
@@ -187,7 +231,9 @@
             let now = Instant::now();
             let wait = match state.due.peek() {
                 Some(Due(at, _)) if at.0 <= now => {
-                    let Some(Due(_, id)) = state.due.pop() else { continue };
+                    let Some(Due(_, id)) = state.due.pop() else {
+                        continue;
+                    };
                     if let Some(body) = state.calling.remove(&id) {
                         let no = state.before + state.notices.len() + 1;
                         let wants = json!({"t": "wants", "no": no, "rid": id, "b64": STANDARD.encode(body)});
@@ -205,7 +251,9 @@
                 Some(Due(at, _)) => at.0 - now,
                 None => Duration::from_secs(3600),
             };
-            let Ok((woken, _)) = wake.wait_timeout(state, wait) else { return };
+            let Ok((woken, _)) = wake.wait_timeout(state, wait) else {
+                return;
+            };
             state = woken;
         }
     }
--- a/crates/asterdale-simhost/src/host.rs
+++ b/crates/asterdale-simhost/src/host.rs
@@ -82,16 +82,26 @@
         self.about(7, task, &[]);
     }
     fn advertise(&mut self, value: f64) {
-        self.reply.action(self.names.instance, 13, &[&(value as f32).to_be_bytes()]);
+        self.reply
+            .action(self.names.instance, 13, &[&(value as f32).to_be_bytes()]);
     }
     fn health(&mut self, good: bool, stored: bool) {
-        self.reply.action(self.names.instance, 15, &[&[u8::from(good), u8::from(stored)]]);
+        self.reply.action(
+            self.names.instance,
+            15,
+            &[&[u8::from(good), u8::from(stored)]],
+        );
     }
     fn close_idle(&mut self, after_ms: f64) {
-        self.reply.action(self.names.instance, 4, &[&nanos(after_ms)]);
+        self.reply
+            .action(self.names.instance, 4, &[&nanos(after_ms)]);
     }
     fn wake(&mut self, at_ms: f64) {
-        self.reply.action(self.names.instance, 2, &[&nanos(at_ms), &0u32.to_be_bytes()]);
+        self.reply.action(
+            self.names.instance,
+            2,
+            &[&nanos(at_ms), &0u32.to_be_bytes()],
+        );
     }
 }
 
@@ -114,7 +124,11 @@
         let mut context = None;
         for n in 0..batch.header.records {
             let record = batch.record(n);
-            let bad = |what: String| Malformed { record: Some(n), offset: batch.offset(n), what };
+            let bad = |what: String| Malformed {
+                record: Some(n),
+                offset: batch.offset(n),
+                what,
+            };
             let code = record.u8(0);
             if code == 4 {
                 context = Some(record.u16(1));
@@ -123,8 +137,8 @@
             let number = context.ok_or_else(|| bad(format!("code {code} before any context")))?;
             if code == 8 {
                 let text = batch.tail(n, 9)?;
-                let Facts { told, gauges, .. } =
-                    asterdale_facts::read(record.u64(1), text).map_err(|e| bad(format!("settings: {e}")))?;
+                let Facts { told, gauges, .. } = asterdale_facts::read(record.u64(1), text)
+                    .map_err(|e| bad(format!("settings: {e}")))?;
                 let mut names = Names {
                     instance: number,
                     handles: HashMap::new(),
@@ -132,9 +146,19 @@
                     callers: HashMap::new(),
                     arriving: 0,
                 };
-                let mut out = Writer { names: &mut names, reply };
+                let mut out = Writer {
+                    names: &mut names,
+                    reply,
+                };
                 match guarded(|| Server::start(told, now, &mut out)) {
-                    Ok(server) => drop(self.instances.insert(number, Instance { server, names, gauges })),
+                    Ok(server) => drop(self.instances.insert(
+                        number,
+                        Instance {
+                            server,
+                            names,
+                            gauges,
+                        },
+                    )),
                     Err(text) => reply.text(number, 16, &text),
                 }
                 continue;
@@ -166,7 +190,9 @@
 fn guarded<T>(f: impl FnOnce() -> T) -> Result<T, String> {
     catch_unwind(AssertUnwindSafe(f)).map_err(|panic| {
         let text = panic.downcast_ref::<String>().map(String::as_str);
-        text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic").to_owned()
+        text.or(panic.downcast_ref::<&str>().copied())
+            .unwrap_or("panic")
+            .to_owned()
     })
 }
 
@@ -191,7 +217,11 @@
     now: f64,
     reply: &mut Reply,
 ) -> Result<(), String> {
-    let Instance { server, names, gauges } = instance;
+    let Instance {
+        server,
+        names,
+        gauges,
+    } = instance;
     let known = names.handles.get(&record.u32(1)).copied();
     match code {
         1 => {
@@ -227,7 +257,11 @@
         }
         7 => {
             let mut read = Gauges::default();
-            for (n, name) in gauges.iter().enumerate().take((record.u8(5) as usize).min(4)) {
+            for (n, name) in gauges
+                .iter()
+                .enumerate()
+                .take((record.u8(5) as usize).min(4))
+            {
                 let value = Some(record.f32(6 + 4 * n) as f64);
                 match name.as_str() {
                     "core_use" => read.cpu = value,
--- a/crates/asterdale-simhost/src/main.rs
+++ b/crates/asterdale-simhost/src/main.rs
@@ -62,7 +62,11 @@
     #[test]
     fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_ends() {
         let mut out = Vec::new();
-        serve(&[0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 16, 0, 0, 0, 0][..], &mut out).unwrap();
+        serve(
+            &[0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 16, 0, 0, 0, 0][..],
+            &mut out,
+        )
+        .unwrap();
         assert_eq!(out, [0, 0, 0, 8, 0, 0, 0, 0]);
     }
 
--- a/crates/asterdale-simhost/src/wire.rs
+++ b/crates/asterdale-simhost/src/wire.rs
@@ -34,7 +34,11 @@
 impl std::error::Error for Malformed {}
 
 fn frame_error(offset: usize, what: impl Into<String>) -> Malformed {
-    Malformed { record: None, offset, what: what.into() }
+    Malformed {
+        record: None,
+        offset,
+        what: what.into(),
+    }
 }
 
 /// The header of a batch.
@@ -51,13 +55,19 @@
 /// Reads a batch's header and checks that its sizes can be true.
 pub fn header(bytes: &[u8; HEADER]) -> Result<Header, Malformed> {
     let field = Fields { bytes, at: 0 };
-    let head =
-        Header { clock_ns: field.u64(0), size: field.u32(8) as usize, records: field.u32(12) as usize };
+    let head = Header {
+        clock_ns: field.u64(0),
+        size: field.u32(8) as usize,
+        records: field.u32(12) as usize,
+    };
     if head.size < HEADER || head.size > MOST_BYTES {
         return Err(frame_error(8, format!("a size of {} bytes", head.size)));
     }
     if head.records > (head.size - HEADER) / EVENT {
-        return Err(frame_error(12, format!("{} records in {} bytes", head.records, head.size)));
+        return Err(frame_error(
+            12,
+            format!("{} records in {} bytes", head.records, head.size),
+        ));
     }
     Ok(head)
 }
@@ -112,13 +122,19 @@
     /// A batch whose header has been read before; `bytes` holds the whole frame.
     pub fn new(bytes: &'a [u8], header: Header) -> Result<Self, Malformed> {
         if bytes.len() != header.size {
-            return Err(frame_error(bytes.len(), format!("{} bytes of {}", bytes.len(), header.size)));
+            return Err(frame_error(
+                bytes.len(),
+                format!("{} bytes of {}", bytes.len(), header.size),
+            ));
         }
         Ok(Batch { bytes, header })
     }
     /// The record at this position.
     pub fn record(&self, n: usize) -> Fields<'a> {
-        Fields { bytes: self.bytes, at: HEADER + n * EVENT }
+        Fields {
+            bytes: self.bytes,
+            at: HEADER + n * EVENT,
+        }
     }
     /// The offset of a record, for messages.
     pub fn offset(&self, n: usize) -> usize {
@@ -129,11 +145,12 @@
         let record = self.record(n);
         let (from, len) = (record.u32(field) as usize, record.u32(field + 4) as usize);
         let tail = &self.bytes[HEADER + self.header.records * EVENT..];
-        tail.get(from..from.saturating_add(len)).ok_or_else(|| Malformed {
-            record: Some(n),
-            offset: self.offset(n) + field,
-            what: format!("{len} bytes at {from} of a tail of {}", tail.len()),
-        })
+        tail.get(from..from.saturating_add(len))
+            .ok_or_else(|| Malformed {
+                record: Some(n),
+                offset: self.offset(n) + field,
+                what: format!("{len} bytes at {from} of a tail of {}", tail.len()),
+            })
     }
 }
 
@@ -172,7 +189,11 @@
     pub fn text(&mut self, instance: u16, code: u8, text: &str) {
         let at = self.tail.len() as u32;
         self.tail.extend_from_slice(text.as_bytes());
-        self.action(instance, code, &[&at.to_be_bytes(), &(text.len() as u32).to_be_bytes()]);
+        self.action(
+            instance,
+            code,
+            &[&at.to_be_bytes(), &(text.len() as u32).to_be_bytes()],
+        );
     }
     /// The whole frame.
     pub fn frame(&self) -> Vec<u8> {
@@ -197,9 +218,14 @@
 
     #[test]
     fn the_empty_batch_of_the_wire_page() {
-        let bytes: [u8; 16] = [0, 0, 0, 1, 0xf5, 0x68, 0xbf, 0x90, 0, 0, 0, 0x10, 0, 0, 0, 0];
+        let bytes: [u8; 16] = [
+            0, 0, 0, 1, 0xf5, 0x68, 0xbf, 0x90, 0, 0, 0, 0x10, 0, 0, 0, 0,
+        ];
         let head = header(&bytes).unwrap();
-        assert_eq!((head.clock_ns, head.size, head.records), (0x1f568bf90, 16, 0));
+        assert_eq!(
+            (head.clock_ns, head.size, head.records),
+            (0x1f568bf90, 16, 0)
+        );
         assert_eq!(Reply::default().frame(), [0, 0, 0, 8, 0, 0, 0, 0]);
     }
 
@@ -223,7 +249,10 @@
         assert_eq!(frame.len(), 8 + 5 * 16 + 5);
         assert_eq!(frame[7], 5);
         assert_eq!(&frame[8 + 16..8 + 21], [1, 0, 0, 0, 7]);
-        assert_eq!(&frame[8 + 4 * 16 + 1..8 + 4 * 16 + 9], [0, 0, 0, 2, 0, 0, 0, 3]);
+        assert_eq!(
+            &frame[8 + 4 * 16 + 1..8 + 4 * 16 + 9],
+            [0, 0, 0, 2, 0, 0, 0, 3]
+        );
         assert_eq!(&frame[88..], b"abcde");
     }
 
@@ -231,7 +260,11 @@
     fn a_tail_field_outside_the_frame_names_its_record() {
         let mut bytes = vec![0u8; HEADER + EVENT];
         bytes[HEADER + 9..HEADER + 13].copy_from_slice(&u32::MAX.to_be_bytes());
-        let head = Header { clock_ns: 0, size: bytes.len(), records: 1 };
+        let head = Header {
+            clock_ns: 0,
+            size: bytes.len(),
+            records: 1,
+        };
         let bad = Batch::new(&bytes, head).unwrap().tail(0, 9).unwrap_err();
         assert_eq!((bad.record, bad.offset), (Some(0), HEADER + 9));
     }
--- a/crates/asterdale-takeover/src/book.rs
+++ b/crates/asterdale-takeover/src/book.rs
@@ -7,7 +7,9 @@
 
 use prost::Message as _;
 
-use crate::message::wire::{self, Answer, Claim, Drop, End, Entry, Look, Proposal, Renew, Verdict, Work};
+use crate::message::wire::{
+    self, Answer, Claim, Drop, End, Entry, Look, Proposal, Renew, Verdict, Work,
+};
 use crate::message::{is_sound, Member, Ordered, MOST_BODY};
 use crate::terms::Terms;
 
@@ -57,7 +59,11 @@
 
 impl Kept {
     fn bytes(&self) -> usize {
-        let result = if let State::Ended(result) = &self.state { result.len() } else { 0 };
+        let result = if let State::Ended(result) = &self.state {
+            result.len()
+        } else {
+            0
+        };
         ENTRY + 2 * self.work.key.len() + self.work.body.len() + result
     }
 
@@ -109,14 +115,21 @@
 }
 
 fn answer(seq: u64, verdict: Verdict) -> Answer {
-    Answer { seq, verdict: verdict.into(), ..Answer::default() }
+    Answer {
+        seq,
+        verdict: verdict.into(),
+        ..Answer::default()
+    }
 }
 
 impl Book {
     /// An empty one, of a group that has just begun. Nothing is claimed in it before the longest window has passed:
     /// there may have been a group before it, whose memory is lost.
     pub fn new(group: u64, members: &[Member], terms: Terms) -> Book {
-        let members = members.iter().map(|member| (member.node, member.clone())).collect();
+        let members = members
+            .iter()
+            .map(|member| (member.node, member.clone()))
+            .collect();
         Book {
             group,
             now: 0.0,
@@ -183,7 +196,11 @@
         let of = |kept: &&Kept| kept.epoch == epoch && kept.state == State::Started;
         let all: Vec<Kept> = self.kept.values().filter(of).cloned().collect();
         for mut kept in all {
-            kept.state = if kept.work.fenced { State::Orphaned } else { State::Unknown };
+            kept.state = if kept.work.fenced {
+                State::Orphaned
+            } else {
+                State::Unknown
+            };
             let key = kept.work.key.clone();
             self.put(&key, Some(kept));
         }
@@ -195,11 +212,18 @@
             self.now += ms;
         }
         let now = self.now;
-        let over: Vec<u64> =
-            (self.owners.iter().filter(|(_, owner)| owner.until <= now)).map(|(&epoch, _)| epoch).collect();
+        let over: Vec<u64> = (self.owners.iter().filter(|(_, owner)| owner.until <= now))
+            .map(|(&epoch, _)| epoch)
+            .collect();
         over.into_iter().for_each(|epoch| self.ends_epoch(epoch));
-        while let Some((at, key)) = self.ends.first().cloned().filter(|(at, _)| *at <= bits(now)) {
-            let runs = |kept: &Kept| kept.state == State::Started && self.owners.contains_key(&kept.epoch);
+        while let Some((at, key)) = self
+            .ends
+            .first()
+            .cloned()
+            .filter(|(at, _)| *at <= bits(now))
+        {
+            let runs =
+                |kept: &Kept| kept.state == State::Started && self.owners.contains_key(&kept.epoch);
             match self.kept.get(&key) {
                 // It may still run: its window goes on with its owner's lease.
                 Some(kept) if runs(kept) => {
@@ -218,7 +242,9 @@
         self.passes(entry.elapsed_ms);
         let mut all = Vec::with_capacity(entry.proposals.len());
         for Proposal { from, order } in entry.proposals {
-            let (Some(from), Some(order)) = (from, order) else { continue };
+            let (Some(from), Some(order)) = (from, order) else {
+                continue;
+            };
             if let Some(what) = order.what {
                 let answer = self.order(&from, order.seq, what);
                 all.push((from, answer));
@@ -238,15 +264,20 @@
                 _ => answer(seq, Verdict::Over),
             },
             Ordered::Leave(epoch) => {
-                if self.owners.get(&epoch).is_some_and(|owner| owner.node == from.node) {
+                if self
+                    .owners
+                    .get(&epoch)
+                    .is_some_and(|owner| owner.node == from.node)
+                {
                     self.ends_epoch(epoch);
                 }
                 answer(seq, Verdict::Kept)
             }
             Ordered::Look(look) => self.look(seq, &look),
-            Ordered::Claim(Claim { epoch, work: Some(work) }) if is_sound(&work) => {
-                self.claim(from, seq, epoch, work)
-            }
+            Ordered::Claim(Claim {
+                epoch,
+                work: Some(work),
+            }) if is_sound(&work) => self.claim(from, seq, epoch, work),
             Ordered::Claim(_) => answer(seq, Verdict::Differs),
             Ordered::End(end) => self.end(seq, end),
             Ordered::Pass(work) if is_sound(&work) => self.pass(seq, work),
@@ -267,18 +298,29 @@
     /// end what it owns.
     fn join(&mut self, from: &Member, seq: u64, given_up: u64) -> Answer {
         let ms = self.terms.lease_ms;
-        let lives = self.owners.values().any(|owner| owner.name == from.name && owner.renewed);
+        let lives = self
+            .owners
+            .values()
+            .any(|owner| owner.name == from.name && owner.renewed);
         if lives && self.over.contains(&from.node) {
             return answer(seq, Verdict::Over);
         }
-        let has = |(epoch, owner): &(&u64, &mut Owner)| owner.node == from.node && **epoch > given_up;
+        let has =
+            |(epoch, owner): &(&u64, &mut Owner)| owner.node == from.node && **epoch > given_up;
         if let Some((&epoch, owner)) = self.owners.iter_mut().find(has) {
             owner.until = self.now + ms;
-            return Answer { number: epoch, ms, ..answer(seq, Verdict::Joined) };
+            return Answer {
+                number: epoch,
+                ms,
+                ..answer(seq, Verdict::Joined)
+            };
         }
-        let earlier: Vec<u64> = (self.owners.iter().filter(|(_, owner)| owner.name == from.name))
-            .map(|(&epoch, _)| epoch)
-            .collect();
+        let earlier: Vec<u64> = (self
+            .owners
+            .iter()
+            .filter(|(_, owner)| owner.name == from.name))
+        .map(|(&epoch, _)| epoch)
+        .collect();
         earlier.into_iter().for_each(|epoch| self.ends_epoch(epoch));
         if self.last.len() >= MOST_NAMES && !self.last.contains_key(&from.name) {
             self.last.pop_first();
@@ -290,9 +332,18 @@
             self.over.pop_front();
         }
         self.epochs += 1;
-        let owner = Owner { name: from.name.clone(), node: from.node, until: self.now + ms, renewed: false };
+        let owner = Owner {
+            name: from.name.clone(),
+            node: from.node,
+            until: self.now + ms,
+            renewed: false,
+        };
         self.owners.insert(self.epochs, owner);
-        Answer { number: self.epochs, ms, ..answer(seq, Verdict::Joined) }
+        Answer {
+            number: self.epochs,
+            ms,
+            ..answer(seq, Verdict::Joined)
+        }
     }
 
     /// What is known of a key, as an owner is told. `None` where anybody may claim it.
@@ -305,9 +356,15 @@
         match &kept.state {
             State::Orphaned | State::Unstarted => None,
             State::Started => Some(answer(seq, Verdict::Open)),
-            State::Ended(result) => Some(Answer { result: result.clone(), ..answer(seq, Verdict::Passed) }),
+            State::Ended(result) => Some(Answer {
+                result: result.clone(),
+                ..answer(seq, Verdict::Passed)
+            }),
             State::Failed => Some(answer(seq, Verdict::Failed)),
-            State::Unknown => Some(Answer { ms: left, ..answer(seq, Verdict::Unknown) }),
+            State::Unknown => Some(Answer {
+                ms: left,
+                ..answer(seq, Verdict::Unknown)
+            }),
         }
     }
 
@@ -317,38 +374,64 @@
             return known;
         }
         if self.quiet_ms() > 0.0 {
-            return Answer { ms: self.quiet_ms(), ..answer(seq, Verdict::Full) };
+            return Answer {
+                ms: self.quiet_ms(),
+                ..answer(seq, Verdict::Full)
+            };
         }
         answer(seq, Verdict::Nothing)
     }
 
     fn claim(&mut self, from: &Member, seq: u64, epoch: u64, work: Work) -> Answer {
-        if self.owners.get(&epoch).is_none_or(|owner| owner.node != from.node) {
+        if self
+            .owners
+            .get(&epoch)
+            .is_none_or(|owner| owner.node != from.node)
+        {
             return answer(seq, Verdict::Over);
         }
         if let Some(kept) = self.kept.get(&work.key) {
             // The same claim, asked for once more.
             if kept.state == State::Started && kept.epoch == epoch && kept.work.id == work.id {
-                return Answer { number: kept.fence, ..answer(seq, Verdict::Yours) };
+                return Answer {
+                    number: kept.fence,
+                    ..answer(seq, Verdict::Yours)
+                };
             }
         }
         if let Some(known) = self.known(seq, &work.key, work.sign) {
             return known;
         }
         if self.quiet_ms() > 0.0 {
-            return Answer { ms: self.quiet_ms(), ..answer(seq, Verdict::Full) };
+            return Answer {
+                ms: self.quiet_ms(),
+                ..answer(seq, Verdict::Full)
+            };
         }
         let before = self.kept.get(&work.key);
         let (due, until) = before.map_or((0.0, 0.0), |kept| (kept.due, kept.until));
-        let (due, until) = (due.max(self.now + work.due_ms), until.max(self.now + work.window_ms));
+        let (due, until) = (
+            due.max(self.now + work.due_ms),
+            until.max(self.now + work.window_ms),
+        );
         let key = work.key.clone();
-        let kept = Kept { work, epoch, fence: self.fences + 1, state: State::Started, due, until };
+        let kept = Kept {
+            work,
+            epoch,
+            fence: self.fences + 1,
+            state: State::Started,
+            due,
+            until,
+        };
         if before.is_none() && !self.has_room(&kept) {
             return self.full(seq);
         }
         self.fences += 1;
         self.put(&key, Some(kept));
-        Answer { number: self.fences, ..answer(seq, Verdict::Yours) }
+        Answer {
+            number: self.fences,
+            ..answer(seq, Verdict::Yours)
+        }
     }
 
     fn has_room(&self, kept: &Kept) -> bool {
@@ -357,15 +440,23 @@
     }
 
     fn full(&self, seq: u64) -> Answer {
-        let next = self.ends.first().map_or(0.0, |(at, _)| f64::from_bits(*at) - self.now);
-        Answer { ms: next.clamp(AGAIN.0, AGAIN.1), ..answer(seq, Verdict::Full) }
+        let next = self
+            .ends
+            .first()
+            .map_or(0.0, |(at, _)| f64::from_bits(*at) - self.now);
+        Answer {
+            ms: next.clamp(AGAIN.0, AGAIN.1),
+            ..answer(seq, Verdict::Full)
+        }
     }
 
     /// An outcome. Also one of an owner that is gone: if nobody has taken its work, its word still holds, and turns
     /// what was not known into what is.
     fn end(&mut self, seq: u64, end: End) -> Answer {
         let End { key, fence, result } = end;
-        let Some(kept) = self.kept.get(&key) else { return answer(seq, Verdict::Kept) };
+        let Some(kept) = self.kept.get(&key) else {
+            return answer(seq, Verdict::Kept);
+        };
         if kept.fence != fence {
             return answer(seq, Verdict::Fenced);
         }
@@ -392,7 +483,14 @@
         }
         let (due, until) = (self.now + work.due_ms, self.now + work.window_ms);
         let key = work.key.clone();
-        let kept = Kept { work, epoch: 0, fence: 0, state: State::Unstarted, due, until };
+        let kept = Kept {
+            work,
+            epoch: 0,
+            fence: 0,
+            state: State::Unstarted,
+            due,
+            until,
+        };
         if !self.has_room(&kept) {
             return self.full(seq);
         }
@@ -403,7 +501,10 @@
     /// What anybody may take and can still be done in time, the most urgent first.
     pub fn loose(&self) -> impl Iterator<Item = &Kept> {
         let now = bits(self.now);
-        self.loose.iter().filter(move |(due, _)| *due > now).filter_map(|(_, key)| self.kept.get(key))
+        self.loose
+            .iter()
+            .filter(move |(due, _)| *due > now)
+            .filter_map(|(_, key)| self.kept.get(key))
     }
 
     /// The whole as bytes.
@@ -424,8 +525,23 @@
                 State::Failed => (4, Vec::new()),
                 State::Unknown => (5, Vec::new()),
             };
-            let Kept { work, epoch, fence, due, until, .. } = kept.clone();
-            wire::Kept { work: Some(work), epoch, fence, state, result, due, until }
+            let Kept {
+                work,
+                epoch,
+                fence,
+                due,
+                until,
+                ..
+            } = kept.clone();
+            wire::Kept {
+                work: Some(work),
+                epoch,
+                fence,
+                state,
+                result,
+                due,
+                until,
+            }
         });
         let book = wire::Book {
             group: self.group,
@@ -437,7 +553,11 @@
             kept: kept.collect(),
             members: self.members.values().cloned().collect(),
             last: (self.last.iter())
-                .map(|(name, &node)| Member { name: name.clone(), node, ..Member::default() })
+                .map(|(name, &node)| Member {
+                    name: name.clone(),
+                    node,
+                    ..Member::default()
+                })
                 .collect(),
             over: self.over.iter().copied().collect(),
         };
@@ -450,12 +570,40 @@
         let mut book = Book::new(read.group, &read.members, terms);
         (book.now, book.quiet_until) = (read.now, read.quiet_until);
         (book.epochs, book.fences) = (read.epochs, read.fences);
-        book.last = read.last.into_iter().map(|last| (last.name, last.node)).collect();
+        book.last = read
+            .last
+            .into_iter()
+            .map(|last| (last.name, last.node))
+            .collect();
         book.over = read.over.into();
-        for wire::Owner { epoch, name, node, until, renewed } in read.owners {
-            book.owners.insert(epoch, Owner { name, node, until, renewed });
-        }
-        for wire::Kept { work, epoch, fence, state, result, due, until } in read.kept {
+        for wire::Owner {
+            epoch,
+            name,
+            node,
+            until,
+            renewed,
+        } in read.owners
+        {
+            book.owners.insert(
+                epoch,
+                Owner {
+                    name,
+                    node,
+                    until,
+                    renewed,
+                },
+            );
+        }
+        for wire::Kept {
+            work,
+            epoch,
+            fence,
+            state,
+            result,
+            due,
+            until,
+        } in read.kept
+        {
             let state = match state {
                 0 => State::Started,
                 1 => State::Orphaned,
@@ -466,7 +614,17 @@
             };
             let work = work?;
             let key = work.key.clone();
-            book.put(&key, Some(Kept { work, epoch, fence, state, due, until }));
+            book.put(
+                &key,
+                Some(Kept {
+                    work,
+                    epoch,
+                    fence,
+                    state,
+                    due,
+                    until,
+                }),
+            );
         }
         Some(book)
     }
@@ -498,15 +656,26 @@
 
     impl Desk {
         fn new() -> Desk {
-            let terms = Terms { window_ms: 0.0, most_bytes: 4096, ..Terms::default() };
+            let terms = Terms {
+                window_ms: 0.0,
+                most_bytes: 4096,
+                ..Terms::default()
+            };
             Desk(Book::new(3, &[], terms))
         }
 
         fn says(&mut self, from: u64, what: Ordered) -> (Verdict, u64) {
-            let order = Some(wire::Order { seq: 7, what: Some(what) });
-            let all = self
-                .0
-                .apply(Entry { elapsed_ms: 1.0, proposals: vec![Proposal { from: Some(who(from)), order }] });
+            let order = Some(wire::Order {
+                seq: 7,
+                what: Some(what),
+            });
+            let all = self.0.apply(Entry {
+                elapsed_ms: 1.0,
+                proposals: vec![Proposal {
+                    from: Some(who(from)),
+                    order,
+                }],
+            });
             let read = Book::read(&self.0.write(), self.0.terms.clone());
             assert_eq!(read.as_ref(), Some(&self.0), "as bytes it is the same");
             (all[0].1.verdict(), all[0].1.number)
@@ -517,11 +686,20 @@
         }
 
         fn claim(&mut self, from: u64, epoch: u64, work: Work) -> (Verdict, u64) {
-            self.says(from, Ordered::Claim(Claim { epoch, work: Some(work) }))
+            self.says(
+                from,
+                Ordered::Claim(Claim {
+                    epoch,
+                    work: Some(work),
+                }),
+            )
         }
 
         fn passes(&mut self, ms: f64) {
-            self.0.apply(Entry { elapsed_ms: ms, proposals: Vec::new() });
+            self.0.apply(Entry {
+                elapsed_ms: ms,
+                proposals: Vec::new(),
+            });
         }
     }
 
@@ -529,15 +707,35 @@
     fn a_claim_is_one_owners_and_its_end_is_kept_for_whoever_asks() {
         let mut desk = Desk::new();
         let (a, b) = (desk.join(1), desk.join(2));
-        assert!(a > 3 * STEP && b > a && desk.join(1) == a, "a doubled letter ends nothing");
+        assert!(
+            a > 3 * STEP && b > a && desk.join(1) == a,
+            "a doubled letter ends nothing"
+        );
         let (verdict, fence) = desk.claim(1, a, work(b"k", 1, true));
         assert_eq!(
             (verdict, desk.claim(1, a, work(b"k", 1, true))),
             (Verdict::Yours, (Verdict::Yours, fence))
         );
         assert_eq!(desk.claim(2, b, work(b"k", 2, true)).0, Verdict::Open);
-        assert_eq!(desk.claim(2, b, Work { sign: 9, ..work(b"k", 2, true) }).0, Verdict::Differs);
-        let end = |fence| Ordered::End(End { key: b"k".to_vec(), fence, result: Some(b"sold".to_vec()) });
+        assert_eq!(
+            desk.claim(
+                2,
+                b,
+                Work {
+                    sign: 9,
+                    ..work(b"k", 2, true)
+                }
+            )
+            .0,
+            Verdict::Differs
+        );
+        let end = |fence| {
+            Ordered::End(End {
+                key: b"k".to_vec(),
+                fence,
+                result: Some(b"sold".to_vec()),
+            })
+        };
         assert_eq!(desk.says(1, end(fence - 1)).0, Verdict::Fenced);
         assert_eq!(desk.says(1, end(fence)).0, Verdict::Kept);
         assert_eq!(desk.claim(2, b, work(b"k", 2, true)).0, Verdict::Passed);
@@ -552,14 +750,23 @@
         let (_, fence) = desk.claim(1, a, work(b"fenced", 1, true));
         let (_, other) = desk.claim(1, a, work(b"not", 2, false));
         desk.passes(2001.0);
-        assert_eq!(desk.says(1, Ordered::Renew(Renew { epoch: a, room: 0 })).0, Verdict::Over);
+        assert_eq!(
+            desk.says(1, Ordered::Renew(Renew { epoch: a, room: 0 })).0,
+            Verdict::Over
+        );
         let b = desk.join(2);
         assert_eq!(desk.0.loose().count(), 1);
         assert_eq!(desk.claim(2, b, work(b"not", 3, false)).0, Verdict::Unknown);
         let (verdict, newer) = desk.claim(2, b, work(b"fenced", 3, true));
         assert!(verdict == Verdict::Yours && newer > fence);
         // The first owner comes back with what it knows: too late for one, in time for the other.
-        let end = |key: &[u8], fence| Ordered::End(End { key: key.to_vec(), fence, result: Some(vec![1]) });
+        let end = |key: &[u8], fence| {
+            Ordered::End(End {
+                key: key.to_vec(),
+                fence,
+                result: Some(vec![1]),
+            })
+        };
         assert_eq!(desk.says(1, end(b"fenced", fence)).0, Verdict::Fenced);
         assert_eq!(desk.says(1, end(b"not", other)).0, Verdict::Kept);
         assert_eq!(desk.claim(2, b, work(b"not", 4, false)).0, Verdict::Passed);
@@ -572,16 +779,33 @@
         desk.claim(1, a, work(b"k", 1, true));
         let mut again = who(8);
         again.name = "n1".to_owned();
-        let order = Some(wire::Order { seq: 1, what: Some(Ordered::Join(0)) });
-        desk.0.apply(Entry { elapsed_ms: 0.0, proposals: vec![Proposal { from: Some(again), order }] });
+        let order = Some(wire::Order {
+            seq: 1,
+            what: Some(Ordered::Join(0)),
+        });
+        desk.0.apply(Entry {
+            elapsed_ms: 0.0,
+            proposals: vec![Proposal {
+                from: Some(again),
+                order,
+            }],
+        });
         assert!(desk.0.loose().count() == 1 && desk.0.owners().len() == 1);
         assert_eq!(desk.claim(1, a, work(b"other", 2, true)).0, Verdict::Over);
         let epoch = *desk.0.owners().keys().next().unwrap();
-        let renew = Some(wire::Order { seq: 2, what: Some(Ordered::Renew(Renew { epoch, room: 0 })) });
+        let renew = Some(wire::Order {
+            seq: 2,
+            what: Some(Ordered::Renew(Renew { epoch, room: 0 })),
+        });
         let mut again = who(8);
         again.name = "n1".to_owned();
-        desk.0
-            .apply(Entry { elapsed_ms: 0.0, proposals: vec![Proposal { from: Some(again), order: renew }] });
+        desk.0.apply(Entry {
+            elapsed_ms: 0.0,
+            proposals: vec![Proposal {
+                from: Some(again),
+                order: renew,
+            }],
+        });
         assert_eq!(
             desk.says(1, Ordered::Join(0)).0,
             Verdict::Over,
@@ -592,7 +816,12 @@
 
     #[test]
     fn nothing_is_claimed_before_the_windows_of_a_lost_group_have_passed_nor_past_the_bounds() {
-        let terms = Terms { window_ms: 500.0, most_bytes: 2000, most_kept: 3, ..Terms::default() };
+        let terms = Terms {
+            window_ms: 500.0,
+            most_bytes: 2000,
+            most_kept: 3,
+            ..Terms::default()
+        };
         let mut desk = Desk(Book::new(1, &[], terms));
         let a = desk.join(1);
         assert_eq!(desk.claim(1, a, work(b"k", 1, true)).0, Verdict::Full);
@@ -600,12 +829,23 @@
         for n in 0..3 {
             assert_eq!(desk.claim(1, a, work(&[n], n, true)).0, Verdict::Yours);
         }
-        assert_eq!(desk.claim(1, a, work(b"one more", 9, true)).0, Verdict::Full);
-        assert_eq!(desk.claim(1, a, work(&[0], 0, true)).0, Verdict::Yours, "what is kept stays kept");
+        assert_eq!(
+            desk.claim(1, a, work(b"one more", 9, true)).0,
+            Verdict::Full
+        );
+        assert_eq!(
+            desk.claim(1, a, work(&[0], 0, true)).0,
+            Verdict::Yours,
+            "what is kept stays kept"
+        );
         // A result that has no place is not kept; that the task ended is.
         let key = vec![0];
         let fence = desk.0.kept()[&key].fence;
-        let end = Ordered::End(End { key: key.clone(), fence, result: Some(vec![0; 3000]) });
+        let end = Ordered::End(End {
+            key: key.clone(),
+            fence,
+            result: Some(vec![0; 3000]),
+        });
         assert_eq!(desk.says(1, end).0, Verdict::Kept);
         assert_eq!(desk.0.kept()[&key].state, State::Failed);
     }
@@ -614,11 +854,22 @@
     fn what_was_passed_on_is_taken_once_and_what_was_never_started_is_dropped() {
         let mut desk = Desk::new();
         let (a, b) = (desk.join(1), desk.join(2));
-        assert_eq!(desk.says(1, Ordered::Pass(work(b"held", 1, false))).0, Verdict::Kept);
+        assert_eq!(
+            desk.says(1, Ordered::Pass(work(b"held", 1, false))).0,
+            Verdict::Kept
+        );
         assert_eq!(desk.0.loose().count(), 1);
         let (verdict, fence) = desk.claim(2, b, work(b"held", 2, false));
-        assert_eq!((verdict, desk.claim(1, a, work(b"held", 3, false)).0), (Verdict::Yours, Verdict::Open));
-        let drop = |fence| Ordered::Drop(Drop { key: b"held".to_vec(), fence });
+        assert_eq!(
+            (verdict, desk.claim(1, a, work(b"held", 3, false)).0),
+            (Verdict::Yours, Verdict::Open)
+        );
+        let drop = |fence| {
+            Ordered::Drop(Drop {
+                key: b"held".to_vec(),
+                fence,
+            })
+        };
         desk.says(2, drop(fence - 1));
         assert_eq!(desk.0.kept().len(), 1);
         desk.says(2, drop(fence));
--- a/crates/asterdale-takeover/src/group.rs
+++ b/crates/asterdale-takeover/src/group.rs
@@ -8,7 +8,8 @@
 use prost::Message as _;
 use protobuf::Message as _;
 use raft::eraftpb::{
-    ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry as Logged, EntryType, Message, Snapshot,
+    ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry as Logged, EntryType, Message,
+    Snapshot,
 };
 use raft::storage::MemStorage;
 use raft::{Config, GetEntriesContext, RaftState, RawNode, StateRole, Storage};
@@ -117,12 +118,19 @@
     ) -> Option<Group> {
         let book = Book::new(number, members, terms.clone());
         let founds = members.iter().any(|member| member.node == node);
-        let voters: Vec<u64> = if founds { members.iter().map(|m| m.node).collect() } else { Vec::new() };
+        let voters: Vec<u64> = if founds {
+            members.iter().map(|m| m.node).collect()
+        } else {
+            Vec::new()
+        };
         let mut first = Snapshot::default();
         let log = MemStorage::new();
         if founds {
             // All founders begin with the same: an entry that nobody wrote, and the same set.
-            let state = ConfState { voters, ..ConfState::default() };
+            let state = ConfState {
+                voters,
+                ..ConfState::default()
+            };
             first.mut_metadata().set_conf_state(state);
             first.mut_metadata().index = 1;
             first.mut_metadata().term = 1;
@@ -138,7 +146,12 @@
     }
 
     /// The place that this keeper had, by what it has on disk; `None` where that does not fit together.
-    pub fn restore(now: f64, (number, node): (u64, u64), saved: &Saved, terms: &Terms) -> Option<Group> {
+    pub fn restore(
+        now: f64,
+        (number, node): (u64, u64),
+        saved: &Saved,
+        terms: &Terms,
+    ) -> Option<Group> {
         let (log, whole) = saved.log()?;
         let book = if whole.get_metadata().index > 0 {
             Book::read(whole.get_data(), terms.clone())?
@@ -158,7 +171,10 @@
         terms: &Terms,
     ) -> Option<Group> {
         let applied = first.get_metadata().index;
-        let store = Store { log, book: Rc::new(RefCell::new(first)) };
+        let store = Store {
+            log,
+            book: Rc::new(RefCell::new(first)),
+        };
         let config = Config {
             id: node,
             election_tick: ELECTION,
@@ -198,8 +214,10 @@
     fn save_whole(&mut self, alone: bool) {
         if self.saves.is_some() {
             let book = self.store.book.borrow();
-            let whole =
-                book.write_to_bytes().ok().map(|bytes| Save::Whole(book.get_metadata().index, bytes, alone));
+            let whole = book
+                .write_to_bytes()
+                .ok()
+                .map(|bytes| Save::Whole(book.get_metadata().index, bytes, alone));
             drop(book);
             self.save(whole);
         }
@@ -251,7 +269,10 @@
             return false;
         }
         let elapsed_ms = (now - self.stamped_at).max(0.0);
-        let entry = Entry { elapsed_ms, proposals };
+        let entry = Entry {
+            elapsed_ms,
+            proposals,
+        };
         let proposed = self.raft.propose(Vec::new(), entry.encode_to_vec()).is_ok();
         if proposed {
             self.stamped_at = now;
@@ -281,18 +302,26 @@
             one
         };
         match progress {
-            None => change.mut_changes().push(single(ConfChangeType::AddLearnerNode, new.node)),
+            None => change
+                .mut_changes()
+                .push(single(ConfChangeType::AddLearnerNode, new.node)),
             Some(progress) if tracker.conf().learners().contains(&new.node) => {
-                if progress.matched == 0 || progress.matched + CUT < self.raft.raft.raft_log.committed {
+                if progress.matched == 0
+                    || progress.matched + CUT < self.raft.raft.raft_log.committed
+                {
                     return false; // it still learns
                 }
-                change.mut_changes().push(single(ConfChangeType::AddNode, new.node));
+                change
+                    .mut_changes()
+                    .push(single(ConfChangeType::AddNode, new.node));
                 let old: Vec<u64> = (self.book.members.values())
                     .filter(|member| member.name == new.name && member.node != new.node)
                     .map(|member| member.node)
                     .collect();
                 for node in old {
-                    change.mut_changes().push(single(ConfChangeType::RemoveNode, node));
+                    change
+                        .mut_changes()
+                        .push(single(ConfChangeType::RemoveNode, node));
                 }
             }
             Some(_) => return false,
@@ -388,7 +417,9 @@
     }
 
     fn apply_change(&mut self, bytes: &[u8], term: u64) {
-        let Ok(change) = ConfChangeV2::parse_from_bytes(bytes) else { return };
+        let Ok(change) = ConfChangeV2::parse_from_bytes(bytes) else {
+            return;
+        };
         if let Ok(state) = self.raft.apply_conf_change(&change) {
             let in_set = |node: &u64| {
                 let all = [&state.voters, &state.learners, &state.voters_outgoing];
@@ -413,7 +444,9 @@
         if self.applied < self.cut + BEHIND + CUT {
             return;
         }
-        let Ok(term) = self.store.log.term(self.applied) else { return };
+        let Ok(term) = self.store.log.term(self.applied) else {
+            return;
+        };
         self.write_whole(term);
         self.cut = self.applied - BEHIND;
         let _ = self.store.log.wl().compact(self.cut);
@@ -421,7 +454,9 @@
 
     /// Writes the book as it is now, for those who have nothing or are far behind.
     fn write_whole(&mut self, term: u64) {
-        let Ok(state) = self.store.log.initial_state() else { return };
+        let Ok(state) = self.store.log.initial_state() else {
+            return;
+        };
         let mut whole = Snapshot::default();
         whole.mut_metadata().set_conf_state(state.conf_state);
         whole.mut_metadata().index = self.applied;
@@ -434,7 +469,9 @@
 
 /// To whom a message of the library's is.
 pub fn addressee(bytes: &[u8]) -> Option<u64> {
-    Message::parse_from_bytes(bytes).ok().map(|message| message.to)
+    Message::parse_from_bytes(bytes)
+        .ok()
+        .map(|message| message.to)
 }
 
 fn send(turn: &mut Turn, messages: Vec<Message>) {
--- a/crates/asterdale-takeover/src/keeper.rs
+++ b/crates/asterdale-takeover/src/keeper.rs
@@ -121,12 +121,22 @@
 impl Keeper {
     /// A keeper that starts now: the one that it was, where it has all of that on disk, or one with an empty memory.
     pub fn new(now: f64, start: Start) -> Keeper {
-        let Start { mut me, keepers, terms, seal, seed, unix_s, saved } = start;
+        let Start {
+            mut me,
+            keepers,
+            terms,
+            seal,
+            seed,
+            unix_s,
+            saved,
+        } = start;
         let lasts = saved.is_some();
         let face = saved.as_ref().and_then(Saved::face);
         let restored = saved.as_ref().zip(face).and_then(|(saved, face)| {
             let there = (face.group, face.node);
-            let group = (face.group > 0).then(|| Group::restore(now, there, saved, &terms)).flatten()?;
+            let group = (face.group > 0)
+                .then(|| Group::restore(now, there, saved, &terms))
+                .flatten()?;
             Some((face, group))
         });
         let (mut group, mut founders, mut highest, mut out) = (None, Vec::new(), 0, Vec::new());
@@ -167,7 +177,9 @@
 
     /// What it holds, for operators.
     pub fn shown(&self) -> Shown {
-        let Some(group) = &self.group else { return Shown::default() };
+        let Some(group) = &self.group else {
+            return Shown::default();
+        };
         let mut kept = [0; 6];
         for one in group.book.kept().values() {
             use crate::book::State;
@@ -182,9 +194,22 @@
         }
         Shown {
             group: group.number,
-            leader: group.leader().map(|leader| leader.name.clone()).unwrap_or_default(),
-            members: group.book.members.values().map(|member| member.name.clone()).collect(),
-            owners: group.book.owners().iter().map(|(&epoch, owner)| (owner.name.clone(), epoch)).collect(),
+            leader: group
+                .leader()
+                .map(|leader| leader.name.clone())
+                .unwrap_or_default(),
+            members: group
+                .book
+                .members
+                .values()
+                .map(|member| member.name.clone())
+                .collect(),
+            owners: group
+                .book
+                .owners()
+                .iter()
+                .map(|(&epoch, owner)| (owner.name.clone(), epoch))
+                .collect(),
             kept,
             bytes: group.book.bytes(),
             quiet_ms: group.book.quiet_ms(),
@@ -202,7 +227,8 @@
     pub fn wake(&mut self, now: f64) -> Vec<Action> {
         if now >= self.hello_at {
             self.hello_at = now + HELLO * self.terms.tick_ms;
-            self.nodes.retain(|_, (at, _)| now - *at < 100.0 * GONE * self.terms.tick_ms);
+            self.nodes
+                .retain(|_, (at, _)| now - *at < 100.0 * GONE * self.terms.tick_ms);
             self.look_around(now);
             self.say_hello();
         }
@@ -267,9 +293,16 @@
         if from.name == self.me.name {
             return;
         }
-        let heard = Heard { member: from.clone(), group: hello.group, at: now };
+        let heard = Heard {
+            member: from.clone(),
+            group: hello.group,
+            at: now,
+        };
         self.heard.insert(from.name.clone(), heard);
-        let named = hello.members.iter().find(|member| member.name == self.me.name);
+        let named = hello
+            .members
+            .iter()
+            .find(|member| member.name == self.me.name);
         match &self.group {
             None if hello.forming && named.is_some_and(|member| member.node == self.me.node) => {
                 self.begin(now, hello.group, hello.members.clone());
@@ -278,7 +311,8 @@
             // or this one stood still for longer than anybody waited.
             Some(group) if hello.group > group.number => {
                 self.give_up(group.number);
-                self.superseded = named.is_some_and(|member| member.node != self.me.node) && hello.forming;
+                self.superseded =
+                    named.is_some_and(|member| member.node != self.me.node) && hello.forming;
             }
             _ => {}
         }
@@ -287,15 +321,33 @@
     /// Who it is from now on, and that it holds nothing of an earlier log.
     fn save_face(&mut self) {
         if self.lasts {
-            let (node, group) = (self.me.node, self.group.as_ref().map_or(0, |group| group.number));
-            let face = Face { node, group, highest: self.highest, founders: self.founders.clone() };
+            let (node, group) = (
+                self.me.node,
+                self.group.as_ref().map_or(0, |group| group.number),
+            );
+            let face = Face {
+                node,
+                group,
+                highest: self.highest,
+                founders: self.founders.clone(),
+            };
             let face = Save::Face(prost::Message::encode_to_vec(&face));
-            self.saves.extend([face, Save::Hard(Vec::new()), Save::Whole(0, Vec::new(), true)]);
+            self.saves.extend([
+                face,
+                Save::Hard(Vec::new()),
+                Save::Whole(0, Vec::new(), true),
+            ]);
         }
     }
 
     fn begin(&mut self, now: f64, number: u64, members: Vec<Member>) {
-        self.group = Group::new(now, (number, self.me.node), &members, &self.terms, self.lasts);
+        self.group = Group::new(
+            now,
+            (number, self.me.node),
+            &members,
+            &self.terms,
+            self.lasts,
+        );
         self.founders = members;
         self.highest = self.highest.max(number);
         self.save_face();
@@ -338,7 +390,8 @@
                 self.is_there(now, heard) && heard.group == 0 && heard.member.node != member.node
             })
         });
-        if now - self.leaderless > LOST * self.terms.tick_ms && replaced.count() * 2 > members.len() {
+        if now - self.leaderless > LOST * self.terms.tick_ms && replaced.count() * 2 > members.len()
+        {
             let number = group.number;
             self.give_up(number);
         }
@@ -346,7 +399,10 @@
 
     /// The first of the list forms a group, once all say that they have none.
     fn form(&mut self, now: f64) {
-        let first = self.keepers.first().is_some_and(|(name, _)| *name == self.me.name);
+        let first = self
+            .keepers
+            .first()
+            .is_some_and(|(name, _)| *name == self.me.name);
         if !first {
             return;
         }
@@ -361,7 +417,8 @@
         }
         let number = (self.unix_s + ((now - self.began) / 1e3) as u64).max(self.highest + 1);
         self.begin(now, number, members);
-        self.out.push(Action::Tell(Told::Formed(number, self.terms.window_ms)));
+        self.out
+            .push(Action::Tell(Told::Formed(number, self.terms.window_ms)));
     }
 
     /// The leader has the log agree on who is in the set: those who are told of by name, by the process that is there.
@@ -373,14 +430,29 @@
         }
         let mut new = None;
         for (name, _) in &self.keepers {
-            let Some(heard) = self.heard.get(name).filter(|heard| self.is_there(now, heard)) else {
+            let Some(heard) = self
+                .heard
+                .get(name)
+                .filter(|heard| self.is_there(now, heard))
+            else {
                 continue;
             };
-            let mut under = group.book.members.values().filter(|member| member.name == *name);
-            let others: Vec<u64> =
-                under.clone().map(|member| member.node).filter(|node| *node != heard.member.node).collect();
+            let mut under = group
+                .book
+                .members
+                .values()
+                .filter(|member| member.name == *name);
+            let others: Vec<u64> = under
+                .clone()
+                .map(|member| member.node)
+                .filter(|node| *node != heard.member.node)
+                .collect();
             let known = under.any(|member| member.node == heard.member.node);
-            let gone = |node: &u64| self.nodes.get(node).is_none_or(|(at, _)| now - at > GONE * tick);
+            let gone = |node: &u64| {
+                self.nodes
+                    .get(node)
+                    .is_none_or(|(at, _)| now - at > GONE * tick)
+            };
             let free = heard.group == 0 || heard.group == group.number;
             if free && (!known || !others.is_empty()) && others.iter().all(gone) {
                 new = Some(heard.member.clone());
@@ -388,7 +460,12 @@
             }
         }
         let listed = |member: &&Member| self.keepers.iter().any(|(name, _)| *name == member.name);
-        let surplus = group.book.members.values().find(|member| !listed(member)).map(|member| member.node);
+        let surplus = group
+            .book
+            .members
+            .values()
+            .find(|member| !listed(member))
+            .map(|member| member.node);
         if let Some(group) = &mut self.group {
             match (new, surplus) {
                 (Some(new), _) => {
@@ -407,13 +484,23 @@
         let forgot = planted::is(Fault::Empty);
         if mine && !forgot && self.group.is_none() && raft.group >= self.highest && raft.group > 0 {
             // Its leader has it learn; or it founds it, and has not heard that yet: it gets what it needs either way.
-            self.group = Group::new(now, (raft.group, self.me.node), &[], &self.terms, self.lasts);
+            self.group = Group::new(
+                now,
+                (raft.group, self.me.node),
+                &[],
+                &self.terms,
+                self.lasts,
+            );
             self.founders.clear();
             self.save_face();
             self.leaderless = now;
             self.out.push(Action::Tell(Told::Joined(raft.group)));
         }
-        if let Some(group) = self.group.as_mut().filter(|group| group.number == raft.group) {
+        if let Some(group) = self
+            .group
+            .as_mut()
+            .filter(|group| group.number == raft.group)
+        {
             group.step(&raft.message);
         }
     }
@@ -443,7 +530,10 @@
                         }
                     }
                     if self.waiting.len() < MOST_WAITING {
-                        self.waiting.push(Proposal { from: Some(from.clone()), order: Some(order) });
+                        self.waiting.push(Proposal {
+                            from: Some(from.clone()),
+                            order: Some(order),
+                        });
                     }
                 }
                 None => {}
@@ -454,18 +544,40 @@
         }
     }
 
-    fn answer(&mut self, to: u64, at: SocketAddr, answers: Vec<wire::Answer>, leader: Option<Member>) {
-        let answers = What::Answers(Answers { answers, leader, to });
-        self.out.push(Action::Send(at, message::encode(&self.seal, &self.me, answers)));
+    fn answer(
+        &mut self,
+        to: u64,
+        at: SocketAddr,
+        answers: Vec<wire::Answer>,
+        leader: Option<Member>,
+    ) {
+        let answers = What::Answers(Answers {
+            answers,
+            leader,
+            to,
+        });
+        self.out.push(Action::Send(
+            at,
+            message::encode(&self.seal, &self.me, answers),
+        ));
     }
 
     /// Orphans for an owner that has room: each is offered to one at a time, the most urgent first. An offer gives
     /// nothing: who takes one claims it.
     fn offers(&mut self, now: f64, node: u64) -> Vec<wire::Work> {
-        let Some(group) = &self.group else { return Vec::new() };
-        let room = self.owners.get(&node).map_or(0, |(_, room)| *room as usize).min(MOST_OFFERS);
+        let Some(group) = &self.group else {
+            return Vec::new();
+        };
+        let room = self
+            .owners
+            .get(&node)
+            .map_or(0, |(_, room)| *room as usize)
+            .min(MOST_OFFERS);
         self.offered.retain(|_, until| *until > now);
-        let free = group.book.loose().filter(|kept| !self.offered.contains_key(&kept.work.key));
+        let free = group
+            .book
+            .loose()
+            .filter(|kept| !self.offered.contains_key(&kept.work.key));
         let book_now = group.book.now();
         let offers: Vec<wire::Work> = (free.take(room))
             .map(|kept| wire::Work {
@@ -475,7 +587,8 @@
             })
             .collect();
         for work in &offers {
-            self.offered.insert(work.key.clone(), now + self.terms.lease_ms);
+            self.offered
+                .insert(work.key.clone(), now + self.terms.lease_ms);
         }
         offers
     }
@@ -499,16 +612,33 @@
             self.out.push(Action::Save(saves));
         }
         let leads = group.leads();
-        let places: BTreeMap<u64, SocketAddr> =
-            group.book.members.values().filter_map(|member| Some((member.node, place(member)?))).collect();
+        let places: BTreeMap<u64, SocketAddr> = group
+            .book
+            .members
+            .values()
+            .filter_map(|member| Some((member.node, place(member)?)))
+            .collect();
         for (to, message) in turn.messages {
-            if let Some(at) = places.get(&to).or_else(|| self.nodes.get(&to).map(|(_, at)| at)) {
-                let letter = What::Raft(wire::Raft { group: number, message });
-                self.out.push(Action::Send(*at, message::encode(&self.seal, &self.me, letter)));
+            if let Some(at) = places
+                .get(&to)
+                .or_else(|| self.nodes.get(&to).map(|(_, at)| at))
+            {
+                let letter = What::Raft(wire::Raft {
+                    group: number,
+                    message,
+                });
+                self.out.push(Action::Send(
+                    *at,
+                    message::encode(&self.seal, &self.me, letter),
+                ));
             }
         }
         if let Some(leads) = turn.turned {
-            self.out.push(Action::Tell(if leads { Told::Leads(number) } else { Told::Follows(number) }));
+            self.out.push(Action::Tell(if leads {
+                Told::Leads(number)
+            } else {
+                Told::Follows(number)
+            }));
         }
         if leads {
             let mut by_owner: BTreeMap<u64, (Member, Vec<wire::Answer>)> = BTreeMap::new();
@@ -516,7 +646,11 @@
                 if answer.verdict() == Verdict::Renewed {
                     answer.offers = self.offers(now, from.node);
                 }
-                by_owner.entry(from.node).or_insert_with(|| (from, Vec::new())).1.push(answer);
+                by_owner
+                    .entry(from.node)
+                    .or_insert_with(|| (from, Vec::new()))
+                    .1
+                    .push(answer);
             }
             for (from, answers) in by_owner.into_values() {
                 if let Some(at) = place(&from) {
@@ -530,5 +664,7 @@
 
 /// What a process that forgot that it forgot would call itself.
 fn planted_node(name: &str) -> u64 {
-    name.bytes().fold(1, |sum: u64, byte| sum.wrapping_mul(31).wrapping_add(byte.into())) | 1
+    name.bytes().fold(1, |sum: u64, byte| {
+        sum.wrapping_mul(31).wrapping_add(byte.into())
+    }) | 1
 }
--- a/crates/asterdale-takeover/src/message.rs
+++ b/crates/asterdale-takeover/src/message.rs
@@ -30,7 +30,12 @@
         IpAddr::V4(ip) => ip.octets().to_vec(),
         IpAddr::V6(ip) => ip.octets().to_vec(),
     };
-    Member { name: name.to_owned(), node, ip, port: at.port().into() }
+    Member {
+        name: name.to_owned(),
+        node,
+        ip,
+        port: at.port().into(),
+    }
 }
 
 /// Where it is reached; `None` if that makes no sense.
@@ -45,7 +50,13 @@
 
 /// A letter as bytes.
 pub fn encode(seal: &Seal, from: &Member, what: What) -> Vec<u8> {
-    seal.close(&Letter { from: Some(from.clone()), what: Some(what) }.encode_to_vec())
+    seal.close(
+        &Letter {
+            from: Some(from.clone()),
+            what: Some(what),
+        }
+        .encode_to_vec(),
+    )
 }
 
 /// The letter of these bytes: who wrote it, from where, and what.
@@ -69,5 +80,7 @@
         && work.body.len() <= MOST_BODY
         && work.id.len() == 16
         && work.stage.len() <= MOST_NAME
-        && times.iter().all(|ms| ms.is_finite() && *ms >= 0.0 && *ms < 1e9)
+        && times
+            .iter()
+            .all(|ms| ms.is_finite() && *ms >= 0.0 && *ms < 1e9)
 }
--- a/crates/asterdale-takeover/src/owner.rs
+++ b/crates/asterdale-takeover/src/owner.rs
@@ -116,7 +116,10 @@
     /// When it wants to be woken.
     pub fn next(&self) -> f64 {
         let again = self.terms.again_ms();
-        let pending = self.pending.values().filter(|pending| self.can_go(&pending.want));
+        let pending = self
+            .pending
+            .values()
+            .filter(|pending| self.can_go(&pending.want));
         let pending = pending.map(|pending| pending.sent_at + again);
         let drops = self.drops.values().map(|(.., sent_at)| sent_at + again);
         let lapse = match (self.lapsed, self.epoch) {
@@ -124,7 +127,9 @@
             (true, Some(_)) => self.lease_until + self.terms.lease_ms,
             (true, None) => f64::INFINITY,
         };
-        pending.chain(drops).fold(self.renew_at.min(lapse), f64::min)
+        pending
+            .chain(drops)
+            .fold(self.renew_at.min(lapse), f64::min)
     }
 
     /// Orphans that it would take now.
@@ -135,7 +140,12 @@
     /// The program wants this, and knows it by this number. It goes out with [`Owner::flush`].
     pub fn want(&mut self, number: u64, want: Want) {
         self.seq += 1;
-        let pending = Pending { number: Some(number), want, sent_at: f64::NEG_INFINITY, epoch: None };
+        let pending = Pending {
+            number: Some(number),
+            want,
+            sent_at: f64::NEG_INFINITY,
+            epoch: None,
+        };
         self.pending.insert(self.seq, pending);
     }
 
@@ -166,7 +176,10 @@
         self.leaving = true;
         if let Some(epoch) = self.epoch.take() {
             self.seq += 1;
-            let order = Order { seq: self.seq, what: Some(Ordered::Leave(epoch)) };
+            let order = Order {
+                seq: self.seq,
+                what: Some(Ordered::Leave(epoch)),
+            };
             self.send(vec![order]);
         }
         self.done(now)
@@ -176,7 +189,8 @@
     pub fn wake(&mut self, now: f64) -> Vec<Action> {
         if now >= self.lease_until && !self.lapsed {
             self.lapsed = true;
-            self.out.push(Action::Tell(Told::Lapsed(self.epoch.unwrap_or(0))));
+            self.out
+                .push(Action::Tell(Told::Lapsed(self.epoch.unwrap_or(0))));
         }
         // It can't hear, but perhaps it is heard: its renewals would keep what it can't do from those who can.
         if self.lapsed && now >= self.lease_until + self.terms.lease_ms {
@@ -186,7 +200,10 @@
             self.renew_at = now + self.terms.renew_ms();
             self.seq += 1;
             let what = match self.epoch {
-                Some(epoch) => Ordered::Renew(Renew { epoch, room: self.room }),
+                Some(epoch) => Ordered::Renew(Renew {
+                    epoch,
+                    room: self.room,
+                }),
                 None => Ordered::Join(self.given_up),
             };
             while self.renewals.len() >= RENEWALS {
@@ -198,7 +215,10 @@
                 self.target = (self.target + 1) % self.keepers.len().max(1);
                 self.unsend();
             }
-            self.send(vec![Order { seq: self.seq, what: Some(what) }]);
+            self.send(vec![Order {
+                seq: self.seq,
+                what: Some(what),
+            }]);
         }
         self.done(now)
     }
@@ -221,7 +241,13 @@
             } else if let Some(pending) = self.pending.remove(&answer.seq) {
                 if verdict == Verdict::Over && pending.epoch != self.epoch && self.epoch.is_some() {
                     // It was over by then; the claim goes out by the one that it has now.
-                    self.pending.insert(answer.seq, Pending { sent_at: f64::NEG_INFINITY, ..pending });
+                    self.pending.insert(
+                        answer.seq,
+                        Pending {
+                            sent_at: f64::NEG_INFINITY,
+                            ..pending
+                        },
+                    );
                     continue;
                 }
                 self.settled(pending, answer);
@@ -245,13 +271,17 @@
     }
 
     fn unsend(&mut self) {
-        self.pending.values_mut().for_each(|pending| pending.sent_at = f64::NEG_INFINITY);
+        self.pending
+            .values_mut()
+            .for_each(|pending| pending.sent_at = f64::NEG_INFINITY);
     }
 
     /// An answer may come late, when its epoch is no longer the one that it has.
     fn renewed(&mut self, now: f64, (sent, of): (f64, Option<u64>), answer: Answer) {
         match answer.verdict() {
-            Verdict::Joined if answer.number > self.given_up.max(self.epoch.map_or(0, |epoch| epoch - 1)) => {
+            Verdict::Joined
+                if answer.number > self.given_up.max(self.epoch.map_or(0, |epoch| epoch - 1)) =>
+            {
                 if self.epoch != Some(answer.number) {
                     self.epoch = Some(answer.number);
                     self.out.push(Action::Tell(Told::Epoch(answer.number)));
@@ -266,10 +296,13 @@
             _ => return,
         }
         // From when it was sent: the keepers count from when they wrote it, which is later.
-        self.lease_until = self.lease_until.max(sent + self.terms.lease_ms - self.terms.margin_ms);
+        self.lease_until = self
+            .lease_until
+            .max(sent + self.terms.lease_ms - self.terms.margin_ms);
         if self.lapsed && now < self.lease_until {
             self.lapsed = false;
-            self.out.push(Action::Tell(Told::Renewed(self.epoch.unwrap_or(0))));
+            self.out
+                .push(Action::Tell(Told::Renewed(self.epoch.unwrap_or(0))));
         }
     }
 
@@ -278,7 +311,8 @@
     fn over(&mut self) {
         if let Some(epoch) = self.epoch.take() {
             self.given_up = epoch;
-            (self.lease_until, self.lapsed, self.renew_at) = (f64::NEG_INFINITY, true, f64::NEG_INFINITY);
+            (self.lease_until, self.lapsed, self.renew_at) =
+                (f64::NEG_INFINITY, true, f64::NEG_INFINITY);
             self.out.push(Action::Tell(Told::Over(epoch)));
         }
     }
@@ -288,7 +322,10 @@
         let verdict = answer.verdict();
         if let (None, Want::Claim(work), Verdict::Yours) = (number, &want, verdict) {
             self.seq += 1;
-            self.drops.insert(self.seq, (work.key.clone(), answer.number, f64::NEG_INFINITY));
+            self.drops.insert(
+                self.seq,
+                (work.key.clone(), answer.number, f64::NEG_INFINITY),
+            );
             return;
         }
         if verdict == Verdict::Over {
@@ -321,21 +358,38 @@
             }
             let what = match (&pending.want, epoch) {
                 (Want::Claim(_), None) => continue,
-                (Want::Claim(work), Some(epoch)) => Ordered::Claim(Claim { epoch, work: Some(work.clone()) }),
-                (Want::Look(key, sign), _) => Ordered::Look(Look { key: key.clone(), sign: *sign }),
-                (Want::End(key, fence, result), _) => {
-                    Ordered::End(End { key: key.clone(), fence: *fence, result: result.clone() })
-                }
+                (Want::Claim(work), Some(epoch)) => Ordered::Claim(Claim {
+                    epoch,
+                    work: Some(work.clone()),
+                }),
+                (Want::Look(key, sign), _) => Ordered::Look(Look {
+                    key: key.clone(),
+                    sign: *sign,
+                }),
+                (Want::End(key, fence, result), _) => Ordered::End(End {
+                    key: key.clone(),
+                    fence: *fence,
+                    result: result.clone(),
+                }),
                 (Want::Pass(work), _) => Ordered::Pass(work.clone()),
             };
             (pending.sent_at, pending.epoch) = (now, epoch);
-            orders.push(Order { seq, what: Some(what) });
+            orders.push(Order {
+                seq,
+                what: Some(what),
+            });
         }
         for (&seq, (key, fence, sent_at)) in &mut self.drops {
             if *sent_at <= before && orders.len() < MOST_ORDERS {
                 *sent_at = now;
-                let what = Ordered::Drop(Dropped { key: key.clone(), fence: *fence });
-                orders.push(Order { seq, what: Some(what) });
+                let what = Ordered::Drop(Dropped {
+                    key: key.clone(),
+                    fence: *fence,
+                });
+                orders.push(Order {
+                    seq,
+                    what: Some(what),
+                });
             }
         }
         if !orders.is_empty() {
--- a/crates/asterdale-takeover/src/saved.rs
+++ b/crates/asterdale-takeover/src/saved.rs
@@ -55,7 +55,9 @@
 impl Saved {
     /// Who it was; `None` where nothing was saved, or nothing that can be read.
     pub fn face(&self) -> Option<Face> {
-        Face::decode(&self.face[..]).ok().filter(|face| face.node != 0)
+        Face::decode(&self.face[..])
+            .ok()
+            .filter(|face| face.node != 0)
     }
 
     /// The library's memory of it, and the book that it begins with. What does not fit together is no memory.
@@ -90,6 +92,9 @@
 /// Entries, as they are saved.
 pub(crate) fn entries(entries: &[Logged]) -> Option<Save> {
     let first = entries.first()?.index;
-    let bytes: Vec<Vec<u8>> = entries.iter().filter_map(|entry| entry.write_to_bytes().ok()).collect();
+    let bytes: Vec<Vec<u8>> = entries
+        .iter()
+        .filter_map(|entry| entry.write_to_bytes().ok())
+        .collect();
     (bytes.len() == entries.len()).then_some(Save::Entries(first, bytes))
 }
