--- a/crates/asterdale-takeover/tests/explore.rs
+++ b/crates/asterdale-takeover/tests/explore.rs
@@ -92,13 +92,22 @@
 }
 
 fn terms() -> Terms {
-    Terms { window_ms: 0.0, ..Terms::default() }
+    Terms {
+        window_ms: 0.0,
+        ..Terms::default()
+    }
 }
 
 fn owner(now: f64, n: usize, process: u64) -> Owner {
     let at: SocketAddr = ([127, 0, 0, 1], 9001 + n as u16).into();
     let keepers = vec![KEEPERS.parse().unwrap()];
-    Owner::new(now, member(&format!("o{n}"), process, at), keepers, terms(), seal())
+    Owner::new(
+        now,
+        member(&format!("o{n}"), process, at),
+        keepers,
+        terms(),
+        seal(),
+    )
 }
 
 impl World {
@@ -112,7 +121,15 @@
             stopped: [false; 2],
             crashed: [false; 2],
             letters: Vec::new(),
-            budget: [("lost", 1), ("twice", 1), ("stop", 1), ("crash", 1), ("leader", 1), ("time", 4)].into(),
+            budget: [
+                ("lost", 1),
+                ("twice", 1),
+                ("stop", 1),
+                ("crash", 1),
+                ("leader", 1),
+                ("time", 4),
+            ]
+            .into(),
             fenced,
             processes: 2,
             fences: Vec::new(),
@@ -127,7 +144,11 @@
         while !world.letters.is_empty() {
             world.take(Step::Comes(0));
         }
-        assert!(world.owners.iter().flatten().all(|owner| owner.lease_until() > 0.0));
+        assert!(world
+            .owners
+            .iter()
+            .flatten()
+            .all(|owner| owner.lease_until() > 0.0));
         world
     }
 
@@ -147,7 +168,9 @@
                         } else if verdict == Verdict::Passed {
                             self.hear(answer.result);
                         }
-                    } else if let Some((_, result)) = host.ending.take_if(|ending| ending.0 == number) {
+                    } else if let Some((_, result)) =
+                        host.ending.take_if(|ending| ending.0 == number)
+                    {
                         if verdict == Verdict::Kept {
                             let known = self.outcome.get_or_insert_with(|| result.clone());
                             assert_eq!(*known, result, "two outcomes are kept");
@@ -161,7 +184,10 @@
     }
 
     fn hear(&mut self, result: Vec<u8>) {
-        assert!(self.answered.iter().all(|before| *before == result), "two answers");
+        assert!(
+            self.answered.iter().all(|before| *before == result),
+            "two answers"
+        );
         self.answered.push(result);
     }
 
@@ -175,21 +201,34 @@
 
     /// The keepers hear: what is proposed is agreed.
     fn keepers(&mut self, bytes: &[u8]) {
-        let Some((from, _, What::Asked(asked))) = decode(&seal(), bytes) else { panic!("no order") };
+        let Some((from, _, What::Asked(asked))) = decode(&seal(), bytes) else {
+            panic!("no order")
+        };
         let proposals = asked.orders.into_iter();
-        let proposals = proposals.map(|order| Proposal { from: Some(from.clone()), order: Some(order) });
+        let proposals = proposals.map(|order| Proposal {
+            from: Some(from.clone()),
+            order: Some(order),
+        });
         let answers = self.passes(proposals.collect());
         let to = usize::from(from.port as u16 - 9001);
         let answers = answers.into_iter().map(|(_, answer)| answer).collect();
         let keeper: Member = member("k", 99, KEEPERS.parse().unwrap());
-        let what = What::Answers(Answers { answers, leader: None, to: from.node });
-        self.letters.push((Some(to), encode(&seal(), &keeper, what)));
+        let what = What::Answers(Answers {
+            answers,
+            leader: None,
+            to: from.node,
+        });
+        self.letters
+            .push((Some(to), encode(&seal(), &keeper, what)));
     }
 
     fn passes(&mut self, proposals: Vec<Proposal>) -> Vec<(Member, asterdale_takeover::Answer)> {
         let elapsed_ms = self.now - self.stamped;
         self.stamped = self.now;
-        self.book.apply(Entry { elapsed_ms, proposals })
+        self.book.apply(Entry {
+            elapsed_ms,
+            proposals,
+        })
     }
 
     fn spend(&mut self, what: &'static str) -> bool {
@@ -214,7 +253,8 @@
             }
             all.extend([Step::Stop(n), Step::Crash(n)]);
             let host = &self.hosts[n];
-            if host.asked.is_none() && host.yours.is_none() && host.runs.is_none() && host.tries < 2 {
+            if host.asked.is_none() && host.yours.is_none() && host.runs.is_none() && host.tries < 2
+            {
                 all.push(Step::Asked(n));
             }
             if host.yours.is_some() {
@@ -268,21 +308,30 @@
                 self.processes += 1;
                 self.crashed[n] = true;
                 self.owners[n] = Some(owner(self.now, n, self.processes));
-                self.hosts[n] = Host { tries: self.hosts[n].tries, ..Host::default() };
+                self.hosts[n] = Host {
+                    tries: self.hosts[n].tries,
+                    ..Host::default()
+                };
                 self.wake(n);
                 return self.spend("crash");
             }
             Step::Asked(n) => self.asks(n),
             Step::Starts(n) => {
-                let Some(fence) = self.hosts[n].yours.take() else { return false };
-                let may = self.owners[n].as_ref().is_some_and(|owner| owner.lease_until() > self.now);
+                let Some(fence) = self.hosts[n].yours.take() else {
+                    return false;
+                };
+                let may = self.owners[n]
+                    .as_ref()
+                    .is_some_and(|owner| owner.lease_until() > self.now);
                 if may {
                     self.starts.push((n, fence));
                     self.hosts[n].runs = Some(fence);
                 }
             }
             Step::Effect(n) => {
-                let Some(fence) = self.hosts[n].runs else { return false };
+                let Some(fence) = self.hosts[n].runs else {
+                    return false;
+                };
                 self.hosts[n].effect = true;
                 if fence < self.highest {
                     self.hosts[n].runs = None; // refused: this run ends without a result
@@ -290,7 +339,9 @@
                 self.highest = self.highest.max(fence);
             }
             Step::Ends(n) => {
-                let Some(fence) = self.hosts[n].runs.take() else { return false };
+                let Some(fence) = self.hosts[n].runs.take() else {
+                    return false;
+                };
                 let (now, host) = (self.now, &mut self.hosts[n]);
                 let result = format!("{n} {}", host.tries).into_bytes();
                 host.ending = Some((100 + host.tries, result.clone()));
@@ -332,8 +383,12 @@
     }
 
     fn deliver(&mut self, to: Option<usize>, bytes: &[u8]) {
-        let Some(to) = to else { return self.keepers(bytes) };
-        let Some((_, _, What::Answers(answers))) = decode(&seal(), bytes) else { panic!("no answer") };
+        let Some(to) = to else {
+            return self.keepers(bytes);
+        };
+        let Some((_, _, What::Answers(answers))) = decode(&seal(), bytes) else {
+            panic!("no answer")
+        };
         let now = self.now;
         if let Some(owner) = &mut self.owners[to] {
             let mut actions = owner.answers(now, answers);
@@ -349,17 +404,35 @@
         let mut fences: Vec<u64> = self.starts.iter().map(|(_, fence)| *fence).collect();
         fences.dedup();
         assert_eq!(fences.len(), self.starts.len(), "one fence, two starts");
-        let alone = self.owners.iter().flatten().zip(self.crashed).filter(|(_, crashed)| !crashed);
+        let alone = self
+            .owners
+            .iter()
+            .flatten()
+            .zip(self.crashed)
+            .filter(|(_, crashed)| !crashed);
         for (owner, _) in alone.filter(|(owner, _)| owner.lease_until() > self.now) {
             let epoch = owner.epoch().unwrap_or(0);
-            assert!(self.book.owners().contains_key(&epoch), "a lease outlives its epoch");
+            assert!(
+                self.book.owners().contains_key(&epoch),
+                "a lease outlives its epoch"
+            );
         }
     }
 
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        let text = format!("{:?} {:?} {:?} {:?}", self.owners, self.hosts, self.stopped, self.budget);
-        (text, self.book.write(), &self.letters, &self.starts, self.highest).hash(&mut hasher);
+        let text = format!(
+            "{:?} {:?} {:?} {:?}",
+            self.owners, self.hosts, self.stopped, self.budget
+        );
+        (
+            text,
+            self.book.write(),
+            &self.letters,
+            &self.starts,
+            self.highest,
+        )
+            .hash(&mut hasher);
         (&self.outcome, &self.answered, self.now.to_bits()).hash(&mut hasher);
         hasher.finish()
     }
@@ -415,8 +488,15 @@
     for seed in 0..WAYS {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut world = asked(seed % 2 == 0);
-        world.budget =
-            [("lost", 6), ("twice", 6), ("stop", 3), ("crash", 2), ("leader", 2), ("time", 14)].into();
+        world.budget = [
+            ("lost", 6),
+            ("twice", 6),
+            ("stop", 3),
+            ("crash", 2),
+            ("leader", 2),
+            ("time", 14),
+        ]
+        .into();
         for _ in 0..90 {
             let steps = world.steps();
             let step = steps[random.next_u32() as usize % steps.len()];
--- a/crates/asterdale-takeover/tests/group.rs
+++ b/crates/asterdale-takeover/tests/group.rs
@@ -10,7 +10,9 @@
 fn formed(keepers: usize, owners: usize) -> Net {
     let mut net = Net::new(1, keepers, owners, terms());
     let all: Vec<usize> = (0..owners).map(|n| 100 + n).collect();
-    net.until("leases", 20_000.0, |net| all.iter().all(|owner| net.has_epoch(*owner)));
+    net.until("leases", 20_000.0, |net| {
+        all.iter().all(|owner| net.has_epoch(*owner))
+    });
     net.run(1000.0);
     net
 }
@@ -22,11 +24,17 @@
     assert_eq!(fence.verdict(), Verdict::Yours);
     let leader = net.leader().unwrap();
     net.keepers.remove(&leader);
-    assert_eq!(net.ask(101, 1, Want::Claim(work(7, 2))).verdict(), Verdict::Open);
+    assert_eq!(
+        net.ask(101, 1, Want::Claim(work(7, 2))).verdict(),
+        Verdict::Open
+    );
     let end = Want::End(work(7, 1).key, fence.number, Some(b"sold".to_vec()));
     assert_eq!(net.ask(100, 2, end).verdict(), Verdict::Kept);
     let known = net.ask(101, 2, Want::Look(work(7, 1).key, 0));
-    assert_eq!((known.verdict(), &known.result[..]), (Verdict::Passed, &b"sold"[..]));
+    assert_eq!(
+        (known.verdict(), &known.result[..]),
+        (Verdict::Passed, &b"sold"[..])
+    );
 }
 
 #[test]
@@ -36,10 +44,16 @@
     let gone = net.leader().unwrap();
     net.start_keeper(gone); // its process is another one, which remembers nothing
     net.until("its place", 60_000.0, |net| {
-        net.told.iter().any(|(_, told)| *told == Told::Replaced(format!("k{gone}")))
+        net.told
+            .iter()
+            .any(|(_, told)| *told == Told::Replaced(format!("k{gone}")))
     });
     net.run(3000.0);
-    assert_eq!(net.keepers[&gone].shown().kept.iter().sum::<usize>(), 1, "it has the book");
+    assert_eq!(
+        net.keepers[&gone].shown().kept.iter().sum::<usize>(),
+        1,
+        "it has the book"
+    );
     // Now the two others go: with the one that came back there is a majority only if it counts as one of three.
     let others: Vec<usize> = (0..3).filter(|n| *n != gone).collect();
     net.keepers.remove(&others[0]);
@@ -60,7 +74,9 @@
     net.start_keeper(0);
     net.start_keeper(2);
     net.until("its end", 60_000.0, |net| {
-        net.told.iter().any(|(n, told)| *n == survivor && matches!(told, Told::Abandoned(_)))
+        net.told
+            .iter()
+            .any(|(n, told)| *n == survivor && matches!(told, Told::Abandoned(_)))
     });
     net.until("another", 20_000.0, |net| net.leader().is_some());
     net.until("a lease", 20_000.0, |net| net.has_epoch(100));
@@ -74,18 +90,27 @@
         net.ask(100, 3, Want::Claim(work(7, 3)))
     };
     assert_eq!(late.verdict(), Verdict::Yours);
-    assert!(late.number > claim.number && number > 1000, "its fences are above all of the lost one's");
+    assert!(
+        late.number > claim.number && number > 1000,
+        "its fences are above all of the lost one's"
+    );
 }
 
 #[test]
 fn an_owner_that_is_cut_off_stops_before_its_work_is_anybody_elses() {
     let mut net = formed(3, 2);
-    assert_eq!(net.ask(100, 1, Want::Claim(work(7, 1))).verdict(), Verdict::Yours);
+    assert_eq!(
+        net.ask(100, 1, Want::Claim(work(7, 1))).verdict(),
+        Verdict::Yours
+    );
     net.owners.get_mut(&101).unwrap().room(4);
     net.cut.extend((0..3).map(|k| (k, 100)));
     let stopped = net.until("its own stop", 5000.0, |net| !net.has_epoch(100));
     let offered = net.until("the offer", 9000.0, |net| !net.offered.is_empty());
-    assert!(stopped <= 2000.0 && offered >= 300.0, "stopped after {stopped}, offered {offered} later");
+    assert!(
+        stopped <= 2000.0 && offered >= 300.0,
+        "stopped after {stopped}, offered {offered} later"
+    );
     assert_eq!(net.offered[0].0, 101);
     let taken = net.ask(101, 1, Want::Claim(work(7, 9)));
     assert_eq!(taken.verdict(), Verdict::Yours);
@@ -102,7 +127,10 @@
     net.owners.get_mut(&100).unwrap().forget(1);
     net.run(2000.0);
     assert_eq!(net.verdict(100, 1), None);
-    assert_eq!(net.ask(101, 1, Want::Claim(work(7, 2))).verdict(), Verdict::Yours);
+    assert_eq!(
+        net.ask(101, 1, Want::Claim(work(7, 2))).verdict(),
+        Verdict::Yours
+    );
 }
 
 /// What a side that has effects does: a fence below the highest it has seen of the key is refused, and a key has its
@@ -150,7 +178,8 @@
                 3 | 4 => net.stopped.clear(),
                 5 => {
                     let keeper = net.chance(keepers as u64) as usize;
-                    net.cut.extend([(keeper, owner), ((keeper + 1) % keepers, keeper)]);
+                    net.cut
+                        .extend([(keeper, owner), ((keeper + 1) % keepers, keeper)]);
                 }
                 6 | 7 => net.cut.clear(),
                 8 => {
@@ -168,14 +197,19 @@
             let heard: Vec<_> = std::mem::take(&mut net.heard).into_iter().collect();
             for ((owner, number), answer) in heard {
                 if let Some(key) = claims.remove(&(owner, number)) {
-                    if answer.verdict() == Verdict::Yours && effects.call(&work(key, 0).key, answer.number) {
+                    if answer.verdict() == Verdict::Yours
+                        && effects.call(&work(key, 0).key, answer.number)
+                    {
                         let result = format!("{owner} {number}").into_bytes();
                         let end = Want::End(work(key, 0).key, answer.number, Some(result.clone()));
                         ends.insert((owner, 1_000_000 + number), (key, result));
                         net.want(owner, 1_000_000 + number, end);
                     } else if answer.verdict() == Verdict::Passed {
                         let known = outcomes.entry(key).or_insert_with(|| answer.result.clone());
-                        assert_eq!(*known, answer.result, "seed {seed}: another result of {key}");
+                        assert_eq!(
+                            *known, answer.result,
+                            "seed {seed}: another result of {key}"
+                        );
                     }
                 } else if let Some((key, result)) = ends.remove(&(owner, number)) {
                     if answer.verdict() == Verdict::Kept {
@@ -193,7 +227,11 @@
         for (key, result) in outcomes {
             number += 1;
             let known = net.ask(100, number, Want::Look(work(key, 0).key, 0));
-            assert_eq!((known.verdict(), known.result), (Verdict::Passed, result), "seed {seed}: {key}");
+            assert_eq!(
+                (known.verdict(), known.result),
+                (Verdict::Passed, result),
+                "seed {seed}: {key}"
+            );
         }
     }
 }
@@ -205,7 +243,9 @@
     net.name_keepers(keepers);
     (0..keepers).for_each(|n| net.start_keeper(n));
     let all: Vec<usize> = (0..owners).map(|n| 100 + n).collect();
-    net.until("leases", 20_000.0, |net| all.iter().all(|owner| net.has_epoch(*owner)));
+    net.until("leases", 20_000.0, |net| {
+        all.iter().all(|owner| net.has_epoch(*owner))
+    });
     net.run(1000.0);
     net
 }
@@ -216,21 +256,44 @@
     let claim = net.ask(100, 1, Want::Claim(work(7, 1)));
     let end = Want::End(work(7, 1).key, claim.number, Some(b"sold".to_vec()));
     assert_eq!(net.ask(100, 2, end).verdict(), Verdict::Kept);
-    assert_eq!(net.ask(100, 3, Want::Claim(work(8, 3))).verdict(), Verdict::Yours);
-    let formed = net.told.iter().filter(|(_, told)| matches!(told, Told::Formed(..))).count();
+    assert_eq!(
+        net.ask(100, 3, Want::Claim(work(8, 3))).verdict(),
+        Verdict::Yours
+    );
+    let formed = net
+        .told
+        .iter()
+        .filter(|(_, told)| matches!(told, Told::Formed(..)))
+        .count();
     // One claim's letter is on its way as they die; its owner dies with them.
     net.want(101, 1, Want::Claim(work(9, 9)));
     (0..3).for_each(|n| net.start_keeper(n));
     net.owners.remove(&100);
     net.until("a leader", 60_000.0, |net| net.leader().is_some());
     let known = net.ask(101, 2, Want::Look(work(7, 1).key, 0));
-    assert_eq!((known.verdict(), &known.result[..]), (Verdict::Passed, &b"sold"[..]));
+    assert_eq!(
+        (known.verdict(), &known.result[..]),
+        (Verdict::Passed, &b"sold"[..])
+    );
     // What the dead owner had started is orphaned once its lease is over, and is another's by a higher fence.
     net.run(6000.0);
-    assert_eq!(net.ask(101, 3, Want::Claim(work(8, 5))).verdict(), Verdict::Yours);
-    let again = net.told.iter().filter(|(_, told)| matches!(told, Told::Formed(..))).count();
+    assert_eq!(
+        net.ask(101, 3, Want::Claim(work(8, 5))).verdict(),
+        Verdict::Yours
+    );
+    let again = net
+        .told
+        .iter()
+        .filter(|(_, told)| matches!(told, Told::Formed(..)))
+        .count();
     assert_eq!((formed, again), (1, 1), "the same group goes on");
-    assert_eq!(net.told.iter().filter(|(_, told)| matches!(told, Told::Restored(_))).count(), 3);
+    assert_eq!(
+        net.told
+            .iter()
+            .filter(|(_, told)| matches!(told, Told::Restored(_)))
+            .count(),
+        3
+    );
 }
 
 #[test]
@@ -246,15 +309,25 @@
     net.full.clear();
     net.start_keeper(leader);
     net.run(5000.0);
-    let most = net.keepers.values().filter_map(|keeper| Some(keeper.group()?.applied())).max();
-    assert_eq!(net.keepers[&leader].group().map(|group| group.applied()), most);
+    let most = net
+        .keepers
+        .values()
+        .filter_map(|keeper| Some(keeper.group()?.applied()))
+        .max();
+    assert_eq!(
+        net.keepers[&leader].group().map(|group| group.applied()),
+        most
+    );
 }
 
 #[test]
 fn a_disk_that_lacks_what_was_said_to_be_there_makes_another_keeper() {
     let mut net = lasting(3, 1);
     for n in 0..20 {
-        assert_eq!(net.ask(100, n, Want::Claim(work(n, n))).verdict(), Verdict::Yours);
+        assert_eq!(
+            net.ask(100, n, Want::Claim(work(n, n))).verdict(),
+            Verdict::Yours
+        );
     }
     let gone = (0..3).find(|n| Some(*n) != net.leader()).unwrap();
     let node = net.keepers[&gone].group().map(|group| group.node);
@@ -264,9 +337,14 @@
     assert!(at > 2);
     disk.entries.remove(at);
     net.start_keeper(gone);
-    assert!(net.keepers[&gone].group().is_none(), "it does not speak as the one that it was");
+    assert!(
+        net.keepers[&gone].group().is_none(),
+        "it does not speak as the one that it was"
+    );
     net.until("its place", 90_000.0, |net| {
-        net.told.iter().any(|(_, told)| *told == Told::Replaced(format!("k{gone}")))
+        net.told
+            .iter()
+            .any(|(_, told)| *told == Told::Replaced(format!("k{gone}")))
     });
     net.run(3000.0);
     assert_ne!(net.keepers[&gone].group().map(|group| group.node), node);
@@ -279,18 +357,28 @@
         net.lasts = true;
         net.name_keepers(3);
         (0..3).for_each(|n| net.start_keeper(n));
-        net.until("leases", 20_000.0, |net| (100..103).all(|owner| net.has_epoch(owner)));
+        net.until("leases", 20_000.0, |net| {
+            (100..103).all(|owner| net.has_epoch(owner))
+        });
         net.run(1000.0);
         (net.loss, net.doubled) = (0.05, 0.05);
         let mut ended = BTreeMap::new();
         for n in 0..60u64 {
             let owner = 100 + net.chance(3) as usize;
             let key = 1000 + n;
-            if net.ask(owner, 10 * n + 1, Want::Claim(work(key, n))).verdict() != Verdict::Yours {
+            if net
+                .ask(owner, 10 * n + 1, Want::Claim(work(key, n)))
+                .verdict()
+                != Verdict::Yours
+            {
                 continue;
             }
             let fence = net.heard[&(owner, 10 * n + 1)].number;
-            net.want(owner, 10 * n + 2, Want::End(work(key, n).key, fence, Some(vec![n as u8])));
+            net.want(
+                owner,
+                10 * n + 2,
+                Want::End(work(key, n).key, fence, Some(vec![n as u8])),
+            );
             // Before, while or after that is agreed: one is killed, or all are.
             let (wait, which) = (net.chance(60) as f64, net.chance(5) as usize);
             net.run(wait);
@@ -299,7 +387,9 @@
                 3 => (0..3).for_each(|n| net.start_keeper(n)),
                 _ => {}
             }
-            net.until("a verdict", 60_000.0, |net| net.verdict(owner, 10 * n + 2).is_some());
+            net.until("a verdict", 60_000.0, |net| {
+                net.verdict(owner, 10 * n + 2).is_some()
+            });
             if net.verdict(owner, 10 * n + 2) == Some(Verdict::Kept) {
                 ended.insert(key, n as u8);
             }
@@ -308,9 +398,17 @@
         assert!(ended.len() > 30, "seed {seed}: {} ended", ended.len());
         for (at, (key, result)) in ended.into_iter().enumerate() {
             let known = net.ask(100, 10_000 + at as u64, Want::Look(work(key, 0).key, 0));
-            assert_eq!((known.verdict(), known.result), (Verdict::Passed, vec![result]), "seed {seed}");
+            assert_eq!(
+                (known.verdict(), known.result),
+                (Verdict::Passed, vec![result]),
+                "seed {seed}"
+            );
         }
-        let formed = net.told.iter().filter(|(_, told)| matches!(told, Told::Formed(..))).count();
+        let formed = net
+            .told
+            .iter()
+            .filter(|(_, told)| matches!(told, Told::Formed(..)))
+            .count();
         assert_eq!(formed, 1, "seed {seed}: the group was never given up");
     }
 }
--- a/crates/asterdale-takeover/tests/net/mod.rs
+++ b/crates/asterdale-takeover/tests/net/mod.rs
@@ -97,9 +97,23 @@
     pub fn start_keeper(&mut self, n: usize) {
         let node = self.random.next_u64() | 1;
         let keepers = (0..self.names).map(|n| (format!("k{n}"), at(n))).collect();
-        let (me, terms, seed) = (member(&format!("k{n}"), node, at(n)), self.terms.clone(), node);
-        let saved = self.lasts.then(|| self.disks.get(&n).cloned().unwrap_or_default());
-        let start = Start { me, keepers, terms, seal: Net::seal(), seed, unix_s: 1000, saved };
+        let (me, terms, seed) = (
+            member(&format!("k{n}"), node, at(n)),
+            self.terms.clone(),
+            node,
+        );
+        let saved = self
+            .lasts
+            .then(|| self.disks.get(&n).cloned().unwrap_or_default());
+        let start = Start {
+            me,
+            keepers,
+            terms,
+            seal: Net::seal(),
+            seed,
+            unix_s: 1000,
+            saved,
+        };
         self.keepers.insert(n, Keeper::new(self.now, start));
     }
 
@@ -114,7 +128,10 @@
         let node = self.random.next_u64() | 1;
         let keepers = (0..self.names).map(at).collect();
         let me = member(&format!("o{n}"), node, at(n));
-        self.owners.insert(n, Owner::new(self.now, me, keepers, self.terms.clone(), Net::seal()));
+        self.owners.insert(
+            n,
+            Owner::new(self.now, me, keepers, self.terms.clone(), Net::seal()),
+        );
     }
 
     fn share(&mut self) -> f64 {
@@ -131,9 +148,14 @@
                     }
                     for _ in 0..1 + usize::from(self.share() < self.doubled) {
                         self.count += 1;
-                        let late = if self.loss > 0.0 { self.share() * 40.0 } else { 0.0 };
+                        let late = if self.loss > 0.0 {
+                            self.share() * 40.0
+                        } else {
+                            0.0
+                        };
                         let due = self.now + 1.0 + late;
-                        self.letters.insert((due.to_bits(), self.count), (from, to, bytes.clone()));
+                        self.letters
+                            .insert((due.to_bits(), self.count), (from, to, bytes.clone()));
                     }
                 }
                 Action::Save(saves) if self.full.contains(&from) => {
@@ -148,7 +170,9 @@
                 }
                 Action::Tell(told) => self.told.push((from, told)),
                 Action::Verdict(number, answer) => drop(self.heard.insert((from, number), answer)),
-                Action::Offered(all) => self.offered.extend(all.into_iter().map(|work| (from, work))),
+                Action::Offered(all) => self
+                    .offered
+                    .extend(all.into_iter().map(|work| (from, work))),
             }
         }
     }
@@ -160,13 +184,18 @@
             if f64::from_bits(key.0) > self.now {
                 break;
             }
-            let Some((_, to, bytes)) = self.letters.remove(&key) else { break };
+            let Some((_, to, bytes)) = self.letters.remove(&key) else {
+                break;
+            };
             if self.stopped.contains(&to) {
                 self.count += 1;
-                self.letters.insert(((self.now + STEP).to_bits(), self.count), (to, to, bytes));
+                self.letters
+                    .insert(((self.now + STEP).to_bits(), self.count), (to, to, bytes));
                 continue;
             }
-            let Some((from, place, what)) = decode(&Net::seal(), &bytes) else { panic!("unreadable") };
+            let Some((from, place, what)) = decode(&Net::seal(), &bytes) else {
+                panic!("unreadable")
+            };
             let actions = match (what, self.owners.get_mut(&to), self.keepers.get_mut(&to)) {
                 (What::Answers(answers), Some(owner), _) => {
                     let mut actions = owner.answers(self.now, answers);
@@ -182,12 +211,26 @@
             };
             self.act(to, actions);
         }
-        let all: Vec<usize> = self.keepers.keys().chain(self.owners.keys()).copied().collect();
-        for n in all.into_iter().filter(|n| !self.stopped.contains(n)).collect::<Vec<_>>() {
+        let all: Vec<usize> = self
+            .keepers
+            .keys()
+            .chain(self.owners.keys())
+            .copied()
+            .collect();
+        for n in all
+            .into_iter()
+            .filter(|n| !self.stopped.contains(n))
+            .collect::<Vec<_>>()
+        {
             let (now, mut actions) = (self.now, Vec::new());
-            if let Some(keeper) = self.keepers.get_mut(&n).filter(|keeper| keeper.next() <= now) {
+            if let Some(keeper) = self
+                .keepers
+                .get_mut(&n)
+                .filter(|keeper| keeper.next() <= now)
+            {
                 actions = keeper.wake(now);
-            } else if let Some(owner) = self.owners.get_mut(&n).filter(|owner| owner.next() <= now) {
+            } else if let Some(owner) = self.owners.get_mut(&n).filter(|owner| owner.next() <= now)
+            {
                 actions = owner.wake(now);
             }
             self.act(n, actions);
@@ -198,12 +241,22 @@
     /// Whoever has applied as much of a log holds the same.
     fn compare(&mut self) {
         for keeper in self.keepers.values() {
-            let Some(group) = keeper.group() else { continue };
+            let Some(group) = keeper.group() else {
+                continue;
+            };
             let mut book = group.book.clone();
             book.members.clear(); // a change of the set is no entry of the book's
             let book = book.write();
-            let held = self.books.entry((group.number, group.applied())).or_insert_with(|| book.clone());
-            assert!(*held == book, "two books at {} of group {}", group.applied(), group.number);
+            let held = self
+                .books
+                .entry((group.number, group.applied()))
+                .or_insert_with(|| book.clone());
+            assert!(
+                *held == book,
+                "two books at {} of group {}",
+                group.applied(),
+                group.number
+            );
         }
     }
 
@@ -218,7 +271,11 @@
     pub fn until(&mut self, what: &str, most: f64, holds: impl Fn(&Net) -> bool) -> f64 {
         let began = self.now;
         while !holds(self) {
-            assert!(self.now < began + most, "waited in vain for {what}; told: {:?}", self.told);
+            assert!(
+                self.now < began + most,
+                "waited in vain for {what}; told: {:?}",
+                self.told
+            );
             self.step();
         }
         self.now - began
@@ -240,13 +297,18 @@
     /// Wants it, and waits for what comes of it.
     pub fn ask(&mut self, owner: usize, number: u64, want: Want) -> Answer {
         self.want(owner, number, want);
-        self.until("a verdict", 30_000.0, |net| net.heard.contains_key(&(owner, number)));
+        self.until("a verdict", 30_000.0, |net| {
+            net.heard.contains_key(&(owner, number))
+        });
         self.heard[&(owner, number)].clone()
     }
 
     pub fn leader(&self) -> Option<usize> {
         let leads = |keeper: &Keeper| keeper.group().is_some_and(|group| group.leads());
-        self.keepers.iter().find(|(n, keeper)| !self.stopped.contains(n) && leads(keeper)).map(|(n, _)| *n)
+        self.keepers
+            .iter()
+            .find(|(n, keeper)| !self.stopped.contains(n) && leads(keeper))
+            .map(|(n, _)| *n)
     }
 
     pub fn has_epoch(&self, owner: usize) -> bool {
@@ -272,5 +334,8 @@
 }
 
 pub fn terms() -> Terms {
-    Terms { window_ms: 500.0, ..Terms::default() }
+    Terms {
+        window_ms: 500.0,
+        ..Terms::default()
+    }
 }
--- a/crates/asterdale-talk/src/actor.rs
+++ b/crates/asterdale-talk/src/actor.rs
@@ -123,16 +123,27 @@
 
     fn sum_up(&self) {
         let (fleet, now) = (&self.fleet, self.now());
-        let there = if fleet.is_member() { fleet.view().there() + 1 } else { 0 };
+        let there = if fleet.is_member() {
+            fleet.view().there() + 1
+        } else {
+            0
+        };
         let takes = |notes: &Notes| notes.phase == Phase::Ready && notes.warm >= WARM;
-        let others = fleet.view().iter().filter(|seen| seen.record.is_in() && takes(&seen.record.notes));
+        let others = fleet
+            .view()
+            .iter()
+            .filter(|seen| seen.record.is_in() && takes(&seen.record.notes));
         let own = fleet.is_member() && takes(&fleet.me().notes);
         let warm = others.count() + usize::from(own);
         self.summary.own.store(u32::from(own), Ordering::Relaxed);
         self.summary.there.store(there as u32, Ordering::Relaxed);
         self.summary.warm.store(warm as u32, Ordering::Relaxed);
-        self.summary.certain.store(u32::from(fleet.is_certain(now)), Ordering::Relaxed);
-        self.summary.generation.store(fleet.me().generation, Ordering::Relaxed);
+        self.summary
+            .certain
+            .store(u32::from(fleet.is_certain(now)), Ordering::Relaxed);
+        self.summary
+            .generation
+            .store(fleet.me().generation, Ordering::Relaxed);
     }
 }
 
@@ -142,7 +153,9 @@
     let mut bytes = vec![0; MOST_DATAGRAM + 1];
     loop {
         // An error here is another's answer to what was sent to nobody: there is nothing to be done about it.
-        let Ok((count, _)): Result<(usize, SocketAddr), _> = socket.recv_from(&mut bytes) else { continue };
+        let Ok((count, _)): Result<(usize, SocketAddr), _> = socket.recv_from(&mut bytes) else {
+            continue;
+        };
         match mail.try_send(Mail::Datagram(bytes[..count].to_vec())) {
             Ok(()) => {}
             Err(TrySendError::Full(_)) => drop(dropped.fetch_add(1, Ordering::Relaxed)),
--- a/crates/asterdale-talk/src/control.rs
+++ b/crates/asterdale-talk/src/control.rs
@@ -44,7 +44,11 @@
             continue;
         }
         let mut asked = String::new();
-        if BufReader::new(&stream).take(MOST).read_line(&mut asked).is_err() {
+        if BufReader::new(&stream)
+            .take(MOST)
+            .read_line(&mut asked)
+            .is_err()
+        {
             continue;
         }
         let answer = match asked.trim() {
@@ -58,7 +62,9 @@
                 Some(None) => json!({"error": "the state machine does not answer"}).to_string(),
                 None => json!({"error": "nothing is kept by this fleet"}).to_string(),
             },
-            other => json!({"error": format!("{other:?} is none of show, leave, keepers")}).to_string(),
+            other => {
+                json!({"error": format!("{other:?} is none of show, leave, keepers")}).to_string()
+            }
         };
         let _ = (&stream).write_all(format!("{answer}\n").as_bytes());
     }
@@ -67,8 +73,11 @@
 
 fn keepers_as_json(shown: &KeeperShown) -> serde_json::Value {
     let [started, orphaned, unstarted, ended, failed, unknown] = shown.kept;
-    let owners: Vec<_> =
-        shown.owners.iter().map(|(name, epoch)| json!({"name": name, "epoch": epoch})).collect();
+    let owners: Vec<_> = shown
+        .owners
+        .iter()
+        .map(|(name, epoch)| json!({"name": name, "epoch": epoch}))
+        .collect();
     json!({"group": shown.group, "leader": shown.leader, "members": shown.members, "owners": owners,
         "kept": {"started": started, "orphaned": orphaned, "unstarted": unstarted, "ended": ended, "failed": failed,
             "unknown": unknown},
@@ -84,9 +93,14 @@
     let told = |e: io::Error| format!("{}: {e}", path.display());
     let stream = UnixStream::connect(path).map_err(told)?;
     stream.set_read_timeout(Some(3 * PATIENCE)).map_err(told)?;
-    (&stream).write_all(format!("{what}\n").as_bytes()).map_err(told)?;
+    (&stream)
+        .write_all(format!("{what}\n").as_bytes())
+        .map_err(told)?;
     let mut answer = String::new();
-    BufReader::new(&stream).take(MOST_ANSWER).read_line(&mut answer).map_err(told)?;
+    BufReader::new(&stream)
+        .take(MOST_ANSWER)
+        .read_line(&mut answer)
+        .map_err(told)?;
     let answer: serde_json::Value =
         serde_json::from_str(&answer).map_err(|e| format!("{}: no answer: {e}", path.display()))?;
     match answer["error"].as_str() {
--- a/crates/asterdale-talk/src/custody.rs
+++ b/crates/asterdale-talk/src/custody.rs
@@ -175,7 +175,12 @@
     let (orders, ordered) = crossbeam_channel::unbounded();
     let began = Instant::now();
     let until = Arc::new(AtomicU64::new(0));
-    let Place { disk, keepers, terms, unix_s } = place;
+    let Place {
+        disk,
+        keepers,
+        terms,
+        unix_s,
+    } = place;
     let myself = member(&me.name, me.node, me.at);
     let owner = Owner::new(
         0.0,
@@ -191,13 +196,35 @@
     crate::spawn("custody", move || {
         // The library's memory is this thread's alone.
         let (saved, shelf) = disk.map(|Disk { saved, shelf }| (saved, shelf)).unzip();
-        let start = Start { me: myself, keepers, terms, seal: seal.clone(), seed, unix_s, saved };
+        let start = Start {
+            me: myself,
+            keepers,
+            terms,
+            seal: seal.clone(),
+            seed,
+            unix_s,
+            saved,
+        };
         let keeper = keeps.then(|| Keeper::new(0.0, start));
-        let actor =
-            Actor { keeper, owner, began, at, seal, links, until: until_told, shelf, saved_at: began };
+        let actor = Actor {
+            keeper,
+            owner,
+            began,
+            at,
+            seal,
+            links,
+            until: until_told,
+            shelf,
+            saved_at: began,
+        };
         actor.serve(&letters, &ordered, heard);
     })?;
-    Ok(Custody { orders, began, until, lease_ms })
+    Ok(Custody {
+        orders,
+        began,
+        until,
+        lease_ms,
+    })
 }
 
 impl Actor {
@@ -205,9 +232,18 @@
         self.began.elapsed().as_secs_f64() * 1e3
     }
 
-    fn serve(mut self, letters: &Receiver<Vec<u8>>, orders: &Receiver<Order>, heard: impl Fn(Heard)) {
+    fn serve(
+        mut self,
+        letters: &Receiver<Vec<u8>>,
+        orders: &Receiver<Order>,
+        heard: impl Fn(Heard),
+    ) {
         loop {
-            let next = self.keeper.as_ref().map_or(f64::INFINITY, Keeper::next).min(self.owner.next());
+            let next = self
+                .keeper
+                .as_ref()
+                .map_or(f64::INFINITY, Keeper::next)
+                .min(self.owner.next());
             let wait = ((next - self.now()) / 1e3).clamp(0.0, LONGEST.as_secs_f64());
             let timer = crossbeam_channel::after(Duration::from_secs_f64(wait));
             let mut actions = Vec::new();
@@ -249,7 +285,9 @@
 
     fn letter(&mut self, letter: &[u8], actions: &mut Vec<Action>) {
         let now = self.now();
-        let Some((from, at, what)) = decode(&self.seal, letter) else { return };
+        let Some((from, at, what)) = decode(&self.seal, letter) else {
+            return;
+        };
         match (what, &mut self.keeper) {
             (What::Answers(answers), _) => actions.extend(self.owner.answers(now, answers)),
             (what, Some(keeper)) => actions.extend(keeper.letter(now, &from, at, what)),
@@ -292,7 +330,10 @@
                 Action::Send(to, letter) => self.links.send(to, letter),
                 Action::Save(saves) => {
                     let Some(shelf) = &self.shelf else { continue };
-                    let saved = shelf.lock().unwrap_or_else(PoisonError::into_inner).save(saves);
+                    let saved = shelf
+                        .lock()
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .save(saves);
                     self.saved_at = Instant::now();
                     if let Err(why) = saved {
                         // Whatever rests on it must not leave; nor may this process speak as that keeper again.
--- a/crates/asterdale-talk/src/exchanges.rs
+++ b/crates/asterdale-talk/src/exchanges.rs
@@ -71,14 +71,27 @@
 }
 
 /// Begins to serve this listener.
-pub fn begin(listener: TcpListener, mail: Sender<Mail>, links: Option<Links>) -> io::Result<Exchanges> {
+pub fn begin(
+    listener: TcpListener,
+    mail: Sender<Mail>,
+    links: Option<Links>,
+) -> io::Result<Exchanges> {
     let poll = Poll::new()?;
     let waker = Arc::new(Waker::new(poll.registry(), WORDS)?);
     listener.set_nonblocking(true)?;
     let fd = listener.as_raw_fd();
-    poll.registry().register(&mut SourceFd(&fd), LISTENER, Interest::READABLE)?;
+    poll.registry()
+        .register(&mut SourceFd(&fd), LISTENER, Interest::READABLE)?;
     let (to, words) = unbounded();
-    let serving = Serving { poll, listener, words, mail, links, lines: HashMap::new(), next: 0 };
+    let serving = Serving {
+        poll,
+        listener,
+        words,
+        mail,
+        links,
+        lines: HashMap::new(),
+        next: 0,
+    };
     crate::spawn("talk streams", move || serving.serve())?;
     Ok(Exchanges { words: to, waker })
 }
@@ -94,8 +107,16 @@
         let mut events = Events::with_capacity(64);
         loop {
             let now = Instant::now();
-            let first = self.lines.values().map(|line| line.until.saturating_duration_since(now)).min();
-            if self.poll.poll(&mut events, first).is_err_and(|e| e.kind() != io::ErrorKind::Interrupted) {
+            let first = self
+                .lines
+                .values()
+                .map(|line| line.until.saturating_duration_since(now))
+                .min();
+            if self
+                .poll
+                .poll(&mut events, first)
+                .is_err_and(|e| e.kind() != io::ErrorKind::Interrupted)
+            {
                 return;
             }
             for event in &events {
@@ -125,14 +146,21 @@
 
     fn places(&self, asking: bool) -> usize {
         let most = if asking { MOST_ASKING } else { MOST_ASKED };
-        most.saturating_sub(self.lines.values().filter(|line| line.asking == asking).count())
+        most.saturating_sub(
+            self.lines
+                .values()
+                .filter(|line| line.asking == asking)
+                .count(),
+        )
     }
 
     fn accept(&mut self) {
         loop {
             match self.listener.accept() {
                 // Without a place it is dropped: the other tries again with somebody else.
-                Ok((stream, _)) if self.places(false) > 0 && stream.set_nonblocking(true).is_ok() => {
+                Ok((stream, _))
+                    if self.places(false) > 0 && stream.set_nonblocking(true).is_ok() =>
+                {
                     self.add(TcpStream::from_std(stream), false, Vec::new());
                 }
                 Ok(_) => {}
@@ -153,15 +181,32 @@
     fn add(&mut self, mut stream: TcpStream, asking: bool, out: Vec<u8>) {
         self.next = (self.next + 1) % WORDS.0;
         let either = Interest::READABLE | Interest::WRITABLE;
-        if self.poll.registry().register(&mut stream, Token(self.next), either).is_ok() {
+        if self
+            .poll
+            .registry()
+            .register(&mut stream, Token(self.next), either)
+            .is_ok()
+        {
             let (got, until) = (Vec::new(), Instant::now() + LONGEST);
-            self.lines.insert(self.next, Line { stream, asking, out, got, heard: false, until });
+            self.lines.insert(
+                self.next,
+                Line {
+                    stream,
+                    asking,
+                    out,
+                    got,
+                    heard: false,
+                    until,
+                },
+            );
         }
     }
 
     /// Goes on with a stream; its end is here, or in its time.
     fn go_on(&mut self, number: usize) {
-        let Some(line) = self.lines.get_mut(&number) else { return };
+        let Some(line) = self.lines.get_mut(&number) else {
+            return;
+        };
         match line.go_on() {
             Ok(None) => {}
             Ok(Some(bytes)) if line.asking => {
@@ -170,10 +215,13 @@
             }
             Ok(Some(bytes)) => drop(self.mail.try_send(Mail::Exchange(number, bytes))),
             Err(e) if e.kind() == io::ErrorKind::Unsupported => {
-                let Some(mut line) = self.lines.remove(&number) else { return };
-                if let (Some(links), Ok(())) =
-                    (&self.links, self.poll.registry().deregister(&mut line.stream))
-                {
+                let Some(mut line) = self.lines.remove(&number) else {
+                    return;
+                };
+                if let (Some(links), Ok(())) = (
+                    &self.links,
+                    self.poll.registry().deregister(&mut line.stream),
+                ) {
                     links.say(links::Word::Adopt(line.stream, line.got));
                 }
             }
@@ -185,7 +233,10 @@
 impl Line {
     /// Another has made it to send letters, one after the other: it is no exchange.
     fn is_link(&self) -> bool {
-        let length = self.got.first_chunk::<4>().map_or(0, |length| u32::from_be_bytes(*length));
+        let length = self
+            .got
+            .first_chunk::<4>()
+            .map_or(0, |length| u32::from_be_bytes(*length));
         !self.asking && length & LINK != 0
     }
 
@@ -195,7 +246,12 @@
             match self.stream.write(&self.out) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => drop(self.out.drain(..n)),
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                    ) =>
+                {
                     return Ok(None)
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -213,7 +269,12 @@
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Ok(n) => self.got.extend_from_slice(&chunk[..n]),
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                    ) =>
+                {
                     break
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -226,7 +287,9 @@
                 return Err(io::ErrorKind::InvalidData.into());
             }
         }
-        let Some(length) = self.got.first_chunk::<4>() else { return Ok(None) };
+        let Some(length) = self.got.first_chunk::<4>() else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes(*length) as usize;
         if self.is_link() {
             return Err(io::ErrorKind::Unsupported.into());
@@ -234,7 +297,9 @@
         if length > MOST_EXCHANGE {
             return Err(io::ErrorKind::InvalidData.into());
         }
-        let Some(body) = self.got.get(4..4 + length) else { return Ok(None) };
+        let Some(body) = self.got.get(4..4 + length) else {
+            return Ok(None);
+        };
         self.heard = true;
         Ok(Some(body.to_vec()))
     }
--- a/crates/asterdale-talk/src/lib.rs
+++ b/crates/asterdale-talk/src/lib.rs
@@ -116,12 +116,17 @@
     /// Leaves the fleet; comes back once that has been said.
     pub fn leave(&self) -> bool {
         let (over, left) = bounded(1);
-        self.mail.send_timeout(Mail::Leave(over), PATIENCE).is_ok() && left.recv_timeout(PATIENCE).is_ok()
+        self.mail.send_timeout(Mail::Leave(over), PATIENCE).is_ok()
+            && left.recv_timeout(PATIENCE).is_ok()
     }
 }
 
 fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    thread::Builder::new().name(name.to_owned()).stack_size(STACK).spawn(work).map(drop)
+    thread::Builder::new()
+        .name(name.to_owned())
+        .stack_size(STACK)
+        .spawn(work)
+        .map(drop)
 }
 
 /// Begins to talk. `heard` is called with each event, in order, by the thread of the state machine, and `kept` with each
@@ -144,13 +149,23 @@
         let (letters, read) = bounded(custody::WAITING);
         let links = links::begin(seal.clone(), letters)?;
         let (name, node, at, seed) = (start.name.clone(), start.nonce | 1, start.at, start.seed);
-        let me = custody::Me { name, node, at, seal, seed };
+        let me = custody::Me {
+            name,
+            node,
+            at,
+            seal,
+            seed,
+        };
         custody = Some(custody::begin(told, me, links.clone(), read, kept)?);
         streams = Some(links);
     }
     let exchanges = exchanges::begin(listener, mail.clone(), streams)?;
     let control = place.control.as_deref().map(control::bind).transpose()?;
-    let talk = Talk { mail: mail.clone(), summary: summary.clone(), custody };
+    let talk = Talk {
+        mail: mail.clone(),
+        summary: summary.clone(),
+        custody,
+    };
     let actor = Actor {
         fleet: Fleet::new(0.0, place.start),
         began,
@@ -161,10 +176,14 @@
         left: None,
     };
     spawn("talk", move || actor.serve(&mailbox, heard))?;
-    spawn("talk in", move || actor::datagrams(&socket, &mail, &dropped))?;
+    spawn("talk in", move || {
+        actor::datagrams(&socket, &mail, &dropped)
+    })?;
     if let Some((socket, path)) = control {
         let asked = talk.clone();
-        spawn("talk control", move || control::serve(&socket, &path, &asked))?;
+        spawn("talk control", move || {
+            control::serve(&socket, &path, &asked)
+        })?;
     }
     Ok(talk)
 }
--- a/crates/asterdale-talk/src/links.rs
+++ b/crates/asterdale-talk/src/links.rs
@@ -124,8 +124,15 @@
         let mut events = Events::with_capacity(256);
         let mut sweep = Instant::now();
         loop {
-            let wait = if self.ready.is_empty() { Duration::from_millis(200) } else { Duration::ZERO };
-            if self.poll.poll(&mut events, Some(wait)).is_err_and(|e| e.kind() != io::ErrorKind::Interrupted)
+            let wait = if self.ready.is_empty() {
+                Duration::from_millis(200)
+            } else {
+                Duration::ZERO
+            };
+            if self
+                .poll
+                .poll(&mut events, Some(wait))
+                .is_err_and(|e| e.kind() != io::ErrorKind::Interrupted)
             {
                 return;
             }
@@ -153,7 +160,9 @@
             touched.dedup();
             touched.into_iter().for_each(|number| self.write(number));
             for _ in 0..self.ready.len() {
-                let Some(number) = self.ready.pop_front() else { break };
+                let Some(number) = self.ready.pop_front() else {
+                    break;
+                };
                 if !self.read(number) {
                     return;
                 }
@@ -176,9 +185,21 @@
             return; // the other tries again
         }
         let number = self.number();
-        if self.poll.registry().register(&mut stream, Token(number), Interest::READABLE).is_ok() {
+        if self
+            .poll
+            .registry()
+            .register(&mut stream, Token(number), Interest::READABLE)
+            .is_ok()
+        {
             self.halves += got.len();
-            self.ins.insert(number, In { stream, got, since: Some(Instant::now()) });
+            self.ins.insert(
+                number,
+                In {
+                    stream,
+                    got,
+                    since: Some(Instant::now()),
+                },
+            );
             self.ready.push_back(number);
         }
     }
@@ -191,7 +212,9 @@
 
     /// Reads some of a link; `false` once nobody takes letters any more.
     fn read(&mut self, number: usize) -> bool {
-        let Some(link) = self.ins.get_mut(&number) else { return true };
+        let Some(link) = self.ins.get_mut(&number) else {
+            return true;
+        };
         let before = link.got.len();
         let mut chunk = [0; 16 * 1024];
         let mut over = false;
@@ -219,7 +242,9 @@
                 stranger = true;
                 break;
             }
-            let Some(letter) = link.got.get(taken + 4..taken + 4 + size) else { break };
+            let Some(letter) = link.got.get(taken + 4..taken + 4 + size) else {
+                break;
+            };
             if self.seal.open(letter).is_err() {
                 stranger = true;
                 break;
@@ -279,7 +304,12 @@
             let stream = out.stream.as_mut()?;
             let _ = stream.set_nodelay(true);
             let either = Interest::READABLE | Interest::WRITABLE;
-            if self.poll.registry().register(stream, Token(number), either).is_err() {
+            if self
+                .poll
+                .registry()
+                .register(stream, Token(number), either)
+                .is_err()
+            {
                 out.stream = None;
                 return None;
             }
@@ -301,13 +331,21 @@
 
     /// Writes what a link takes. A broken one loses what waits on it: what matters is said again by who said it.
     fn write(&mut self, number: usize) {
-        let Some(out) = self.outs.get_mut(&number) else { return };
-        let Some(stream) = &mut out.stream else { return };
+        let Some(out) = self.outs.get_mut(&number) else {
+            return;
+        };
+        let Some(stream) = &mut out.stream else {
+            return;
+        };
         let mut broken = false;
         // Nothing is ever said back: an end, or a word, ends it.
         match stream.read(&mut [0; 16]) {
             Ok(_) => broken = true,
-            Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {}
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                ) => {}
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(_) => broken = true,
         }
@@ -332,7 +370,12 @@
                         out.queue.pop_front();
                     }
                 }
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                    ) =>
+                {
                     break
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -356,8 +399,12 @@
             }
         }
         let idle = |out: &Out| out.queue.is_empty() && now - out.moved > IDLE;
-        let gone: Vec<usize> =
-            self.outs.iter().filter(|(_, out)| idle(out)).map(|(&number, _)| number).collect();
+        let gone: Vec<usize> = self
+            .outs
+            .iter()
+            .filter(|(_, out)| idle(out))
+            .map(|(&number, _)| number)
+            .collect();
         for number in gone {
             if let Some(out) = self.outs.remove(&number) {
                 self.places.remove(&out.at);
--- a/crates/asterdale-talk/src/shown.rs
+++ b/crates/asterdale-talk/src/shown.rs
@@ -92,25 +92,37 @@
     /// What this process holds now; so many datagrams found no place.
     pub fn of(fleet: &Fleet, now: f64, dropped: u64) -> Shown {
         let others = fleet.view().iter();
-        let mut counts: BTreeMap<String, u64> =
-            fleet.counts.all().into_iter().map(|(name, n)| (name.to_owned(), n)).collect();
+        let mut counts: BTreeMap<String, u64> = fleet
+            .counts
+            .all()
+            .into_iter()
+            .map(|(name, n)| (name.to_owned(), n))
+            .collect();
         counts.insert("dropped".to_owned(), dropped);
         Shown {
             me: member(fleet.me(), now, 0.0),
             standing: fleet.standing().to_owned(),
             certain: fleet.is_certain(now),
             part: (fleet.part() * 1e3).round() / 1e3,
-            age_ms: Some(fleet.age_ms(now)).filter(|ms| ms.is_finite()).map(|ms| ms.max(0.0) as u64),
+            age_ms: Some(fleet.age_ms(now))
+                .filter(|ms| ms.is_finite())
+                .map(|ms| ms.max(0.0) as u64),
             hash: format!("{:016x}", fleet.hash()),
-            members: others.map(|seen| member(&seen.record, now - seen.since, now - seen.heard)).collect(),
+            members: others
+                .map(|seen| member(&seen.record, now - seen.since, now - seen.heard))
+                .collect(),
             counts,
         }
     }
 
     /// Those who count as there, this process among them: name and generation, in order.
     pub fn there(&self) -> BTreeMap<String, u64> {
-        let others = self.members.iter().filter(|member| ["alive", "suspect"].contains(&&*member.status));
-        let mut all: BTreeMap<String, u64> = others.map(|m| (m.name.clone(), m.generation)).collect();
+        let others = self
+            .members
+            .iter()
+            .filter(|member| ["alive", "suspect"].contains(&&*member.status));
+        let mut all: BTreeMap<String, u64> =
+            others.map(|m| (m.name.clone(), m.generation)).collect();
         if self.standing == "in" {
             all.insert(self.me.name.clone(), self.me.generation);
         }
@@ -127,7 +139,11 @@
                 self.standing,
                 self.me.generation,
                 self.part * 100.0,
-                if self.certain { "" } else { " and is not certain of it" },
+                if self.certain {
+                    ""
+                } else {
+                    " and is not certain of it"
+                },
                 self.hash
             ),
             format!(
--- a/crates/asterdale-talk/tests/sockets.rs
+++ b/crates/asterdale-talk/tests/sockets.rs
@@ -23,7 +23,11 @@
 }
 
 fn place(name: &str, listen: SocketAddr, seeds: &[SocketAddr]) -> Place {
-    let terms = Terms { interval_ms: 100.0, timeout_ms: 30.0, ..Terms::default() };
+    let terms = Terms {
+        interval_ms: 100.0,
+        timeout_ms: 30.0,
+        ..Terms::default()
+    };
     let nonce = u64::from(listen.port()) << 8 | name.len() as u64;
     let start = Start {
         name: name.to_owned(),
@@ -35,7 +39,12 @@
         terms,
         seed: nonce,
     };
-    Place { listen, control: None, start, custody: None }
+    Place {
+        listen,
+        control: None,
+        start,
+        custody: None,
+    }
 }
 
 fn talk(place: Place) -> (Talk, Receiver<Event>) {
@@ -60,15 +69,25 @@
     first.control = Some(path.clone());
     let (first, _) = talk(first);
     let (second, events) = talk(place("two", two, &[one]));
-    until("both", || first.summary.there() == 2 && second.summary.there() == 2);
+    until("both", || {
+        first.summary.there() == 2 && second.summary.there() == 2
+    });
     assert!(events.iter().any(|event| event == Event::Joined(1)));
-    second.note(Notes { phase: Phase::Ready, load: 30, warm: 100 });
-    until("its word", || first.summary.warm() == 1 && !first.summary.is_warm());
+    second.note(Notes {
+        phase: Phase::Ready,
+        load: 30,
+        warm: 100,
+    });
+    until("its word", || {
+        first.summary.warm() == 1 && !first.summary.is_warm()
+    });
     let shown = control::show(&path).unwrap();
     assert_eq!(shown.there().len(), 2);
     assert!(shown.certain && shown.table().contains("two"));
     assert!(second.leave());
-    until("its leave", || control::show(&path).unwrap().members[0].status == "left");
+    until("its leave", || {
+        control::show(&path).unwrap().members[0].status == "left"
+    });
     assert_eq!(first.summary.there(), 1);
     control::leave(&path).unwrap();
     assert!(control::show(&path).is_ok_and(|shown| shown.standing == "ended"));
@@ -92,12 +111,22 @@
     }
     // All of it ends within its time, and whoever has the key gets in.
     let (second, _) = talk(place("two", address(), &[one]));
-    until("both", || first.summary.there() == 2 && second.summary.there() == 2);
+    until("both", || {
+        first.summary.there() == 2 && second.summary.there() == 2
+    });
     let shown = first.shown().unwrap();
-    assert!(shown.counts["foreign"] > 0 && shown.counts["unreadable"] > 0, "{:?}", shown.counts);
+    assert!(
+        shown.counts["foreign"] > 0 && shown.counts["unreadable"] > 0,
+        "{:?}",
+        shown.counts
+    );
     for mut stream in silent {
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        assert_eq!(stream.read(&mut [0; 8]).unwrap_or(0), 0, "nothing is said to a stranger");
+        assert_eq!(
+            stream.read(&mut [0; 8]).unwrap_or(0),
+            0,
+            "nothing is said to a stranger"
+        );
     }
 }
 
@@ -108,7 +137,9 @@
     let mut other = place("two", address(), &[one]);
     other.start.key = b"another sixteen.".to_vec();
     let (second, _) = talk(other);
-    until("each alone", || first.summary.there() == 1 && second.summary.there() == 1);
+    until("each alone", || {
+        first.summary.there() == 1 && second.summary.there() == 1
+    });
     until("a refusal", || first.shown().unwrap().counts["foreign"] > 2);
     assert_eq!((first.summary.there(), second.summary.there()), (1, 1));
 }
--- a/crates/asterdale/src/decide.rs
+++ b/crates/asterdale/src/decide.rs
@@ -36,11 +36,18 @@
         server.call_time = Ring::new(1.05 * told.calls_window_ms, 21, now);
         server.limit = told.cores;
         // Grown as it is used; with two, one call can time the layer while another is out.
-        server.call_window = if told.below == Below::Shared { 2.0 } else { told.cores };
+        server.call_window = if told.below == Below::Shared {
+            2.0
+        } else {
+            told.cores
+        };
         server.windows = vec![Spread::new(FINEST, STEP); WINDOWS];
         server.call_times = Spread::new(FINEST, STEP);
         server.rejected = recent();
-        server.stages.iter_mut().for_each(|s| s.calm = Spread::new(FINEST, STEP));
+        server
+            .stages
+            .iter_mut()
+            .for_each(|s| s.calm = Spread::new(FINEST, STEP));
         server.customers.iter_mut().for_each(|c| c.read = recent());
         server.next_update = now + UPDATE;
         server.next_pin = now + server.pin_gap();
@@ -100,8 +107,10 @@
         // Reading shares the cores with runs, and what is read late is worth little. When tasks lie unread
         // for over half a run, and twice what they do at best, runs give way: to half, or less where reading
         // costs under an eighth of a run (by trial). Where it is dear, quick rejections bring more of it.
-        let least = (4.0 * self.unread_best / self.run_ms).clamp((1.0 / self.told.cores).min(0.5), 0.5);
-        let reading = ((2.0 * self.unread_best).max(0.5 * self.run_ms) / self.unread).clamp(least, 1.0);
+        let least =
+            (4.0 * self.unread_best / self.run_ms).clamp((1.0 / self.told.cores).min(0.5), 0.5);
+        let reading =
+            ((2.0 * self.unread_best).max(0.5 * self.run_ms) / self.unread).clamp(least, 1.0);
         ((self.limit / 2.0).max(self.told.cores) * reading).max(1.0) // one core must not be left with none
     }
 
@@ -123,11 +132,19 @@
             }
         }
         // With no sample left the pace is forgotten: a server that gave up on slow work tries again.
-        self.pace = if recent.total > 0 { recent.quantile(0.5) } else { 0.0 };
+        self.pace = if recent.total > 0 {
+            recent.quantile(0.5)
+        } else {
+            0.0
+        };
         let based = self.stages.iter().any(|s| s.base > 0.0);
         // Runs are timed beside those that run; beside the whole limit they would take longer by as much.
         let sample = recent.quantile(0.95) * (self.limit / self.width()).min(2.0);
-        let gradient = if sample > 0.0 { (2.0 / sample).clamp(0.5, 2.0) } else { 1.0 };
+        let gradient = if sample > 0.0 {
+            (2.0 / sample).clamp(0.5, 2.0)
+        } else {
+            1.0
+        };
         // A limit grows to half more than was tried of late and no further: one that nobody tested would
         // let a burst crowd the cores before one latency is seen.
         let tried = 1.5 * self.busiest[0].max(self.busiest[1]).max(self.told.cores);
@@ -141,9 +158,13 @@
         }
         if self.cores_full && !self.pinned && (!based || now >= self.next_pin) {
             (self.pinned, self.pinned_at) = (true, now);
-            self.stages.iter_mut().for_each(|s| s.calm = Spread::new(FINEST, STEP));
+            self.stages
+                .iter_mut()
+                .for_each(|s| s.calm = Spread::new(FINEST, STEP));
         }
-        self.limit = self.limit.clamp(self.told.cores, self.crowd_ceiling().max(self.told.cores));
+        self.limit = self
+            .limit
+            .clamp(self.told.cores, self.crowd_ceiling().max(self.told.cores));
         self.busiest = [0.0, self.busiest[0]];
         self.unread_best *= 1.01; // so that a better time than is usual is forgotten in a minute or so
         self.window = (self.window + 1) % WINDOWS;
@@ -194,7 +215,9 @@
     /// The base latency of a task: its stage's, times its hinted work where that makes stages alike.
     fn base(&self, task: &Task) -> f64 {
         let stage = self.stage(task);
-        task.asked.hint_ms.map_or(stage.base, |hint| hint * self.likely_base(stage))
+        task.asked
+            .hint_ms
+            .map_or(stage.base, |hint| hint * self.likely_base(stage))
     }
 
     /// How long a task would run if it began now; 0 while that is unknown.
@@ -220,18 +243,28 @@
         let stage = self.stage(task);
         let late = now + self.expected(task) > task.aim;
         let utility = stage.facts.utility * if late { stage.facts.late_share } else { 1.0 };
-        let cost = if self.told.by_work { 1.0 } else { self.likely_base(stage).max(1e-6) };
+        let cost = if self.told.by_work {
+            1.0
+        } else {
+            self.likely_base(stage).max(1e-6)
+        };
         utility * self.in_share(&self.customers[task.asked.customer]) / cost
     }
 
     fn held(&self) -> impl Iterator<Item = u32> + '_ {
-        self.live.iter().copied().filter(|&n| self.tasks[n as usize].state == State::Held)
+        self.live
+            .iter()
+            .copied()
+            .filter(|&n| self.tasks[n as usize].state == State::Held)
     }
 
     /// The held task that should run next: the densest, the oldest of equals.
     fn best_held(&self, now: f64) -> Option<u32> {
         let rank = |n: u32| self.density(&self.tasks[n as usize], now);
-        self.held().map(|n| (rank(n), n)).reduce(|a, b| if b.0 > a.0 { b } else { a }).map(|(_, n)| n)
+        self.held()
+            .map(|n| (rank(n), n))
+            .reduce(|a, b| if b.0 > a.0 { b } else { a })
+            .map(|(_, n)| n)
     }
 
     /// The held task that loses the next place: of the customer with most in the hold, the least dense,
@@ -242,7 +275,10 @@
             let customer = &self.customers[task.asked.customer];
             (-(customer.held as f64), self.density(task, now))
         };
-        self.held().map(|n| (rank(n), n)).reduce(|a, b| if b.0 <= a.0 { b } else { a }).map(|(_, n)| n)
+        self.held()
+            .map(|n| (rank(n), n))
+            .reduce(|a, b| if b.0 <= a.0 { b } else { a })
+            .map(|(_, n)| n)
     }
 
     // ---- Taking and running ----
@@ -253,7 +289,9 @@
         asked.customer = asked.customer.min(self.customers.len() - 1);
         let facts = &self.stages[asked.stage].facts;
         let (repeat, memory_ms) = (facts.repeat, facts.memory_ms);
-        let wait = asked.left_ms.unwrap_or((facts.limit_ms - asked.unread_ms).max(0.0));
+        let wait = asked
+            .left_ms
+            .unwrap_or((facts.limit_ms - asked.unread_ms).max(0.0));
         let mut task = Task::read(asked, now);
         task.due = (now + wait).min(self.leaving.map_or(f64::INFINITY, |(_, stop)| stop));
         task.aim = (task.arrived + facts.due_ms).min(now + wait);
@@ -266,9 +304,15 @@
         self.enter(n, State::Held);
         m.seat(Handle(n));
         self.customers[asked.customer].read.add(1.0);
-        let weight = if self.unread_best.is_finite() { 0.05 } else { 1.0 };
+        let weight = if self.unread_best.is_finite() {
+            0.05
+        } else {
+            1.0
+        };
         self.unread += weight * (asked.unread_ms - self.unread);
-        self.unread_best = self.unread_best.min(self.unread.max(self.told.tick_ms.max(1.0)));
+        self.unread_best = self
+            .unread_best
+            .min(self.unread.max(self.told.tick_ms.max(1.0)));
         if self.callers.len() <= asked.caller {
             self.callers.resize(asked.caller + 1, 0.0);
         }
@@ -282,8 +326,14 @@
             return Handle(n);
         }
         // Safe drain: what arrived too long after the notice must not run, however early it is read.
-        let late = self.leaving.is_some_and(|(notice, _)| task.arrived > notice + self.told.drain_grace_ms);
-        let entry = if repeat == Repeat::Fingerprinted { self.told.entry_kb } else { 0.0 };
+        let late = self
+            .leaving
+            .is_some_and(|(notice, _)| task.arrived > notice + self.told.drain_grace_ms);
+        let entry = if repeat == Repeat::Fingerprinted {
+            self.told.entry_kb
+        } else {
+            0.0
+        };
         if late || self.memory + entry > MEMORY_PART * self.told.memory_kb {
             self.give_up(n, m);
             return Handle(n);
@@ -314,7 +364,9 @@
             let crowd = running + self.in_state(State::Parked) + self.in_state(State::Calling);
             let memory = self.memory + task.asked.kb * (self.told.run_blowup - 1.0);
             let fits = memory <= MEMORY_PART * self.told.memory_kb || crowd == 0;
-            if running as f64 >= self.width().floor() || crowd as f64 >= self.crowd_ceiling().floor() || !fits
+            if running as f64 >= self.width().floor()
+                || crowd as f64 >= self.crowd_ceiling().floor()
+                || !fits
             {
                 break;
             }
@@ -424,21 +476,34 @@
         // Few rejections of late: the crowd is ours alone or short, and the task may go elsewhere. Else those
         // who share our balancers are likely as full, and a walk through them only costs reading. To be cold
         // or slow is no reason: after a release many are cold, and when all work is dearer all look slow.
-        let read = self.customers.iter().map(|c| c.read.total()).sum::<f64>().max(1.0);
+        let read = self
+            .customers
+            .iter()
+            .map(|c| c.read.total())
+            .sum::<f64>()
+            .max(1.0);
         let share = self.rejected.total() / read;
         let ours = share <= FEW;
         // Where no credit steers callers, the stay has to: a long one moves work to those with room (four
         // would drown in it). Else it is as long as rejections are many: no cores lie idle.
         let moves = ours && self.told.free_value != FreeValue::Credit;
-        let part = if moves { 1.0 - 4.0 / self.servers().max(4.0) } else { 0.0 };
+        let part = if moves {
+            1.0 - 4.0 / self.servers().max(4.0)
+        } else {
+            0.0
+        };
         // Where a view of the fleet says that nobody else takes work and is warm, elsewhere helps nobody.
         let nobody = self.others.is_some_and(|(_, warm)| warm < 1.0);
-        (!ours || nobody, (share.max(part) * stay).max(most.min(BEAT)))
+        (
+            !ours || nobody,
+            (share.max(part) * stay).max(most.min(BEAT)),
+        )
     }
 
     /// Servers of this tier: by the view of the fleet where there is one, else as they were at the start.
     fn servers(&self) -> f64 {
-        self.others.map_or(self.told.servers, |(there, _)| there + 1.0)
+        self.others
+            .map_or(self.told.servers, |(there, _)| there + 1.0)
     }
 
     /// So many others are there, and so many of them take work and are warm; `None` where that is not known.
@@ -454,7 +519,9 @@
         m.wake(now + BEAT);
         self.pass_time(now);
         // What one run has had of a core, by all that wants one: reading, checks and runs share them.
-        let share = gauges.on_cores.map_or(1.0, |n| (self.told.cores / n.max(1.0)).min(1.0));
+        let share = gauges
+            .on_cores
+            .map_or(1.0, |n| (self.told.cores / n.max(1.0)).min(1.0));
         self.core_time += share * (now - self.last_look);
         self.last_look = now;
         // A gauge may be missing, late or wrong: with a run on every core, and the middle one longer than the
@@ -462,7 +529,9 @@
         let crowded = self.in_state(State::Running) as f64 >= self.told.cores;
         let slow = crowded && (self.pace > 1.0 || gauges.on_cores >= Some(2.0 * self.told.cores));
         // With half a core idle, of however many, a queue is forming; of two, nine tenths is late, by trial.
-        self.cores_full = gauges.cpu.map_or(crowded, |cpu| cpu >= 1.0 - 0.5 / self.told.cores || slow);
+        self.cores_full = gauges
+            .cpu
+            .map_or(crowded, |cpu| cpu >= 1.0 - 0.5 / self.told.cores || slow);
         self.cpu = gauges.cpu.filter(|cpu| cpu.is_finite()).unwrap_or(1.0);
         if now >= self.next_update {
             self.update(now);
@@ -474,12 +543,15 @@
             if task.answered || task.state == State::Free {
                 continue;
             }
-            let worthless = self.cores_full && now >= task.aim && self.stage(&task).facts.late_share <= 0.0;
+            let worthless =
+                self.cores_full && now >= task.aim && self.stage(&task).facts.late_share <= 0.0;
             // Early is a sixth of the time to the aim (by a caller's whole wait, stages with patient callers
             // took the places) and half of what a core takes to come free (all of it is too late on many).
             let early = (task.aim - task.arrived) / 6.0 + 0.5 * self.run_ms / self.told.cores;
             let useless = match task.state {
-                State::Held => self.hopeless(&task, now) || (self.cores_full && now - task.arrived > early),
+                State::Held => {
+                    self.hopeless(&task, now) || (self.cores_full && now - task.arrived > early)
+                }
                 // Work that earns nothing any more takes full cores from work that does. With room it goes
                 // on: a late answer is no loss, work thrown away is.
                 State::Running | State::Calling => {
@@ -535,11 +607,21 @@
             // core and twice what the limit lets run beside the calls. A slow server asks for less by as
             // much as it is slow, and never for nothing: it could not see that it has recovered. Callers
             // are reckoned as many as would send all of it were each like the busiest: few are alike.
-            let (sent, most) =
-                self.callers.iter().fold((0.0, 0.0), |(a, b): (f64, f64), &n| (a + n, b.max(n)));
-            let callers = if most > 0.0 { sent / most } else { self.told.callers.max(1.0) };
+            let (sent, most) = self
+                .callers
+                .iter()
+                .fold((0.0, 0.0), |(a, b): (f64, f64), &n| (a + n, b.max(n)));
+            let callers = if most > 0.0 {
+                sent / most
+            } else {
+                self.told.callers.max(1.0)
+            };
             let at_call = (self.in_state(State::Parked) + self.in_state(State::Calling)) as f64;
-            let next = if self.turned_away > 0 { self.credit * 0.8 } else { self.credit + 1.0 };
+            let next = if self.turned_away > 0 {
+                self.credit * 0.8
+            } else {
+                self.credit + 1.0
+            };
             let most = CREDIT * (self.limit + at_call) / callers;
             self.credit = next.clamp((self.told.cores / callers).min(most), most);
             m.advertise(self.credit / self.pace.max(1.0));
@@ -549,7 +631,11 @@
         // Where few callers come again, connections kept for them fill the table and shut others out: the
         // more room on the cores the sooner they close. With busy cores (three quarters, by trial) they
         // stay: a new one costs work, and a full table is the cheapest refusal.
-        let room = if self.again > 0.5 { 2.0 } else { (self.cpu / 0.75).powi(2).clamp(0.5, 2.0) };
+        let room = if self.again > 0.5 {
+            2.0
+        } else {
+            (self.cpu / 0.75).powi(2).clamp(0.5, 2.0)
+        };
         // At most half of the callers' own limit: a cut acts only from the next use of a connection on.
         let most = if self.again > 0.5 { 1.0 } else { 0.5 } * self.told.idle_ms;
         let idle = (room * self.idle).clamp(most.min(500.0), most);
@@ -578,7 +664,11 @@
         if now - self.cut_at > self.call_ms {
             self.cut_at = now;
             let slice = (0.2 * self.told.calls_share).max(1.0); // a layer slows long before it falls over
-            let least = if self.told.below == Below::Shared { slice } else { self.told.cores };
+            let least = if self.told.below == Below::Shared {
+                slice
+            } else {
+                self.told.cores
+            };
             self.call_window = (0.7 * self.call_window).max(least);
         }
     }
@@ -590,7 +680,11 @@
 
     /// How long a place in the queue for calls takes.
     fn call_turn(&self) -> f64 {
-        let at_once = if self.told.below == Below::Shared { self.call_slice() } else { f64::INFINITY };
+        let at_once = if self.told.below == Below::Shared {
+            self.call_slice()
+        } else {
+            f64::INFINITY
+        };
         self.call_ms / self.call_window.min(at_once)
     }
 
@@ -609,8 +703,12 @@
             State::Calling => self.tasks[n as usize].until - now,
             _ => 0.0,
         };
-        let reserved: f64 =
-            self.live.iter().map(lasting).chain(self.lingering.iter().map(|at| at - now)).sum();
+        let reserved: f64 = self
+            .live
+            .iter()
+            .map(lasting)
+            .chain(self.lingering.iter().map(|at| at - now))
+            .sum();
         0.9 * self.told.calls_share * self.told.calls_window_ms - self.call_time.total() - reserved
     }
 
@@ -623,9 +721,16 @@
         let mut waiting: Vec<u32> = self.live.iter().copied().filter(parked).collect();
         let rank = |n: u32| {
             let task = &self.tasks[n as usize];
-            (self.stage(task).facts.without_call > 0.0, -self.density(task, now))
+            (
+                self.stage(task).facts.without_call > 0.0,
+                -self.density(task, now),
+            )
         };
-        waiting.sort_by(|&a, &b| rank(a).partial_cmp(&rank(b)).unwrap_or(std::cmp::Ordering::Equal));
+        waiting.sort_by(|&a, &b| {
+            rank(a)
+                .partial_cmp(&rank(b))
+                .unwrap_or(std::cmp::Ordering::Equal)
+        });
         let mut ahead = 0.0;
         for n in waiting {
             let task = self.tasks[n as usize];
@@ -686,14 +791,25 @@
     }
 
     /// The call ended. After a success the run goes on by itself.
-    pub fn call_over(self, server: &mut Server, now: f64, how: Outcome, took_ms: f64, m: &mut dyn Machine) {
+    pub fn call_over(
+        self,
+        server: &mut Server,
+        now: f64,
+        how: Outcome,
+        took_ms: f64,
+        m: &mut dyn Machine,
+    ) {
         server.pass_time(now);
         let task = server.tasks[self.index()];
         if task.state != State::Calling {
             return;
         }
         // A reply that comes late, or never, counts as twice the usual: one speaks for no other.
-        let timed = if server.call_ms > 0.0 { took_ms.min(2.0 * server.call_ms) } else { took_ms };
+        let timed = if server.call_ms > 0.0 {
+            took_ms.min(2.0 * server.call_ms)
+        } else {
+            took_ms
+        };
         if how == Outcome::Ok {
             server.call_fails *= 0.9;
             server.call_ms += 0.2 * (timed - server.call_ms);
--- a/crates/asterdale/src/decide/tests.rs
+++ b/crates/asterdale/src/decide/tests.rs
@@ -35,7 +35,11 @@
         ratios(&mut s, ratio, 30);
         s.update(500.0);
         let want = 16.0 * gradient + (16.0 * gradient).sqrt();
-        assert!((s.limit - want).abs() < 0.05 * want, "{ratio}: {} for {want}", s.limit);
+        assert!(
+            (s.limit - want).abs() < 0.05 * want,
+            "{ratio}: {} for {want}",
+            s.limit
+        );
     }
 }
 
@@ -101,7 +105,12 @@
 
 #[test]
 fn a_cold_run_counts_at_the_guaranteed_speed_and_trouble_raises_no_base() {
-    let mut s = server(Told { cold: true, cold_ms: 10_000.0, cold_share: 0.25, ..told() });
+    let mut s = server(Told {
+        cold: true,
+        cold_ms: 10_000.0,
+        cold_share: 0.25,
+        ..told()
+    });
     let mut task = Task::read(arrival(0), 1000.0);
     (task.calm, s.core_time) = (true, 100.0);
     (0..30).for_each(|_| s.sample(task, 1100.0));
@@ -116,18 +125,39 @@
 #[test]
 fn a_run_counts_for_the_base_by_what_it_had_of_a_core() {
     let (mut s, mut m) = (server(told()), Log::default());
-    s.beat(10.0, Gauges { on_cores: Some(12.0), ..Gauges::default() }, &mut m);
+    s.beat(
+        10.0,
+        Gauges {
+            on_cores: Some(12.0),
+            ..Gauges::default()
+        },
+        &mut m,
+    );
     assert_eq!(s.core_time, 5.0);
-    s.beat(20.0, Gauges { on_cores: Some(3.0), ..Gauges::default() }, &mut m);
+    s.beat(
+        20.0,
+        Gauges {
+            on_cores: Some(3.0),
+            ..Gauges::default()
+        },
+        &mut m,
+    );
     assert_eq!(s.core_time, 15.0);
 }
 
 #[test]
 fn the_cold_crowd_follows_the_guaranteed_ramp() {
-    let mut s = server(Told { cold: true, cold_ms: 10_000.0, cold_share: 0.25, ..told() });
+    let mut s = server(Told {
+        cold: true,
+        cold_ms: 10_000.0,
+        cold_share: 0.25,
+        ..told()
+    });
     let cold = s.crowd_ceiling();
     s.last_beat = 10_000.0;
-    assert!((cold - 0.8 * 6.0 * 2.75).abs() < 1e-9 && (s.crowd_ceiling() - 0.8 * 48.0).abs() < 1e-9);
+    assert!(
+        (cold - 0.8 * 6.0 * 2.75).abs() < 1e-9 && (s.crowd_ceiling() - 0.8 * 48.0).abs() < 1e-9
+    );
 }
 
 #[test]
@@ -137,7 +167,10 @@
         s.take(0.0, arrival(0), &mut m);
     }
     assert_eq!((m.count("run"), m.count("reject")), (6, 0));
-    let full = Gauges { cpu: Some(1.0), ..Gauges::default() };
+    let full = Gauges {
+        cpu: Some(1.0),
+        ..Gauges::default()
+    };
     s.beat(10.0, full, &mut m);
     assert_eq!((s.in_state(State::Held), m.count("reject")), (6, 8));
     s.beat(2_000.0 / 6.0 + 20.0, full, &mut m);
@@ -151,7 +184,10 @@
     for n in 0..12 {
         s.take(0.0, arrival(n / 11), &mut m);
     }
-    assert_eq!((s.in_state(State::Running), s.in_state(State::Held)), (8, 4));
+    assert_eq!(
+        (s.in_state(State::Running), s.in_state(State::Held)),
+        (8, 4)
+    );
     Handle(0).run_over(&mut s, 50.0, Outcome::Ok, &mut m);
     assert!(m.0.contains(&"run 11".to_string()));
 }
@@ -161,8 +197,16 @@
     for (cores, rejected) in [(6.0, 1), (2.0, 0)] {
         let (mut s, mut m) = (server(Told { cores, ..told() }), Log::default());
         s.run_ms = 600.0;
-        (0..=cores as usize).for_each(|n| put(&mut s, if n == 0 { State::Held } else { State::Running }, 0));
-        s.beat(420.0, Gauges { cpu: Some(1.0), ..Gauges::default() }, &mut m); // a sixth of 2 s is 333 ms
+        (0..=cores as usize)
+            .for_each(|n| put(&mut s, if n == 0 { State::Held } else { State::Running }, 0));
+        s.beat(
+            420.0,
+            Gauges {
+                cpu: Some(1.0),
+                ..Gauges::default()
+            },
+            &mut m,
+        ); // a sixth of 2 s is 333 ms
         assert_eq!(m.count("reject"), rejected, "{cores} cores");
     }
 }
@@ -171,7 +215,14 @@
 fn runs_give_way_when_reading_backs_up() {
     let (mut s, mut m) = (server(told()), Log::default());
     s.cores_full = true;
-    s.take(0.0, Arrival { unread_ms: 20.0, ..arrival(0) }, &mut m);
+    s.take(
+        0.0,
+        Arrival {
+            unread_ms: 20.0,
+            ..arrival(0)
+        },
+        &mut m,
+    );
     assert_eq!((s.unread, s.unread_best, s.width()), (20.0, 20.0, 6.0));
     s.unread = 50.0;
     assert!((s.width() - 4.8).abs() < 1e-9);
@@ -189,7 +240,10 @@
 fn cores_are_full_when_runs_say_so_though_the_gauge_reads_low() {
     let (mut s, mut m) = (server(told()), Log::default());
     (0..6).for_each(|_| put(&mut s, State::Running, 0));
-    let low = Gauges { cpu: Some(0.0), ..Gauges::default() };
+    let low = Gauges {
+        cpu: Some(0.0),
+        ..Gauges::default()
+    };
     s.beat(10.0, low, &mut m);
     assert!(!s.cores_full);
     s.pace = 1.5;
@@ -202,9 +256,21 @@
 
 #[test]
 fn cores_are_full_with_half_a_core_idle_however_many_there_are() {
-    for (cores, cpu, full) in [(2.0, 0.8, true), (2.0, 0.7, false), (6.0, 0.8, false), (6.0, 0.92, true)] {
+    for (cores, cpu, full) in [
+        (2.0, 0.8, true),
+        (2.0, 0.7, false),
+        (6.0, 0.8, false),
+        (6.0, 0.92, true),
+    ] {
         let (mut s, mut m) = (server(Told { cores, ..told() }), Log::default());
-        s.beat(10.0, Gauges { cpu: Some(cpu), ..Gauges::default() }, &mut m);
+        s.beat(
+            10.0,
+            Gauges {
+                cpu: Some(cpu),
+                ..Gauges::default()
+            },
+            &mut m,
+        );
         assert_eq!(s.cores_full, full, "{cpu} of {cores} cores");
     }
 }
@@ -234,22 +300,45 @@
     let (mut s, mut m) = (server(told()), Log::default());
     s.stages[0].facts.late_share = 0.0;
     put(&mut s, State::Running, 0);
-    s.beat(2_010.0, Gauges { cpu: Some(0.5), ..Gauges::default() }, &mut m);
+    s.beat(
+        2_010.0,
+        Gauges {
+            cpu: Some(0.5),
+            ..Gauges::default()
+        },
+        &mut m,
+    );
     assert_eq!((m.count("reject"), m.count("stop")), (0, 0));
-    s.beat(2_020.0, Gauges { cpu: Some(1.0), ..Gauges::default() }, &mut m);
+    s.beat(
+        2_020.0,
+        Gauges {
+            cpu: Some(1.0),
+            ..Gauges::default()
+        },
+        &mut m,
+    );
     assert_eq!(m.0[m.0.len() - 2..], ["reject 0", "stop 0"]);
 }
 
 #[test]
 fn a_fingerprinted_task_is_remembered_before_it_runs_and_forgotten_when_rejected() {
     let (mut s, mut m) = (server(told()), Log::default());
-    s.take(100.0, Arrival { unread_ms: 40.0, ..arrival(1) }, &mut m);
+    s.take(
+        100.0,
+        Arrival {
+            unread_ms: 40.0,
+            ..arrival(1)
+        },
+        &mut m,
+    );
     assert_eq!(m.0, ["seat 0", "remember 0 4968", "run 0"]);
     s.limit = 1.0;
     let held = s.take(100.0, arrival(1), &mut m);
     let memory = s.memory;
     s.give_up(held.0, &mut m);
-    assert!(m.0.ends_with(&["reject 1".into(), "forget 1".into(), "release 1".into()]));
+    assert!(m
+        .0
+        .ends_with(&["reject 1".into(), "forget 1".into(), "release 1".into()]));
     assert_eq!(s.memory, memory - 10.0 - 100.0);
 }
 
@@ -298,7 +387,14 @@
 #[test]
 fn a_repeat_joins_the_earlier_try_and_is_never_rejected() {
     let (mut s, mut m) = (server(told()), Log::default());
-    s.take(0.0, Arrival { repeat: true, ..arrival(1) }, &mut m);
+    s.take(
+        0.0,
+        Arrival {
+            repeat: true,
+            ..arrival(1)
+        },
+        &mut m,
+    );
     s.beat(9_999.0, Gauges::default(), &mut m);
     assert_eq!(m.0, ["seat 0", "join 0", "wake", "abandon 0", "release 0"]);
 }
@@ -335,9 +431,33 @@
 fn a_drain_counts_from_the_arrival_not_from_the_reading() {
     let (mut s, mut m) = (server(told()), Log::default());
     s.leave(1_000.0, 5_000.0, &mut m);
-    s.take(3_500.0, Arrival { unread_ms: 600.0, ..arrival(0) }, &mut m);
-    s.take(3_500.0, Arrival { unread_ms: 400.0, ..arrival(0) }, &mut m);
-    assert_eq!(m.0, ["health false", "seat 0", "run 0", "seat 1", "reject 1", "release 1"]);
+    s.take(
+        3_500.0,
+        Arrival {
+            unread_ms: 600.0,
+            ..arrival(0)
+        },
+        &mut m,
+    );
+    s.take(
+        3_500.0,
+        Arrival {
+            unread_ms: 400.0,
+            ..arrival(0)
+        },
+        &mut m,
+    );
+    assert_eq!(
+        m.0,
+        [
+            "health false",
+            "seat 0",
+            "run 0",
+            "seat 1",
+            "reject 1",
+            "release 1"
+        ]
+    );
 }
 
 #[test]
@@ -352,13 +472,21 @@
 
 #[test]
 fn a_call_is_repeated_only_when_it_surely_never_ran() {
-    for (how, calls, end) in [(Outcome::Full, 2, 0), (Outcome::Timeout, 1, 1), (Outcome::Error, 1, 1)] {
+    for (how, calls, end) in [
+        (Outcome::Full, 2, 0),
+        (Outcome::Timeout, 1, 1),
+        (Outcome::Error, 1, 1),
+    ] {
         let (mut s, mut m) = (server(told()), Log::default());
         let task = s.take(0.0, arrival(1), &mut m);
         task.needs_call(&mut s, 10.0, &mut m);
         task.call_over(&mut s, 20.0, how, 10.0, &mut m);
         s.beat(500.0, Gauges::default(), &mut m);
-        assert_eq!((m.count("call"), m.count("abandon")), (calls, end), "{how:?}");
+        assert_eq!(
+            (m.count("call"), m.count("abandon")),
+            (calls, end),
+            "{how:?}"
+        );
     }
 }
 
@@ -373,11 +501,17 @@
 
 #[test]
 fn the_call_window_grows_by_one_a_round_and_is_cut_once_for_one_trouble() {
-    let shared = Told { below: Below::Shared, calls_share: 10.0, ..told() };
+    let shared = Told {
+        below: Below::Shared,
+        calls_share: 10.0,
+        ..told()
+    };
     let (mut s, mut m) = (server(shared), Log::default());
     s.call_window = 4.0;
     let tasks: Vec<Handle> = (0..5).map(|_| s.take(0.0, arrival(0), &mut m)).collect();
-    tasks.iter().for_each(|t| t.needs_call(&mut s, 10.0, &mut m));
+    tasks
+        .iter()
+        .for_each(|t| t.needs_call(&mut s, 10.0, &mut m));
     tasks[0].call_over(&mut s, 20.0, Outcome::Ok, 10.0, &mut m);
     assert_eq!(s.call_window, 4.25);
     tasks[1].call_over(&mut s, 20.0, Outcome::Full, 10.0, &mut m);
@@ -388,7 +522,11 @@
 #[test]
 fn advice_to_stay_away_is_long_only_where_many_others_can_take_what_it_moves() {
     for (servers, least, most) in [(16.0, 375.0, 750.0), (3.0, 10.0, 10.0)] {
-        let mut s = server(Told { servers, advice_ms: 1_000.0, ..told() });
+        let mut s = server(Told {
+            servers,
+            advice_ms: 1_000.0,
+            ..told()
+        });
         s.customers[0].read.add(100.0);
         let (last, stay) = s.advice();
         assert!(!last && (least..=most).contains(&stay), "{servers}: {stay}");
@@ -400,8 +538,12 @@
 
 #[test]
 fn a_view_of_the_fleet_says_how_many_share_and_whether_elsewhere_helps() {
-    let mut s =
-        server(Told { customers: vec![crate::told::CustomerFacts { allowance_per_s: 100.0 }], ..told() });
+    let mut s = server(Told {
+        customers: vec![crate::told::CustomerFacts {
+            allowance_per_s: 100.0,
+        }],
+        ..told()
+    });
     // 10 a second came here, of which 100 / 20 servers are its share; with ten there it is all.
     s.customers[0].read.add(40.0);
     assert!(s.in_share(&s.customers[0]) < 1.0);
@@ -421,11 +563,17 @@
 
 #[test]
 fn spoilt_replies_and_one_that_never_comes_leave_the_calls_of_others_alone() {
-    let shared = Told { below: Below::Shared, calls_share: 10.0, ..told() };
+    let shared = Told {
+        below: Below::Shared,
+        calls_share: 10.0,
+        ..told()
+    };
     let (mut s, mut m) = (server(shared), Log::default());
     (s.call_window, s.call_ms) = (4.0, 10.0);
     let tasks: Vec<Handle> = (0..3).map(|_| s.take(0.0, arrival(0), &mut m)).collect();
-    tasks.iter().for_each(|t| t.needs_call(&mut s, 10.0, &mut m));
+    tasks
+        .iter()
+        .for_each(|t| t.needs_call(&mut s, 10.0, &mut m));
     tasks[0].call_over(&mut s, 20.0, Outcome::Error, 10.0, &mut m);
     tasks[1].call_over(&mut s, 20.0, Outcome::Timeout, 900.0, &mut m);
     assert_eq!((s.call_window, s.call_ms), (4.0, 12.0));
@@ -442,7 +590,10 @@
         let task = s.take(0.0, arrival(1), &mut m);
         task.needs_call(&mut s, 10.0, &mut m);
         let patience = s.tasks[task.index()].until - 10.0 - s.told.linger_ms;
-        assert!(m.count("call") == 1 && patience <= most && patience >= most * 0.9, "{call_ms}: {patience}");
+        assert!(
+            m.count("call") == 1 && patience <= most && patience >= most * 0.9,
+            "{call_ms}: {patience}"
+        );
     }
 }
 
@@ -452,7 +603,11 @@
     (0..told().cores as usize).for_each(|_| put(&mut s, State::Running, 0));
     let cores = told().cores;
     for (wanted, full) in [(1.9 * cores, false), (2.0 * cores, true)] {
-        let gauges = Gauges { cpu: Some(0.5), on_cores: Some(wanted), ..Gauges::default() };
+        let gauges = Gauges {
+            cpu: Some(0.5),
+            on_cores: Some(wanted),
+            ..Gauges::default()
+        };
         s.beat(10.0, gauges, &mut m);
         assert_eq!(s.cores_full, full, "{wanted}");
     }
@@ -461,7 +616,11 @@
 #[test]
 fn a_shared_layer_that_slows_still_gets_a_fifth_of_our_slice() {
     for (calls_share, least) in [(15.0, 3.0), (0.5, 1.0)] {
-        let mut s = server(Told { below: Below::Shared, calls_share, ..told() });
+        let mut s = server(Told {
+            below: Below::Shared,
+            calls_share,
+            ..told()
+        });
         s.call_window = 8.0;
         for n in 1..20 {
             s.cut_calls(f64::from(n) * 10.0);
@@ -472,16 +631,27 @@
 
 #[test]
 fn a_call_window_cut_to_one_recovers_by_the_calls_it_lets_out() {
-    let shared = Told { below: Below::Shared, calls_share: 10.0, ..told() };
+    let shared = Told {
+        below: Below::Shared,
+        calls_share: 10.0,
+        ..told()
+    };
     let (mut s, mut m) = (server(shared), Log::default());
     s.call_window = 1.0;
     let tasks: Vec<Handle> = (0..6).map(|_| s.take(0.0, arrival(0), &mut m)).collect();
-    tasks.iter().for_each(|t| t.needs_call(&mut s, 10.0, &mut m));
+    tasks
+        .iter()
+        .for_each(|t| t.needs_call(&mut s, 10.0, &mut m));
     assert_eq!(m.count("call"), 1);
     for task in tasks.iter().take(3) {
         task.call_over(&mut s, 40.0, Outcome::Ok, 30.0, &mut m);
     }
-    assert!(s.call_window >= 2.0 && m.count("call") >= 5, "{} {}", s.call_window, m.count("call"));
+    assert!(
+        s.call_window >= 2.0 && m.count("call") >= 5,
+        "{} {}",
+        s.call_window,
+        m.count("call")
+    );
 }
 
 #[test]
@@ -509,7 +679,11 @@
 
 #[test]
 fn calls_stay_within_the_slice_even_if_all_last_as_long_as_they_may() {
-    let mut s = server(Told { below: Below::Shared, calls_share: 0.4, ..told() });
+    let mut s = server(Told {
+        below: Below::Shared,
+        calls_share: 0.4,
+        ..told()
+    });
     assert!((s.call_room(0.0) - 1_800.0).abs() < 1e-6);
     put(&mut s, State::Calling, 0);
     (s.tasks[0].until, s.call_window) = (1_000.0, 3.0);
@@ -520,7 +694,11 @@
 
 #[test]
 fn a_call_to_a_shared_dependency_is_followed_by_a_pause_in_proportion_to_the_time_it_took() {
-    let shared = Told { below: Below::Shared, calls_share: 0.5, ..told() };
+    let shared = Told {
+        below: Below::Shared,
+        calls_share: 0.5,
+        ..told()
+    };
     for (took, pause) in [(10.0, 10.0 / 0.225 - 10.0), (60.0, 60.0 / 0.225 - 60.0)] {
         let (mut s, mut m) = (server(shared.clone()), Log::default());
         let tasks: Vec<Handle> = (0..3).map(|_| s.take(0.0, arrival(0), &mut m)).collect();
@@ -541,15 +719,27 @@
 
 #[test]
 fn time_for_calls_that_was_not_used_is_kept_for_a_tenth_of_a_second_only() {
-    let shared = Told { below: Below::Shared, calls_share: 0.5, ..told() };
+    let shared = Told {
+        below: Below::Shared,
+        calls_share: 0.5,
+        ..told()
+    };
     let mut s = server(shared);
     s.pass_time(60_000.0);
-    assert!((s.call_credit - 0.225 * 100.0).abs() < 1e-9, "{}", s.call_credit);
+    assert!(
+        (s.call_credit - 0.225 * 100.0).abs() < 1e-9,
+        "{}",
+        s.call_credit
+    );
 }
 
 #[test]
 fn a_place_in_the_queue_for_calls_is_reckoned_by_what_all_may_have_at_the_dependency() {
-    let shared = Told { below: Below::Shared, calls_share: 0.5, ..told() };
+    let shared = Told {
+        below: Below::Shared,
+        calls_share: 0.5,
+        ..told()
+    };
     let (mut s, mut m) = (server(shared), Log::default());
     (s.call_ms, s.call_credit) = (45.0, -1.0);
     (0..20).for_each(|_| put(&mut s, State::Parked, 0));
@@ -582,7 +772,10 @@
 
 #[test]
 fn a_task_may_go_elsewhere_unless_many_are_rejected_also_by_the_cold_and_slow() {
-    let mut s = server(Told { cold: true, ..told() });
+    let mut s = server(Told {
+        cold: true,
+        ..told()
+    });
     s.customers[0].read.add(100.0);
     s.rejected.add(8.0);
     assert!(!s.advice().0 && s.advice().1 >= 500.0);
@@ -598,7 +791,14 @@
     let (mut s, mut m) = (server(told()), Log::default());
     s.stages[0].base = 10.0;
     (0..6).for_each(|_| put(&mut s, State::Running, 0));
-    s.beat(600.0, Gauges { cpu: Some(1.0), ..Gauges::default() }, &mut m);
+    s.beat(
+        600.0,
+        Gauges {
+            cpu: Some(1.0),
+            ..Gauges::default()
+        },
+        &mut m,
+    );
     assert!(s.pace > 2.0 && m.count("health false") == 0);
     s.leave(700.0, 2_000.0, &mut m);
     assert_eq!(m.count("health false"), 1);
@@ -633,7 +833,9 @@
     let (mut s, mut m) = (server(told()), Log::default());
     s.stages[1].facts.late_share = 0.0;
     (s.call_window, s.call_ms) = (1.0, 300.0);
-    [0, 1, 1, 0].iter().for_each(|&stage| put(&mut s, State::Parked, stage));
+    [0, 1, 1, 0]
+        .iter()
+        .for_each(|&stage| put(&mut s, State::Parked, stage));
     s.tasks[1].aim = 990.0;
     s.tasks.iter_mut().skip(2).for_each(|t| t.aim = 1_500.0);
     s.place_calls(1_000.0, &mut m);
@@ -658,10 +860,20 @@
     s.say(&mut m);
     assert_eq!(m.count("close"), 0); // for all it knows callers come again
     for caller in 0..30 {
-        s.take(0.0, Arrival { caller, ..arrival(0) }, &mut m);
+        s.take(
+            0.0,
+            Arrival {
+                caller,
+                ..arrival(0)
+            },
+            &mut m,
+        );
     }
     (0..10).for_each(|_| s.say(&mut m));
-    assert_eq!((s.idle, m.count("close 7500"), m.count("close 500")), (500.0, 1, 1));
+    assert_eq!(
+        (s.idle, m.count("close 7500"), m.count("close 500")),
+        (500.0, 1, 1)
+    );
     s.cpu = 1.0;
     (0..10).for_each(|_| s.say(&mut m));
     assert_eq!(s.idle, 15_000.0);
@@ -689,11 +901,30 @@
     };
     let (mut s, mut m) = (server(nothing), Log::default());
     s.customers = vec![customer(0.0)];
-    let task = s.take(0.0, Arrival { caller: 900, customer: 7, left_ms: None, ..arrival(0) }, &mut m);
+    let task = s.take(
+        0.0,
+        Arrival {
+            caller: 900,
+            customer: 7,
+            left_ms: None,
+            ..arrival(0)
+        },
+        &mut m,
+    );
     (1..60).for_each(|n| s.beat(10.0 * f64::from(n), Gauges::default(), &mut m));
     task.needs_call(&mut s, 600.0, &mut m);
-    s.beat(2_000.0, Gauges { cpu: Some(f64::NAN), ..Gauges::default() }, &mut m);
-    assert_eq!((m.count("run"), m.count("call"), m.count("skip")), (1, 0, 1)); // a slice of zero allows none
+    s.beat(
+        2_000.0,
+        Gauges {
+            cpu: Some(f64::NAN),
+            ..Gauges::default()
+        },
+        &mut m,
+    );
+    assert_eq!(
+        (m.count("run"), m.count("call"), m.count("skip")),
+        (1, 0, 1)
+    ); // a slice of zero allows none
     task.run_over(&mut s, 2_100.0, Outcome::Ok, &mut m);
     s.take(2_200.0, arrival(0), &mut m);
     assert_eq!((m.count("run"), m.count("close")), (2, 0)); // and it is not locked out
@@ -703,7 +934,13 @@
 
 #[test]
 fn credit_is_cut_by_a_share_grows_by_one_and_keeps_its_floor() {
-    let (mut s, mut m) = (server(Told { free_value: FreeValue::Credit, ..told() }), Log::default());
+    let (mut s, mut m) = (
+        server(Told {
+            free_value: FreeValue::Credit,
+            ..told()
+        }),
+        Log::default(),
+    );
     (s.credit, s.turned_away, s.limit) = (5.0, 1, 12.0);
     s.say(&mut m);
     assert_eq!(s.credit, 4.0);
@@ -711,7 +948,10 @@
     assert_eq!(s.credit, 5.0);
     (s.credit, s.turned_away, s.pace) = (0.1, 1, 4.0);
     s.say(&mut m);
-    assert_eq!((s.credit, m.0.last().unwrap().as_str()), (2.0, "advertise 0.5"));
+    assert_eq!(
+        (s.credit, m.0.last().unwrap().as_str()),
+        (2.0, "advertise 0.5")
+    );
     s.callers = vec![30.0, 10.0, 0.0];
     s.credit = 100.0;
     s.say(&mut m);
--- a/crates/asterdale/src/decide/tests/support.rs
+++ b/crates/asterdale/src/decide/tests/support.rs
@@ -7,7 +7,11 @@
         limit_ms: 10_000.0,
         utility,
         late_share: 0.2,
-        without_call: if repeat == Repeat::Restartable { 0.5 } else { 0.0 },
+        without_call: if repeat == Repeat::Restartable {
+            0.5
+        } else {
+            0.0
+        },
         calls: true,
         repeat,
         memory_ms: 5_000.0,
@@ -37,7 +41,10 @@
         advice_ms: 1_000.0,
         over_share_worth: 0.1,
         by_work: false,
-        stages: vec![stage(Repeat::Restartable, 1.0), stage(Repeat::Fingerprinted, 3.0)],
+        stages: vec![
+            stage(Repeat::Restartable, 1.0),
+            stage(Repeat::Fingerprinted, 3.0),
+        ],
         customers: Vec::new(),
     }
 }
@@ -61,7 +68,11 @@
 
 pub fn customer(allowance_per_s: f64) -> Customer {
     let facts = CustomerFacts { allowance_per_s };
-    Customer { facts, read: Ring::new(4_000.0, 8, 0.0), held: 0 }
+    Customer {
+        facts,
+        read: Ring::new(4_000.0, 8, 0.0),
+        held: 0,
+    }
 }
 
 /// A task in this state since time 0, as if it had been taken.
@@ -121,7 +132,11 @@
         self.say("forget", task);
     }
     fn reject(&mut self, task: Handle, last: bool, _: f64) {
-        self.0.push(format!("reject {}{}", task.0, if last { " last" } else { "" }));
+        self.0.push(format!(
+            "reject {}{}",
+            task.0,
+            if last { " last" } else { "" }
+        ));
     }
     fn abandon(&mut self, task: Handle) {
         self.say("abandon", task);
--- a/crates/asterdale/src/measure.rs
+++ b/crates/asterdale/src/measure.rs
@@ -14,7 +14,12 @@
 impl Spread {
     /// Values from `least` on, each step `ratio` times the one before.
     pub fn new(least: f64, ratio: f64) -> Self {
-        Spread { least, step: ratio.ln(), counts: [0; 212], total: 0 }
+        Spread {
+            least,
+            step: ratio.ln(),
+            counts: [0; 212],
+            total: 0,
+        }
     }
     pub fn add(&mut self, value: f64) {
         let step = ((value.max(self.least) / self.least).ln() / self.step).min(211.0);
@@ -58,7 +63,11 @@
     /// So many buckets over this span of time, at least a second.
     pub fn new(span: f64, cells: usize, now: f64) -> Self {
         let width = span.max(1000.0) / cells as f64;
-        Ring { width, clock: (now / width) as u64, cells: vec![0.0; cells] }
+        Ring {
+            width,
+            clock: (now / width) as u64,
+            cells: vec![0.0; cells],
+        }
     }
     /// The bucket of this number, counted from time 0.
     pub fn cell(&mut self, bucket: u64) -> &mut f64 {
@@ -114,7 +123,9 @@
     /// From 0 to under 1.
     pub fn next(&mut self) -> f64 {
         let old = self.0;
-        self.0 = old.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.0 = old
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         let mixed = (((old >> 18) ^ old) >> 27) as u32;
         f64::from(mixed.rotate_right((old >> 59) as u32)) / 4294967296.0
     }
--- a/crates/asterdale/src/snapshot.rs
+++ b/crates/asterdale/src/snapshot.rs
@@ -67,29 +67,52 @@
     /// Whether all indices lie within what they point into, and counts are those of the tasks: decisions rely
     /// on it without looking.
     fn check(&self) -> Result<(), Unsound> {
-        let holds = |what, holds: bool| if holds { Ok(()) } else { Err(Unsound::Inconsistent(what)) };
-        holds("stages", self.stages.len() == self.told.stages.len() && !self.stages.is_empty())?;
+        let holds = |what, holds: bool| {
+            if holds {
+                Ok(())
+            } else {
+                Err(Unsound::Inconsistent(what))
+            }
+        };
+        holds(
+            "stages",
+            self.stages.len() == self.told.stages.len() && !self.stages.is_empty(),
+        )?;
         holds("customers", !self.customers.is_empty())?;
         holds("windows", self.window < self.windows.len())?;
         let rings = [&self.entries, &self.call_time, &self.rejected];
         holds("rings", rings.iter().all(|ring| ring.sound()))?;
-        holds("shares", self.customers.iter().all(|customer| customer.read.sound()))?;
-        holds("tasks", self.live.len() + self.free.len() == self.tasks.len())?;
+        holds(
+            "shares",
+            self.customers.iter().all(|customer| customer.read.sound()),
+        )?;
+        holds(
+            "tasks",
+            self.live.len() + self.free.len() == self.tasks.len(),
+        )?;
         let mut seen = vec![false; self.tasks.len()];
         for &n in self.live.iter().chain(&self.free) {
-            let seen = seen.get_mut(n as usize).ok_or(Unsound::Inconsistent("tasks"))?;
+            let seen = seen
+                .get_mut(n as usize)
+                .ok_or(Unsound::Inconsistent("tasks"))?;
             holds("tasks", !std::mem::replace(seen, true))?;
         }
         let mut count = [0; 6];
         for &n in &self.live {
             let task = &self.tasks[n as usize];
             holds("a task's stage", task.asked.stage < self.stages.len())?;
-            holds("a task's customer", task.asked.customer < self.customers.len())?;
+            holds(
+                "a task's customer",
+                task.asked.customer < self.customers.len(),
+            )?;
             holds("a task's caller", task.asked.caller < self.callers.len())?;
             holds("a task's state", task.state != State::Free)?;
             count[task.state as usize] += 1;
         }
-        holds("counts", (1..6).all(|state| count[state] == self.count[state]))
+        holds(
+            "counts",
+            (1..6).all(|state| count[state] == self.count[state]),
+        )
     }
 }
 
@@ -104,7 +127,9 @@
 
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<[u32; 212], D::Error> {
         let counts = Vec::<u32>::deserialize(from)?;
-        counts.try_into().map_err(|_| D::Error::custom("212 counts are wanted"))
+        counts
+            .try_into()
+            .map_err(|_| D::Error::custom("212 counts are wanted"))
     }
 }
 
@@ -150,7 +175,8 @@
             self.say("stop", task);
         }
         fn call(&mut self, task: Handle, patience_ms: f64) {
-            self.said.push(format!("call {} {patience_ms}", task.index()));
+            self.said
+                .push(format!("call {} {patience_ms}", task.index()));
         }
         fn skip_call(&mut self, task: Handle) {
             self.say("skip", task);
@@ -159,13 +185,15 @@
             self.say("join", task);
         }
         fn remember(&mut self, task: Handle, for_ms: f64) {
-            self.said.push(format!("remember {} {for_ms}", task.index()));
+            self.said
+                .push(format!("remember {} {for_ms}", task.index()));
         }
         fn forget(&mut self, task: Handle) {
             self.say("forget", task);
         }
         fn reject(&mut self, task: Handle, last: bool, stay_away_ms: f64) {
-            self.said.push(format!("reject {} {last} {stay_away_ms}", task.index()));
+            self.said
+                .push(format!("reject {} {last} {stay_away_ms}", task.index()));
         }
         fn abandon(&mut self, task: Handle) {
             self.say("abandon", task);
@@ -220,8 +248,18 @@
             advice_ms: 1_000.0,
             over_share_worth: 0.1,
             by_work: true,
-            stages: vec![stage(Repeat::Restartable, 1.0), stage(Repeat::Fingerprinted, 3.0)],
-            customers: vec![CustomerFacts { allowance_per_s: 5.0 }, CustomerFacts { allowance_per_s: 50.0 }],
+            stages: vec![
+                stage(Repeat::Restartable, 1.0),
+                stage(Repeat::Fingerprinted, 3.0),
+            ],
+            customers: vec![
+                CustomerFacts {
+                    allowance_per_s: 5.0,
+                },
+                CustomerFacts {
+                    allowance_per_s: 50.0,
+                },
+            ],
         }
     }
 
@@ -262,7 +300,14 @@
             }
             _ => {
                 let cpu = Some((n % 11) as f64 / 10.0);
-                server.beat(now, Gauges { cpu, ..Gauges::default() }, log);
+                server.beat(
+                    now,
+                    Gauges {
+                        cpu,
+                        ..Gauges::default()
+                    },
+                    log,
+                );
             }
         }
     }
@@ -326,14 +371,20 @@
             (|s| s.live.push(7_000), "tasks"),
             (|s| s.free.push(s.live[0]), "tasks"),
             (|s| s.window = 99, "windows"),
-            (|s| s.tasks[s.live[0] as usize].asked.stage = 9, "a task's stage"),
+            (
+                |s| s.tasks[s.live[0] as usize].asked.stage = 9,
+                "a task's stage",
+            ),
             (|s| s.count[1] += 1, "counts"),
             (|s| s.customers.clear(), "customers"),
         ];
         for (change, what) in changes {
             let mut server = Server::restore(&good).unwrap();
             change(&mut server);
-            assert_eq!(Server::restore(&server.snapshot()).err(), Some(Unsound::Inconsistent(what)));
+            assert_eq!(
+                Server::restore(&server.snapshot()).err(),
+                Some(Unsound::Inconsistent(what))
+            );
         }
     }
 }
--- a/crates/asterdale/src/state.rs
+++ b/crates/asterdale/src/state.rs
@@ -198,11 +198,21 @@
 
     /// A server with nothing in it and nothing decided. One without customers gets a row for all its tasks.
     pub(crate) fn blank(told: Told, now: f64) -> Server {
-        let row = |facts: &StageFacts| Stage { facts: facts.clone(), calm: Spread::default(), base: 0.0 };
-        let share = |facts: &CustomerFacts| Customer { facts: facts.clone(), read: Ring::default(), held: 0 };
+        let row = |facts: &StageFacts| Stage {
+            facts: facts.clone(),
+            calm: Spread::default(),
+            base: 0.0,
+        };
+        let share = |facts: &CustomerFacts| Customer {
+            facts: facts.clone(),
+            read: Ring::default(),
+            held: 0,
+        };
         let mut customers: Vec<Customer> = told.customers.iter().map(share).collect();
         if customers.is_empty() {
-            customers.push(share(&CustomerFacts { allowance_per_s: f64::INFINITY }));
+            customers.push(share(&CustomerFacts {
+                allowance_per_s: f64::INFINITY,
+            }));
         }
         Server {
             stages: told.stages.iter().map(row).collect(),
