--- a/crates/asterdale-daemon/src/edge/connection.rs
+++ b/crates/asterdale-daemon/src/edge/connection.rs
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale_facts::Facts;
+use asterdale_engine::counters::Counters;
+use asterdale_engine::log::{Kind, Log};
+use asterdale_engine::mail::{Mail, Reply, Request};
 use asterdale_fastcgi::{ended, refusal, unknown_type, values_result};
 use asterdale_fastcgi::{Incoming, Malformed, Requests, Step, Whole};
-use asterdale_host::counters::Counters;
-use asterdale_host::log::{Kind, Log};
-use asterdale_host::mail::{Mail, Reply, Request};
+use asterdale_parameters::Facts;
 use crossbeam_channel::Sender;
 
 use crate::head::{self, Head};
--- a/crates/asterdale-daemon/src/edge/mod.rs
+++ b/crates/asterdale-daemon/src/edge/mod.rs
@@ -12,10 +12,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use asterdale_host::counters::Counters;
-use asterdale_host::log::Log;
-use asterdale_host::mail::{Fronts, Mail};
-use asterdale_host::post::{self, Post};
+use asterdale_engine::counters::Counters;
+use asterdale_engine::log::Log;
+use asterdale_engine::mail::{Fronts, Mail};
+use asterdale_engine::post::{self, Post};
 use crossbeam_channel::{Receiver, Sender};
 use mio::Poll;
 
@@ -196,7 +196,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use asterdale_host::mail::Reply;
+    use asterdale_engine::mail::Reply;
     use crossbeam_channel::{bounded, unbounded};
     use serde_json::json;
     use std::io::{Read, Write};
--- a/crates/asterdale-daemon/src/edge/serve.rs
+++ b/crates/asterdale-daemon/src/edge/serve.rs
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale_host::host::unix_ms;
-use asterdale_host::log::Kind;
-use asterdale_host::mail::Mail;
-use asterdale_host::post::Letters;
+use asterdale_engine::host::unix_ms;
+use asterdale_engine::log::Kind;
+use asterdale_engine::mail::Mail;
+use asterdale_engine::post::Letters;
 use crossbeam_channel::Sender;
 use mio::unix::SourceFd;
 use mio::{Events, Interest, Poll, Token};
--- a/crates/asterdale-daemon/src/fleet.rs
+++ b/crates/asterdale-daemon/src/fleet.rs
@@ -4,13 +4,13 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use asterdale_host::host::unix_ms;
-use asterdale_host::log::Log;
-use asterdale_host::mail::{Company, Custody, Doing, Mail};
-use asterdale_members::{Event, Notes, Phase, Start as Told, Terms};
-use asterdale_takeover::{Told as Word, Want};
-use asterdale_talk::custody::Heard;
-use asterdale_talk::{Place, Talk};
+use asterdale_engine::host::unix_ms;
+use asterdale_engine::log::Log;
+use asterdale_engine::mail::{Company, Custody, Doing, Mail};
+use asterdale_membership::{Event, Notes, Phase, Start as Told, Terms};
+use asterdale_ownership::{Told as Word, Want};
+use asterdale_transport::custody::Heard;
+use asterdale_transport::{Place, Talk};
 use crossbeam_channel::Sender;
 use siphasher::sip::SipHasher13;
 
@@ -59,14 +59,14 @@
 
 /// Those who keep work in hand, as the host sees them.
 struct Keepers {
-    custody: asterdale_talk::custody::Custody,
+    custody: asterdale_transport::custody::Custody,
     stages: Vec<Option<bool>>,
     /// Of the fleet's key: what tells bodies apart is alike in all its processes, and can't be foreseen outside.
     secret: (u64, u64),
 }
 
 impl Keepers {
-    fn new(custody: asterdale_talk::custody::Custody, told: &Takeover, key: &[u8]) -> Keepers {
+    fn new(custody: asterdale_transport::custody::Custody, told: &Takeover, key: &[u8]) -> Keepers {
         use std::hash::Hasher as _;
         let half = |n: u64| {
             let mut hasher = SipHasher13::new_with_keys(n, !n);
@@ -164,17 +164,17 @@
     let custody = start
         .takeover
         .as_ref()
-        .map(|told| asterdale_talk::custody::Place {
+        .map(|told| asterdale_transport::custody::Place {
             disk,
             keepers: told.keepers.clone(),
-            terms: asterdale_takeover::Terms {
+            terms: asterdale_ownership::Terms {
                 lease_ms: told.lease_ms,
                 margin_ms: told.lease_ms / 4.0,
                 // An election takes ten to twenty ticks: half a lease to one.
                 tick_ms: (told.lease_ms / 20.0).clamp(20.0, 200.0),
                 most_bytes: told.bytes,
                 window_ms: told.window_ms,
-                ..asterdale_takeover::Terms::default()
+                ..asterdale_ownership::Terms::default()
             },
             unix_s: (unix_ms() / 1e3) as u64,
         });
@@ -205,7 +205,7 @@
         #[cfg(feature = "journal")]
         witness.iter().for_each(|witness| witness.hears(event));
     };
-    let talk = asterdale_talk::begin(place, told, kept);
+    let talk = asterdale_transport::begin(place, told, kept);
     let talk = talk.map_err(|e| format!("fleet: {}: {e}", fleet.listen))?;
     let keepers = talk.custody.clone().zip(start.takeover.as_ref());
     let keepers = keepers.map(|(custody, told)| Keepers::new(custody, told, &fleet.key));
@@ -301,7 +301,7 @@
     use std::thread;
     use std::time::Duration;
 
-    use asterdale_talk::control;
+    use asterdale_transport::control;
     use clap::{Args, Subcommand};
 
     /// Where the process is asked.
--- a/crates/asterdale-daemon/src/head.rs
+++ b/crates/asterdale-daemon/src/head.rs
@@ -1,9 +1,9 @@
 //! The head of a request, read in place: what it asks for, as the platform names the parameters.
 
 use asterdale::told::Repeat;
-use asterdale_facts::Facts;
+use asterdale_engine::mail::{Asked, Id, Mark};
 use asterdale_fastcgi::{Malformed, Params};
-use asterdale_host::mail::{Asked, Id, Mark};
+use asterdale_parameters::Facts;
 
 /// The head of a request.
 #[derive(Debug, PartialEq)]
--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 
 use asterdale::told::Repeat;
-use asterdale_host::log::Log;
-use asterdale_host::mail::{Custody, Mail};
+use asterdale_engine::log::Log;
+use asterdale_engine::mail::{Custody, Mail};
 use asterdale_journal::ledger::Bounds;
 use asterdale_journal::writer::Word;
 use asterdale_journal::{Heard, Journal, Known, Order, Place, Standing};
-use asterdale_takeover::{Answer, Verdict, Want};
+use asterdale_ownership::{Answer, Verdict, Want};
 use crossbeam_channel::Sender;
 use siphasher::sip::SipHasher13;
 
@@ -191,10 +191,10 @@
 struct OnShelf(asterdale_journal::shelf::Shelf);
 
 #[cfg(feature = "fleet")]
-impl asterdale_talk::custody::Shelf for OnShelf {
-    fn save(&mut self, saves: Vec<asterdale_takeover::Save>) -> Result<(), String> {
+impl asterdale_transport::custody::Shelf for OnShelf {
+    fn save(&mut self, saves: Vec<asterdale_ownership::Save>) -> Result<(), String> {
         use asterdale_journal::shelf::Change;
-        use asterdale_takeover::Save;
+        use asterdale_ownership::Save;
         let mut changes = Vec::with_capacity(saves.len());
         for save in saves {
             match save {
@@ -221,7 +221,10 @@
 
 /// The disk of this process as a keeper, where it has one.
 #[cfg(feature = "fleet")]
-pub fn disk(start: &Start, log: &Log) -> Result<Option<asterdale_talk::custody::Disk>, String> {
+pub fn disk(
+    start: &Start,
+    log: &Log,
+) -> Result<Option<asterdale_transport::custody::Disk>, String> {
     use asterdale_journal::shelf::Shelf;
     let (Some(told), Some(takeover)) = (&start.journal, &start.takeover) else {
         return Ok(None);
@@ -240,14 +243,14 @@
             .find(|(known, _)| known == name)
             .map(|(_, value)| value.clone())
     };
-    let saved = asterdale_takeover::Saved {
+    let saved = asterdale_ownership::Saved {
         face: fact(FACE).unwrap_or_default(),
         hard: fact(HARD).unwrap_or_default(),
         whole: fact(WHOLE).unwrap_or_default(),
         entries: found.entries.clone(),
     };
     let shelf = Arc::new(std::sync::Mutex::new(OnShelf(shelf)));
-    Ok(Some(asterdale_talk::custody::Disk { saved, shelf }))
+    Ok(Some(asterdale_transport::custody::Disk { saved, shelf }))
 }
 
 /// Tells the journal what the fleet remembers of this name.
@@ -268,10 +271,10 @@
     }
 
     /// Hears an event of the fleet.
-    pub fn hears(&self, event: &asterdale_members::Event) {
+    pub fn hears(&self, event: &asterdale_membership::Event) {
         use std::sync::atomic::Ordering::Relaxed;
 
-        use asterdale_members::Event;
+        use asterdale_membership::Event;
         match event {
             Event::Remembered(generation) => self.remembered.store(*generation, Relaxed),
             Event::Joined(generation) => {
--- a/crates/asterdale-daemon/src/main.rs
+++ b/crates/asterdale-daemon/src/main.rs
@@ -28,12 +28,12 @@
 use std::thread;
 use std::time::Instant;
 
-use asterdale_host::counters::Counters;
-use asterdale_host::host::{unix_ms, Begin};
-use asterdale_host::issuer::{self, Nudge};
-use asterdale_host::log::{Kind, Log};
-use asterdale_host::mail::{Fronts, Mail};
-use asterdale_host::{records, registry, runtime, Around, Host};
+use asterdale_engine::counters::Counters;
+use asterdale_engine::host::{unix_ms, Begin};
+use asterdale_engine::issuer::{self, Nudge};
+use asterdale_engine::log::{Kind, Log};
+use asterdale_engine::mail::{Fronts, Mail};
+use asterdale_engine::{records, registry, runtime, Around, Host};
 use asterdale_identity::Identity;
 use crossbeam_channel::{bounded, unbounded, Sender};
 #[cfg(feature = "upgrade")]
@@ -513,16 +513,16 @@
 }
 
 fn main() -> ExitCode {
-    #[cfg(feature = "planted")]
-    if let Ok(name) = std::env::var("ASTERDALE_PLANT") {
-        let planted = asterdale_identity::planted::plant(&name);
+    #[cfg(feature = "failpoints")]
+    if let Ok(name) = std::env::var("ASTERDALE_FAILPOINT") {
+        let known = asterdale_identity::failpoint::activate(&name);
         #[cfg(feature = "fleet")]
-        let planted = planted
-            || asterdale_members::planted::plant(&name)
-            || asterdale_takeover::planted::plant(&name);
+        let known = known
+            || asterdale_membership::failpoint::activate(&name)
+            || asterdale_ownership::failpoint::activate(&name);
         #[cfg(feature = "journal")]
-        let planted = planted || asterdale_journal::planted::plant(&name);
-        assert!(planted, "no fault {name} can be planted");
+        let known = known || asterdale_journal::failpoint::activate(&name);
+        assert!(known, "there is no failpoint {name}");
     }
     #[cfg(feature = "tools")]
     return cli::run();
--- a/crates/asterdale-daemon/src/peer.rs
+++ b/crates/asterdale-daemon/src/peer.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::Instant;
 
+use asterdale_engine::counters::Counters;
+use asterdale_engine::mail::{Client, Mail, Reply};
+use asterdale_engine::post::Post;
 use asterdale_fastcgi::{ended, refusal, Answer};
-use asterdale_host::counters::Counters;
-use asterdale_host::mail::{Client, Mail, Reply};
-use asterdale_host::post::Post;
 use asterdale_identity::Kind;
 use crossbeam_channel::{Receiver, Sender};
 
@@ -218,7 +218,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use asterdale_host::post::{self, Letters};
+    use asterdale_engine::post::{self, Letters};
     use crossbeam_channel::unbounded;
     use mio::{Poll, Token};
     use std::io::Read;
--- a/crates/asterdale-daemon/src/start/mod.rs
+++ b/crates/asterdale-daemon/src/start/mod.rs
@@ -10,12 +10,12 @@
 use std::sync::Arc;
 
 use asterdale::told::Repeat;
-use asterdale_facts::Facts;
-use asterdale_host::issuer::Place;
-use asterdale_host::mail::Peers;
+use asterdale_engine::issuer::Place;
+use asterdale_engine::mail::Peers;
 use asterdale_identity::keyring::{public_key, MOST_SET};
 use asterdale_identity::rights::{Role, Tenant, MOST_NAMED_ROLES, MOST_TENANTS};
 use asterdale_identity::{Facts as IdentityFacts, Named};
+use asterdale_parameters::Facts;
 use serde_json::Value;
 
 use faults::{Fault, Faults};
@@ -243,7 +243,7 @@
         descriptors = number(&mut faults, "limits.sockets", limits.sockets);
     }
     told(&mut faults, &file);
-    let facts = asterdale_facts::from_json(seed, &all["settings"]);
+    let facts = asterdale_parameters::from_json(seed, &all["settings"]);
     let tls = file.tls.and_then(|section| tls(&mut faults, section));
     if tls.is_some() && file.identity.is_none() {
         faults.add(
--- a/crates/asterdale-daemon/src/upgrade/mod.rs
+++ b/crates/asterdale-daemon/src/upgrade/mod.rs
@@ -1,5 +1,5 @@
 //! Upgrade under load, on sockets: the control socket, the side that gives its work away, and the side that takes
-//! it. What is done when is decided by `asterdale_handover`.
+//! it. What is done when is decided by `asterdale_hot_restart`.
 
 mod port;
 mod wire;
@@ -17,16 +17,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use asterdale_handover::giver::{self, Giver};
-use asterdale_handover::message::frame::What;
-use asterdale_handover::message::{
+use asterdale_engine::log::Log;
+use asterdale_engine::mail::{Client, Mail};
+use asterdale_engine::passing::{check_state, Mirror, Step};
+use asterdale_hot_restart::giver::{self, Giver};
+use asterdale_hot_restart::message::frame::What;
+use asterdale_hot_restart::message::{
     self, Adopted, Go, Loaded, Offer, Outcome, Phase, Probed, Refuse, Upgrade,
 };
-use asterdale_handover::taker::{self, Taker};
-use asterdale_host::log::Log;
-use asterdale_host::mail::{Client, Mail};
-use asterdale_host::passing::{check_state, Mirror, Step};
-use asterdale_identity::planted::{self, Fault};
+use asterdale_hot_restart::taker::{self, Taker};
+use asterdale_identity::failpoint::{self, Failpoint};
 use crossbeam_channel::{bounded, Receiver, Sender};
 
 use port::{from_after, from_before, hello, mirror_frame, Remote, Successor};
@@ -157,7 +157,7 @@
                 taker::Event::Offered
             }
             Ok(Some(What::Trial(part) | What::State(part)))
-                if state.len() + part.part.len() > asterdale_handover::frame::MOST_STATE =>
+                if state.len() + part.part.len() > asterdale_hot_restart::frame::MOST_STATE =>
             {
                 taker::Event::Trial(Err(format!("a state over {} bytes", state.len())))
             }
@@ -508,7 +508,7 @@
                 let mut descriptors: Vec<BorrowedFd<'_>> =
                     control.listeners.iter().map(AsFd::as_fd).collect();
                 descriptors.push(control.socket.as_fd());
-                if planted::is(Fault::Listener) {
+                if failpoint::is_active(Failpoint::Listener) {
                     let both = rustix::net::Shutdown::Both;
                     for listener in &control.listeners {
                         let _ = rustix::net::shutdown(listener, both);
@@ -542,7 +542,7 @@
                 let line = self.line.clone()?;
                 // It can't be taken back from here on. If it does not arrive, the other has ended.
                 let gone = line.send(What::Go(Go { epoch })).is_err();
-                if planted::is(Fault::Fence) {
+                if failpoint::is_active(Failpoint::Fence) {
                     let _ = control.host.send(Mail::Handover(Step::Thaw));
                     return None;
                 }
--- a/crates/asterdale-daemon/src/upgrade/port.rs
+++ b/crates/asterdale-daemon/src/upgrade/port.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 
 use asterdale::told::Outcome;
-use asterdale_handover::message::frame::What;
-use asterdale_handover::message::{self, Called, Check, Left, Mirror, Release, Task};
-use asterdale_host::mail::{Asked, Client, Id, Mail, Mark, Reply, Request, Serial, Way};
-use asterdale_host::passing::{Mirrored, Port, Step};
+use asterdale_engine::mail::{Asked, Client, Id, Mail, Mark, Reply, Request, Serial, Way};
+use asterdale_engine::passing::{Mirrored, Port, Step};
+use asterdale_hot_restart::message::frame::What;
+use asterdale_hot_restart::message::{self, Called, Check, Left, Mirror, Release, Task};
 
 use super::wire::{reply, reply_frame, way, way_frame, Line};
 
@@ -271,7 +271,7 @@
 /// The first frame of a successor.
 pub fn hello(nonce: Vec<u8>) -> What {
     What::Hello(message::Hello {
-        version: asterdale_handover::VERSION,
+        version: asterdale_hot_restart::VERSION,
         shape: asterdale::snapshot::SHAPE,
         nonce,
     })
--- a/crates/asterdale-daemon/src/upgrade/wire.rs
+++ b/crates/asterdale-daemon/src/upgrade/wire.rs
@@ -8,10 +8,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use asterdale_handover::frame::{encode, Incoming, PART};
-use asterdale_handover::message::frame::What;
-use asterdale_handover::message::{Release, Reply as ReplyFrame, State, Way as WayFrame};
-use asterdale_host::mail::{Reply, Way};
+use asterdale_engine::mail::{Reply, Way};
+use asterdale_hot_restart::frame::{encode, Incoming, PART};
+use asterdale_hot_restart::message::frame::What;
+use asterdale_hot_restart::message::{Release, Reply as ReplyFrame, State, Way as WayFrame};
 use asterdale_identity::Kind;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -296,7 +296,7 @@
         let (one, two) = UnixStream::pair().unwrap();
         let ((line, _), (_, mut hearing)) = (open(one).unwrap(), open(two).unwrap());
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let offer = asterdale_handover::message::Offer {
+        let offer = asterdale_hot_restart::message::Offer {
             epoch: 1,
             listeners: vec![place(&listener)],
         };
--- a/crates/asterdale-daemon/src/wire.rs
+++ b/crates/asterdale-daemon/src/wire.rs
@@ -6,8 +6,8 @@
 use std::os::fd::{AsRawFd, RawFd};
 use std::sync::Arc;
 
-use asterdale_host::gather;
-use asterdale_host::mail::Certificate;
+use asterdale_engine::gather;
+use asterdale_engine::mail::Certificate;
 
 #[cfg(feature = "tls")]
 use crate::tls;
--- a/crates/asterdale-daemon/tests/certificates.rs
+++ b/crates/asterdale-daemon/tests/certificates.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, SystemTime};
 
 use asterdale_identity::mint::{sign, Secret};
-use asterdale_rig::scripted::{address, until, Backend, Edge, PATIENCE};
-use asterdale_rig::unix_ms;
+use asterdale_testkit::scripted::{address, until, Backend, Edge, PATIENCE};
+use asterdale_testkit::unix_ms;
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair, SanType};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -160,7 +160,7 @@
 
 /// Whether a task on this connection gets any answer at all.
 fn turned_away(edge: &mut Edge<Tls>) -> bool {
-    let bytes = asterdale_rig::scripted::request(1, "/healthz", &[], b"");
+    let bytes = asterdale_testkit::scripted::request(1, "/healthz", &[], b"");
     edge.try_send(&bytes).is_err() || !matches!(edge.try_answer(), Ok(Some(_)))
 }
 
@@ -211,7 +211,12 @@
     // Plain bytes, and a handshake that never goes on.
     let mut plain = Edge::on(TcpStream::connect(site.at).unwrap());
     plain.stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    plain.send(&asterdale_rig::scripted::request(1, "/healthz", &[], b""));
+    plain.send(&asterdale_testkit::scripted::request(
+        1,
+        "/healthz",
+        &[],
+        b"",
+    ));
     assert!(!matches!(plain.try_answer(), Ok(Some(_))));
     let mut silent = Edge::on(TcpStream::connect(site.at).unwrap());
     silent.stream.set_read_timeout(Some(PATIENCE)).unwrap();
--- a/crates/asterdale-daemon/tests/crowd.rs
+++ b/crates/asterdale-daemon/tests/crowd.rs
@@ -3,10 +3,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use asterdale_rig::crowd::{Crowd, Order};
-use asterdale_rig::process::Daemon;
-use asterdale_rig::soak::{daemon, MOST_THREADS};
-use asterdale_rig::worker::Worker;
+use asterdale_testkit::crowd::{Crowd, Order};
+use asterdale_testkit::process::Daemon;
+use asterdale_testkit::soak::{daemon, MOST_THREADS};
+use asterdale_testkit::worker::Worker;
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 
 const CONNECTIONS: usize = 600;
--- a/crates/asterdale-daemon/tests/identity.rs
+++ b/crates/asterdale-daemon/tests/identity.rs
@@ -1,9 +1,9 @@
 //! Who is calling, on real sockets: every row of the table of answers in `docs/identity.md`.
 
 use asterdale_identity::mint::{sign, Secret};
-use asterdale_rig::issuer::{Issuer, Mood};
-use asterdale_rig::scripted::{until, Answered, Backend, Edge};
-use asterdale_rig::unix_ms;
+use asterdale_testkit::issuer::{Issuer, Mood};
+use asterdale_testkit::scripted::{until, Answered, Backend, Edge};
+use asterdale_testkit::unix_ms;
 use serde_json::{json, Value};
 
 const A: &str = "00000000000000aa";
@@ -443,7 +443,12 @@
 fn checks_need_no_token_and_a_token_means_nothing_where_nobody_is_asked() {
     let (_issuer, backend) = serving();
     let mut edge = backend.connect();
-    edge.send(&asterdale_rig::scripted::request(1, "/healthz", &[], b""));
+    edge.send(&asterdale_testkit::scripted::request(
+        1,
+        "/healthz",
+        &[],
+        b"",
+    ));
     assert_eq!(edge.status(1), "200");
     let open = Backend::start();
     let mut edge = open.connect();
@@ -504,8 +509,8 @@
     });
     backend.runtime.end(D, "PASS", b"other");
     assert_eq!(edge.answer().unwrap().body, b"other");
-    for process in asterdale_rig::proofs::upgrade::processes(backend.file()) {
-        asterdale_rig::proofs::upgrade::signal(process, "KILL");
+    for process in asterdale_testkit::proofs::upgrade::processes(backend.file()) {
+        asterdale_testkit::proofs::upgrade::signal(process, "KILL");
     }
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/crates/asterdale-daemon/tests/journal.rs
+++ b/crates/asterdale-daemon/tests/journal.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use asterdale_rig::scripted::{until, Backend};
+use asterdale_testkit::scripted::{until, Backend};
 use serde_json::{json, Value};
 
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
--- a/crates/asterdale-daemon/tests/proofs.rs
+++ b/crates/asterdale-daemon/tests/proofs.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use asterdale_rig::proofs::{fleet, restarts, rotation, upgrade, Order};
+use asterdale_testkit::proofs::{fleet, restarts, rotation, upgrade, Order};
 
 /// One at a time: each starts many processes, and none is to be judged by what another takes from the machine.
 static ONE: Mutex<()> = Mutex::new(());
@@ -17,7 +17,7 @@
     let figures = rotation::prove(&Order {
         seed: 17,
         seconds: 14,
-        plant: None,
+        failpoint: None,
     })
     .unwrap();
     assert_eq!(figures["held"], true, "{figures:#}");
@@ -31,7 +31,7 @@
         &Order {
             seed: 17,
             seconds: 0,
-            plant: None,
+            failpoint: None,
         },
         10,
         3,
@@ -47,7 +47,7 @@
     let order = Order {
         seed: 17,
         seconds: 0,
-        plant: None,
+        failpoint: None,
     };
     let told = fleet::Told {
         order,
@@ -66,7 +66,7 @@
     let order = Order {
         seed: 17,
         seconds: 0,
-        plant: None,
+        failpoint: None,
     };
     let figures = restarts::prove(&restarts::Told {
         order,
--- a/crates/asterdale-daemon/tests/registry.rs
+++ b/crates/asterdale-daemon/tests/registry.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
 
-use asterdale_rig::scripted::{until, Backend, PATIENCE};
+use asterdale_testkit::scripted::{until, Backend, PATIENCE};
 use serde_json::json;
 
 /// A report that was read whole and is not answered yet.
@@ -21,7 +21,7 @@
     let (sender, reports) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let request = asterdale_rig::services::request(&mut BufReader::new(&stream));
+            let request = asterdale_testkit::services::request(&mut BufReader::new(&stream));
             let Some((_, body)) = request else { continue };
             let _ = sender.send(Report {
                 stream,
--- a/crates/asterdale-daemon/tests/runtime.rs
+++ b/crates/asterdale-daemon/tests/runtime.rs
@@ -1,6 +1,6 @@
 //! The link to the runtime where it says what it should not, or is another one than before.
 
-use asterdale_rig::scripted::{until, Backend};
+use asterdale_testkit::scripted::{until, Backend};
 use serde_json::json;
 
 const A: &str = "00000000000000aa";
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -4,7 +4,7 @@
 use std::net::{Shutdown, TcpListener};
 
 use asterdale_fastcgi::kind;
-use asterdale_rig::scripted::{
+use asterdale_testkit::scripted::{
     self, address, config, counter, launch, now, record, request, until, Backend, Edge, PATIENCE,
 };
 use serde_json::json;
--- a/crates/asterdale-daemon/tests/takeover.rs
+++ b/crates/asterdale-daemon/tests/takeover.rs
@@ -3,7 +3,7 @@
 
 use std::sync::{Mutex, PoisonError};
 
-use asterdale_rig::proofs::{takeover, Order};
+use asterdale_testkit::proofs::{takeover, Order};
 
 /// One at a time.
 static ONE: Mutex<()> = Mutex::new(());
@@ -14,7 +14,7 @@
     let order = Order {
         seed: 17,
         seconds: 0,
-        plant: None,
+        failpoint: None,
     };
     let told = takeover::Told {
         order,
@@ -35,7 +35,7 @@
     let order = Order {
         seed: 17,
         seconds: 0,
-        plant: None,
+        failpoint: None,
     };
     let told = takeover::Told {
         order,
--- a/crates/asterdale-daemon/tests/tenants.rs
+++ b/crates/asterdale-daemon/tests/tenants.rs
@@ -1,7 +1,7 @@
 //! What one tenant sends never meets another's, and a connection that brings management records keeps its requests.
 
 use asterdale_fastcgi::kind;
-use asterdale_rig::scripted::{record, Backend, Edge, PATIENCE};
+use asterdale_testkit::scripted::{record, Backend, Edge, PATIENCE};
 use serde_json::json;
 
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
--- a/crates/asterdale-daemon/tests/upgrade.rs
+++ b/crates/asterdale-daemon/tests/upgrade.rs
@@ -8,10 +8,10 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use asterdale_handover::frame::{encode, Incoming};
-use asterdale_handover::message::frame::What;
-use asterdale_handover::message::{Adopted, Hello, Loaded, Probed, Refuse};
-use asterdale_rig::scripted::{until, Backend, PATIENCE};
+use asterdale_hot_restart::frame::{encode, Incoming};
+use asterdale_hot_restart::message::frame::What;
+use asterdale_hot_restart::message::{Adopted, Hello, Loaded, Probed, Refuse};
+use asterdale_testkit::scripted::{until, Backend, PATIENCE};
 use serde_json::json;
 use std::io::{Read, Write};
 
@@ -26,8 +26,8 @@
 
 impl Drop for Site {
     fn drop(&mut self) {
-        for process in asterdale_rig::proofs::upgrade::processes(self.backend.file()) {
-            asterdale_rig::proofs::upgrade::signal(process, "KILL");
+        for process in asterdale_testkit::proofs::upgrade::processes(self.backend.file()) {
+            asterdale_testkit::proofs::upgrade::signal(process, "KILL");
         }
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -72,7 +72,7 @@
     }
 
     fn ask(&self, binary: &Path) -> Child {
-        Command::new(asterdale_rig::process::program())
+        Command::new(asterdale_testkit::process::program())
             .args(["upgrade", "--control"])
             .arg(self.control())
             .arg("--binary")
@@ -167,7 +167,7 @@
 
     /// As far as the last word: it has the state, and is about to say so.
     fn up_to_the_state(&mut self, nonce: &[u8]) -> u64 {
-        self.hello(nonce, asterdale_handover::VERSION);
+        self.hello(nonce, asterdale_hot_restart::VERSION);
         assert!(matches!(self.hear(), Some(What::Offer(_))));
         self.say(What::Adopted(Adopted {}));
         while !matches!(self.hear().unwrap(), What::Trial(part) if part.last) {}
@@ -190,7 +190,7 @@
     site.carries_on(asked, "version 99");
     let site = Site::new();
     let (asked, mut stranger, _) = site.begin();
-    stranger.hello(b"made up", asterdale_handover::VERSION);
+    stranger.hello(b"made up", asterdale_hot_restart::VERSION);
     site.carries_on(asked, "a stranger");
 }
 
@@ -198,7 +198,7 @@
 fn one_that_ends_with_the_listener_in_hand_leaves_it_to_the_old_one() {
     let site = Site::new();
     let (asked, mut puppet, nonce) = site.begin();
-    puppet.hello(&nonce, asterdale_handover::VERSION);
+    puppet.hello(&nonce, asterdale_hot_restart::VERSION);
     assert!(matches!(puppet.hear(), Some(What::Offer(_))));
     drop(puppet);
     site.carries_on(asked, "has ended");
@@ -208,14 +208,14 @@
 fn one_that_refuses_or_speaks_out_of_turn_is_not_waited_for() {
     let site = Site::new();
     let (asked, mut puppet, nonce) = site.begin();
-    puppet.hello(&nonce, asterdale_handover::VERSION);
+    puppet.hello(&nonce, asterdale_hot_restart::VERSION);
     puppet.say(What::Refuse(Refuse {
         why: "no disk".into(),
     }));
     site.carries_on(asked, "no disk");
     let site = Site::new();
     let (asked, mut puppet, nonce) = site.begin();
-    puppet.hello(&nonce, asterdale_handover::VERSION);
+    puppet.hello(&nonce, asterdale_hot_restart::VERSION);
     puppet.say(What::Loaded(Loaded { epoch: 2 }));
     site.carries_on(asked, "out of turn");
 }
@@ -274,14 +274,14 @@
 fn the_control_socket_is_bound_only_where_nobody_else_can_come_and_nobody_holds_it() {
     let site = Site::new();
     let told = |control: PathBuf| {
-        let mut config = asterdale_rig::scripted::config(
-            asterdale_rig::scripted::address(),
-            asterdale_rig::scripted::address(),
-            asterdale_rig::scripted::address(),
-            asterdale_rig::scripted::address(),
+        let mut config = asterdale_testkit::scripted::config(
+            asterdale_testkit::scripted::address(),
+            asterdale_testkit::scripted::address(),
+            asterdale_testkit::scripted::address(),
+            asterdale_testkit::scripted::address(),
         );
         config["upgrade"] = json!({"control": control});
-        let (child, file) = asterdale_rig::scripted::launch(&config);
+        let (child, file) = asterdale_testkit::scripted::launch(&config);
         let output = child.wait_with_output().unwrap();
         std::fs::remove_file(file).unwrap();
         assert_eq!(output.status.code(), Some(1));
@@ -316,7 +316,7 @@
     let site = Site::new();
     let path = site.folder.join("poor");
     for descriptors in [4, 6, 9, 12, 24, 512] {
-        let program = asterdale_rig::process::program();
+        let program = asterdale_testkit::process::program();
         let program = std::fs::canonicalize(program).unwrap();
         let text = format!(
             "#!/bin/sh\nulimit -n {descriptors}\nexec {} \"$@\"\n",
@@ -343,7 +343,7 @@
     edge.task(1, "page", A, &[]);
     site.backend.runtime.command("start");
     let (asked, mut puppet, nonce) = site.begin();
-    puppet.hello(&nonce, asterdale_handover::VERSION);
+    puppet.hello(&nonce, asterdale_hot_restart::VERSION);
     assert!(matches!(puppet.hear(), Some(What::Offer(_))));
     site.backend.signal("-HUP");
     site.backend.signal("-TERM");
@@ -374,15 +374,20 @@
     // The first connections may still have been taken by the one that is killed.
     until("an answer", || {
         let mut edge = site.backend.connect();
-        edge.try_send(&asterdale_rig::scripted::request(1, "/healthz", &[], b""))
-            .is_ok()
+        edge.try_send(&asterdale_testkit::scripted::request(
+            1,
+            "/healthz",
+            &[],
+            b"",
+        ))
+        .is_ok()
             && matches!(edge.try_answer(), Ok(Some(answer)) if answer.status() == "200")
     });
     let mut edge = site.backend.connect();
     edge.task(1, "bid", B, &[KEY]);
     assert_eq!(edge.answer().unwrap().body, b"sold");
     assert_eq!(site.backend.runtime.commanded(), None);
-    asterdale_rig::proofs::upgrade::signal(new, "KILL");
+    asterdale_testkit::proofs::upgrade::signal(new, "KILL");
 }
 
 /// The process that went on, by its own line.
@@ -445,7 +450,7 @@
     let late = ("HTTP_IDEMPOTENCY_KEY", "late");
     other.task(2, "bid", "00000000000000cc", &[late]);
     site.backend.runtime.command("start");
-    asterdale_rig::proofs::upgrade::signal(new, "KILL");
+    asterdale_testkit::proofs::upgrade::signal(new, "KILL");
     // Its connections break; what came over the old one's (one of which may have been made since) hears that
     // nothing is claimed.
     let end = other.answer();
--- a/crates/asterdale-host/src/below.rs
+++ b/crates/asterdale-engine/src/below.rs
@@ -251,7 +251,7 @@
             return;
         };
         let result: Option<Arc<[u8]>> = (how == How::Pass).then(|| body.into());
-        #[cfg(feature = "handover")]
+        #[cfg(feature = "hot-restart")]
         tasks.ended_elsewhere(id, how == How::Noop, result.as_ref());
         let Some(task) = tasks.by_id.get(id).copied() else {
             return;
@@ -259,7 +259,7 @@
         let outcome = match (how, &result) {
             (How::Pass, Some(result)) => {
                 tasks.counters.runs_passed.add();
-                #[cfg(feature = "takeover")]
+                #[cfg(feature = "ownership")]
                 tasks.outcome(task, result);
                 if tasks.finished(task, result.clone()) {
                     tasks.counters.tasks_finished.add();
@@ -280,7 +280,7 @@
                 Outcome::Error
             }
         };
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         tasks.over_without(task, how == How::Noop);
         if how == How::Noop {
             tasks.forget(task); // nothing was started: a true try under this key may still run
--- a/crates/asterdale-host/src/callers.rs
+++ b/crates/asterdale-engine/src/callers.rs
@@ -77,13 +77,13 @@
     }
 
     /// What a process that goes on needs.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     pub fn pass(&self) -> Option<asterdale_identity::Passed> {
         self.identity.as_ref().map(Identity::pass)
     }
 
     /// Goes on where another process stood. Nothing may have been asked here yet.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     pub fn go_on(&mut self, now: f64, passed: asterdale_identity::Passed) -> Result<(), String> {
         match &mut self.identity {
             Some(identity) => identity.continue_from(now, passed),
@@ -92,13 +92,13 @@
     }
 
     /// Whose place this is, and by which role.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     pub fn place(&self, seat: &Seat) -> Option<(u32, String)> {
         self.identity.as_ref().map(|identity| identity.place(seat))
     }
 
     /// Takes up a place that a task has had already.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     pub fn replace(&mut self, place: &(u32, String)) -> Option<Seat> {
         self.identity.as_mut()?.replace(place)
     }
--- a/crates/asterdale-host/src/clock.rs
+++ b/crates/asterdale-engine/src/clock.rs
@@ -29,7 +29,7 @@
     }
 
     /// Goes on from this time: another process's clock, which must not step for its tasks.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     pub(crate) fn set(&mut self, now: f64) {
         (self.unix, self.began) = (now, Instant::now());
     }
--- a/crates/asterdale-host/src/custody.rs
+++ b/crates/asterdale-engine/src/custody.rs
@@ -1,5 +1,5 @@
 //! Work in hand that others keep, as the engine does it: who is asked before a task starts, what waits for an answer,
-//! and what becomes of it. What is owned is agreed by the keepers ([`asterdale_takeover`]); what is let in, in which
+//! and what becomes of it. What is owned is agreed by the keepers ([`asterdale_ownership`]); what is let in, in which
 //! order it runs and what is turned away is the module's, for orphans as for all others.
 //!
 //! A fingerprinted task that is not known here is looked up before the module sees it, so that a repeat at any backend
@@ -12,8 +12,8 @@
 
 use asterdale::told::{Arrival, Outcome, Repeat};
 use asterdale::Handle;
-use asterdale_takeover::planted::{self, Fault};
-use asterdale_takeover::{Answer, Verdict, Want, Work};
+use asterdale_ownership::failpoint::{self, Failpoint};
+use asterdale_ownership::{Answer, Verdict, Want, Work};
 
 use crate::host::Host;
 use crate::mail::{Client, Custody, Id, Mark, Reply, Request, Serial, Way};
@@ -73,7 +73,9 @@
     /// By which it is this process's.
     pub fn fence(&self) -> Option<u64> {
         match self.claim {
-            Claim::Held(fence) if self.fences && !planted::is(Fault::Fence) => Some(fence),
+            Claim::Held(fence) if self.fences && !failpoint::is_active(Failpoint::Fence) => {
+                Some(fence)
+            }
             _ => None,
         }
     }
@@ -395,7 +397,7 @@
         };
         let fence = kept.fence();
         let may = self.desk.port.as_ref().is_some_and(|port| port.may_act());
-        if !may && !planted::is(Fault::Lease) {
+        if !may && !failpoint::is_active(Failpoint::Lease) {
             return Err(());
         }
         Ok(fence.map(|fence| (key, fence)))
@@ -411,7 +413,7 @@
             return;
         };
         let mut back = None;
-        if planted::is(Fault::Outcome) {
+        if failpoint::is_active(Failpoint::Outcome) {
             if self.finished(task, result.clone()) {
                 self.counters.tasks_finished.add();
             }
@@ -723,7 +725,7 @@
         let tasks = &mut self.tasks;
         let verdict = answer.verdict();
         if matches!(verdict, Verdict::Open | Verdict::Passed | Verdict::Failed)
-            && !planted_lock(verdict)
+            && !lock_is_ignored(verdict)
         {
             if tasks.fingerprints.is_full() {
                 tasks.counters.requests_over.add();
@@ -811,7 +813,7 @@
         };
         let (waits, void) = (slot.back.is_some(), slot.void);
         let Some(kept) = &mut slot.kept else { return };
-        if planted_lock(verdict) {
+        if lock_is_ignored(verdict) {
             kept.claim = Claim::Held(u64::MAX >> 1);
             return asterdale::Machine::run(tasks, task);
         }
@@ -1114,8 +1116,8 @@
 }
 
 /// A look that finds the owner gone is taken for leave to run, where a proof plants that.
-fn planted_lock(verdict: Verdict) -> bool {
-    planted::is(Fault::Lock) && verdict == Verdict::Open
+fn lock_is_ignored(verdict: Verdict) -> bool {
+    failpoint::is_active(Failpoint::Lock) && verdict == Verdict::Open
 }
 
 /// An id that no edge node has given: of the one that ran, this process's seed and the task's number.
--- a/crates/asterdale-host/src/fingerprints.rs
+++ b/crates/asterdale-engine/src/fingerprints.rs
@@ -11,7 +11,7 @@
 
 /// What became of a remembered task.
 #[derive(Clone, Debug)]
-#[cfg_attr(feature = "handover", derive(serde::Serialize, serde::Deserialize))]
+#[cfg_attr(feature = "hot-restart", derive(serde::Serialize, serde::Deserialize))]
 pub enum Fate {
     /// It is held or runs; whoever joined hears of its end.
     Open,
@@ -22,7 +22,7 @@
 }
 
 #[derive(Clone)]
-#[cfg_attr(feature = "handover", derive(serde::Serialize, serde::Deserialize))]
+#[cfg_attr(feature = "hot-restart", derive(serde::Serialize, serde::Deserialize))]
 struct Entry {
     owner: Serial,
     /// Of its body.
@@ -36,7 +36,7 @@
 }
 
 /// What another process needs to go on with a table.
-#[cfg(feature = "handover")]
+#[cfg(feature = "hot-restart")]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Passed {
     secret: u64,
@@ -155,7 +155,7 @@
     }
 
     /// Another backend has what this task was to run: it waits for that one's end like any repeat.
-    #[cfg(feature = "takeover")]
+    #[cfg(feature = "ownership")]
     pub fn goes_to(&mut self, mark: &Mark, owner: Serial, other: Serial) -> bool {
         let Some(entry) = self
             .entries
@@ -208,7 +208,7 @@
     }
 
     /// When the last window that is open now ends; 0 without any.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     pub fn last_window(&self) -> f64 {
         let windows = self
             .entries
@@ -220,7 +220,7 @@
 
     /// All that is remembered, and the secret of the signs, for a process that goes on; nothing of it where a
     /// proof plants that fault.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     pub fn pass(&self, none: bool) -> Passed {
         let entry = |(mark, entry): (&Mark, &Entry)| (mark.clone(), entry.clone());
         let entries = self.entries.iter().filter(|_| !none).map(entry).collect();
@@ -231,7 +231,7 @@
     }
 
     /// Goes on with what another process remembered.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     pub fn go_on(&mut self, passed: Passed) {
         let size = |entry: &Entry| {
             if let Fate::Passed(result) = &entry.fate {
--- a/crates/asterdale-host/src/gate.rs
+++ b/crates/asterdale-engine/src/gate.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use asterdale_identity::planted::{self, Fault};
+use asterdale_identity::failpoint::{self, Failpoint};
 use asterdale_identity::{Ask, Caller, Kind as Said, Seat, Why};
 
 use crate::log::{Kind, Log};
@@ -32,7 +32,10 @@
         };
         match identity.identify(now, ask) {
             Ok(caller) => {
-                if let Some(mark) = mark.as_mut().filter(|_| !planted::is(Fault::Mark)) {
+                if let Some(mark) = mark
+                    .as_mut()
+                    .filter(|_| !failpoint::is_active(Failpoint::Mark))
+                {
                     mark.tenant = caller.tenant;
                 }
                 Ok(Some(caller))
--- a/crates/asterdale-host/src/host.rs
+++ b/crates/asterdale-engine/src/host.rs
@@ -8,8 +8,8 @@
 
 use asterdale::told::{Arrival, Gauges, Outcome, Repeat};
 use asterdale::{Machine, Server};
-use asterdale_facts::Facts;
 use asterdale_identity::{Ask, Identity};
+use asterdale_parameters::Facts;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 
 use crate::callers::Callers;
@@ -53,7 +53,7 @@
     /// The other processes of the fleet, where this one talks with them.
     pub company: Option<Arc<dyn Company>>,
     /// Those who keep work in hand.
-    #[cfg(feature = "takeover")]
+    #[cfg(feature = "ownership")]
     pub custody: Option<Arc<dyn crate::mail::Custody>>,
     /// Counts.
     pub counters: Arc<Counters>,
@@ -104,7 +104,7 @@
     /// When all must be answered, once the notice has come.
     pub(crate) leave_by: Option<Instant>,
     /// Whether the work is another process's, or about to be.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     pub(crate) aside: crate::aside::Aside,
 }
 
@@ -118,7 +118,7 @@
             moves,
             issuer,
             company,
-            #[cfg(feature = "takeover")]
+            #[cfg(feature = "ownership")]
             custody,
             counters,
             log,
@@ -153,11 +153,11 @@
                 joined: VecDeque::new(),
                 not_begun: VecDeque::new(),
                 not_started: VecDeque::new(),
-                #[cfg(feature = "handover")]
+                #[cfg(feature = "hot-restart")]
                 mirror: None,
-                #[cfg(feature = "handover")]
+                #[cfg(feature = "hot-restart")]
                 elsewhere: HashMap::new(),
-                #[cfg(feature = "takeover")]
+                #[cfg(feature = "ownership")]
                 desk: crate::custody::Desk::new(custody),
                 link: Link::default(),
                 records,
@@ -183,13 +183,13 @@
             runtime_up_ms: None,
             cold_until: f64::INFINITY,
             leave_by: None,
-            #[cfg(feature = "handover")]
+            #[cfg(feature = "hot-restart")]
             aside: crate::aside::Aside::default(),
         }
     }
 
     /// Handles mail, or keeps it, or carries it to another process: whosever the work is.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     pub(crate) fn take_mail(&mut self, mail: Mail, mailbox: &Receiver<Mail>) {
         let mail = if self.aside.stands() {
             self.carry(mail)
@@ -203,7 +203,7 @@
         }
     }
 
-    #[cfg(not(feature = "handover"))]
+    #[cfg(not(feature = "hot-restart"))]
     fn take_mail(&mut self, mail: Mail, _: &Receiver<Mail>) {
         self.handle(mail);
     }
@@ -218,7 +218,7 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            #[cfg(feature = "handover")]
+            #[cfg(feature = "hot-restart")]
             if self.aside.stands() && self.guard(mailbox) {
                 return;
             }
@@ -229,7 +229,7 @@
             if self.tasks.now >= self.tasks.wake_at {
                 self.beat();
             }
-            #[cfg(feature = "takeover")]
+            #[cfg(feature = "ownership")]
             self.custody_tick();
             let at = Instant::now();
             if at >= sweep {
@@ -281,12 +281,12 @@
                 deep,
             } => self.check(client, request, deep),
             Mail::Abort(way) => {
-                #[cfg(feature = "takeover")]
+                #[cfg(feature = "ownership")]
                 self.tasks.left_parked(|parked| parked == way);
                 self.leave_task(way);
             }
             Mail::Gone(connection) => {
-                #[cfg(feature = "takeover")]
+                #[cfg(feature = "ownership")]
                 self.tasks.left_parked(|parked| parked.0 == connection);
                 self.gone(connection);
             }
@@ -307,13 +307,13 @@
                 self.tasks.callers.retold(facts, &self.tasks.log);
                 self.moved(peers);
             }
-            #[cfg(feature = "takeover")]
+            #[cfg(feature = "ownership")]
             Mail::Kept(number, answer) => self.kept(number, answer),
-            #[cfg(feature = "takeover")]
+            #[cfg(feature = "ownership")]
             Mail::Offered(all) => self.offered(all),
             Mail::Leave => self.leave(),
             Mail::Report => self.report(),
-            #[cfg(feature = "handover")]
+            #[cfg(feature = "hot-restart")]
             Mail::Handover(_) => {}
         }
         self.settle();
@@ -361,7 +361,7 @@
 
     /// Takes a task in: one that the keepers were asked about already, or that has none.
     pub(crate) fn take_in(&mut self, request: Request, looked: bool) {
-        #[cfg(not(feature = "takeover"))]
+        #[cfg(not(feature = "ownership"))]
         let _ = looked;
         let Request {
             asked,
@@ -419,9 +419,9 @@
         let repeat = mark
             .as_ref()
             .is_some_and(|mark| tasks.fingerprints.knows(mark, tasks.now - since_ms));
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         let mut kept = None;
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         if let Some(mark) = mark.as_ref().filter(|_| !repeat) {
             let owner = who.as_deref().map_or("", |who| &who.claims.tenant);
             let left_ms = timeout_ms.unwrap_or(tasks.facts.told.stages[stage].limit_ms) - since_ms;
@@ -467,7 +467,7 @@
             self.callers.clear();
         }
         let left_ms = timeout_ms.map(|ms| (ms - since_ms).max(0.0));
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         let left_ms = kept
             .as_ref()
             .map_or(left_ms, |kept| Some(kept.of_use_ms(tasks.now)));
@@ -498,7 +498,7 @@
             seat,
             started,
             void,
-            #[cfg(feature = "takeover")]
+            #[cfg(feature = "ownership")]
             kept,
             wants,
             sent,
@@ -559,7 +559,7 @@
         tasks.counters.tasks_open.sub();
         // It is owed nothing; this frees its number on the connection.
         client.answer(request, Reply::Left);
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         if tasks.goes_on(task) {
             return;
         }
@@ -591,7 +591,7 @@
                         }
                         Outcome::Ok
                     }
-                    #[cfg(feature = "takeover")]
+                    #[cfg(feature = "ownership")]
                     None if tasks.heard_in_vain(task) => Outcome::Error,
                     None => {
                         tasks.failed(task);
--- a/crates/asterdale-host/src/leaving.rs
+++ b/crates/asterdale-engine/src/leaving.rs
@@ -23,7 +23,7 @@
         self.leave_by = Some(Instant::now() + Duration::from_millis(left_ms as u64));
         self.list.send(Word::Leave);
         self.begin(false, 0.0);
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         self.tasks.desk.leaves_by(self.tasks.now + left_ms);
         if let Some(server) = &mut self.server {
             server.leave(self.tasks.now, left_ms, &mut self.tasks);
@@ -48,10 +48,10 @@
             if self.tasks.now >= self.tasks.wake_at {
                 self.beat();
             }
-            #[cfg(feature = "takeover")]
+            #[cfg(feature = "ownership")]
             self.custody_tick();
         }
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         self.tasks.desk.leave();
         let open = self.tasks.fronts.open();
         slog::info!(self.tasks.log.lines, "host: left"; "connections" => open);
--- a/crates/asterdale-host/src/lib.rs
+++ b/crates/asterdale-engine/src/lib.rs
@@ -8,14 +8,14 @@
 //! `below` (the runtime's word, calls, checks), `custody` (work that others keep), `leaving`,
 //! `passing`. None names one above it.
 
-#[cfg(feature = "handover")]
+#[cfg(feature = "hot-restart")]
 mod aside;
 mod below;
 mod callers;
 mod checks;
 mod clock;
 pub mod counters;
-#[cfg(feature = "takeover")]
+#[cfg(feature = "ownership")]
 mod custody;
 mod exchange;
 mod fingerprints;
@@ -27,7 +27,7 @@
 mod leaving;
 pub mod log;
 pub mod mail;
-#[cfg(feature = "handover")]
+#[cfg(feature = "hot-restart")]
 pub mod passing;
 pub mod post;
 pub mod records;
--- a/crates/asterdale-host/src/mail.rs
+++ b/crates/asterdale-engine/src/mail.rs
@@ -25,7 +25,7 @@
 
 /// By what a repeat is known: a key, or what a read is about, each within its stage.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-#[cfg_attr(feature = "handover", derive(serde::Serialize, serde::Deserialize))]
+#[cfg_attr(feature = "hot-restart", derive(serde::Serialize, serde::Deserialize))]
 pub struct Mark {
     /// The stage.
     pub stage: usize,
@@ -160,14 +160,14 @@
 }
 
 /// Those who keep work in hand, as the host asks them. Nothing of it waits.
-#[cfg(feature = "takeover")]
+#[cfg(feature = "ownership")]
 pub trait Custody: Send + Sync {
     /// Whether tasks of this stage are kept, and if so whether what has their effect refuses an older fence.
     fn keeps(&self, stage: usize) -> Option<bool>;
     /// What tells a body from others, alike in all processes.
     fn sign(&self, body: &[u8]) -> u64;
     /// Something is wanted; what comes of it is mail under this number.
-    fn want(&self, number: u64, want: asterdale_takeover::Want);
+    fn want(&self, number: u64, want: asterdale_ownership::Want);
     /// Nobody waits for it any more.
     fn forget(&self, number: u64);
     /// What was claimed by this fence was never started.
@@ -225,14 +225,14 @@
     /// The start file was read again: the peers listen here, and this holds of callers, from now on.
     Retold(Peers, Option<Box<asterdale_identity::Facts>>),
     /// A step of a handover.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     Handover(Step),
     /// What came of something that was wanted of the keepers.
-    #[cfg(feature = "takeover")]
-    Kept(u64, asterdale_takeover::Answer),
+    #[cfg(feature = "ownership")]
+    Kept(u64, asterdale_ownership::Answer),
     /// Work whose owner is gone, that this process may take.
-    #[cfg(feature = "takeover")]
-    Offered(Vec<asterdale_takeover::Work>),
+    #[cfg(feature = "ownership")]
+    Offered(Vec<asterdale_ownership::Work>),
     /// The notice to leave.
     Leave,
     /// Print the counters.
@@ -264,7 +264,7 @@
     pub patience: Duration,
     /// The key of its task, in hexadecimal digits, and the fence by which that is claimed: whoever has the effect
     /// refuses an older one.
-    #[cfg(feature = "takeover")]
+    #[cfg(feature = "ownership")]
     pub fence: Option<(String, u64)>,
 }
 
@@ -374,7 +374,7 @@
 }
 
 /// A step of a handover, as the host does it.
-#[cfg(feature = "handover")]
+#[cfg(feature = "hot-restart")]
 pub enum Step {
     /// Send a state to be tried; go on.
     Try(Sender<Vec<u8>>),
@@ -397,7 +397,7 @@
 }
 
 /// The way to a successor.
-#[cfg(feature = "handover")]
+#[cfg(feature = "hot-restart")]
 pub trait Port: Send {
     /// A task has come. How long it may have lain unread is in its `since`.
     fn task(&mut self, way: Way, request: &Request);
@@ -412,7 +412,7 @@
 }
 
 /// What a guardian is told, before it takes effect.
-#[cfg(feature = "handover")]
+#[cfg(feature = "hot-restart")]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Mirrored {
     /// A fingerprint is remembered.
@@ -450,5 +450,5 @@
 }
 
 /// Where what a guardian must know is told.
-#[cfg(feature = "handover")]
+#[cfg(feature = "hot-restart")]
 pub type Mirror = Box<dyn FnMut(Mirrored) + Send>;
--- a/crates/asterdale-host/src/passing.rs
+++ b/crates/asterdale-engine/src/passing.rs
@@ -1,13 +1,13 @@
 //! The host's state, as it passes to another process, and the host's part in a handover: it stops, gives its state,
 //! and from then on carries between its own connections and its successor; or it goes on, or takes the work back.
-//! When which of these is to be done is decided by `asterdale_handover::giver`.
+//! When which of these is to be done is decided by `asterdale_hot_restart::giver`.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use asterdale::{Handle, Machine, Server};
-use asterdale_identity::planted::{self, Fault};
+use asterdale_identity::failpoint::{self, Failpoint};
 use asterdale_identity::Caller;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 use serde::{Deserialize, Serialize};
@@ -118,7 +118,9 @@
             server: self.server.as_ref().map(Server::snapshot),
             serial: tasks.serial,
             tasks: all.collect(),
-            remembered: tasks.fingerprints.pass(planted::is(Fault::Unpassed)),
+            remembered: tasks
+                .fingerprints
+                .pass(failpoint::is_active(Failpoint::Unpassed)),
             identity: tasks.callers.pass(),
             callers: self.callers.clone(),
             link: (tasks.link.last, tasks.link.asked, tasks.link.came),
@@ -178,7 +180,7 @@
                 seat,
                 started: task.started,
                 void: task.void,
-                #[cfg(feature = "takeover")]
+                #[cfg(feature = "ownership")]
                 kept: None, // a process that hands over talks with nobody
                 wants: task.wants,
                 sent: task.sent,
@@ -189,7 +191,7 @@
         }
         (tasks.link.last, tasks.link.asked, tasks.link.came) = passed.link;
         (tasks.good, tasks.stored) = (passed.good, passed.stored);
-        tasks.mirror = mirror.filter(|_| !planted::is(Fault::Unmirrored));
+        tasks.mirror = mirror.filter(|_| !failpoint::is_active(Failpoint::Unmirrored));
         tasks.wake_at = passed.now;
         host.callers = passed.callers;
         host.server = server;
@@ -324,7 +326,7 @@
             Mail::Linked(_) | Mail::Unlinked | Mail::Line(_) | Mail::Keys(_) | Mail::Retold(..) => {
             }
             // A process that hands over talks with no fleet.
-            #[cfg(feature = "takeover")]
+            #[cfg(feature = "ownership")]
             Mail::Kept(..) | Mail::Offered(_) => {}
             Mail::Leave => self.aside.gone = true,
             mail @ (Mail::Report | Mail::Handover(_)) => return Some(mail),
--- a/crates/asterdale-host/src/records.rs
+++ b/crates/asterdale-engine/src/records.rs
@@ -26,7 +26,7 @@
 const EVENTS: usize = 64;
 
 /// The fields of a call whose task is claimed: by them whoever has the effect has it once, and refuses older claims.
-#[cfg(feature = "takeover")]
+#[cfg(feature = "ownership")]
 fn fenced(call: &Call) -> String {
     call.fence
         .as_ref()
@@ -35,7 +35,7 @@
         })
 }
 
-#[cfg(not(feature = "takeover"))]
+#[cfg(not(feature = "ownership"))]
 const fn fenced(_: &Call) -> &'static str {
     ""
 }
--- a/crates/asterdale-host/src/runtime.rs
+++ b/crates/asterdale-engine/src/runtime.rs
@@ -103,7 +103,7 @@
 }
 
 /// The same, for a task that is claimed by this fence.
-#[cfg(feature = "takeover")]
+#[cfg(feature = "ownership")]
 pub fn start_fenced(id: &Id, stage: &str, body: &[u8], fence: u64) -> String {
     let mut line = start(id, stage, body);
     line.truncate(line.len() - 2);
--- a/crates/asterdale-host/src/tasks.rs
+++ b/crates/asterdale-engine/src/tasks.rs
@@ -7,15 +7,15 @@
 
 use asterdale::told::Repeat;
 use asterdale::{Handle, Machine};
-use asterdale_facts::Facts;
 use asterdale_identity::{Caller, Seat};
+use asterdale_parameters::Facts;
 use crossbeam_channel::Sender;
 
 use crate::callers::Callers;
 use crate::counters::Counters;
 use crate::fingerprints::{Fate, Fingerprints};
 use crate::log::{Kind, Log};
-#[cfg(feature = "handover")]
+#[cfg(feature = "hot-restart")]
 use crate::mail::Mirrored;
 use crate::mail::{text, Call, Client, Fronts, Id, Mark, Reply, Serial, Way};
 use crate::records::Records;
@@ -23,7 +23,7 @@
 
 /// The last command about a task, which may be under way when the link breaks.
 #[derive(Clone)]
-#[cfg_attr(feature = "handover", derive(serde::Serialize, serde::Deserialize))]
+#[cfg_attr(feature = "hot-restart", derive(serde::Serialize, serde::Deserialize))]
 pub struct Sent {
     pub line: String,
     /// The gauges that were asked for next after it: their coming proves that it arrived.
@@ -69,7 +69,7 @@
     /// Its caller was revoked before that: it must not be.
     pub void: bool,
     /// What others keep of it.
-    #[cfg(feature = "takeover")]
+    #[cfg(feature = "ownership")]
     pub kept: Option<crate::custody::Kept>,
     /// The notice that its run waits at, and what the call carries.
     pub wants: Option<(u64, Vec<u8>)>,
@@ -80,7 +80,7 @@
     /// The line that has it run.
     fn start_line(&self, facts: &Facts) -> String {
         let stage = &facts.stages[self.stage];
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         if let Some(fence) = self.kept.as_ref().and_then(crate::custody::Kept::fence) {
             return runtime::start_fenced(&self.id, stage, &self.body, fence);
         }
@@ -156,13 +156,13 @@
     /// Runs that were not started, likewise.
     pub not_started: VecDeque<Serial>,
     /// Hears of what must be known, should this process end.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     pub mirror: Option<crate::mail::Mirror>,
     /// Tasks that another process has started, before this one took its work back.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     pub elsewhere: HashMap<Id, Option<(Mark, Serial)>>,
     /// What is asked of those who keep work in hand.
-    #[cfg(feature = "takeover")]
+    #[cfg(feature = "ownership")]
     pub desk: crate::custody::Desk,
     pub link: Link,
     pub records: Records,
@@ -282,7 +282,7 @@
         let (serial, Some(mark)) = (slot.serial, slot.mark.clone()) else {
             return;
         };
-        #[cfg(feature = "handover")]
+        #[cfg(feature = "hot-restart")]
         if let Some(mirror) = &mut self.mirror {
             mirror(Mirrored::Ended {
                 mark: mark.clone(),
@@ -295,7 +295,7 @@
     }
 
     /// A run has ended that another process had started: whoever repeats it gets its result.
-    #[cfg(feature = "handover")]
+    #[cfg(feature = "hot-restart")]
     pub fn ended_elsewhere(&mut self, id: &Id, void: bool, result: Option<&Arc<[u8]>>) {
         let Some(Some((mark, owner))) = self.elsewhere.remove(id) else {
             return;
@@ -326,7 +326,7 @@
     }
     fn release(&mut self, task: Handle) {
         static UNANSWERED: Kind = Kind::new();
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         self.released(task);
         self.ended(task, None);
         if self.slot(task).is_some_and(|slot| slot.back.is_some()) {
@@ -350,7 +350,7 @@
             let serial = slot.serial;
             return self.not_started.push_back(serial);
         }
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         if slot.kept.is_some() && !self.may_start(task) {
             return;
         }
@@ -358,7 +358,7 @@
         slot.started = true;
         let line = slot.start_line(&facts);
         let harmless = facts.told.stages[slot.stage].repeat == Repeat::Restartable;
-        #[cfg(feature = "handover")]
+        #[cfg(feature = "hot-restart")]
         if let (false, Some(mirror)) = (harmless, &mut self.mirror) {
             if let Some(slot) = self.slots.get(task.index()).and_then(Option::as_ref) {
                 let mark = slot.mark.clone().map(|mark| (mark, slot.serial));
@@ -375,7 +375,7 @@
         let Some(slot) = self.slot(task) else { return };
         let Some((_, body)) = &slot.wants else { return };
         let (who, id, body, stage) = (slot.serial, slot.id, body.clone(), slot.stage);
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         let fence = match self.fence_of(task) {
             Ok(fence) => fence,
             Err(()) => return self.not_begun.push_back(who),
@@ -393,7 +393,7 @@
             body,
             asked: Instant::now(),
             patience,
-            #[cfg(feature = "takeover")]
+            #[cfg(feature = "ownership")]
             fence,
         }) {
             self.not_begun.push_back(who);
@@ -430,7 +430,7 @@
         if restartable && self.fingerprints.is_full() {
             return; // a repeat of it runs by itself
         }
-        #[cfg(feature = "handover")]
+        #[cfg(feature = "hot-restart")]
         if let (false, Some(mirror)) = (restartable, &mut self.mirror) {
             mirror(Mirrored::Remembered {
                 mark: mark.clone(),
@@ -438,12 +438,12 @@
                 until,
             });
         }
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         let known_by = mark.clone();
         let before =
             self.fingerprints
                 .remember(mark, (serial, sign), until, restartable.then_some(for_ms));
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         let before = self.rejoin(&known_by, before);
         self.tell(before, None);
     }
@@ -452,11 +452,11 @@
         let (serial, id, Some(mark)) = (slot.serial, slot.id, slot.mark.clone()) else {
             return;
         };
-        #[cfg(feature = "handover")]
+        #[cfg(feature = "hot-restart")]
         if self.elsewhere.contains_key(&id) {
             return; // another process has started it: it may have run
         }
-        #[cfg(feature = "handover")]
+        #[cfg(feature = "hot-restart")]
         if let Some(mirror) = &mut self.mirror {
             mirror(Mirrored::Forgotten {
                 mark: mark.clone(),
@@ -468,7 +468,7 @@
         self.tell(waiting, None);
     }
     fn reject(&mut self, task: Handle, last: bool, stay_away_ms: f64) {
-        #[cfg(feature = "takeover")]
+        #[cfg(feature = "ownership")]
         if self.pass_on(task, last, stay_away_ms) {
             return;
         }
--- /dev/null
+++ b/crates/asterdale-identity/src/failpoint.rs
@@ -0,0 +1,18 @@
+//! Failpoints of identity, idempotency and hot restart, each of which a proof must find.
+
+asterdale_failpoints::failpoints! {
+    /// The overlap of an outgoing key never ends.
+    Overlap = "overlap",
+    /// A token that was verified before is accepted although its key has been revoked.
+    Cache = "cache",
+    /// The idempotency key does not include the tenant.
+    Mark = "mark",
+    /// Idempotency entries are not part of the state transfer.
+    Unpassed = "unpassed",
+    /// The old process is not notified of what the new process starts.
+    Unmirrored = "unmirrored",
+    /// The old process goes on serving beside the new one.
+    Fence = "fence",
+    /// The listener is closed before the commit.
+    Listener = "listener",
+}
--- a/crates/asterdale-identity/src/keyring.rs
+++ b/crates/asterdale-identity/src/keyring.rs
@@ -19,7 +19,7 @@
 use ed25519_dalek::VerifyingKey;
 use serde::{Deserialize, Serialize};
 
-use crate::planted::{self, Fault};
+use crate::failpoint::{self, Failpoint};
 use crate::token::{document, Claims, MOST_NAME};
 use crate::who::Why;
 
@@ -337,7 +337,7 @@
             return self.seen.get(id).map(|_| Phase::Retired);
         };
         Some(match key {
-            _ if at >= key.until_ms && !planted::is(Fault::Overlap) => Phase::Retired,
+            _ if at >= key.until_ms && !failpoint::is_active(Failpoint::Overlap) => Phase::Retired,
             _ if at < key.from_ms => Phase::Announced,
             _ if key.ends => Phase::Outgoing,
             _ => Phase::Active,
--- a/crates/asterdale-identity/src/lib.rs
+++ b/crates/asterdale-identity/src/lib.rs
@@ -9,9 +9,9 @@
 
 pub mod budget;
 pub mod cache;
+pub mod failpoint;
 pub mod keyring;
 pub mod mint;
-pub mod planted;
 pub mod publish;
 pub mod refresh;
 pub mod rights;
--- a/crates/asterdale-identity/src/verdict.rs
+++ b/crates/asterdale-identity/src/verdict.rs
@@ -7,8 +7,8 @@
 
 use crate::budget::Budget;
 use crate::cache::{Digests, Proven, RefusedTokens};
+use crate::failpoint::{self, Failpoint};
 use crate::keyring::{Keyring, Offered, Phase, Refused};
-use crate::planted::{self, Fault};
 use crate::rights::{Denied, Rights, Role, Tenant};
 use crate::token::{self, Claims};
 
@@ -140,7 +140,7 @@
     /// [`Identity::revoked`].
     pub fn offer(&mut self, now: f64, set: &[u8]) -> Result<Offered, Refused> {
         let offered = self.ring.offer(now, set)?;
-        if offered == Offered::Adopted && !planted::is(Fault::Cache) {
+        if offered == Offered::Adopted && !failpoint::is_active(Failpoint::Cache) {
             self.refused.clear();
             let ring = &self.ring;
             self.proven.retain(|caller| {
@@ -215,7 +215,7 @@
             return Err(why.into());
         }
         let verdict = match self.proven.get(&digest) {
-            Some(caller) if planted::is(Fault::Cache) => Ok(caller.clone()),
+            Some(caller) if failpoint::is_active(Failpoint::Cache) => Ok(caller.clone()),
             Some(caller) => {
                 let caller = caller.clone();
                 self.standing(now, at, caller.key.as_deref(), &caller.claims)
--- a/crates/asterdale-journal/src/planted.rs
+++ b/crates/asterdale-journal/src/failpoint.rs
@@ -1,6 +1,6 @@
-//! Mistakes that proofs plant, each of which they must find.
+//! Failpoints of this package, each of which a proof must find.
 
-asterdale_planted::faults! {
+asterdale_failpoints::failpoints! {
     /// A task may start before its intent is on disk.
     Early = "early",
     /// A commit that failed counts as done.
--- a/crates/asterdale-journal/src/lib.rs
+++ b/crates/asterdale-journal/src/lib.rs
@@ -6,8 +6,8 @@
 //! [`trust`] (whether what a folder says may be believed; likewise), [`writer`] (the actor: many orders share a commit). Beside them [`shelf`]: a keeper's part of an agreed log.
 
 pub mod entry;
+pub mod failpoint;
 pub mod ledger;
-pub mod planted;
 pub mod shelf;
 pub mod store;
 pub mod trust;
--- a/crates/asterdale-journal/src/store.rs
+++ b/crates/asterdale-journal/src/store.rs
@@ -14,8 +14,8 @@
 };
 
 use crate::entry::{self, Entry, Face};
+use crate::failpoint::{self, Failpoint};
 use crate::ledger::Write;
-use crate::planted::{self, Fault};
 
 const ENTRIES: TableDefinition<&[u8], &[u8]> = TableDefinition::new("entries");
 const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
@@ -211,7 +211,7 @@
         // The library locks a file that it opens by its path, and not one that it is handed. The lock is the open file's: it
         // ends with the process, however that ends, and holds while the process stands still.
         let lock = rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive);
-        if !planted::is(Fault::Unlocked) {
+        if !failpoint::is_active(Failpoint::Unlocked) {
             lock.map_err(|e| match e {
                 rustix::io::Errno::WOULDBLOCK => Broken::Taken,
                 e => told(e.into()),
@@ -301,7 +301,7 @@
     /// Has all of this on disk, or none of it; comes back once that is so. After a failure nobody knows which.
     pub fn commit(&self, writes: &[Write], face: &Face) -> Result<(), Broken> {
         let done = self.write(writes, face);
-        if planted::is(Fault::Sync) {
+        if failpoint::is_active(Failpoint::Sync) {
             return Ok(());
         }
         done
--- a/crates/asterdale-journal/src/trust.rs
+++ b/crates/asterdale-journal/src/trust.rs
@@ -9,7 +9,7 @@
 //! moment ago. What this leaves: a copy that is put back within [`FRESH_MS`] of being taken, and a clock that was set
 //! back by just the age of a copy.
 
-use crate::planted::{self, Fault};
+use crate::failpoint::{self, Failpoint};
 
 /// A folder that was marked no longer ago than this, by the Unix clock, is what was left a moment ago: some marks, and the
 /// time in which a supervisor starts a process anew.
@@ -44,8 +44,8 @@
     pub fn is_trusted(self) -> bool {
         match self {
             Standing::Same => true,
-            Standing::First | Standing::Lost => planted::is(Fault::Lost),
-            Standing::Older | Standing::Unsure => planted::is(Fault::Rollback),
+            Standing::First | Standing::Lost => failpoint::is_active(Failpoint::Lost),
+            Standing::Older | Standing::Unsure => failpoint::is_active(Failpoint::Rollback),
         }
     }
 }
--- a/crates/asterdale-journal/src/writer.rs
+++ b/crates/asterdale-journal/src/writer.rs
@@ -8,8 +8,8 @@
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 
 use crate::entry::Face;
+use crate::failpoint::{self, Failpoint};
 use crate::ledger::{Bounds, Known, Ledger, Write};
-use crate::planted::{self, Fault};
 use crate::store::{spared, Broken, Store, FILE};
 use crate::trust::{self, Folder, Standing};
 
@@ -308,7 +308,7 @@
                     match self.ledger.claim(now, (&key, sign), &id, window_ms) {
                         Ok((claim, write)) => {
                             writes.push(write);
-                            if planted::is(Fault::Early) {
+                            if failpoint::is_active(Failpoint::Early) {
                                 (self.heard)(Heard::Word(number, Word::Yours(claim)));
                                 // As long as a slow disk takes.
                                 std::thread::sleep(Duration::from_millis(30));
--- a/crates/asterdale-journal/tests/crashes.rs
+++ b/crates/asterdale-journal/tests/crashes.rs
@@ -139,7 +139,7 @@
     Ok(crashes)
 }
 
-#[cfg(not(feature = "planted"))]
+#[cfg(not(feature = "failpoints"))]
 #[test]
 fn what_was_acknowledged_is_there_after_any_crash_and_commits_are_whole() {
     let mut crashes = 0;
@@ -150,11 +150,11 @@
 }
 
 /// Tested with the feature `planted`: a sync whose failure is ignored is found.
-#[cfg(feature = "planted")]
+#[cfg(feature = "failpoints")]
 #[test]
 fn a_sync_whose_failure_is_ignored_is_found() {
     assert!((0..200).all(|seed| case(seed).is_ok()));
-    assert!(asterdale_journal::planted::plant("sync"));
+    assert!(asterdale_journal::failpoint::activate("sync"));
     assert!((0..200).any(|seed| case(seed).is_err()));
 }
 
--- a/crates/asterdale-members/src/planted.rs
+++ b/crates/asterdale-membership/src/failpoint.rs
@@ -1,6 +1,6 @@
-//! Mistakes that proofs plant, each of which they must find.
+//! Failpoints of this package, each of which a proof must find.
 
-asterdale_planted::faults! {
+asterdale_failpoints::failpoints! {
     /// A suspicion is refuted without a higher incarnation.
     Refutation = "refutation",
     /// The dead are never asked again.
--- a/crates/asterdale-members/src/fleet.rs
+++ b/crates/asterdale-membership/src/fleet.rs
@@ -7,12 +7,12 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use crate::failpoint::{self, Failpoint};
 use crate::health::Health;
 use crate::message::{
     self, wire, Ack, Bad, Message, Nack, Ping, What, Whole, MOST_DATAGRAM, MOST_EXCHANGE,
 };
 use crate::news::News;
-use crate::planted::{self, Fault};
 use crate::record::{Notes, Record, Status};
 use crate::seal::Seal;
 use crate::suspicion::Suspicion;
@@ -526,7 +526,7 @@
         self.stir(now);
         if let Standing::Fallen { floor, tell } = self.standing {
             self.me.generation = floor.max(self.me.generation) + 1;
-            if planted::is(Fault::Generation) {
+            if failpoint::is_active(Failpoint::Generation) {
                 self.me.generation = 1;
             }
             self.me.incarnation = 0;
@@ -641,7 +641,7 @@
     }
 
     fn join(&mut self, now: f64) {
-        self.me.generation = if planted::is(Fault::Generation) {
+        self.me.generation = if failpoint::is_active(Failpoint::Generation) {
             1
         } else {
             self.known + 1
@@ -769,7 +769,7 @@
 
     /// Suspicions that nobody refuted in time.
     fn deaths(&mut self, now: f64) {
-        if planted::is(Fault::Suspicion) || self.standing == Standing::Ended {
+        if failpoint::is_active(Failpoint::Suspicion) || self.standing == Standing::Ended {
             return;
         }
         let over = self
@@ -807,7 +807,7 @@
 
     /// One of the dead, or a seed that is no member, hears what is held of it, and can say that it lives.
     fn ask_dead(&mut self) {
-        if planted::is(Fault::Dead) {
+        if failpoint::is_active(Failpoint::Dead) {
             return;
         }
         let dead = self
@@ -1112,7 +1112,7 @@
     /// The sender's word on itself; `false` if a newer process under its name is known.
     fn hear_from(&mut self, now: f64, from: &Record) -> bool {
         if let Some(seen) = self.view.get(&from.name) {
-            if from.run() < seen.record.run() && !planted::is(Fault::Older) {
+            if from.run() < seen.record.run() && !failpoint::is_active(Failpoint::Older) {
                 return false;
             }
         }
@@ -1146,7 +1146,9 @@
         };
         let held = seen.record.clone();
         match word.run().cmp(&held.run()) {
-            Ordering::Less if planted::is(Fault::Older) => self.put(now, word, Change::Restarted),
+            Ordering::Less if failpoint::is_active(Failpoint::Older) => {
+                self.put(now, word, Change::Restarted)
+            }
             Ordering::Less => {}
             Ordering::Greater if word.is_in() => {
                 // It heard nobody when it began, and took a number that was another's. Whoever puts its word in the
@@ -1343,7 +1345,7 @@
     fn defend(&mut self, incarnation: u32) {
         self.counts.defended += 1;
         self.health.worse();
-        self.me.incarnation = incarnation + u32::from(!planted::is(Fault::Refutation));
+        self.me.incarnation = incarnation + u32::from(!failpoint::is_active(Failpoint::Refutation));
         self.announce();
     }
 
--- a/crates/asterdale-members/src/lib.rs
+++ b/crates/asterdale-membership/src/lib.rs
@@ -10,11 +10,11 @@
 //! [`seal`] (bytes), [`health`], [`suspicion`] and [`news`] (one rule each), [`view`] (the table), [`fleet`] (the state
 //! machine).
 
+pub mod failpoint;
 pub mod fleet;
 pub mod health;
 pub mod message;
 pub mod news;
-pub mod planted;
 pub mod record;
 pub mod seal;
 pub mod suspicion;
--- a/crates/asterdale-members/tests/explore.rs
+++ b/crates/asterdale-membership/tests/explore.rs
@@ -12,7 +12,7 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-use asterdale_members::{Action, Event, Fleet, Start, Status, Terms};
+use asterdale_membership::{Action, Event, Fleet, Start, Status, Terms};
 
 /// Steps of every order: tens of thousands of states, in seconds.
 const DEPTH: usize = 8;
--- a/crates/asterdale-members/tests/faults.rs
+++ b/crates/asterdale-membership/tests/faults.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use asterdale_members::{Change, Event, Notes, Phase, Status};
+use asterdale_membership::{Change, Event, Notes, Phase, Status};
 use net::{at, name, Net, What};
 
 /// So many processes that have settled.
@@ -139,7 +139,7 @@
         .collect();
     assert_eq!(before, [1; 6]);
     for action in late {
-        if let asterdale_members::Action::Send(to, bytes) = action {
+        if let asterdale_membership::Action::Send(to, bytes) = action {
             net.send(to, What::Datagram(bytes), 1.0);
         }
     }
@@ -158,7 +158,7 @@
     let mut net = settled(7, 8);
     let actions = net.all.get_mut(&at(5)).unwrap().leave(net.now);
     for action in actions {
-        if let asterdale_members::Action::Send(to, bytes) = action {
+        if let asterdale_membership::Action::Send(to, bytes) = action {
             net.send(to, What::Datagram(bytes), 1.0);
         }
     }
@@ -344,12 +344,12 @@
 }
 
 /// What this process says once it holds all others for dead, as time passes for it alone.
-fn deaths(fleet: &mut asterdale_members::Fleet) -> Vec<Vec<u8>> {
+fn deaths(fleet: &mut asterdale_membership::Fleet) -> Vec<Vec<u8>> {
     let mut said = Vec::new();
     while said.len() < 20 {
         let alone = fleet.view().there() == 0;
         for action in fleet.wake(fleet.next()) {
-            if let asterdale_members::Action::Send(_, bytes) = action {
+            if let asterdale_membership::Action::Send(_, bytes) = action {
                 said.extend(alone.then_some(bytes));
             }
         }
@@ -402,10 +402,10 @@
     let hash = net.fleet(0).hash();
     let mut told = net.told(9, 0);
     told.key = b"another's".to_vec();
-    let mut foreign = asterdale_members::Fleet::new(net.now, told);
+    let mut foreign = asterdale_membership::Fleet::new(net.now, told);
     let now = net.now;
     for action in foreign.wake(now) {
-        if let asterdale_members::Action::Exchange(_, bytes) = action {
+        if let asterdale_membership::Action::Exchange(_, bytes) = action {
             let (back, _) = net.all.get_mut(&at(0)).unwrap().exchange(now, &bytes);
             assert_eq!(back, None);
         }
--- a/crates/asterdale-members/tests/net/mod.rs
+++ b/crates/asterdale-membership/tests/net/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 
-use asterdale_members::{Action, Event, Fleet, Start, Terms};
+use asterdale_membership::{Action, Event, Fleet, Start, Terms};
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/asterdale-takeover/src/planted.rs
+++ b/crates/asterdale-ownership/src/failpoint.rs
@@ -1,6 +1,6 @@
-//! Mistakes that proofs plant, each of which they must find.
+//! Failpoints of this package, each of which a proof must find.
 
-asterdale_planted::faults! {
+asterdale_failpoints::failpoints! {
     /// An owner acts however old its lease is.
     Lease = "lease",
     /// Starts and calls go without their fence.
--- a/crates/asterdale-takeover/src/keeper.rs
+++ b/crates/asterdale-ownership/src/keeper.rs
@@ -10,14 +10,14 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use asterdale_members::seal::Seal;
+use asterdale_membership::seal::Seal;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use crate::failpoint::{self, Failpoint};
 use crate::group::{self, Group};
 use crate::message::wire::{self, Answers, Hello, Order, Proposal, Renew, Verdict};
 use crate::message::{self, place, Member, Ordered, What};
-use crate::planted::{self, Fault};
 use crate::saved::{Face, Save, Saved};
 use crate::terms::Terms;
 use crate::{Action, Told};
@@ -372,8 +372,8 @@
     }
 
     fn look_around(&mut self, now: f64) {
-        if planted::is(Fault::Empty) {
-            self.me.node = planted_node(&self.me.name);
+        if failpoint::is_active(Failpoint::Empty) {
+            self.me.node = node_from_name(&self.me.name);
         }
         if self.group.is_none() {
             return self.form(now);
@@ -481,7 +481,7 @@
 
     fn raft(&mut self, now: f64, raft: &wire::Raft) {
         let mine = group::addressee(&raft.message) == Some(self.me.node);
-        let forgot = planted::is(Fault::Empty);
+        let forgot = failpoint::is_active(Failpoint::Empty);
         if mine && !forgot && self.group.is_none() && raft.group >= self.highest && raft.group > 0 {
             // Its leader has it learn; or it founds it, and has not heard that yet: it gets what it needs either way.
             self.group = Group::new(
@@ -663,7 +663,7 @@
 }
 
 /// What a process that forgot that it forgot would call itself.
-fn planted_node(name: &str) -> u64 {
+fn node_from_name(name: &str) -> u64 {
     name.bytes().fold(1, |sum: u64, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
     }) | 1
--- a/crates/asterdale-takeover/src/lib.rs
+++ b/crates/asterdale-ownership/src/lib.rs
@@ -10,11 +10,11 @@
 //! ended), [`group`] (the log, by the library), [`saved`] (what a keeper has on disk), [`keeper`] (one keeper's part), [`owner`] (one owner's part).
 
 pub mod book;
+pub mod failpoint;
 pub mod group;
 pub mod keeper;
 pub mod message;
 pub mod owner;
-pub mod planted;
 pub mod saved;
 pub mod terms;
 
--- a/crates/asterdale-takeover/src/message.rs
+++ b/crates/asterdale-ownership/src/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use asterdale_members::seal::Seal;
+use asterdale_membership::seal::Seal;
 use prost::Message as _;
 
 /// The messages, as `proto/takeover.proto` has them.
--- a/crates/asterdale-takeover/src/owner.rs
+++ b/crates/asterdale-ownership/src/owner.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use asterdale_members::seal::Seal;
+use asterdale_membership::seal::Seal;
 
 use crate::message::wire::{
     Answer, Answers, Asked, Claim, Drop as Dropped, End, Look, Order, Renew, Verdict,
--- a/crates/asterdale-takeover/tests/explore.rs
+++ b/crates/asterdale-ownership/tests/explore.rs
@@ -14,10 +14,10 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-use asterdale_members::seal::Seal;
-use asterdale_takeover::message::wire::{Answers, Entry, Proposal};
-use asterdale_takeover::message::{decode, encode, member, What};
-use asterdale_takeover::{Action, Book, Member, Owner, Terms, Verdict, Want, Work};
+use asterdale_membership::seal::Seal;
+use asterdale_ownership::message::wire::{Answers, Entry, Proposal};
+use asterdale_ownership::message::{decode, encode, member, What};
+use asterdale_ownership::{Action, Book, Member, Owner, Terms, Verdict, Want, Work};
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -222,7 +222,7 @@
             .push((Some(to), encode(&seal(), &keeper, what)));
     }
 
-    fn passes(&mut self, proposals: Vec<Proposal>) -> Vec<(Member, asterdale_takeover::Answer)> {
+    fn passes(&mut self, proposals: Vec<Proposal>) -> Vec<(Member, asterdale_ownership::Answer)> {
         let elapsed_ms = self.now - self.stamped;
         self.stamped = self.now;
         self.book.apply(Entry {
--- a/crates/asterdale-takeover/tests/group.rs
+++ b/crates/asterdale-ownership/tests/group.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use asterdale_takeover::{Told, Verdict, Want};
+use asterdale_ownership::{Told, Verdict, Want};
 use net::{terms, work, Net};
 
 fn formed(keepers: usize, owners: usize) -> Net {
--- a/crates/asterdale-takeover/tests/net/mod.rs
+++ b/crates/asterdale-ownership/tests/net/mod.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use asterdale_members::seal::Seal;
-use asterdale_takeover::keeper::{Keeper, Start};
-use asterdale_takeover::message::{decode, member, What};
-use asterdale_takeover::{Action, Answer, Owner, Save, Saved, Terms, Told, Verdict, Want, Work};
+use asterdale_membership::seal::Seal;
+use asterdale_ownership::keeper::{Keeper, Start};
+use asterdale_ownership::message::{decode, member, What};
+use asterdale_ownership::{Action, Answer, Owner, Save, Saved, Terms, Told, Verdict, Want, Work};
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/asterdale-simhost/src/host.rs
+++ b/crates/asterdale-simhost/src/host.rs
@@ -5,7 +5,7 @@
 
 use asterdale::told::{Arrival, Gauges, Outcome};
 use asterdale::{Handle, Machine, Server};
-use asterdale_facts::Facts;
+use asterdale_parameters::Facts;
 
 use crate::wire::{nanos, Batch, Fields, Malformed, Reply};
 
@@ -137,7 +137,7 @@
             let number = context.ok_or_else(|| bad(format!("code {code} before any context")))?;
             if code == 8 {
                 let text = batch.tail(n, 9)?;
-                let Facts { told, gauges, .. } = asterdale_facts::read(record.u64(1), text)
+                let Facts { told, gauges, .. } = asterdale_parameters::read(record.u64(1), text)
                     .map_err(|e| bad(format!("settings: {e}")))?;
                 let mut names = Names {
                     instance: number,
--- a/crates/asterdale-fleet/src/main.rs
+++ b/crates/asterdale-simulator/src/main.rs
@@ -4,17 +4,17 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-use asterdale_fleet::experiment::{self, Experiment, Policy};
-use asterdale_fleet::members::{self, Fault, Figures, Play};
-use asterdale_fleet::result::Outcome;
-use asterdale_fleet::world::play;
+use asterdale_simulator::experiment::{self, Experiment, Policy};
+use asterdale_simulator::members::{self, Fault, Figures, Play};
+use asterdale_simulator::result::Outcome;
+use asterdale_simulator::world::play;
 use clap::{Parser, Subcommand, ValueEnum};
 use rayon::prelude::*;
 use serde_json::json;
 
 /// What asterdale balances, in one process.
 #[derive(Parser)]
-#[command(name = "asterdale-fleet", version)]
+#[command(name = "asterdale-simulator", version)]
 struct Line {
     #[command(subcommand)]
     command: Command,
@@ -303,14 +303,14 @@
                     lost.clamp(0.0, 0.9),
                     load.clamp(0.0, 1.0),
                 );
-                let told = asterdale_fleet::wave::Play {
+                let told = asterdale_simulator::wave::Play {
                     servers,
                     lost,
                     load,
                     bound,
                 };
                 for seed in 0..repeats {
-                    let figures = asterdale_fleet::wave::play(&told, seed);
+                    let figures = asterdale_simulator::wave::play(&told, seed);
                     println!(
                         "{}",
                         serde_json::to_string(&figures).map_err(|e| e.to_string())?
@@ -371,7 +371,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("asterdale-fleet: {why}");
+            eprintln!("asterdale-simulator: {why}");
             ExitCode::from(2)
         }
     }
--- a/crates/asterdale-fleet/src/members.rs
+++ b/crates/asterdale-simulator/src/members.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-use asterdale_members::{Action, Change, Event, Fleet, Start, Terms};
+use asterdale_membership::{Action, Change, Event, Fleet, Start, Terms};
 use rayon::prelude::*;
 use serde::Serialize;
 
@@ -212,7 +212,7 @@
                     let dead = self.dead.is_some_and(|dead| whom == name(dead));
                     match what {
                         Change::Died if dead => {
-                            drop(self.held.entry(from).or_insert(self.now as f64 / MS))
+                            self.held.entry(from).or_insert(self.now as f64 / MS);
                         }
                         Change::Died if by == name(from) && !self.parted => self.false_deaths += 1,
                         Change::Suspected if by == name(from) && !dead && !self.parted => {
--- a/crates/asterdale-fleet/src/wave.rs
+++ b/crates/asterdale-simulator/src/wave.rs
@@ -3,9 +3,9 @@
 //! runs, each as fast as the cores it shares with the others. With the bound that owners state (room by idle cores), and
 //! without it (whatever is orphaned is taken by the first who is told).
 
-use asterdale_takeover::message::wire::{Claim, End, Entry, Order, Proposal};
-use asterdale_takeover::message::{member, Ordered};
-use asterdale_takeover::{Book, Member, Terms, Verdict, Work};
+use asterdale_ownership::message::wire::{Claim, End, Entry, Order, Proposal};
+use asterdale_ownership::message::{member, Ordered};
+use asterdale_ownership::{Book, Member, Terms, Verdict, Work};
 use serde::Serialize;
 
 use crate::chance::Chance;
@@ -92,7 +92,7 @@
 }
 
 impl Wave {
-    fn order(&mut self, from: &Member, what: Ordered) -> asterdale_takeover::Answer {
+    fn order(&mut self, from: &Member, what: Ordered) -> asterdale_ownership::Answer {
         let order = Some(Order {
             seq: 0,
             what: Some(what),
--- a/crates/asterdale-fleet/tests/validity.rs
+++ b/crates/asterdale-simulator/tests/validity.rs
@@ -1,7 +1,7 @@
 //! The model against what is known in closed form, against itself, and each fault against what it says.
 
-use asterdale_fleet::experiment::{read, Experiment, Fault, Policy, Retry, Trouble};
-use asterdale_fleet::world::play;
+use asterdale_simulator::experiment::{read, Experiment, Fault, Policy, Retry, Trouble};
+use asterdale_simulator::world::play;
 use rayon::prelude::*;
 use serde_json::json;
 
--- a/crates/asterdale-rig/src/demo.rs
+++ b/crates/asterdale-testkit/src/demo.rs
@@ -51,7 +51,7 @@
     let mut daemon = Daemon::start(&Recipe {
         program: program(),
         start,
-        plant: None,
+        failpoint: None,
     })?;
     daemon.listens(at)?;
     let end = Instant::now() + Duration::from_secs(order.seconds);
--- a/crates/asterdale-rig/src/flood.rs
+++ b/crates/asterdale-testkit/src/flood.rs
@@ -136,7 +136,7 @@
     let daemon = Arc::new(Daemon::start(&Recipe {
         program: program(),
         start,
-        plant: None,
+        failpoint: None,
     })?);
     let (good, bad) = (token(&key, "good", now), token(&key, "bad", now));
     let stop = Arc::new(AtomicBool::new(false));
--- a/crates/asterdale-rig/src/main.rs
+++ b/crates/asterdale-testkit/src/main.rs
@@ -2,15 +2,15 @@
 
 use std::process::ExitCode;
 
-use asterdale_rig::proofs::{fleet, restarts, rotation, takeover, upgrade, Order};
-use asterdale_rig::{demo, flood, price, replace, soak, third};
+use asterdale_testkit::proofs::{fleet, restarts, rotation, takeover, upgrade, Order};
+use asterdale_testkit::{demo, flood, price, replace, soak, third};
 use clap::{Parser, Subcommand, ValueEnum};
 use serde_json::json;
 use std::time::Duration;
 
 /// Stand-ins, a demonstration and proofs, all on loopback.
 #[derive(Parser)]
-#[command(name = "asterdale-rig", version)]
+#[command(name = "asterdale-testkit", version)]
 struct Line {
     #[command(subcommand)]
     command: Command,
@@ -61,9 +61,9 @@
         /// Of the proof takeover: each process has a folder on disk, and keepers their part of the log
         #[arg(long)]
         journal: bool,
-        /// A fault to plant in the daemon: the proof must not hold then
-        #[arg(long)]
-        plant: Option<String>,
+        /// A failpoint to activate in the daemon: the proof must not hold then
+        #[arg(long, alias = "plant")]
+        failpoint: Option<String>,
     },
     /// Measure what replacing a serving process costs, by handing over and by stopping and starting it
     Replace {
@@ -182,12 +182,12 @@
             interval_ms,
             rounds,
             journal,
-            plant,
+            failpoint,
         } => {
             let order = Order {
                 seed,
                 seconds,
-                plant: plant.clone(),
+                failpoint: failpoint.clone(),
             };
             let (called, figures) = match name {
                 Proof::Rotation => ("rotation", rotation::prove(&order)),
@@ -242,7 +242,7 @@
             figures.map(|mut figures| {
                 let held = figures["held"] == true;
                 (figures["name"], figures["seed"]) = (json!(called), json!(seed));
-                figures["plant"] = json!(plant);
+                figures["failpoint"] = json!(failpoint);
                 println!("{figures}");
                 held
             })
@@ -340,7 +340,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(why) => {
-            eprintln!("asterdale-rig: {why}");
+            eprintln!("asterdale-testkit: {why}");
             ExitCode::from(2)
         }
     }
--- a/crates/asterdale-rig/src/many.rs
+++ b/crates/asterdale-testkit/src/many.rs
@@ -46,8 +46,8 @@
     pub interval_ms: f64,
     /// The program.
     pub program: PathBuf,
-    /// A fault that is planted in it.
-    pub plant: Option<String>,
+    /// The failpoint that is active in it.
+    pub failpoint: Option<String>,
     /// Chance of the relays.
     pub seed: u64,
     /// They talk with each other.
@@ -64,15 +64,15 @@
 }
 
 impl Order {
-    /// A fleet whose bids have their effect at this records service, with planted faults where that is asked for.
+    /// A fleet whose bids have their effect at this records service, with failpoints where that is asked for.
     pub fn bids(
         order: &crate::proofs::Order,
         members: usize,
         records: SocketAddr,
     ) -> Result<Order, String> {
-        let planted = order.plant.is_some();
-        let program = if planted {
-            crate::process::planted_program()?
+        let has_failpoint = order.failpoint.is_some();
+        let program = if has_failpoint {
+            crate::process::failpoint_program()?
         } else {
             crate::process::program()
         };
@@ -81,7 +81,7 @@
             seeds: 3.min(members),
             interval_ms: 100.0,
             program,
-            plant: order.plant.clone(),
+            failpoint: order.failpoint.clone(),
             seed: order.seed,
             talks: true,
             runs: (20, 120),
@@ -163,7 +163,7 @@
             let recipe = Recipe {
                 program: order.program.clone(),
                 start,
-                plant: order.plant.clone(),
+                failpoint: order.failpoint.clone(),
             };
             members.push(Member {
                 recipe,
--- a/crates/asterdale-rig/src/price.rs
+++ b/crates/asterdale-testkit/src/price.rs
@@ -85,7 +85,7 @@
         seeds: 3.min(order.members),
         interval_ms: 500.0,
         program: program(),
-        plant: None,
+        failpoint: None,
         seed: order.seed,
         talks: true,
         runs: (6, 10),
--- a/crates/asterdale-rig/src/process.rs
+++ b/crates/asterdale-testkit/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the daemon: found, built where a fault is planted, started, told, ended.
+//! Processes of the daemon: found, built with failpoints where one is asked for, started, told, ended.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -30,9 +30,9 @@
         .unwrap_or_else(|| "asterdale".into())
 }
 
-/// Builds the daemon with faults that can be planted, in a folder of its own: no shipped build can have them.
-pub fn planted_program() -> Result<PathBuf, String> {
-    let folder = Path::new("target/planted");
+/// Builds the daemon with failpoints compiled in, in a folder of its own: no shipped build can have them.
+pub fn failpoint_program() -> Result<PathBuf, String> {
+    let folder = Path::new("target/failpoints");
     let built = Command::new("cargo")
         .args([
             "build",
@@ -41,7 +41,7 @@
             "-p",
             "asterdale-daemon",
             "--features",
-            "planted",
+            "failpoints",
         ])
         .arg("--target-dir")
         .arg(folder)
@@ -49,8 +49,7 @@
         .map_err(|e| format!("cargo: {e}"))?;
     if !built.success() {
         return Err(
-            "the daemon with planted faults can't be built: run this from the repository"
-                .to_owned(),
+            "the daemon with failpoints can't be built: run this from the repository".to_owned(),
         );
     }
     Ok(folder.join("debug/asterdale"))
@@ -63,8 +62,8 @@
     pub program: PathBuf,
     /// The start file.
     pub start: Value,
-    /// A fault that is planted in it.
-    pub plant: Option<String>,
+    /// The failpoint that is active in it.
+    pub failpoint: Option<String>,
 }
 
 /// A daemon that runs.
@@ -81,7 +80,8 @@
     pub fn start(recipe: &Recipe) -> Result<Daemon, String> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let file = std::env::temp_dir().join(format!("asterdale-rig-{}-{n}", std::process::id()));
+        let file =
+            std::env::temp_dir().join(format!("asterdale-testkit-{}-{n}", std::process::id()));
         std::fs::write(&file, recipe.start.to_string())
             .map_err(|e| format!("{}: {e}", file.display()))?;
         let mut command = Command::new(&recipe.program);
@@ -89,8 +89,8 @@
             .env_remove("ROUTER_NAME")
             .env_remove("ROUTER_LISTEN")
             .env("ROUTER_CONFIG", &file);
-        if let Some(plant) = &recipe.plant {
-            command.env("ASTERDALE_PLANT", plant);
+        if let Some(failpoint) = &recipe.failpoint {
+            command.env("ASTERDALE_FAILPOINT", failpoint);
         }
         let child = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn();
         let mut child = child.map_err(|e| format!("{}: {e}", recipe.program.display()))?;
--- a/crates/asterdale-rig/src/proofs/fleet.rs
+++ b/crates/asterdale-testkit/src/proofs/fleet.rs
@@ -13,7 +13,7 @@
 
 use super::{histogram, quantiles, Order};
 use crate::many::{self, name, Many};
-use crate::process::{planted_program, program};
+use crate::process::{failpoint_program, program};
 use crate::relays::Way;
 
 /// How often the views are asked for.
@@ -61,7 +61,7 @@
 
 /// What is proven.
 pub struct Told {
-    /// Seed and planted fault.
+    /// Seed and failpoint.
     pub order: Order,
     /// How many processes.
     pub members: usize,
@@ -411,8 +411,8 @@
 /// Proves it; the figures.
 pub fn prove(told: &Told) -> Result<Value, String> {
     let order = &told.order;
-    let program = if order.plant.is_some() {
-        planted_program()?
+    let program = if order.failpoint.is_some() {
+        failpoint_program()?
     } else {
         program()
     };
@@ -422,7 +422,7 @@
         seeds,
         interval_ms: told.interval_ms,
         program,
-        plant: order.plant.clone(),
+        failpoint: order.failpoint.clone(),
         seed: order.seed,
         talks: true,
         keepers: 0,
--- a/crates/asterdale-rig/src/proofs/mod.rs
+++ b/crates/asterdale-testkit/src/proofs/mod.rs
@@ -18,8 +18,8 @@
     pub seed: u64,
     /// How long the load lasts.
     pub seconds: u64,
-    /// A fault that is planted in the daemon: the proof must not hold then.
-    pub plant: Option<String>,
+    /// The failpoint that is active in the daemon: the proof must not hold then.
+    pub failpoint: Option<String>,
 }
 
 /// A histogram of milliseconds, in microseconds inside, up to a minute.
--- a/crates/asterdale-rig/src/proofs/restarts.rs
+++ b/crates/asterdale-testkit/src/proofs/restarts.rs
@@ -60,7 +60,7 @@
 
 /// What is proven.
 pub struct Told {
-    /// Seed and planted fault.
+    /// Seed and failpoint.
     pub order: Order,
     /// How many processes.
     pub members: usize,
@@ -380,12 +380,12 @@
 }
 
 /// Which faults come, in this order; a planted mistake is looked for where it shows.
-fn faults(plant: Option<&str>, rounds: u32) -> Vec<Fault> {
+fn faults(failpoint: Option<&str>, rounds: u32) -> Vec<Fault> {
     use Fault::{
         All, AllOneLost, AllOneRollback, Damaged, Half, Lost, One, Parted, Rollback, Second,
         Swapped, Twice,
     };
-    match plant {
+    match failpoint {
         Some("early") => vec![All; 12],
         Some("rollback") => vec![Rollback, AllOneRollback],
         Some("unlocked") => vec![Second],
@@ -464,7 +464,7 @@
     while !well() && began.elapsed() < Duration::from_secs(40) {
         wait(100);
     }
-    for fault in faults(order.plant.as_deref(), told.rounds) {
+    for fault in faults(order.failpoint.as_deref(), told.rounds) {
         eprintln!("{:.1} s: {fault:?}", began.elapsed().as_secs_f64());
         play.fault(fault)?;
         let ms = 300 + play.random.next_u64() % 900;
--- a/crates/asterdale-rig/src/proofs/rotation.rs
+++ b/crates/asterdale-testkit/src/proofs/rotation.rs
@@ -19,7 +19,7 @@
 use super::{histogram, quantiles, Order};
 use crate::caller::{Caller, Fate};
 use crate::issuer::{Issuer, Mood};
-use crate::process::{planted_program, program, Daemon, Recipe};
+use crate::process::{failpoint_program, program, Daemon, Recipe};
 use crate::worker::{result, Worker};
 use crate::{scripted, services, unix_ms};
 
@@ -739,8 +739,8 @@
 pub fn prove(order: &Order) -> Result<Value, String> {
     let told = |e: std::io::Error| e.to_string();
     let mut random = Pcg64Mcg::seed_from_u64(order.seed);
-    let program = if order.plant.is_some() {
-        planted_program()?
+    let program = if order.failpoint.is_some() {
+        failpoint_program()?
     } else {
         program()
     };
@@ -758,7 +758,7 @@
     let recipe = Recipe {
         program,
         start,
-        plant: order.plant.clone(),
+        failpoint: order.failpoint.clone(),
     };
     let now = unix_ms();
     // Something to begin with: a key that signs.
--- a/crates/asterdale-rig/src/proofs/takeover.rs
+++ b/crates/asterdale-testkit/src/proofs/takeover.rs
@@ -78,7 +78,7 @@
 
 /// What is proven.
 pub struct Told {
-    /// Seed and planted fault.
+    /// Seed and failpoint.
     pub order: Order,
     /// How many processes.
     pub members: usize,
@@ -471,8 +471,8 @@
 }
 
 /// Which faults come, in this order, so that a planted one is found in less than the whole time.
-fn faults(plant: Option<&str>, rounds: u32, lasts: bool) -> Vec<Fault> {
-    match plant {
+fn faults(failpoint: Option<&str>, rounds: u32, lasts: bool) -> Vec<Fault> {
+    match failpoint {
         Some("lease" | "outcome") => vec![Fault::CutOwner; 4],
         Some("unfenced") => vec![Fault::Third, Fault::Third, Fault::CutOwner],
         Some("empty") => vec![Fault::EmptyKeeper],
@@ -526,7 +526,7 @@
     play.phases
         .push(("none".to_owned(), unix_ms() - 3000.0, unix_ms()));
     let mut cuts = Vec::new();
-    for fault in faults(order.plant.as_deref(), told.rounds, told.lasts) {
+    for fault in faults(order.failpoint.as_deref(), told.rounds, told.lasts) {
         let (from, since) = (Instant::now(), unix_ms());
         eprintln!("{:.1} s: {fault:?}", began.elapsed().as_secs_f64());
         play.fault(fault)?;
@@ -550,7 +550,7 @@
             play.many.log(n).join("\n")
         );
     }
-    if order.plant.is_some() {
+    if order.failpoint.is_some() {
         // What keepers said, for a look at why a fault was found, or not.
         for n in 0..told.keepers {
             let said = play.many.log(n);
--- a/crates/asterdale-rig/src/proofs/upgrade.rs
+++ b/crates/asterdale-testkit/src/proofs/upgrade.rs
@@ -18,7 +18,7 @@
 
 use super::{histogram, quantiles, Order};
 use crate::caller::{Caller, Fate};
-use crate::process::{planted_program, program, Daemon, Recipe};
+use crate::process::{failpoint_program, program, Daemon, Recipe};
 use crate::worker::Worker;
 use crate::{scripted, services, unix_ms};
 
@@ -353,12 +353,12 @@
     worker: &Worker,
     records: SocketAddr,
     registry: SocketAddr,
-    plant: Option<String>,
+    failpoint: Option<String>,
 ) -> Result<(Site, SocketAddr, Recipe, Daemon), String> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let told = |e: std::io::Error| e.to_string();
-    let program = if plant.is_some() {
-        planted_program()?
+    let program = if failpoint.is_some() {
+        failpoint_program()?
     } else {
         program()
     };
@@ -379,7 +379,7 @@
     let recipe = Recipe {
         program: program.clone(),
         start,
-        plant,
+        failpoint,
     };
     let daemon = Daemon::start(&recipe)?;
     let site = Site {
@@ -402,7 +402,7 @@
         services::records().map_err(told)?,
         services::registry().map_err(told)?,
     );
-    let (site, at, _, mut daemon) = begin(&worker, records, registry, order.plant.clone())?;
+    let (site, at, _, mut daemon) = begin(&worker, records, registry, order.failpoint.clone())?;
     let play = Arc::new(Play {
         at,
         stop: AtomicBool::new(false),
--- a/crates/asterdale-rig/src/soak.rs
+++ b/crates/asterdale-testkit/src/soak.rs
@@ -55,7 +55,7 @@
     let daemon = Daemon::start(&Recipe {
         program: program(),
         start,
-        plant: None,
+        failpoint: None,
     })?;
     daemon.listens(at)?;
     Ok((daemon, at))
--- a/crates/asterdale-rig/src/third.rs
+++ b/crates/asterdale-testkit/src/third.rs
@@ -146,7 +146,7 @@
         seeds: 3.min(order.members),
         interval_ms: 200.0,
         program: program(),
-        plant: None,
+        failpoint: None,
         seed: order.seed,
         talks,
         // 33 a second on two cores: with a third of the fleet gone the default rate is more than the rest can do.
--- a/crates/asterdale-talk/src/actor.rs
+++ b/crates/asterdale-transport/src/actor.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale_members::message::MOST_DATAGRAM;
-use asterdale_members::{Action, Event, Fleet, Notes, Phase};
+use asterdale_membership::message::MOST_DATAGRAM;
+use asterdale_membership::{Action, Event, Fleet, Notes, Phase};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError};
 
 use crate::exchanges::{Exchanges, Word};
--- a/crates/asterdale-talk/src/control.rs
+++ b/crates/asterdale-transport/src/control.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use asterdale_takeover::keeper::Shown as KeeperShown;
+use asterdale_ownership::keeper::Shown as KeeperShown;
 use serde_json::json;
 
 use crate::shown::Shown;
--- a/crates/asterdale-talk/src/custody.rs
+++ b/crates/asterdale-transport/src/custody.rs
@@ -7,10 +7,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use asterdale_members::seal::Seal;
-use asterdale_takeover::keeper::{Shown, Start};
-use asterdale_takeover::message::{decode, member, What};
-use asterdale_takeover::{Action, Answer, Keeper, Owner, Save, Saved, Terms, Told, Want, Work};
+use asterdale_membership::seal::Seal;
+use asterdale_ownership::keeper::{Shown, Start};
+use asterdale_ownership::message::{decode, member, What};
+use asterdale_ownership::{Action, Answer, Keeper, Owner, Save, Saved, Terms, Told, Want, Work};
 use crossbeam_channel::{bounded, Receiver, Sender};
 
 use crate::links::Links;
--- a/crates/asterdale-talk/src/exchanges.rs
+++ b/crates/asterdale-transport/src/exchanges.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale_members::message::MOST_EXCHANGE;
+use asterdale_membership::message::MOST_EXCHANGE;
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use mio::net::TcpStream;
 use mio::unix::SourceFd;
--- a/crates/asterdale-talk/src/lib.rs
+++ b/crates/asterdale-transport/src/lib.rs
@@ -1,5 +1,5 @@
 //! The talk between the processes of a fleet, on real sockets: UDP for probes and news, TCP for exchanges of whole
-//! views. Who is there is decided by `asterdale-members`, which this drives: it owns the sockets, the clock and the
+//! views. Who is there is decided by `asterdale-membership`, which this drives: it owns the sockets, the clock and the
 //! threads, and decides nothing. All answers go to the addresses that the others advertise, never to where a message
 //! came from, so that a fleet works behind translated addresses.
 //!
@@ -22,8 +22,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use asterdale_members::seal::Seal;
-use asterdale_members::{Event, Fleet, Notes, Start};
+use asterdale_membership::seal::Seal;
+use asterdale_membership::{Event, Fleet, Notes, Start};
 use crossbeam_channel::{bounded, Sender};
 
 use actor::{Actor, Mail};
--- a/crates/asterdale-talk/src/shown.rs
+++ b/crates/asterdale-transport/src/shown.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use asterdale_members::{Fleet, Phase, Record, Status};
+use asterdale_membership::{Fleet, Phase, Record, Status};
 use serde::{Deserialize, Serialize};
 
 /// A process, as it is held.
--- a/crates/asterdale-talk/tests/sockets.rs
+++ b/crates/asterdale-transport/tests/sockets.rs
@@ -6,8 +6,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use asterdale_members::{Event, Notes, Phase, Start, Terms};
-use asterdale_talk::{begin, control, Place, Talk};
+use asterdale_membership::{Event, Notes, Phase, Start, Terms};
+use asterdale_transport::{begin, control, Place, Talk};
 
 const PATIENCE: Duration = Duration::from_secs(30);
 
@@ -65,7 +65,7 @@
 fn processes_find_each_other_tell_how_they_do_and_leave() {
     let (one, two) = (address(), address());
     let mut first = place("one", one, &[]);
-    let path = std::env::temp_dir().join(format!("asterdale-talk-{}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("asterdale-transport-{}", std::process::id()));
     first.control = Some(path.clone());
     let (first, _) = talk(first);
     let (second, events) = talk(place("two", two, &[one]));
