--- a/crates/asterdale-simulator/src/decider.rs
+++ b/crates/asterdale-simulator/src/decider.rs
@@ -3,8 +3,11 @@
 
 use std::collections::VecDeque;
 
-use asterdale::told::{Arrival, Below, FreeValue, Gauges, Halt, Outcome, Repeat, StageFacts, Told};
-use asterdale::{Handle, Machine, Server};
+use asterdale::parameters::{
+    Arrival, CapacityHint, ClassParameters, Dependency, Gauges, Idempotency, Outcome, Parameters,
+    Preemption,
+};
+use asterdale::{Actions, Handle, Server};
 
 use crate::experiment::{Experiment, Policy};
 
@@ -34,16 +37,16 @@
     Wake(f64),
 }
 
-/// Actions in the order in which they were asked for.
+/// ActionList in the order in which they were asked for.
 #[derive(Default)]
-pub struct Actions {
+pub struct ActionList {
     /// What is to be done.
     pub all: VecDeque<Action>,
     handles: Vec<Option<Handle>>,
 }
 
-impl Machine for Actions {
-    fn seat(&mut self, task: Handle) {
+impl Actions for ActionList {
+    fn accepted(&mut self, task: Handle) {
         let n = task.index();
         self.handles.resize(self.handles.len().max(n + 1), None);
         self.handles[n] = Some(task);
@@ -52,33 +55,33 @@
     fn release(&mut self, task: Handle) {
         self.all.push_back(Action::Release(task.index() as Seat));
     }
-    fn run(&mut self, task: Handle) {
+    fn start(&mut self, task: Handle) {
         self.all.push_back(Action::Run(task.index() as Seat));
     }
     fn stop(&mut self, _: Handle) {}
-    fn call(&mut self, _: Handle, _: f64) {}
+    fn start_call(&mut self, _: Handle, _: f64) {}
     fn skip_call(&mut self, _: Handle) {}
-    fn join(&mut self, task: Handle) {
+    fn join_earlier_attempt(&mut self, task: Handle) {
         self.all.push_back(Action::Join(task.index() as Seat));
     }
-    fn remember(&mut self, task: Handle, for_ms: f64) {
+    fn retain_idempotency_entry(&mut self, task: Handle, for_ms: f64) {
         self.all
             .push_back(Action::Remember(task.index() as Seat, for_ms));
     }
-    fn forget(&mut self, task: Handle) {
+    fn drop_idempotency_entry(&mut self, task: Handle) {
         self.all.push_back(Action::Forget(task.index() as Seat));
     }
     fn reject(&mut self, task: Handle, _: bool, stay_away_ms: f64) {
         self.all
             .push_back(Action::Reject(task.index() as Seat, stay_away_ms));
     }
-    fn abandon(&mut self, task: Handle) {
+    fn fail(&mut self, task: Handle) {
         self.all.push_back(Action::Abandon(task.index() as Seat));
     }
-    fn advertise(&mut self, _: f64) {}
-    fn health(&mut self, _: bool, _: bool) {}
-    fn close_idle(&mut self, _: f64) {}
-    fn wake(&mut self, at_ms: f64) {
+    fn publish_capacity_hint(&mut self, _: f64) {}
+    fn set_health(&mut self, _: bool, _: bool) {}
+    fn set_idle_timeout(&mut self, _: f64) {}
+    fn schedule_tick(&mut self, at_ms: f64) {
         self.all.push_back(Action::Wake(at_ms));
     }
 }
@@ -92,48 +95,48 @@
 }
 
 /// What the module is told of an experiment's servers.
-fn told(experiment: &Experiment, seed: u64, cold: bool) -> Told {
-    let stage = |stage: &crate::experiment::Stage| StageFacts {
-        due_ms: stage.due_ms,
-        limit_ms: stage.limit_ms,
-        utility: stage.utility,
-        late_share: stage.late_share,
-        without_call: 0.0,
-        calls: false,
-        repeat: if stage.fingerprinted {
-            Repeat::Fingerprinted
+fn told(experiment: &Experiment, seed: u64, cold: bool) -> Parameters {
+    let stage = |stage: &crate::experiment::Stage| ClassParameters {
+        objective_ms: stage.due_ms,
+        deadline_ms: stage.limit_ms,
+        weight: stage.utility,
+        late_weight_share: stage.late_share,
+        degraded_weight_share: 0.0,
+        makes_calls: false,
+        idempotency: if stage.fingerprinted {
+            Idempotency::Keyed
         } else {
-            Repeat::Restartable
+            Idempotency::Idempotent
         },
-        memory_ms: 2.0 * stage.limit_ms,
+        retry_window_ms: 2.0 * stage.limit_ms,
     };
-    Told {
+    Parameters {
         seed,
         cores: experiment.servers.cores,
         memory_kb: 1e12,
-        run_blowup: 1.0,
-        entry_kb: 1.0,
-        cold,
-        cold_share: 1.0,
-        cold_ms: 0.0,
-        crowd_factor: experiment.servers.deadly.min(1e6),
+        running_memory_factor: 1.0,
+        idempotency_entry_kb: 1.0,
+        slow_start: cold,
+        slow_start_share: 1.0,
+        slow_start_ms: 0.0,
+        overload_factor: experiment.servers.deadly.min(1e6),
         tick_ms: 1.0,
         drain_grace_ms: 0.0,
         servers: experiment.servers.count as f64,
         callers: experiment.edges.count as f64,
-        below: Below::Nothing,
-        calls_share: 0.0,
-        calls_window_ms: 1000.0,
-        linger_ms: 0.0,
-        idle_ms: 0.0,
-        fresh_ms: 0.0,
-        halt: Halt::Never,
-        free_value: FreeValue::Unused,
-        advice_ms: if experiment.edges.heeds { 1000.0 } else { 0.0 },
-        over_share_worth: 1.0,
-        by_work: false,
-        stages: experiment.stages.iter().map(stage).collect(),
-        customers: Vec::new(),
+        dependency: Dependency::Absent,
+        dependency_quota: 0.0,
+        dependency_window_ms: 1000.0,
+        call_linger_ms: 0.0,
+        idle_timeout_ms: 0.0,
+        response_reuse_ms: 0.0,
+        preemption: Preemption::Unsupported,
+        capacity_hint: CapacityHint::Unused,
+        max_retry_after_ms: if experiment.edges.heeds { 1000.0 } else { 0.0 },
+        over_quota_weight_share: 1.0,
+        weight_per_work: false,
+        classes: experiment.stages.iter().map(stage).collect(),
+        tenants: Vec::new(),
     }
 }
 
@@ -144,7 +147,7 @@
         seed: u64,
         now_ms: f64,
         cold: bool,
-        to: &mut Actions,
+        to: &mut ActionList,
     ) -> Decider {
         to.handles.clear();
         match experiment.servers.policy {
@@ -158,15 +161,15 @@
     }
 
     /// A task has been read.
-    pub fn take(&mut self, now_ms: f64, arrival: Arrival, to: &mut Actions) {
+    pub fn take(&mut self, now_ms: f64, arrival: Arrival, to: &mut ActionList) {
         match self {
-            Decider::Module(server) => drop(server.take(now_ms, arrival, to)),
+            Decider::Module(server) => drop(server.receive(now_ms, arrival, to)),
             Decider::Plain(plain) => plain.take(now_ms, to),
         }
     }
 
     /// It wanted to be asked now.
-    pub fn beat(&mut self, now_ms: f64, cpu: f64, on_cores: f64, to: &mut Actions) {
+    pub fn beat(&mut self, now_ms: f64, cpu: f64, on_cores: f64, to: &mut ActionList) {
         match self {
             Decider::Module(server) => {
                 let gauges = Gauges {
@@ -175,19 +178,19 @@
                     memory: None,
                     connections: None,
                 };
-                server.beat(now_ms, gauges, to);
+                server.tick(now_ms, gauges, to);
             }
             Decider::Plain(plain) => plain.beat(now_ms, to),
         }
     }
 
     /// A run, or what a task had joined, is over.
-    pub fn over(&mut self, now_ms: f64, seat: Seat, well: bool, to: &mut Actions) {
+    pub fn over(&mut self, now_ms: f64, seat: Seat, well: bool, to: &mut ActionList) {
         match self {
             Decider::Module(server) => {
-                let how = if well { Outcome::Ok } else { Outcome::Error };
+                let how = if well { Outcome::Ok } else { Outcome::Failed };
                 if let Some(handle) = to.handles.get(seat as usize).copied().flatten() {
-                    handle.run_over(server, now_ms, how, to);
+                    handle.run_ended(server, now_ms, how, to);
                 }
             }
             Decider::Plain(plain) => plain.over(now_ms, seat, to),
@@ -195,11 +198,11 @@
     }
 
     /// Nobody waits any more.
-    pub fn left(&mut self, now_ms: f64, seat: Seat, to: &mut Actions) {
+    pub fn left(&mut self, now_ms: f64, seat: Seat, to: &mut ActionList) {
         match self {
             Decider::Module(server) => {
                 if let Some(handle) = to.handles.get(seat as usize).copied().flatten() {
-                    handle.caller_left(server, now_ms, to);
+                    handle.caller_gone(server, now_ms, to);
                 }
             }
             Decider::Plain(plain) => plain.left(seat, to),
@@ -209,7 +212,7 @@
     /// The limit of running tasks, where there is one.
     pub fn limit(&self) -> f64 {
         match self {
-            Decider::Module(server) => server.gist().limit,
+            Decider::Module(server) => server.summary().limit,
             Decider::Plain(plain) => plain.limit,
         }
     }
@@ -237,7 +240,7 @@
 }
 
 impl Plain {
-    fn new(policy: Policy, cores: f64, now_ms: f64, to: &mut Actions) -> Plain {
+    fn new(policy: Policy, cores: f64, now_ms: f64, to: &mut ActionList) -> Plain {
         let limit = match policy {
             Policy::Everything => f64::INFINITY,
             Policy::Fixed(limit) => limit as f64,
@@ -260,7 +263,7 @@
         }
     }
 
-    fn take(&mut self, now_ms: f64, to: &mut Actions) {
+    fn take(&mut self, now_ms: f64, to: &mut ActionList) {
         let seat = self.free.pop().unwrap_or(self.started.len() as Seat);
         if seat as usize == self.started.len() {
             self.started.push(None);
@@ -281,19 +284,19 @@
         }
     }
 
-    fn start(&mut self, now_ms: f64, seat: Seat, to: &mut Actions) {
+    fn start(&mut self, now_ms: f64, seat: Seat, to: &mut ActionList) {
         self.started[seat as usize] = Some(now_ms);
         self.running += 1;
         to.all.push_back(Action::Run(seat));
     }
 
-    fn turn_away(&mut self, seat: Seat, to: &mut Actions) {
+    fn turn_away(&mut self, seat: Seat, to: &mut ActionList) {
         to.all.push_back(Action::Reject(seat, 0.0));
         to.all.push_back(Action::Release(seat));
         self.free.push(seat);
     }
 
-    fn over(&mut self, now_ms: f64, seat: Seat, to: &mut Actions) {
+    fn over(&mut self, now_ms: f64, seat: Seat, to: &mut ActionList) {
         let Some(started) = self.started[seat as usize].take() else {
             return;
         };
@@ -318,7 +321,7 @@
         }
     }
 
-    fn beat(&mut self, now_ms: f64, to: &mut Actions) {
+    fn beat(&mut self, now_ms: f64, to: &mut ActionList) {
         if self.policy == Policy::Aimd {
             self.limit = if self.slow {
                 (0.9 * self.limit).max(1.0)
@@ -331,7 +334,7 @@
     }
 
     /// What runs goes on: these know no other way.
-    fn left(&mut self, seat: Seat, to: &mut Actions) {
+    fn left(&mut self, seat: Seat, to: &mut ActionList) {
         if let Some(n) = self.held.iter().position(|(held, _)| *held == seat) {
             self.held.remove(n);
             self.free.push(seat);
--- a/crates/asterdale-simulator/src/world.rs
+++ b/crates/asterdale-simulator/src/world.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use asterdale::told::Arrival;
+use asterdale::parameters::Arrival;
 use hdrhistogram::Histogram;
 
 use crate::chance::Chance;
-use crate::decider::{Action, Actions, Decider, Seat};
+use crate::decider::{Action, ActionList, Decider, Seat};
 use crate::edge::{Edge, Ring};
 use crate::experiment::{Experiment, Trouble};
 use crate::machine::{Cores, Place};
@@ -96,7 +96,7 @@
 struct Machine {
     cores: Cores,
     decider: Option<Decider>,
-    actions: Actions,
+    actions: ActionList,
     life: u32,
     paused: bool,
     /// What came while it was paused.
@@ -157,7 +157,7 @@
         let machine = |_| Machine {
             cores: Cores::new(experiment.servers.cores, experiment.servers.crowd),
             decider: None,
-            actions: Actions::default(),
+            actions: ActionList::default(),
             life: 0,
             paused: false,
             waiting: Vec::new(),
@@ -626,14 +626,14 @@
         let now = self.now;
         let known = key.and_then(|key| self.servers[server].known.get(&key));
         let arrival = Arrival {
-            stage: task.stage,
-            customer: 0,
+            class: task.stage,
+            tenant: 0,
             caller: task.edge,
             unread_ms: millis(now - arrived),
-            left_ms: Some(millis(by.saturating_sub(now))),
-            hint_ms: Some(stage.work_ms),
-            kb: 1.0,
-            repeat: known.is_some_and(|(_, until, _)| arrived < *until),
+            remaining_ms: Some(millis(by.saturating_sub(now))),
+            cost_hint_ms: Some(stage.work_ms),
+            memory_kb: 1.0,
+            is_repeat: known.is_some_and(|(_, until, _)| arrived < *until),
         };
         let machine = &mut self.servers[server];
         if let Some(decider) = &mut machine.decider {
--- a/crates/asterdale/src/decide.rs
+++ b/crates/asterdale/src/decide.rs
@@ -5,10 +5,12 @@
 //! asked for by `Machine::wake`. Answers go out through `Machine` (machine.rs); the plain types are in
 //! told.rs, what is kept in state.rs. Times are ms.
 
-use crate::machine::Machine;
+use crate::actions::Actions;
 use crate::measure::{Ring, Spread};
+use crate::parameters::{
+    Arrival, CapacityHint, Dependency, Gauges, Idempotency, Outcome, Parameters, Preemption,
+};
 use crate::state::{Customer, Stage, State, Task};
-use crate::told::{Arrival, Below, FreeValue, Gauges, Halt, Outcome, Repeat, Told};
 
 pub use crate::state::{Handle, Server};
 
@@ -27,16 +29,20 @@
 
 impl Server {
     /// A server that has just started.
-    pub fn start(told: Told, now: f64, m: &mut dyn Machine) -> Server {
+    pub fn start(told: Parameters, now: f64, m: &mut dyn Actions) -> Server {
         let mut server = Server::blank(told, now);
         let told = &server.told;
         let recent = || Ring::new(WINDOWS as f64 * UPDATE, WINDOWS, now);
-        let longest = told.stages.iter().map(|s| s.memory_ms).fold(0.0, f64::max);
+        let longest = told
+            .classes
+            .iter()
+            .map(|s| s.retry_window_ms)
+            .fold(0.0, f64::max);
         server.entries = Ring::new(1.1 * longest, 64, now);
-        server.call_time = Ring::new(1.05 * told.calls_window_ms, 21, now);
+        server.call_time = Ring::new(1.05 * told.dependency_window_ms, 21, now);
         server.limit = told.cores;
         // Grown as it is used; with two, one call can time the layer while another is out.
-        server.call_window = if told.below == Below::Shared {
+        server.call_window = if told.dependency == Dependency::Shared {
             2.0
         } else {
             told.cores
@@ -53,14 +59,14 @@
         server.next_pin = now + server.pin_gap();
         server.credit = server.crowd_ceiling();
         // Checks are answered from store: real ones cost cores and calls when both are short.
-        m.health(true, true);
-        m.wake(now + BEAT);
+        m.set_health(true, true);
+        m.schedule_tick(now + BEAT);
         server
     }
 
     /// The runtime says when it began, after requests had come already; or another one has taken its place.
-    pub fn runtime_began(&mut self, cold: bool, at: f64) {
-        (self.told.cold, self.born) = (cold, at);
+    pub fn runtime_started(&mut self, cold: bool, at: f64) {
+        (self.told.slow_start, self.born) = (cold, at);
     }
 
     fn in_state(&self, state: State) -> usize {
@@ -68,11 +74,11 @@
     }
 
     fn stage(&self, task: &Task) -> &Stage {
-        &self.stages[task.asked.stage]
+        &self.stages[task.asked.class]
     }
 
     fn restartable(&self, task: &Task) -> bool {
-        self.stage(task).facts.repeat == Repeat::Restartable
+        self.stage(task).facts.idempotency == Idempotency::Idempotent
     }
 
     // ---- The limiter ----
@@ -84,16 +90,17 @@
 
     /// The part of its speed that a server has at least, by the ramp it is guaranteed.
     fn warmth(&self, now: f64) -> f64 {
-        if !self.told.cold || now >= self.born + self.told.cold_ms {
+        if !self.told.slow_start || now >= self.born + self.told.slow_start_ms {
             return 1.0;
         }
-        self.told.cold_share + (1.0 - self.told.cold_share) * (now - self.born) / self.told.cold_ms
+        self.told.slow_start_share
+            + (1.0 - self.told.slow_start_share) * (now - self.born) / self.told.slow_start_ms
     }
 
     /// Tasks that may be running or at a call: all of them could want the cores at once. Four fifths of the
     /// crowd that kills, since it is an average and tasks come back from calls between our looks.
     fn crowd_ceiling(&self) -> f64 {
-        let spread = (self.told.crowd_factor - 1.0) * self.warmth(self.last_beat);
+        let spread = (self.told.overload_factor - 1.0) * self.warmth(self.last_beat);
         (0.8 * self.told.cores * (1.0 + spread)).max(1.0)
     }
 
@@ -181,9 +188,9 @@
         }
         // A cold start's times would stand as the base for minutes: they count at the guaranteed speed.
         let had = task.had + self.core_time - task.mark;
-        let unit = had * self.warmth(now) / task.asked.hint_ms.unwrap_or(1.0).max(1e-3);
+        let unit = had * self.warmth(now) / task.asked.cost_hint_ms.unwrap_or(1.0).max(1e-3);
         let (pinned, pinned_at) = (self.pinned, self.pinned_at);
-        let stage = &mut self.stages[task.asked.stage];
+        let stage = &mut self.stages[task.asked.class];
         // Runs at three times the base tell of trouble, not of calm; only a pin may raise the base so far.
         if !(task.calm || (pinned && task.started >= pinned_at))
             || (!pinned && stage.base > 0.0 && unit > 3.0 * stage.base)
@@ -216,7 +223,7 @@
     fn base(&self, task: &Task) -> f64 {
         let stage = self.stage(task);
         task.asked
-            .hint_ms
+            .cost_hint_ms
             .map_or(stage.base, |hint| hint * self.likely_base(stage))
     }
 
@@ -231,24 +238,29 @@
     /// comes to this server, is worth little, and no task says which it is.
     fn in_share(&self, customer: &Customer) -> f64 {
         let rate = customer.read.total() / (WINDOWS as f64 * UPDATE / 1000.0);
-        let due = customer.facts.allowance_per_s / self.servers().max(1.0);
+        let due = customer.facts.quota_per_s / self.servers().max(1.0);
         if rate <= due {
             return 1.0;
         }
-        (due + (rate - due) * self.told.over_share_worth) / rate
+        (due + (rate - due) * self.told.over_quota_weight_share) / rate
     }
 
     /// Utility that can still be had for each unit of core work.
     fn density(&self, task: &Task, now: f64) -> f64 {
         let stage = self.stage(task);
         let late = now + self.expected(task) > task.aim;
-        let utility = stage.facts.utility * if late { stage.facts.late_share } else { 1.0 };
-        let cost = if self.told.by_work {
+        let utility = stage.facts.weight
+            * if late {
+                stage.facts.late_weight_share
+            } else {
+                1.0
+            };
+        let cost = if self.told.weight_per_work {
             1.0
         } else {
             self.likely_base(stage).max(1e-6)
         };
-        utility * self.in_share(&self.customers[task.asked.customer]) / cost
+        utility * self.in_share(&self.customers[task.asked.tenant]) / cost
     }
 
     fn held(&self) -> impl Iterator<Item = u32> + '_ {
@@ -272,7 +284,7 @@
     fn worst_held(&self, now: f64) -> Option<u32> {
         let rank = |n: u32| {
             let task = &self.tasks[n as usize];
-            let customer = &self.customers[task.asked.customer];
+            let customer = &self.customers[task.asked.tenant];
             (-(customer.held as f64), self.density(task, now))
         };
         self.held()
@@ -284,17 +296,17 @@
     // ---- Taking and running ----
 
     /// A task has been read. Its final answer is owed from now on.
-    pub fn take(&mut self, now: f64, mut asked: Arrival, m: &mut dyn Machine) -> Handle {
+    pub fn receive(&mut self, now: f64, mut asked: Arrival, m: &mut dyn Actions) -> Handle {
         self.pass_time(now);
-        asked.customer = asked.customer.min(self.customers.len() - 1);
-        let facts = &self.stages[asked.stage].facts;
-        let (repeat, memory_ms) = (facts.repeat, facts.memory_ms);
+        asked.tenant = asked.tenant.min(self.customers.len() - 1);
+        let facts = &self.stages[asked.class].facts;
+        let (repeat, memory_ms) = (facts.idempotency, facts.retry_window_ms);
         let wait = asked
-            .left_ms
-            .unwrap_or((facts.limit_ms - asked.unread_ms).max(0.0));
+            .remaining_ms
+            .unwrap_or((facts.deadline_ms - asked.unread_ms).max(0.0));
         let mut task = Task::read(asked, now);
         task.due = (now + wait).min(self.leaving.map_or(f64::INFINITY, |(_, stop)| stop));
-        task.aim = (task.arrived + facts.due_ms).min(now + wait);
+        task.aim = (task.arrived + facts.objective_ms).min(now + wait);
         let n = self.free.pop().unwrap_or(self.tasks.len() as u32);
         if n as usize == self.tasks.len() {
             self.tasks.push(task);
@@ -302,8 +314,8 @@
         self.tasks[n as usize] = task;
         self.live.push(n);
         self.enter(n, State::Held);
-        m.seat(Handle(n));
-        self.customers[asked.customer].read.add(1.0);
+        m.accepted(Handle(n));
+        self.customers[asked.tenant].read.add(1.0);
         let weight = if self.unread_best.is_finite() {
             0.05
         } else {
@@ -319,18 +331,18 @@
         // A hundredth is left of a task after some 20 s, about as long as callers keep connections.
         self.again += 0.05 * (f64::from(self.callers[asked.caller] > 0.01) - self.again);
         self.callers[asked.caller] += 1.0;
-        if asked.repeat && (repeat == Repeat::Fingerprinted || self.told.fresh_ms > 0.0) {
+        if asked.is_repeat && (repeat == Idempotency::Keyed || self.told.response_reuse_ms > 0.0) {
             self.enter(n, State::Joined);
             self.tasks[n as usize].ran = true;
-            m.join(Handle(n));
+            m.join_earlier_attempt(Handle(n));
             return Handle(n);
         }
         // Safe drain: what arrived too long after the notice must not run, however early it is read.
         let late = self
             .leaving
             .is_some_and(|(notice, _)| task.arrived > notice + self.told.drain_grace_ms);
-        let entry = if repeat == Repeat::Fingerprinted {
-            self.told.entry_kb
+        let entry = if repeat == Idempotency::Keyed {
+            self.told.idempotency_entry_kb
         } else {
             0.0
         };
@@ -339,30 +351,31 @@
             return Handle(n);
         }
         // Remembered before it can run: a repeat of a task that is still held must be known too.
-        if repeat == Repeat::Fingerprinted {
+        if repeat == Idempotency::Keyed {
             // The window counts from the arrival; two ticks more cover the rounding of times to batches.
             let for_ms = memory_ms - asked.unread_ms + 2.0 * self.told.tick_ms;
             let bucket = ((now + for_ms) / self.entries.width) as u64 + 1;
             *self.entries.cell(bucket) += 1.0;
             self.memory += entry;
             self.tasks[n as usize].entry = Some(bucket);
-            m.remember(Handle(n), for_ms);
-        } else if repeat == Repeat::Restartable && self.told.fresh_ms > 0.0 {
-            m.remember(Handle(n), self.told.fresh_ms);
+            m.retain_idempotency_entry(Handle(n), for_ms);
+        } else if repeat == Idempotency::Idempotent && self.told.response_reuse_ms > 0.0 {
+            m.retain_idempotency_entry(Handle(n), self.told.response_reuse_ms);
         }
         self.pump(now, m);
         Handle(n)
     }
 
     /// Starts what may start, then turns away what has no place.
-    fn pump(&mut self, now: f64, m: &mut dyn Machine) {
+    fn pump(&mut self, now: f64, m: &mut dyn Actions) {
         let inside = (self.in_state(State::Held) + self.in_state(State::Running)) as f64;
         self.busiest[0] = self.busiest[0].max(inside);
         while let Some(n) = self.best_held(now) {
             let task = self.tasks[n as usize];
             let running = self.in_state(State::Running);
             let crowd = running + self.in_state(State::Parked) + self.in_state(State::Calling);
-            let memory = self.memory + task.asked.kb * (self.told.run_blowup - 1.0);
+            let memory =
+                self.memory + task.asked.memory_kb * (self.told.running_memory_factor - 1.0);
             let fits = memory <= MEMORY_PART * self.told.memory_kb || crowd == 0;
             if running as f64 >= self.width().floor()
                 || crowd as f64 >= self.crowd_ceiling().floor()
@@ -378,7 +391,7 @@
             let task = &mut self.tasks[n as usize];
             (task.started, task.ran, task.calm, task.mark) = (now, true, true, self.core_time);
             self.note_crowd();
-            m.run(Handle(n));
+            m.start(Handle(n));
         }
         // Cores full: what is over the limit is refused early. The hold keeps one place a core, to choose by.
         let places = self.told.cores.max(self.limit / 2.0);
@@ -402,11 +415,11 @@
     /// pace would never be measured again.
     fn hopeless(&self, task: &Task, now: f64) -> bool {
         let facts = &self.stage(task).facts;
-        let late_earns = facts.late_share > 0.0 && !self.cores_full;
+        let late_earns = facts.late_weight_share > 0.0 && !self.cores_full;
         let last = if late_earns { task.due } else { task.aim };
         // Work that can't do without its call only wears the cores while the queue for calls is too long.
         let mut end = now + self.expected(task);
-        if facts.calls && facts.without_call <= 0.0 {
+        if facts.makes_calls && facts.degraded_weight_share <= 0.0 {
             end += self.in_state(State::Parked) as f64 * self.call_turn() + self.call_ms;
         }
         now >= last || (end > last && self.in_state(State::Running) > 0)
@@ -415,22 +428,22 @@
     /// Moves a task to another state, keeping the counts and the memory.
     fn enter(&mut self, n: u32, to: State) {
         let task = &mut self.tasks[n as usize];
-        let blowup = self.told.run_blowup;
+        let blowup = self.told.running_memory_factor;
         let kb = |state: State| match state {
             State::Free => 0.0,
-            State::Held | State::Joined => task.asked.kb,
-            _ => task.asked.kb * blowup,
+            State::Held | State::Joined => task.asked.memory_kb,
+            _ => task.asked.memory_kb * blowup,
         };
         self.memory += kb(to) - kb(task.state);
-        self.customers[task.asked.customer].held += (to == State::Held) as usize;
-        self.customers[task.asked.customer].held -= (task.state == State::Held) as usize;
+        self.customers[task.asked.tenant].held += (to == State::Held) as usize;
+        self.customers[task.asked.tenant].held -= (task.state == State::Held) as usize;
         self.count[to as usize] += 1;
         self.count[task.state as usize] = self.count[task.state as usize].saturating_sub(1);
         task.state = to;
     }
 
     /// The task is over for good.
-    fn release(&mut self, n: u32, m: &mut dyn Machine) {
+    fn release(&mut self, n: u32, m: &mut dyn Actions) {
         self.enter(n, State::Free);
         self.live.retain(|&other| other != n);
         self.free.push(n);
@@ -438,12 +451,12 @@
     }
 
     /// Answers at once a task that will not be finished here, and stops its work where that is possible.
-    fn give_up(&mut self, n: u32, m: &mut dyn Machine) {
+    fn give_up(&mut self, n: u32, m: &mut dyn Actions) {
         let task = self.tasks[n as usize];
         let restartable = self.restartable(&task);
         if !task.answered {
             if task.ran && (!restartable || task.state == State::Joined) {
-                m.abandon(Handle(n));
+                m.fail(Handle(n));
             } else {
                 let (last, stay) = self.advice();
                 m.reject(Handle(n), last, stay);
@@ -453,12 +466,14 @@
             self.tasks[n as usize].answered = true;
         }
         match task.state {
-            State::Running if restartable && self.told.halt != Halt::Never => m.stop(Handle(n)),
+            State::Running if restartable && self.told.preemption != Preemption::Unsupported => {
+                m.stop(Handle(n))
+            }
             State::Held | State::Joined => {
                 if let Some(bucket) = task.entry.filter(|&bucket| bucket > self.entries.clock) {
                     *self.entries.cell(bucket) -= 1.0;
-                    self.memory -= self.told.entry_kb;
-                    m.forget(Handle(n));
+                    self.memory -= self.told.idempotency_entry_kb;
+                    m.drop_idempotency_entry(Handle(n));
                 }
                 self.release(n, m);
             }
@@ -468,7 +483,7 @@
 
     /// What a rejection says: whether this try was the last, and how long to stay away.
     fn advice(&mut self) -> (bool, f64) {
-        let most = self.told.advice_ms;
+        let most = self.told.max_retry_after_ms;
         if self.leaving.is_some() {
             return (false, most);
         }
@@ -486,7 +501,7 @@
         let ours = share <= FEW;
         // Where no credit steers callers, the stay has to: a long one moves work to those with room (four
         // would drown in it). Else it is as long as rejections are many: no cores lie idle.
-        let moves = ours && self.told.free_value != FreeValue::Credit;
+        let moves = ours && self.told.capacity_hint != CapacityHint::Credit;
         let part = if moves {
             1.0 - 4.0 / self.servers().max(4.0)
         } else {
@@ -508,15 +523,15 @@
 
     /// So many others are there, and so many of them take work and are warm; `None` where that is not known.
     /// A hint: it may be old or wrong, and bends what is advised and whose share is what, never what may run.
-    pub fn fleet(&mut self, others: Option<(f64, f64)>) {
+    pub fn set_peers(&mut self, others: Option<(f64, f64)>) {
         self.others = others;
     }
 
     // ---- Time ----
 
     /// The regular look at everything that depends on time.
-    pub fn beat(&mut self, now: f64, gauges: Gauges, m: &mut dyn Machine) {
-        m.wake(now + BEAT);
+    pub fn tick(&mut self, now: f64, gauges: Gauges, m: &mut dyn Actions) {
+        m.schedule_tick(now + BEAT);
         self.pass_time(now);
         // What one run has had of a core, by all that wants one: reading, checks and runs share them.
         let share = gauges
@@ -543,8 +558,9 @@
             if task.answered || task.state == State::Free {
                 continue;
             }
-            let worthless =
-                self.cores_full && now >= task.aim && self.stage(&task).facts.late_share <= 0.0;
+            let worthless = self.cores_full
+                && now >= task.aim
+                && self.stage(&task).facts.late_weight_share <= 0.0;
             // Early is a sixth of the time to the aim (by a caller's whole wait, stages with patient callers
             // took the places) and half of what a core takes to come free (all of it is too late on many).
             let early = (task.aim - task.arrived) / 6.0 + 0.5 * self.run_ms / self.told.cores;
@@ -555,7 +571,9 @@
                 // Work that earns nothing any more takes full cores from work that does. With room it goes
                 // on: a late answer is no loss, work thrown away is.
                 State::Running | State::Calling => {
-                    worthless && self.restartable(&task) && self.told.halt != Halt::Never
+                    worthless
+                        && self.restartable(&task)
+                        && self.told.preemption != Preemption::Unsupported
                 }
                 _ => false,
             };
@@ -569,7 +587,7 @@
 
     /// Rolls everything that is kept by time on to now.
     fn pass_time(&mut self, now: f64) {
-        self.memory -= self.entries.roll(now) * self.told.entry_kb;
+        self.memory -= self.entries.roll(now) * self.told.idempotency_entry_kb;
         for customer in &mut self.customers {
             customer.read.roll(now);
         }
@@ -581,7 +599,7 @@
         // Calls to a shared dependency go out evenly. All servers see it slow and recover in the same moment:
         // were each to make the calls it has waiting at once, their sum would tip it over again, though each
         // stays within its slice over time. So a call that took long is followed by a longer pause.
-        if self.told.below == Below::Shared {
+        if self.told.dependency == Dependency::Shared {
             let earned = (self.call_slice() - self.in_state(State::Calling) as f64) * since;
             self.call_credit = (self.call_credit + earned).min(10.0 * BEAT * self.call_slice());
         }
@@ -589,20 +607,20 @@
     }
 
     /// The notice to leave: the process is stopped after `left_ms`.
-    pub fn leave(&mut self, now: f64, left_ms: f64, m: &mut dyn Machine) {
+    pub fn drain(&mut self, now: f64, left_ms: f64, m: &mut dyn Actions) {
         let stop = now + left_ms - 2.0 * BEAT;
         self.leaving = Some((now, stop));
         for &n in &self.live {
             let task = &mut self.tasks[n as usize];
             task.due = task.due.min(stop);
         }
-        m.health(false, true);
+        m.set_health(false, true);
         self.pump(now, m);
     }
 
     /// Once an update: how many tasks each caller should keep here, where callers heed that.
-    fn say(&mut self, m: &mut dyn Machine) {
-        if self.told.free_value == FreeValue::Credit {
+    fn say(&mut self, m: &mut dyn Actions) {
+        if self.told.capacity_hint == CapacityHint::Credit {
             // Cut by a share while tasks are turned away, else grown by one a caller; between one task a
             // core and twice what the limit lets run beside the calls. A slow server asks for less by as
             // much as it is slow, and never for nothing: it could not see that it has recovered. Callers
@@ -624,7 +642,7 @@
             };
             let most = CREDIT * (self.limit + at_call) / callers;
             self.credit = next.clamp((self.told.cores / callers).min(most), most);
-            m.advertise(self.credit / self.pace.max(1.0));
+            m.publish_capacity_hint(self.credit / self.pace.max(1.0));
         }
         self.turned_away = 0;
         self.callers.iter_mut().for_each(|n| *n *= 0.9);
@@ -637,11 +655,11 @@
             (self.cpu / 0.75).powi(2).clamp(0.5, 2.0)
         };
         // At most half of the callers' own limit: a cut acts only from the next use of a connection on.
-        let most = if self.again > 0.5 { 1.0 } else { 0.5 } * self.told.idle_ms;
+        let most = if self.again > 0.5 { 1.0 } else { 0.5 } * self.told.idle_timeout_ms;
         let idle = (room * self.idle).clamp(most.min(500.0), most);
         if idle != self.idle {
             self.idle = idle;
-            m.close_idle(idle);
+            m.set_idle_timeout(idle);
         }
     }
 
@@ -654,7 +672,7 @@
     /// A shared dependency takes twice as long as it mostly does: the doubling that the design allows to
     /// runs. A tier below turns away by itself what is too much for it.
     fn calls_slow(&self) -> bool {
-        self.told.below == Below::Shared
+        self.told.dependency == Dependency::Shared
             && self.call_times.total >= 20
             && self.call_ms > 2.0 * self.call_times.quantile(0.5)
     }
@@ -663,8 +681,8 @@
     fn cut_calls(&mut self, now: f64) {
         if now - self.cut_at > self.call_ms {
             self.cut_at = now;
-            let slice = (0.2 * self.told.calls_share).max(1.0); // a layer slows long before it falls over
-            let least = if self.told.below == Below::Shared {
+            let slice = (0.2 * self.told.dependency_quota).max(1.0); // a layer slows long before it falls over
+            let least = if self.told.dependency == Dependency::Shared {
                 slice
             } else {
                 self.told.cores
@@ -675,12 +693,12 @@
 
     /// The calls that a shared dependency takes from us at once, on average and often under one.
     fn call_slice(&self) -> f64 {
-        (CALL_PART * self.told.calls_share).max(1e-6)
+        (CALL_PART * self.told.dependency_quota).max(1e-6)
     }
 
     /// How long a place in the queue for calls takes.
     fn call_turn(&self) -> f64 {
-        let at_once = if self.told.below == Below::Shared {
+        let at_once = if self.told.dependency == Dependency::Shared {
             self.call_slice()
         } else {
             f64::INFINITY
@@ -693,7 +711,7 @@
         if self.calls_in_hand() >= self.call_window.floor().max(1.0) {
             return 0.0;
         }
-        if self.told.below != Below::Shared {
+        if self.told.dependency != Dependency::Shared {
             return f64::INFINITY;
         }
         // Our slice of what the dependency survives, as an average, with every call in hand reckoned to
@@ -709,11 +727,13 @@
             .map(lasting)
             .chain(self.lingering.iter().map(|at| at - now))
             .sum();
-        0.9 * self.told.calls_share * self.told.calls_window_ms - self.call_time.total() - reserved
+        0.9 * self.told.dependency_quota * self.told.dependency_window_ms
+            - self.call_time.total()
+            - reserved
     }
 
     /// Places the calls that wait, those that can't be left out first; leaves out those that come too late.
-    fn place_calls(&mut self, now: f64, m: &mut dyn Machine) {
+    fn place_calls(&mut self, now: f64, m: &mut dyn Actions) {
         if self.in_state(State::Parked) == 0 {
             return;
         }
@@ -722,7 +742,7 @@
         let rank = |n: u32| {
             let task = &self.tasks[n as usize];
             (
-                self.stage(task).facts.without_call > 0.0,
+                self.stage(task).facts.degraded_weight_share > 0.0,
                 -self.density(task, now),
             )
         };
@@ -737,9 +757,9 @@
             if task.answered {
                 continue;
             }
-            let can_skip = self.stage(&task).facts.without_call > 0.0;
+            let can_skip = self.stage(&task).facts.degraded_weight_share > 0.0;
             // What is left for the call if the rest, about half a run, is to end in time.
-            let late_earns = self.stage(&task).facts.late_share > 0.0 && !can_skip;
+            let late_earns = self.stage(&task).facts.late_weight_share > 0.0 && !can_skip;
             let last = if late_earns { task.due } else { task.aim };
             let spare = last - (0.5 * self.expected(&task)).max(2.0 * BEAT) - now;
             let turn = ahead * self.call_turn() + (-self.call_credit).max(0.0) / self.call_slice();
@@ -753,12 +773,12 @@
             } else if now >= task.not_before && self.call_credit >= 0.0 {
                 // What takes sixteen times the usual is not coming, and keeps its place from others.
                 let spare = spare.min((16.0 * self.call_ms).max(4.0 * BEAT));
-                let patience = spare.min(self.call_room(now) - self.told.linger_ms);
+                let patience = spare.min(self.call_room(now) - self.told.call_linger_ms);
                 if patience >= spare.min(4.0 * self.call_ms).max(BEAT) {
                     ahead -= 1.0;
                     self.enter(n, State::Calling);
-                    self.tasks[n as usize].until = now + patience + self.told.linger_ms;
-                    m.call(Handle(n), patience);
+                    self.tasks[n as usize].until = now + patience + self.told.call_linger_ms;
+                    m.start_call(Handle(n), patience);
                 }
             }
         }
@@ -777,7 +797,7 @@
 
 impl Handle {
     /// The run needs a call below before it can go on.
-    pub fn needs_call(self, server: &mut Server, now: f64, m: &mut dyn Machine) {
+    pub fn call_needed(self, server: &mut Server, now: f64, m: &mut dyn Actions) {
         server.pass_time(now);
         if server.tasks[self.index()].state == State::Running {
             server.enter(self.0, State::Parked);
@@ -791,13 +811,13 @@
     }
 
     /// The call ended. After a success the run goes on by itself.
-    pub fn call_over(
+    pub fn call_ended(
         self,
         server: &mut Server,
         now: f64,
         how: Outcome,
         took_ms: f64,
-        m: &mut dyn Machine,
+        m: &mut dyn Actions,
     ) {
         server.pass_time(now);
         let task = server.tasks[self.index()];
@@ -829,13 +849,13 @@
             return;
         }
         server.enter(self.0, State::Parked);
-        if matches!(how, Outcome::Timeout | Outcome::Reset) {
+        if matches!(how, Outcome::TimedOut | Outcome::Reset) {
             server.call_ms += 0.2 * (timed - server.call_ms).max(0.0);
-            server.lingering.push(now + server.told.linger_ms);
+            server.lingering.push(now + server.told.call_linger_ms);
         }
         server.call_fails += 0.1 * (1.0 - server.call_fails);
         // One server of a tier may fail alone, and a spoilt reply tells of no crowd: only most failing does.
-        let full = server.told.below == Below::Shared && how == Outcome::Full;
+        let full = server.told.dependency == Dependency::Shared && how == Outcome::Rejected;
         if full || server.call_fails > 0.5 {
             server.cut_calls(now);
         }
@@ -845,7 +865,7 @@
         server.tasks[self.index()].not_before = now + wait;
         // No effect twice: a call that may have run is not made again.
         if !server.restartable(&task) && !how.never_ran() {
-            if server.stage(&task).facts.without_call > 0.0 {
+            if server.stage(&task).facts.degraded_weight_share > 0.0 {
                 server.tasks[self.index()].tries = u32::MAX; // so it is left out
             } else {
                 server.give_up(self.0, m);
@@ -855,17 +875,17 @@
     }
 
     /// The run is over, or the join is.
-    pub fn run_over(self, server: &mut Server, now: f64, how: Outcome, m: &mut dyn Machine) {
+    pub fn run_ended(self, server: &mut Server, now: f64, how: Outcome, m: &mut dyn Actions) {
         server.pass_time(now);
         let task = server.tasks[self.index()];
         if task.state == State::Running && how == Outcome::Ok {
             server.sample(task, now);
         }
         if task.state == State::Calling {
-            server.lingering.push(now + server.told.linger_ms); // given up with its call out, which may stay
+            server.lingering.push(now + server.told.call_linger_ms); // given up with its call out, which may stay
         }
-        if !task.answered && matches!(how, Outcome::Cancelled | Outcome::Moot) {
-            m.abandon(self); // nothing is stopped unanswered here; if it was all the same, it is not lost
+        if !task.answered && matches!(how, Outcome::Cancelled | Outcome::Stale) {
+            m.fail(self); // nothing is stopped unanswered here; if it was all the same, it is not lost
         }
         server.release(self.0, m);
         server.place_calls(now, m);
@@ -873,7 +893,7 @@
     }
 
     /// Nobody waits for this task any more.
-    pub fn caller_left(self, server: &mut Server, now: f64, m: &mut dyn Machine) {
+    pub fn caller_gone(self, server: &mut Server, now: f64, m: &mut dyn Actions) {
         server.pass_time(now);
         server.tasks[self.index()].answered = true;
         server.give_up(self.0, m);
--- a/crates/asterdale/src/decide/tests.rs
+++ b/crates/asterdale/src/decide/tests.rs
@@ -105,10 +105,10 @@
 
 #[test]
 fn a_cold_run_counts_at_the_guaranteed_speed_and_trouble_raises_no_base() {
-    let mut s = server(Told {
-        cold: true,
-        cold_ms: 10_000.0,
-        cold_share: 0.25,
+    let mut s = server(Parameters {
+        slow_start: true,
+        slow_start_ms: 10_000.0,
+        slow_start_share: 0.25,
         ..told()
     });
     let mut task = Task::read(arrival(0), 1000.0);
@@ -125,7 +125,7 @@
 #[test]
 fn a_run_counts_for_the_base_by_what_it_had_of_a_core() {
     let (mut s, mut m) = (server(told()), Log::default());
-    s.beat(
+    s.tick(
         10.0,
         Gauges {
             on_cores: Some(12.0),
@@ -134,7 +134,7 @@
         &mut m,
     );
     assert_eq!(s.core_time, 5.0);
-    s.beat(
+    s.tick(
         20.0,
         Gauges {
             on_cores: Some(3.0),
@@ -147,10 +147,10 @@
 
 #[test]
 fn the_cold_crowd_follows_the_guaranteed_ramp() {
-    let mut s = server(Told {
-        cold: true,
-        cold_ms: 10_000.0,
-        cold_share: 0.25,
+    let mut s = server(Parameters {
+        slow_start: true,
+        slow_start_ms: 10_000.0,
+        slow_start_share: 0.25,
         ..told()
     });
     let cold = s.crowd_ceiling();
@@ -164,16 +164,16 @@
 fn arrivals_over_the_limit_wait_while_there_is_room_and_are_refused_early_when_full() {
     let (mut s, mut m) = (server(told()), Log::default());
     for _ in 0..20 {
-        s.take(0.0, arrival(0), &mut m);
+        s.receive(0.0, arrival(0), &mut m);
     }
     assert_eq!((m.count("run"), m.count("reject")), (6, 0));
     let full = Gauges {
         cpu: Some(1.0),
         ..Gauges::default()
     };
-    s.beat(10.0, full, &mut m);
+    s.tick(10.0, full, &mut m);
     assert_eq!((s.in_state(State::Held), m.count("reject")), (6, 8));
-    s.beat(2_000.0 / 6.0 + 20.0, full, &mut m);
+    s.tick(2_000.0 / 6.0 + 20.0, full, &mut m);
     assert_eq!(s.in_state(State::Held), 0);
 }
 
@@ -182,24 +182,24 @@
     let (mut s, mut m) = (server(told()), Log::default());
     (s.limit, s.cores_full) = (16.0, true);
     for n in 0..12 {
-        s.take(0.0, arrival(n / 11), &mut m);
+        s.receive(0.0, arrival(n / 11), &mut m);
     }
     assert_eq!(
         (s.in_state(State::Running), s.in_state(State::Held)),
         (8, 4)
     );
-    Handle(0).run_over(&mut s, 50.0, Outcome::Ok, &mut m);
+    Handle(0).run_ended(&mut s, 50.0, Outcome::Ok, &mut m);
     assert!(m.0.contains(&"run 11".to_string()));
 }
 
 #[test]
 fn a_place_in_the_hold_lasts_longer_where_cores_come_free_seldom() {
     for (cores, rejected) in [(6.0, 1), (2.0, 0)] {
-        let (mut s, mut m) = (server(Told { cores, ..told() }), Log::default());
+        let (mut s, mut m) = (server(Parameters { cores, ..told() }), Log::default());
         s.run_ms = 600.0;
         (0..=cores as usize)
             .for_each(|n| put(&mut s, if n == 0 { State::Held } else { State::Running }, 0));
-        s.beat(
+        s.tick(
             420.0,
             Gauges {
                 cpu: Some(1.0),
@@ -215,7 +215,7 @@
 fn runs_give_way_when_reading_backs_up() {
     let (mut s, mut m) = (server(told()), Log::default());
     s.cores_full = true;
-    s.take(
+    s.receive(
         0.0,
         Arrival {
             unread_ms: 20.0,
@@ -244,13 +244,13 @@
         cpu: Some(0.0),
         ..Gauges::default()
     };
-    s.beat(10.0, low, &mut m);
+    s.tick(10.0, low, &mut m);
     assert!(!s.cores_full);
     s.pace = 1.5;
-    s.beat(20.0, low, &mut m);
+    s.tick(20.0, low, &mut m);
     assert!(s.cores_full);
     s.pace = 0.0;
-    s.beat(30.0, Gauges::default(), &mut m);
+    s.tick(30.0, Gauges::default(), &mut m);
     assert!(s.cores_full);
 }
 
@@ -262,8 +262,8 @@
         (6.0, 0.8, false),
         (6.0, 0.92, true),
     ] {
-        let (mut s, mut m) = (server(Told { cores, ..told() }), Log::default());
-        s.beat(
+        let (mut s, mut m) = (server(Parameters { cores, ..told() }), Log::default());
+        s.tick(
             10.0,
             Gauges {
                 cpu: Some(cpu),
@@ -280,7 +280,7 @@
     let (mut s, mut m) = (server(told()), Log::default());
     (s.stages[0].base, s.pace, s.cores_full) = (3_000.0, 1.0, true);
     put(&mut s, State::Running, 0);
-    s.take(0.0, arrival(0), &mut m);
+    s.receive(0.0, arrival(0), &mut m);
     assert_eq!((m.count("run"), m.count("reject")), (0, 1));
 }
 
@@ -288,19 +288,19 @@
 fn a_task_still_running_when_its_caller_stops_waiting_is_answered_in_time() {
     let (mut s, mut m) = (server(told()), Log::default());
     put(&mut s, State::Running, 1);
-    s.beat(9_985.0, Gauges::default(), &mut m);
+    s.tick(9_985.0, Gauges::default(), &mut m);
     assert_eq!(m.count("abandon"), 0);
-    s.beat(9_995.0, Gauges::default(), &mut m);
-    s.beat(10_005.0, Gauges::default(), &mut m);
+    s.tick(9_995.0, Gauges::default(), &mut m);
+    s.tick(10_005.0, Gauges::default(), &mut m);
     assert_eq!((m.count("abandon"), m.count("stop")), (1, 0));
 }
 
 #[test]
 fn restartable_work_that_earns_nothing_is_stopped_at_once_when_cores_are_full() {
     let (mut s, mut m) = (server(told()), Log::default());
-    s.stages[0].facts.late_share = 0.0;
+    s.stages[0].facts.late_weight_share = 0.0;
     put(&mut s, State::Running, 0);
-    s.beat(
+    s.tick(
         2_010.0,
         Gauges {
             cpu: Some(0.5),
@@ -309,7 +309,7 @@
         &mut m,
     );
     assert_eq!((m.count("reject"), m.count("stop")), (0, 0));
-    s.beat(
+    s.tick(
         2_020.0,
         Gauges {
             cpu: Some(1.0),
@@ -323,7 +323,7 @@
 #[test]
 fn a_fingerprinted_task_is_remembered_before_it_runs_and_forgotten_when_rejected() {
     let (mut s, mut m) = (server(told()), Log::default());
-    s.take(
+    s.receive(
         100.0,
         Arrival {
             unread_ms: 40.0,
@@ -333,7 +333,7 @@
     );
     assert_eq!(m.0, ["seat 0", "remember 0 4968", "run 0"]);
     s.limit = 1.0;
-    let held = s.take(100.0, arrival(1), &mut m);
+    let held = s.receive(100.0, arrival(1), &mut m);
     let memory = s.memory;
     s.give_up(held.0, &mut m);
     assert!(m
@@ -345,8 +345,8 @@
 #[test]
 fn fingerprints_count_as_memory_until_they_lapse() {
     let (mut s, mut m) = (server(told()), Log::default());
-    let task = s.take(0.0, arrival(1), &mut m);
-    task.run_over(&mut s, 50.0, Outcome::Ok, &mut m);
+    let task = s.receive(0.0, arrival(1), &mut m);
+    task.run_ended(&mut s, 50.0, Outcome::Ok, &mut m);
     assert_eq!(s.memory, 100.0);
     s.pass_time(4_900.0);
     assert_eq!(s.memory, 100.0);
@@ -358,7 +358,7 @@
 fn a_fingerprint_that_lapsed_in_the_hold_is_not_counted_off_twice() {
     let (mut s, mut m) = (server(told()), Log::default());
     s.limit = 0.0;
-    let held = s.take(0.0, arrival(1), &mut m);
+    let held = s.receive(0.0, arrival(1), &mut m);
     s.pass_time(6_000.0);
     s.give_up(held.0, &mut m);
     assert_eq!((s.memory, s.entries.total()), (0.0, 0.0));
@@ -368,7 +368,7 @@
 fn a_call_given_up_with_its_task_still_counts_while_it_may_linger() {
     let (mut s, mut m) = (server(told()), Log::default());
     put(&mut s, State::Calling, 0);
-    Handle(0).run_over(&mut s, 100.0, Outcome::Cancelled, &mut m);
+    Handle(0).run_ended(&mut s, 100.0, Outcome::Cancelled, &mut m);
     assert_eq!(s.calls_in_hand(), 1.0);
     s.pass_time(301.0);
     assert_eq!(s.calls_in_hand(), 0.0);
@@ -387,15 +387,15 @@
 #[test]
 fn a_repeat_joins_the_earlier_try_and_is_never_rejected() {
     let (mut s, mut m) = (server(told()), Log::default());
-    s.take(
+    s.receive(
         0.0,
         Arrival {
-            repeat: true,
+            is_repeat: true,
             ..arrival(1)
         },
         &mut m,
     );
-    s.beat(9_999.0, Gauges::default(), &mut m);
+    s.tick(9_999.0, Gauges::default(), &mut m);
     assert_eq!(m.0, ["seat 0", "join 0", "wake", "abandon 0", "release 0"]);
 }
 
@@ -403,7 +403,7 @@
 fn without_memory_for_its_fingerprint_a_task_is_rejected() {
     let (mut s, mut m) = (server(told()), Log::default());
     s.memory = 0.9 * 10_000.0 - 50.0;
-    s.take(0.0, arrival(1), &mut m);
+    s.receive(0.0, arrival(1), &mut m);
     assert_eq!(m.0, ["seat 0", "reject 0", "release 0"]);
 }
 
@@ -412,7 +412,7 @@
     let (mut s, mut m) = (server(told()), Log::default());
     put(&mut s, State::Running, 0);
     s.memory = 8_900.0;
-    s.take(0.0, arrival(0), &mut m);
+    s.receive(0.0, arrival(0), &mut m);
     assert_eq!(m.count("run"), 0);
 }
 
@@ -420,18 +420,18 @@
 fn tasks_at_a_call_count_against_the_crowd_but_not_against_the_limit() {
     let (mut s, mut m) = (server(told()), Log::default());
     (0..10).for_each(|_| put(&mut s, State::Calling, 0));
-    s.take(0.0, arrival(0), &mut m);
+    s.receive(0.0, arrival(0), &mut m);
     assert_eq!(m.count("run"), 1);
     (0..40).for_each(|_| put(&mut s, State::Calling, 0));
-    s.take(0.0, arrival(0), &mut m);
+    s.receive(0.0, arrival(0), &mut m);
     assert_eq!(m.count("run"), 1);
 }
 
 #[test]
 fn a_drain_counts_from_the_arrival_not_from_the_reading() {
     let (mut s, mut m) = (server(told()), Log::default());
-    s.leave(1_000.0, 5_000.0, &mut m);
-    s.take(
+    s.drain(1_000.0, 5_000.0, &mut m);
+    s.receive(
         3_500.0,
         Arrival {
             unread_ms: 600.0,
@@ -439,7 +439,7 @@
         },
         &mut m,
     );
-    s.take(
+    s.receive(
         3_500.0,
         Arrival {
             unread_ms: 400.0,
@@ -464,24 +464,24 @@
 fn everything_read_is_answered_before_the_stop() {
     let (mut s, mut m) = (server(told()), Log::default());
     put(&mut s, State::Running, 1);
-    s.leave(0.0, 3_000.0, &mut m);
-    s.take(100.0, arrival(1), &mut m);
-    s.beat(2_975.0, Gauges::default(), &mut m);
+    s.drain(0.0, 3_000.0, &mut m);
+    s.receive(100.0, arrival(1), &mut m);
+    s.tick(2_975.0, Gauges::default(), &mut m);
     assert_eq!(m.count("abandon"), 2);
 }
 
 #[test]
 fn a_call_is_repeated_only_when_it_surely_never_ran() {
     for (how, calls, end) in [
-        (Outcome::Full, 2, 0),
-        (Outcome::Timeout, 1, 1),
-        (Outcome::Error, 1, 1),
+        (Outcome::Rejected, 2, 0),
+        (Outcome::TimedOut, 1, 1),
+        (Outcome::Failed, 1, 1),
     ] {
         let (mut s, mut m) = (server(told()), Log::default());
-        let task = s.take(0.0, arrival(1), &mut m);
-        task.needs_call(&mut s, 10.0, &mut m);
-        task.call_over(&mut s, 20.0, how, 10.0, &mut m);
-        s.beat(500.0, Gauges::default(), &mut m);
+        let task = s.receive(0.0, arrival(1), &mut m);
+        task.call_needed(&mut s, 10.0, &mut m);
+        task.call_ended(&mut s, 20.0, how, 10.0, &mut m);
+        s.tick(500.0, Gauges::default(), &mut m);
         assert_eq!(
             (m.count("call"), m.count("abandon")),
             (calls, end),
@@ -494,37 +494,37 @@
 fn a_call_that_comes_too_late_is_left_out_where_that_earns() {
     let (mut s, mut m) = (server(told()), Log::default());
     s.call_ms = 500.0;
-    let task = s.take(0.0, arrival(0), &mut m);
-    task.needs_call(&mut s, 1_600.0, &mut m);
+    let task = s.receive(0.0, arrival(0), &mut m);
+    task.call_needed(&mut s, 1_600.0, &mut m);
     assert_eq!((m.count("call"), m.count("skip")), (0, 1));
 }
 
 #[test]
 fn the_call_window_grows_by_one_a_round_and_is_cut_once_for_one_trouble() {
-    let shared = Told {
-        below: Below::Shared,
-        calls_share: 10.0,
+    let shared = Parameters {
+        dependency: Dependency::Shared,
+        dependency_quota: 10.0,
         ..told()
     };
     let (mut s, mut m) = (server(shared), Log::default());
     s.call_window = 4.0;
-    let tasks: Vec<Handle> = (0..5).map(|_| s.take(0.0, arrival(0), &mut m)).collect();
+    let tasks: Vec<Handle> = (0..5).map(|_| s.receive(0.0, arrival(0), &mut m)).collect();
     tasks
         .iter()
-        .for_each(|t| t.needs_call(&mut s, 10.0, &mut m));
-    tasks[0].call_over(&mut s, 20.0, Outcome::Ok, 10.0, &mut m);
+        .for_each(|t| t.call_needed(&mut s, 10.0, &mut m));
+    tasks[0].call_ended(&mut s, 20.0, Outcome::Ok, 10.0, &mut m);
     assert_eq!(s.call_window, 4.25);
-    tasks[1].call_over(&mut s, 20.0, Outcome::Full, 10.0, &mut m);
-    tasks[2].call_over(&mut s, 20.0, Outcome::Full, 10.0, &mut m);
+    tasks[1].call_ended(&mut s, 20.0, Outcome::Rejected, 10.0, &mut m);
+    tasks[2].call_ended(&mut s, 20.0, Outcome::Rejected, 10.0, &mut m);
     assert!((s.call_window - 0.7 * 4.25).abs() < 1e-9);
 }
 
 #[test]
 fn advice_to_stay_away_is_long_only_where_many_others_can_take_what_it_moves() {
     for (servers, least, most) in [(16.0, 375.0, 750.0), (3.0, 10.0, 10.0)] {
-        let mut s = server(Told {
+        let mut s = server(Parameters {
             servers,
-            advice_ms: 1_000.0,
+            max_retry_after_ms: 1_000.0,
             ..told()
         });
         s.customers[0].read.add(100.0);
@@ -538,47 +538,45 @@
 
 #[test]
 fn a_view_of_the_fleet_says_how_many_share_and_whether_elsewhere_helps() {
-    let mut s = server(Told {
-        customers: vec![crate::told::CustomerFacts {
-            allowance_per_s: 100.0,
-        }],
+    let mut s = server(Parameters {
+        tenants: vec![crate::parameters::TenantParameters { quota_per_s: 100.0 }],
         ..told()
     });
     // 10 a second came here, of which 100 / 20 servers are its share; with ten there it is all.
     s.customers[0].read.add(40.0);
     assert!(s.in_share(&s.customers[0]) < 1.0);
-    s.fleet(Some((9.0, 9.0)));
+    s.set_peers(Some((9.0, 9.0)));
     assert_eq!(s.in_share(&s.customers[0]), 1.0);
     assert!(!s.advice().0);
     // A view without a warm server besides this one: the next would turn it away, or be pushed over.
-    s.fleet(Some((9.0, 0.0)));
+    s.set_peers(Some((9.0, 0.0)));
     assert!(s.advice().0);
     // Alone, there is nobody to move work to.
-    s.fleet(Some((0.0, 0.0)));
+    s.set_peers(Some((0.0, 0.0)));
     assert!(s.advice().0 && s.advice().1 <= BEAT);
     // Nothing known: as at the start.
-    s.fleet(None);
+    s.set_peers(None);
     assert!(!s.advice().0 && s.in_share(&s.customers[0]) < 1.0);
 }
 
 #[test]
 fn spoilt_replies_and_one_that_never_comes_leave_the_calls_of_others_alone() {
-    let shared = Told {
-        below: Below::Shared,
-        calls_share: 10.0,
+    let shared = Parameters {
+        dependency: Dependency::Shared,
+        dependency_quota: 10.0,
         ..told()
     };
     let (mut s, mut m) = (server(shared), Log::default());
     (s.call_window, s.call_ms) = (4.0, 10.0);
-    let tasks: Vec<Handle> = (0..3).map(|_| s.take(0.0, arrival(0), &mut m)).collect();
+    let tasks: Vec<Handle> = (0..3).map(|_| s.receive(0.0, arrival(0), &mut m)).collect();
     tasks
         .iter()
-        .for_each(|t| t.needs_call(&mut s, 10.0, &mut m));
-    tasks[0].call_over(&mut s, 20.0, Outcome::Error, 10.0, &mut m);
-    tasks[1].call_over(&mut s, 20.0, Outcome::Timeout, 900.0, &mut m);
+        .for_each(|t| t.call_needed(&mut s, 10.0, &mut m));
+    tasks[0].call_ended(&mut s, 20.0, Outcome::Failed, 10.0, &mut m);
+    tasks[1].call_ended(&mut s, 20.0, Outcome::TimedOut, 900.0, &mut m);
     assert_eq!((s.call_window, s.call_ms), (4.0, 12.0));
     s.call_fails = 0.9;
-    tasks[2].call_over(&mut s, 40.0, Outcome::Error, 10.0, &mut m);
+    tasks[2].call_ended(&mut s, 40.0, Outcome::Failed, 10.0, &mut m);
     assert!(s.call_window < 4.0);
 }
 
@@ -587,9 +585,9 @@
     for (call_ms, most) in [(0.0, 40.0), (10.0, 160.0), (400.0, 6_400.0)] {
         let (mut s, mut m) = (server(told()), Log::default());
         s.call_ms = call_ms;
-        let task = s.take(0.0, arrival(1), &mut m);
-        task.needs_call(&mut s, 10.0, &mut m);
-        let patience = s.tasks[task.index()].until - 10.0 - s.told.linger_ms;
+        let task = s.receive(0.0, arrival(1), &mut m);
+        task.call_needed(&mut s, 10.0, &mut m);
+        let patience = s.tasks[task.index()].until - 10.0 - s.told.call_linger_ms;
         assert!(
             m.count("call") == 1 && patience <= most && patience >= most * 0.9,
             "{call_ms}: {patience}"
@@ -608,7 +606,7 @@
             on_cores: Some(wanted),
             ..Gauges::default()
         };
-        s.beat(10.0, gauges, &mut m);
+        s.tick(10.0, gauges, &mut m);
         assert_eq!(s.cores_full, full, "{wanted}");
     }
 }
@@ -616,9 +614,9 @@
 #[test]
 fn a_shared_layer_that_slows_still_gets_a_fifth_of_our_slice() {
     for (calls_share, least) in [(15.0, 3.0), (0.5, 1.0)] {
-        let mut s = server(Told {
-            below: Below::Shared,
-            calls_share,
+        let mut s = server(Parameters {
+            dependency: Dependency::Shared,
+            dependency_quota: calls_share,
             ..told()
         });
         s.call_window = 8.0;
@@ -631,20 +629,20 @@
 
 #[test]
 fn a_call_window_cut_to_one_recovers_by_the_calls_it_lets_out() {
-    let shared = Told {
-        below: Below::Shared,
-        calls_share: 10.0,
+    let shared = Parameters {
+        dependency: Dependency::Shared,
+        dependency_quota: 10.0,
         ..told()
     };
     let (mut s, mut m) = (server(shared), Log::default());
     s.call_window = 1.0;
-    let tasks: Vec<Handle> = (0..6).map(|_| s.take(0.0, arrival(0), &mut m)).collect();
+    let tasks: Vec<Handle> = (0..6).map(|_| s.receive(0.0, arrival(0), &mut m)).collect();
     tasks
         .iter()
-        .for_each(|t| t.needs_call(&mut s, 10.0, &mut m));
+        .for_each(|t| t.call_needed(&mut s, 10.0, &mut m));
     assert_eq!(m.count("call"), 1);
     for task in tasks.iter().take(3) {
-        task.call_over(&mut s, 40.0, Outcome::Ok, 30.0, &mut m);
+        task.call_ended(&mut s, 40.0, Outcome::Ok, 30.0, &mut m);
     }
     assert!(
         s.call_window >= 2.0 && m.count("call") >= 5,
@@ -667,10 +665,10 @@
 #[test]
 fn a_tier_below_that_fails_few_calls_keeps_its_window() {
     let (mut s, mut m) = (server(told()), Log::default());
-    let task = s.take(0.0, arrival(0), &mut m);
-    task.needs_call(&mut s, 10.0, &mut m);
+    let task = s.receive(0.0, arrival(0), &mut m);
+    task.call_needed(&mut s, 10.0, &mut m);
     s.call_window = 8.0;
-    task.call_over(&mut s, 20.0, Outcome::Full, 10.0, &mut m);
+    task.call_ended(&mut s, 20.0, Outcome::Rejected, 10.0, &mut m);
     assert_eq!(s.call_window, 8.0);
     s.call_fails = 0.9;
     s.cut_calls(30.0);
@@ -679,9 +677,9 @@
 
 #[test]
 fn calls_stay_within_the_slice_even_if_all_last_as_long_as_they_may() {
-    let mut s = server(Told {
-        below: Below::Shared,
-        calls_share: 0.4,
+    let mut s = server(Parameters {
+        dependency: Dependency::Shared,
+        dependency_quota: 0.4,
         ..told()
     });
     assert!((s.call_room(0.0) - 1_800.0).abs() < 1e-6);
@@ -694,19 +692,21 @@
 
 #[test]
 fn a_call_to_a_shared_dependency_is_followed_by_a_pause_in_proportion_to_the_time_it_took() {
-    let shared = Told {
-        below: Below::Shared,
-        calls_share: 0.5,
+    let shared = Parameters {
+        dependency: Dependency::Shared,
+        dependency_quota: 0.5,
         ..told()
     };
     for (took, pause) in [(10.0, 10.0 / 0.225 - 10.0), (60.0, 60.0 / 0.225 - 60.0)] {
         let (mut s, mut m) = (server(shared.clone()), Log::default());
-        let tasks: Vec<Handle> = (0..3).map(|_| s.take(0.0, arrival(0), &mut m)).collect();
-        tasks.iter().for_each(|t| t.needs_call(&mut s, 0.0, &mut m));
+        let tasks: Vec<Handle> = (0..3).map(|_| s.receive(0.0, arrival(0), &mut m)).collect();
+        tasks
+            .iter()
+            .for_each(|t| t.call_needed(&mut s, 0.0, &mut m));
         // The window would let two out; their sum over all servers would be many times what it takes at once.
         assert_eq!(m.count("call"), 2, "at the start nothing is owed");
-        tasks[0].call_over(&mut s, took, Outcome::Ok, took, &mut m);
-        tasks[1].call_over(&mut s, took, Outcome::Ok, took, &mut m);
+        tasks[0].call_ended(&mut s, took, Outcome::Ok, took, &mut m);
+        tasks[1].call_ended(&mut s, took, Outcome::Ok, took, &mut m);
         let again = took + 2.0 * pause + took; // what two calls owe is twice what one does
         s.pass_time(again - 5.0);
         s.place_calls(again - 5.0, &mut m);
@@ -719,9 +719,9 @@
 
 #[test]
 fn time_for_calls_that_was_not_used_is_kept_for_a_tenth_of_a_second_only() {
-    let shared = Told {
-        below: Below::Shared,
-        calls_share: 0.5,
+    let shared = Parameters {
+        dependency: Dependency::Shared,
+        dependency_quota: 0.5,
         ..told()
     };
     let mut s = server(shared);
@@ -735,9 +735,9 @@
 
 #[test]
 fn a_place_in_the_queue_for_calls_is_reckoned_by_what_all_may_have_at_the_dependency() {
-    let shared = Told {
-        below: Below::Shared,
-        calls_share: 0.5,
+    let shared = Parameters {
+        dependency: Dependency::Shared,
+        dependency_quota: 0.5,
         ..told()
     };
     let (mut s, mut m) = (server(shared), Log::default());
@@ -757,7 +757,7 @@
         let n = *s.live.last().unwrap();
         s.customers[0].held -= 1;
         s.customers[who].held += 1;
-        s.tasks[n as usize].asked.customer = who;
+        s.tasks[n as usize].asked.tenant = who;
     }
     assert_eq!((s.best_held(0.0), s.worst_held(0.0)), (Some(1), Some(3)));
 }
@@ -772,8 +772,8 @@
 
 #[test]
 fn a_task_may_go_elsewhere_unless_many_are_rejected_also_by_the_cold_and_slow() {
-    let mut s = server(Told {
-        cold: true,
+    let mut s = server(Parameters {
+        slow_start: true,
         ..told()
     });
     s.customers[0].read.add(100.0);
@@ -791,7 +791,7 @@
     let (mut s, mut m) = (server(told()), Log::default());
     s.stages[0].base = 10.0;
     (0..6).for_each(|_| put(&mut s, State::Running, 0));
-    s.beat(
+    s.tick(
         600.0,
         Gauges {
             cpu: Some(1.0),
@@ -800,7 +800,7 @@
         &mut m,
     );
     assert!(s.pace > 2.0 && m.count("health false") == 0);
-    s.leave(700.0, 2_000.0, &mut m);
+    s.drain(700.0, 2_000.0, &mut m);
     assert_eq!(m.count("health false"), 1);
 }
 
@@ -808,8 +808,8 @@
 fn a_slow_server_gives_up_what_cannot_end_in_time_but_keeps_one_run_to_measure() {
     let (mut s, mut m) = (server(told()), Log::default());
     (s.stages[0].base, s.pace) = (1_000.0, 20.0);
-    s.take(0.0, arrival(0), &mut m);
-    s.take(0.0, arrival(0), &mut m);
+    s.receive(0.0, arrival(0), &mut m);
+    s.receive(0.0, arrival(0), &mut m);
     assert_eq!((m.count("run"), m.count("reject")), (1, 1));
 }
 
@@ -820,18 +820,18 @@
     put(&mut s, State::Running, 0);
     s.cores_full = true;
     (0..2).for_each(|_| put(&mut s, State::Parked, 1));
-    s.take(0.0, arrival(1), &mut m);
+    s.receive(0.0, arrival(1), &mut m);
     assert_eq!((m.count("run"), m.count("reject")), (1, 0));
     put(&mut s, State::Parked, 1); // with its own call, too many
-    s.take(0.0, arrival(1), &mut m);
-    s.take(0.0, arrival(0), &mut m);
+    s.receive(0.0, arrival(1), &mut m);
+    s.receive(0.0, arrival(0), &mut m);
     assert_eq!((m.count("run"), m.count("reject")), (2, 1));
 }
 
 #[test]
 fn work_whose_call_can_no_longer_help_leaves_at_once() {
     let (mut s, mut m) = (server(told()), Log::default());
-    s.stages[1].facts.late_share = 0.0;
+    s.stages[1].facts.late_weight_share = 0.0;
     (s.call_window, s.call_ms) = (1.0, 300.0);
     [0, 1, 1, 0]
         .iter()
@@ -846,10 +846,10 @@
 #[test]
 fn a_call_that_timed_out_took_at_least_that_long() {
     let (mut s, mut m) = (server(told()), Log::default());
-    let task = s.take(0.0, arrival(0), &mut m);
-    task.needs_call(&mut s, 10.0, &mut m);
+    let task = s.receive(0.0, arrival(0), &mut m);
+    task.call_needed(&mut s, 10.0, &mut m);
     s.call_ms = 600.0;
-    task.call_over(&mut s, 1_010.0, Outcome::Timeout, 1_000.0, &mut m);
+    task.call_ended(&mut s, 1_010.0, Outcome::TimedOut, 1_000.0, &mut m);
     assert_eq!(s.call_ms, 680.0);
 }
 
@@ -860,7 +860,7 @@
     s.say(&mut m);
     assert_eq!(m.count("close"), 0); // for all it knows callers come again
     for caller in 0..30 {
-        s.take(
+        s.receive(
             0.0,
             Arrival {
                 caller,
@@ -878,7 +878,7 @@
     (0..10).for_each(|_| s.say(&mut m));
     assert_eq!(s.idle, 15_000.0);
     for _ in 0..30 {
-        s.take(0.0, arrival(0), &mut m);
+        s.receive(0.0, arrival(0), &mut m);
     }
     s.cpu = 0.1;
     s.say(&mut m);
@@ -887,33 +887,33 @@
 
 #[test]
 fn one_core_with_nothing_told_takes_runs_and_answers() {
-    let nothing = Told {
+    let nothing = Parameters {
         cores: 1.0,
         servers: 0.0,
         callers: 0.0,
-        below: Below::Shared,
-        calls_window_ms: 0.0,
-        idle_ms: 0.0,
-        advice_ms: 0.0,
-        crowd_factor: 0.0,
-        free_value: FreeValue::Credit,
+        dependency: Dependency::Shared,
+        dependency_window_ms: 0.0,
+        idle_timeout_ms: 0.0,
+        max_retry_after_ms: 0.0,
+        overload_factor: 0.0,
+        capacity_hint: CapacityHint::Credit,
         ..told()
     };
     let (mut s, mut m) = (server(nothing), Log::default());
     s.customers = vec![customer(0.0)];
-    let task = s.take(
+    let task = s.receive(
         0.0,
         Arrival {
             caller: 900,
-            customer: 7,
-            left_ms: None,
+            tenant: 7,
+            remaining_ms: None,
             ..arrival(0)
         },
         &mut m,
     );
-    (1..60).for_each(|n| s.beat(10.0 * f64::from(n), Gauges::default(), &mut m));
-    task.needs_call(&mut s, 600.0, &mut m);
-    s.beat(
+    (1..60).for_each(|n| s.tick(10.0 * f64::from(n), Gauges::default(), &mut m));
+    task.call_needed(&mut s, 600.0, &mut m);
+    s.tick(
         2_000.0,
         Gauges {
             cpu: Some(f64::NAN),
@@ -925,8 +925,8 @@
         (m.count("run"), m.count("call"), m.count("skip")),
         (1, 0, 1)
     ); // a slice of zero allows none
-    task.run_over(&mut s, 2_100.0, Outcome::Ok, &mut m);
-    s.take(2_200.0, arrival(0), &mut m);
+    task.run_ended(&mut s, 2_100.0, Outcome::Ok, &mut m);
+    s.receive(2_200.0, arrival(0), &mut m);
     assert_eq!((m.count("run"), m.count("close")), (2, 0)); // and it is not locked out
     (s.cores_full, s.unread) = (true, 1e6);
     assert_eq!((s.width(), s.cpu), (1.0, 1.0));
@@ -935,8 +935,8 @@
 #[test]
 fn credit_is_cut_by_a_share_grows_by_one_and_keeps_its_floor() {
     let (mut s, mut m) = (
-        server(Told {
-            free_value: FreeValue::Credit,
+        server(Parameters {
+            capacity_hint: CapacityHint::Credit,
             ..told()
         }),
         Log::default(),
--- a/crates/asterdale/src/decide/tests/support.rs
+++ b/crates/asterdale/src/decide/tests/support.rs
@@ -1,73 +1,75 @@
 use super::*;
-use crate::told::{CustomerFacts, StageFacts};
+use crate::parameters::{ClassParameters, TenantParameters};
 
-pub fn told() -> Told {
-    let stage = |repeat, utility| StageFacts {
-        due_ms: 2_000.0,
-        limit_ms: 10_000.0,
-        utility,
-        late_share: 0.2,
-        without_call: if repeat == Repeat::Restartable {
+pub fn told() -> Parameters {
+    let stage = |repeat, utility| ClassParameters {
+        objective_ms: 2_000.0,
+        deadline_ms: 10_000.0,
+        weight: utility,
+        late_weight_share: 0.2,
+        degraded_weight_share: if repeat == Idempotency::Idempotent {
             0.5
         } else {
             0.0
         },
-        calls: true,
-        repeat,
-        memory_ms: 5_000.0,
+        makes_calls: true,
+        idempotency: repeat,
+        retry_window_ms: 5_000.0,
     };
-    Told {
+    Parameters {
         seed: 1,
         cores: 6.0,
         memory_kb: 10_000.0,
-        run_blowup: 16.0,
-        entry_kb: 100.0,
-        cold: false,
-        cold_share: 0.25,
-        cold_ms: 10_000.0,
-        crowd_factor: 8.0,
+        running_memory_factor: 16.0,
+        idempotency_entry_kb: 100.0,
+        slow_start: false,
+        slow_start_share: 0.25,
+        slow_start_ms: 10_000.0,
+        overload_factor: 8.0,
         tick_ms: 4.0,
         drain_grace_ms: 2_000.0,
         servers: 20.0,
         callers: 3.0,
-        below: Below::Tier,
-        calls_share: 0.0,
-        calls_window_ms: 5_000.0,
-        linger_ms: 200.0,
-        idle_ms: 30_000.0,
-        fresh_ms: 0.0,
-        halt: Halt::Drop,
-        free_value: FreeValue::Unused,
-        advice_ms: 1_000.0,
-        over_share_worth: 0.1,
-        by_work: false,
-        stages: vec![
-            stage(Repeat::Restartable, 1.0),
-            stage(Repeat::Fingerprinted, 3.0),
+        dependency: Dependency::Tier,
+        dependency_quota: 0.0,
+        dependency_window_ms: 5_000.0,
+        call_linger_ms: 200.0,
+        idle_timeout_ms: 30_000.0,
+        response_reuse_ms: 0.0,
+        preemption: Preemption::Abort,
+        capacity_hint: CapacityHint::Unused,
+        max_retry_after_ms: 1_000.0,
+        over_quota_weight_share: 0.1,
+        weight_per_work: false,
+        classes: vec![
+            stage(Idempotency::Idempotent, 1.0),
+            stage(Idempotency::Keyed, 3.0),
         ],
-        customers: Vec::new(),
+        tenants: Vec::new(),
     }
 }
 
-pub fn server(told: Told) -> Server {
+pub fn server(told: Parameters) -> Server {
     Server::start(told, 0.0, &mut Log::default())
 }
 
 pub fn arrival(stage: usize) -> Arrival {
     Arrival {
-        stage,
-        customer: 0,
+        class: stage,
+        tenant: 0,
         caller: 0,
         unread_ms: 0.0,
-        left_ms: Some(10_000.0),
-        hint_ms: None,
-        kb: 10.0,
-        repeat: false,
+        remaining_ms: Some(10_000.0),
+        cost_hint_ms: None,
+        memory_kb: 10.0,
+        is_repeat: false,
     }
 }
 
 pub fn customer(allowance_per_s: f64) -> Customer {
-    let facts = CustomerFacts { allowance_per_s };
+    let facts = TenantParameters {
+        quota_per_s: allowance_per_s,
+    };
     Customer {
         facts,
         read: Ring::new(4_000.0, 8, 0.0),
@@ -103,32 +105,32 @@
     }
 }
 
-impl Machine for Log {
-    fn seat(&mut self, task: Handle) {
+impl Actions for Log {
+    fn accepted(&mut self, task: Handle) {
         self.say("seat", task);
     }
     fn release(&mut self, task: Handle) {
         self.say("release", task);
     }
-    fn run(&mut self, task: Handle) {
+    fn start(&mut self, task: Handle) {
         self.say("run", task);
     }
     fn stop(&mut self, task: Handle) {
         self.say("stop", task);
     }
-    fn call(&mut self, task: Handle, _: f64) {
+    fn start_call(&mut self, task: Handle, _: f64) {
         self.say("call", task);
     }
     fn skip_call(&mut self, task: Handle) {
         self.say("skip", task);
     }
-    fn join(&mut self, task: Handle) {
+    fn join_earlier_attempt(&mut self, task: Handle) {
         self.say("join", task);
     }
-    fn remember(&mut self, task: Handle, for_ms: f64) {
+    fn retain_idempotency_entry(&mut self, task: Handle, for_ms: f64) {
         self.0.push(format!("remember {} {for_ms}", task.0));
     }
-    fn forget(&mut self, task: Handle) {
+    fn drop_idempotency_entry(&mut self, task: Handle) {
         self.say("forget", task);
     }
     fn reject(&mut self, task: Handle, last: bool, _: f64) {
@@ -138,19 +140,19 @@
             if last { " last" } else { "" }
         ));
     }
-    fn abandon(&mut self, task: Handle) {
+    fn fail(&mut self, task: Handle) {
         self.say("abandon", task);
     }
-    fn advertise(&mut self, value: f64) {
+    fn publish_capacity_hint(&mut self, value: f64) {
         self.0.push(format!("advertise {value}"));
     }
-    fn health(&mut self, good: bool, _: bool) {
+    fn set_health(&mut self, good: bool, _: bool) {
         self.0.push(format!("health {good}"));
     }
-    fn close_idle(&mut self, after_ms: f64) {
+    fn set_idle_timeout(&mut self, after_ms: f64) {
         self.0.push(format!("close {after_ms}"));
     }
-    fn wake(&mut self, _: f64) {
+    fn schedule_tick(&mut self, _: f64) {
         self.0.push("wake".into());
     }
 }
--- a/crates/asterdale/src/lib.rs
+++ b/crates/asterdale/src/lib.rs
@@ -4,13 +4,13 @@
 //! through method calls, and answers through the [`machine::Machine`] trait. It does no I/O and reads no
 //! clock.
 
+pub mod actions;
 pub mod decide;
-pub mod machine;
 mod measure;
+pub mod parameters;
 #[cfg(feature = "snapshot")]
 pub mod snapshot;
 mod state;
-pub mod told;
 
+pub use actions::Actions;
 pub use decide::{Handle, Server};
-pub use machine::Machine;
--- a/crates/asterdale/src/told.rs
+++ b/crates/asterdale/src/parameters.rs
@@ -3,53 +3,67 @@
 /// How often a task of a stage may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
-pub enum Repeat {
+pub enum Idempotency {
     /// May run again at any time.
-    Restartable,
+    #[cfg_attr(feature = "snapshot", serde(rename = "Restartable"))]
+    Idempotent,
     /// Carries a mark by which a repeat is known; runs once on a server.
-    Fingerprinted,
+    #[cfg_attr(feature = "snapshot", serde(rename = "Fingerprinted"))]
+    Keyed,
     /// Must never run twice.
-    SideEffecting,
+    #[cfg_attr(feature = "snapshot", serde(rename = "SideEffecting"))]
+    NonIdempotent,
 }
 
 /// One kind of task.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
-pub struct StageFacts {
+pub struct ClassParameters {
     /// Full utility is earned by an answer within this time of the first try.
-    pub due_ms: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "due_ms"))]
+    pub objective_ms: f64,
     /// How long a client waits in all.
-    pub limit_ms: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "limit_ms"))]
+    pub deadline_ms: f64,
     /// What one task is worth.
-    pub utility: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "utility"))]
+    pub weight: f64,
     /// The part of the utility that a late answer earns.
-    pub late_share: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "late_share"))]
+    pub late_weight_share: f64,
     /// The part of the utility that is earned when a call was left out.
-    pub without_call: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "without_call"))]
+    pub degraded_weight_share: f64,
     /// Its tasks may call what lies below.
-    pub calls: bool,
+    #[cfg_attr(feature = "snapshot", serde(rename = "calls"))]
+    pub makes_calls: bool,
     /// How often its tasks may run.
-    pub repeat: Repeat,
+    #[cfg_attr(feature = "snapshot", serde(rename = "repeat"))]
+    pub idempotency: Idempotency,
     /// How long after arriving a task can show up again.
-    pub memory_ms: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "memory_ms"))]
+    pub retry_window_ms: f64,
 }
 
 /// One customer and its share.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
-pub struct CustomerFacts {
+pub struct TenantParameters {
     /// Tasks a second, over the whole fleet, that count as within its share.
-    pub allowance_per_s: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "allowance_per_s"))]
+    pub quota_per_s: f64,
 }
 
 /// What running work can be made to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
-pub enum Halt {
+pub enum Preemption {
     /// Running work cannot be stopped.
-    Never,
+    #[cfg_attr(feature = "snapshot", serde(rename = "Never"))]
+    Unsupported,
     /// Running work can be stopped; what was done is lost.
-    Drop,
+    #[cfg_attr(feature = "snapshot", serde(rename = "Drop"))]
+    Abort,
     /// Running work can be paused and keeps its progress.
     Pause,
 }
@@ -57,7 +71,7 @@
 /// What callers do with the free value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
-pub enum FreeValue {
+pub enum CapacityHint {
     /// There is none.
     Unused,
     /// Tasks whose rank is below it stay away.
@@ -71,9 +85,10 @@
 /// What lies below and takes calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
-pub enum Below {
+pub enum Dependency {
     /// Nothing.
-    Nothing,
+    #[cfg_attr(feature = "snapshot", serde(rename = "Nothing"))]
+    Absent,
     /// One dependency that all servers share.
     Shared,
     /// Another tier of servers.
@@ -83,7 +98,7 @@
 /// Everything that a server is told when it starts.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
-pub struct Told {
+pub struct Parameters {
     /// Seed for this server's random numbers.
     pub seed: u64,
     /// Its cores.
@@ -91,17 +106,23 @@
     /// Its memory.
     pub memory_kb: f64,
     /// Memory of a running task over that of a held one.
-    pub run_blowup: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "run_blowup"))]
+    pub running_memory_factor: f64,
     /// Memory of one remembered fingerprint.
-    pub entry_kb: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "entry_kb"))]
+    pub idempotency_entry_kb: f64,
     /// It started just now and is cold.
-    pub cold: bool,
+    #[cfg_attr(feature = "snapshot", serde(rename = "cold"))]
+    pub slow_start: bool,
     /// A cold server has at least this share of its speed.
-    pub cold_share: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "cold_share"))]
+    pub slow_start_share: f64,
     /// And is warm within this time.
-    pub cold_ms: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "cold_ms"))]
+    pub slow_start_ms: f64,
     /// Tasks on the cores, for each core, that a warm server survives.
-    pub crowd_factor: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "crowd_factor"))]
+    pub overload_factor: f64,
     /// The least time between two batches of events.
     pub tick_ms: f64,
     /// A task that arrives later than this after the notice to leave must not run.
@@ -111,31 +132,44 @@
     /// Callers of this tier at the start.
     pub callers: f64,
     /// What lies below.
-    pub below: Below,
+    #[cfg_attr(feature = "snapshot", serde(rename = "below"))]
+    pub dependency: Dependency,
     /// This server's slice of the calls that the shared dependency survives.
-    pub calls_share: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "calls_share"))]
+    pub dependency_quota: f64,
     /// The time over which those calls are averaged.
-    pub calls_window_ms: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "calls_window_ms"))]
+    pub dependency_window_ms: f64,
     /// How long a call that was given up can stay below.
-    pub linger_ms: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "linger_ms"))]
+    pub call_linger_ms: f64,
     /// How long callers keep a connection that carries nothing; 0 if that is not told.
-    pub idle_ms: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "idle_ms"))]
+    pub idle_timeout_ms: f64,
     /// How long a read's answer may serve other tasks; 0 for never.
-    pub fresh_ms: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "fresh_ms"))]
+    pub response_reuse_ms: f64,
     /// What running work can be made to do.
-    pub halt: Halt,
+    #[cfg_attr(feature = "snapshot", serde(rename = "halt"))]
+    pub preemption: Preemption,
     /// What callers do with the free value.
-    pub free_value: FreeValue,
+    #[cfg_attr(feature = "snapshot", serde(rename = "free_value"))]
+    pub capacity_hint: CapacityHint,
     /// The longest advice to stay away that is heeded; 0 where none is.
-    pub advice_ms: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "advice_ms"))]
+    pub max_retry_after_ms: f64,
     /// What a task beyond its customer's share is worth, as a part of the usual.
-    pub over_share_worth: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "over_share_worth"))]
+    pub over_quota_weight_share: f64,
     /// Utility counts for each unit of work rather than for each task.
-    pub by_work: bool,
+    #[cfg_attr(feature = "snapshot", serde(rename = "by_work"))]
+    pub weight_per_work: bool,
     /// The kinds of tasks.
-    pub stages: Vec<StageFacts>,
+    #[cfg_attr(feature = "snapshot", serde(rename = "stages"))]
+    pub classes: Vec<ClassParameters>,
     /// The customers; may be empty.
-    pub customers: Vec<CustomerFacts>,
+    #[cfg_attr(feature = "snapshot", serde(rename = "customers"))]
+    pub tenants: Vec<TenantParameters>,
 }
 
 /// A task that has just been read.
@@ -143,21 +177,27 @@
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub struct Arrival {
     /// Its stage, a position in [`Told::stages`].
-    pub stage: usize,
+    #[cfg_attr(feature = "snapshot", serde(rename = "stage"))]
+    pub class: usize,
     /// Its customer, a position in [`Told::customers`].
-    pub customer: usize,
+    #[cfg_attr(feature = "snapshot", serde(rename = "customer"))]
+    pub tenant: usize,
     /// The caller that sent it, as a small index.
     pub caller: usize,
     /// How long it lay unread.
     pub unread_ms: f64,
     /// How long its caller still waits, if that is told.
-    pub left_ms: Option<f64>,
+    #[cfg_attr(feature = "snapshot", serde(rename = "left_ms"))]
+    pub remaining_ms: Option<f64>,
     /// What it will cost, if that is told.
-    pub hint_ms: Option<f64>,
+    #[cfg_attr(feature = "snapshot", serde(rename = "hint_ms"))]
+    pub cost_hint_ms: Option<f64>,
     /// Memory it takes while held.
-    pub kb: f64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "kb"))]
+    pub memory_kb: f64,
     /// It repeats a task whose fingerprint is known here.
-    pub repeat: bool,
+    #[cfg_attr(feature = "snapshot", serde(rename = "repeat"))]
+    pub is_repeat: bool,
 }
 
 /// How a run or a call ended.
@@ -166,11 +206,11 @@
     /// It succeeded.
     Ok,
     /// It failed and may have had its effect.
-    Error,
+    Failed,
     /// It was turned away and never ran.
-    Full,
+    Rejected,
     /// It was given up and may have had its effect.
-    Timeout,
+    TimedOut,
     /// What should have done it could not be reached.
     Unreachable,
     /// It broke off and may have had its effect.
@@ -178,13 +218,16 @@
     /// It was stopped, or ended because nobody waits.
     Cancelled,
     /// Nothing was started: the task was over.
-    Moot,
+    Stale,
 }
 
 impl Outcome {
     /// Whether this outcome proves that nothing ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::Moot)
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::Unreachable | Outcome::Stale
+        )
     }
 }
 
--- a/crates/asterdale/src/snapshot.rs
+++ b/crates/asterdale/src/snapshot.rs
@@ -7,13 +7,13 @@
 use crate::state::{Server, State};
 
 /// Raised when a field changes its meaning, or a new one can't be guessed: then states can't be exchanged.
-pub const SHAPE: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// No state is larger, in bytes: some 100,000 tasks.
 const MOST: usize = 64 * 1024 * 1024;
 
 /// Why bytes are no state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsound {
+pub enum InvalidSnapshot {
     /// They can't be read, or are too many.
     Unreadable,
     /// They can be read, and don't fit together.
@@ -22,7 +22,7 @@
 
 /// The figures by which a server that goes on is told from one that begins.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Gist {
+pub struct Summary {
     /// The limit of running tasks.
     pub limit: f64,
     /// The base latency of each stage, 0 where there is none yet.
@@ -44,18 +44,19 @@
 
     /// The server that these bytes are the state of. Its host calls [`Server::beat`] soon, as if it had been
     /// woken.
-    pub fn restore(bytes: &[u8]) -> Result<Server, Unsound> {
+    pub fn restore(bytes: &[u8]) -> Result<Server, InvalidSnapshot> {
         if bytes.len() > MOST {
-            return Err(Unsound::Unreadable);
+            return Err(InvalidSnapshot::Unreadable);
         }
-        let server: Server = rmp_serde::from_slice(bytes).map_err(|_| Unsound::Unreadable)?;
+        let server: Server =
+            rmp_serde::from_slice(bytes).map_err(|_| InvalidSnapshot::Unreadable)?;
         server.check()?;
         Ok(server)
     }
 
     /// Its main figures.
-    pub fn gist(&self) -> Gist {
-        Gist {
+    pub fn summary(&self) -> Summary {
+        Summary {
             limit: self.limit,
             bases: self.stages.iter().map(|stage| stage.base).collect(),
             call_window: self.call_window,
@@ -66,17 +67,17 @@
 
     /// Whether all indices lie within what they point into, and counts are those of the tasks: decisions rely
     /// on it without looking.
-    fn check(&self) -> Result<(), Unsound> {
+    fn check(&self) -> Result<(), InvalidSnapshot> {
         let holds = |what, holds: bool| {
             if holds {
                 Ok(())
             } else {
-                Err(Unsound::Inconsistent(what))
+                Err(InvalidSnapshot::Inconsistent(what))
             }
         };
         holds(
             "stages",
-            self.stages.len() == self.told.stages.len() && !self.stages.is_empty(),
+            self.stages.len() == self.told.classes.len() && !self.stages.is_empty(),
         )?;
         holds("customers", !self.customers.is_empty())?;
         holds("windows", self.window < self.windows.len())?;
@@ -94,16 +95,16 @@
         for &n in self.live.iter().chain(&self.free) {
             let seen = seen
                 .get_mut(n as usize)
-                .ok_or(Unsound::Inconsistent("tasks"))?;
+                .ok_or(InvalidSnapshot::Inconsistent("tasks"))?;
             holds("tasks", !std::mem::replace(seen, true))?;
         }
         let mut count = [0; 6];
         for &n in &self.live {
             let task = &self.tasks[n as usize];
-            holds("a task's stage", task.asked.stage < self.stages.len())?;
+            holds("a task's stage", task.asked.class < self.stages.len())?;
             holds(
                 "a task's customer",
-                task.asked.customer < self.customers.len(),
+                task.asked.tenant < self.customers.len(),
             )?;
             holds("a task's caller", task.asked.caller < self.callers.len())?;
             holds("a task's state", task.state != State::Free)?;
@@ -139,9 +140,9 @@
     use proptest::test_runner::RngSeed;
 
     use super::*;
+    use crate::actions::Actions;
     use crate::decide::Handle;
-    use crate::machine::Machine;
-    use crate::told::*;
+    use crate::parameters::*;
 
     /// Writes down what it is told, and knows what is open.
     #[derive(Clone, Default)]
@@ -157,8 +158,8 @@
         }
     }
 
-    impl Machine for Log {
-        fn seat(&mut self, task: Handle) {
+    impl Actions for Log {
+        fn accepted(&mut self, task: Handle) {
             self.say("seat", task);
             self.held.push(task);
         }
@@ -167,98 +168,94 @@
             self.held.retain(|held| *held != task);
             self.running.retain(|running| *running != task);
         }
-        fn run(&mut self, task: Handle) {
+        fn start(&mut self, task: Handle) {
             self.say("run", task);
             self.running.push(task);
         }
         fn stop(&mut self, task: Handle) {
             self.say("stop", task);
         }
-        fn call(&mut self, task: Handle, patience_ms: f64) {
+        fn start_call(&mut self, task: Handle, patience_ms: f64) {
             self.said
                 .push(format!("call {} {patience_ms}", task.index()));
         }
         fn skip_call(&mut self, task: Handle) {
             self.say("skip", task);
         }
-        fn join(&mut self, task: Handle) {
+        fn join_earlier_attempt(&mut self, task: Handle) {
             self.say("join", task);
         }
-        fn remember(&mut self, task: Handle, for_ms: f64) {
+        fn retain_idempotency_entry(&mut self, task: Handle, for_ms: f64) {
             self.said
                 .push(format!("remember {} {for_ms}", task.index()));
         }
-        fn forget(&mut self, task: Handle) {
+        fn drop_idempotency_entry(&mut self, task: Handle) {
             self.say("forget", task);
         }
         fn reject(&mut self, task: Handle, last: bool, stay_away_ms: f64) {
             self.said
                 .push(format!("reject {} {last} {stay_away_ms}", task.index()));
         }
-        fn abandon(&mut self, task: Handle) {
+        fn fail(&mut self, task: Handle) {
             self.say("abandon", task);
         }
-        fn advertise(&mut self, value: f64) {
+        fn publish_capacity_hint(&mut self, value: f64) {
             self.said.push(format!("advertise {value}"));
         }
-        fn health(&mut self, good: bool, stored: bool) {
+        fn set_health(&mut self, good: bool, stored: bool) {
             self.said.push(format!("health {good} {stored}"));
         }
-        fn close_idle(&mut self, after_ms: f64) {
+        fn set_idle_timeout(&mut self, after_ms: f64) {
             self.said.push(format!("close {after_ms}"));
         }
-        fn wake(&mut self, at_ms: f64) {
+        fn schedule_tick(&mut self, at_ms: f64) {
             self.said.push(format!("wake {at_ms}"));
         }
     }
 
-    fn told() -> Told {
-        let stage = |repeat, utility| StageFacts {
-            due_ms: 500.0,
-            limit_ms: 2_000.0,
-            utility,
-            late_share: 0.2,
-            without_call: 0.5,
-            calls: true,
-            repeat,
-            memory_ms: 5_000.0,
+    fn told() -> Parameters {
+        let stage = |repeat, utility| ClassParameters {
+            objective_ms: 500.0,
+            deadline_ms: 2_000.0,
+            weight: utility,
+            late_weight_share: 0.2,
+            degraded_weight_share: 0.5,
+            makes_calls: true,
+            idempotency: repeat,
+            retry_window_ms: 5_000.0,
         };
-        Told {
+        Parameters {
             seed: 3,
             cores: 2.0,
             memory_kb: 9_000.0,
-            run_blowup: 16.0,
-            entry_kb: 10.0,
-            cold: false,
-            cold_share: 0.25,
-            cold_ms: 1_000.0,
-            crowd_factor: 5.0,
+            running_memory_factor: 16.0,
+            idempotency_entry_kb: 10.0,
+            slow_start: false,
+            slow_start_share: 0.25,
+            slow_start_ms: 1_000.0,
+            overload_factor: 5.0,
             tick_ms: 5.0,
             drain_grace_ms: 0.0,
             servers: 2.0,
             callers: 2.0,
-            below: Below::Shared,
-            calls_share: 10.0,
-            calls_window_ms: 5_000.0,
-            linger_ms: 10.0,
-            idle_ms: 30_000.0,
-            fresh_ms: 0.0,
-            halt: Halt::Never,
-            free_value: FreeValue::Unused,
-            advice_ms: 1_000.0,
-            over_share_worth: 0.1,
-            by_work: true,
-            stages: vec![
-                stage(Repeat::Restartable, 1.0),
-                stage(Repeat::Fingerprinted, 3.0),
+            dependency: Dependency::Shared,
+            dependency_quota: 10.0,
+            dependency_window_ms: 5_000.0,
+            call_linger_ms: 10.0,
+            idle_timeout_ms: 30_000.0,
+            response_reuse_ms: 0.0,
+            preemption: Preemption::Unsupported,
+            capacity_hint: CapacityHint::Unused,
+            max_retry_after_ms: 1_000.0,
+            over_quota_weight_share: 0.1,
+            weight_per_work: true,
+            classes: vec![
+                stage(Idempotency::Idempotent, 1.0),
+                stage(Idempotency::Keyed, 3.0),
             ],
-            customers: vec![
-                CustomerFacts {
-                    allowance_per_s: 5.0,
-                },
-                CustomerFacts {
-                    allowance_per_s: 50.0,
-                },
+            tenants: vec![
+                TenantParameters { quota_per_s: 5.0 },
+                TenantParameters { quota_per_s: 50.0 },
             ],
         }
     }
@@ -269,38 +266,38 @@
         match what {
             0..5 => {
                 let arrival = Arrival {
-                    stage: n % 2,
-                    customer: n / 2 % 2,
+                    class: n % 2,
+                    tenant: n / 2 % 2,
                     caller: n / 4 % 3,
                     unread_ms: (n % 7) as f64,
-                    left_ms: Some(100.0 + (n % 900) as f64),
-                    hint_ms: (n % 3 > 0).then_some(1.0 + (n % 40) as f64),
-                    kb: 5.0,
-                    repeat: n % 17 == 0,
+                    remaining_ms: Some(100.0 + (n % 900) as f64),
+                    cost_hint_ms: (n % 3 > 0).then_some(1.0 + (n % 40) as f64),
+                    memory_kb: 5.0,
+                    is_repeat: n % 17 == 0,
                 };
-                server.take(now, arrival, log);
+                server.receive(now, arrival, log);
             }
             5..8 => {
-                let how = [Outcome::Ok, Outcome::Ok, Outcome::Error][n % 3];
+                let how = [Outcome::Ok, Outcome::Ok, Outcome::Failed][n % 3];
                 if let Some(task) = pick(&log.running) {
-                    task.run_over(server, now, how, log);
+                    task.run_ended(server, now, how, log);
                 }
             }
             8 => {
                 if let Some(task) = pick(&log.held) {
-                    task.caller_left(server, now, log);
+                    task.caller_gone(server, now, log);
                 }
             }
             9 => {
                 if let Some(task) = pick(&log.running) {
-                    task.needs_call(server, now, log);
-                    let how = [Outcome::Ok, Outcome::Full, Outcome::Timeout][n % 3];
-                    task.call_over(server, now, how, (n % 90) as f64, log);
+                    task.call_needed(server, now, log);
+                    let how = [Outcome::Ok, Outcome::Rejected, Outcome::TimedOut][n % 3];
+                    task.call_ended(server, now, how, (n % 90) as f64, log);
                 }
             }
             _ => {
                 let cpu = Some((n % 11) as f64 / 10.0);
-                server.beat(
+                server.tick(
                     now,
                     Gauges {
                         cpu,
@@ -330,7 +327,7 @@
             }
             let bytes = server.snapshot();
             let mut again = Server::restore(&bytes).unwrap();
-            prop_assert_eq!(again.gist(), server.gist());
+            prop_assert_eq!(again.summary(), server.summary());
             let mut other = log.clone();
             for &(what, n, gap) in after {
                 now += gap;
@@ -372,7 +369,7 @@
             (|s| s.free.push(s.live[0]), "tasks"),
             (|s| s.window = 99, "windows"),
             (
-                |s| s.tasks[s.live[0] as usize].asked.stage = 9,
+                |s| s.tasks[s.live[0] as usize].asked.class = 9,
                 "a task's stage",
             ),
             (|s| s.count[1] += 1, "counts"),
@@ -383,7 +380,7 @@
             change(&mut server);
             assert_eq!(
                 Server::restore(&server.snapshot()).err(),
-                Some(Unsound::Inconsistent(what))
+                Some(InvalidSnapshot::Inconsistent(what))
             );
         }
     }
--- a/crates/asterdale/src/state.rs
+++ b/crates/asterdale/src/state.rs
@@ -2,7 +2,7 @@
 //! decisions.
 
 use crate::measure::{Pcg, Ring, Spread};
-use crate::told::{Arrival, CustomerFacts, StageFacts, Told};
+use crate::parameters::{Arrival, ClassParameters, Parameters, TenantParameters};
 
 /// A task that was taken, from `Server::take` until `Machine::release`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -100,7 +100,7 @@
 /// What differs by stage.
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct Stage {
-    pub facts: StageFacts,
+    pub facts: ClassParameters,
     /// Net run times (per unit of hinted work) of calm or pinned runs.
     pub calm: Spread,
     /// Their p95; 0 before there is one.
@@ -109,7 +109,7 @@
 
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct Customer {
-    pub facts: CustomerFacts,
+    pub facts: TenantParameters,
     /// Its tasks read of late.
     pub read: Ring,
     /// Its tasks in the hold.
@@ -119,7 +119,7 @@
 /// The decisions of one server.
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub struct Server {
-    pub(crate) told: Told,
+    pub(crate) told: Parameters,
     pub(crate) stages: Vec<Stage>,
     pub(crate) customers: Vec<Customer>,
     pub(crate) tasks: Vec<Task>,
@@ -192,30 +192,30 @@
 
 impl Server {
     /// How many stages there are.
-    pub fn stages(&self) -> usize {
+    pub fn class_count(&self) -> usize {
         self.stages.len()
     }
 
     /// A server with nothing in it and nothing decided. One without customers gets a row for all its tasks.
-    pub(crate) fn blank(told: Told, now: f64) -> Server {
-        let row = |facts: &StageFacts| Stage {
+    pub(crate) fn blank(told: Parameters, now: f64) -> Server {
+        let row = |facts: &ClassParameters| Stage {
             facts: facts.clone(),
             calm: Spread::default(),
             base: 0.0,
         };
-        let share = |facts: &CustomerFacts| Customer {
+        let share = |facts: &TenantParameters| Customer {
             facts: facts.clone(),
             read: Ring::default(),
             held: 0,
         };
-        let mut customers: Vec<Customer> = told.customers.iter().map(share).collect();
+        let mut customers: Vec<Customer> = told.tenants.iter().map(share).collect();
         if customers.is_empty() {
-            customers.push(share(&CustomerFacts {
-                allowance_per_s: f64::INFINITY,
+            customers.push(share(&TenantParameters {
+                quota_per_s: f64::INFINITY,
             }));
         }
         Server {
-            stages: told.stages.iter().map(row).collect(),
+            stages: told.classes.iter().map(row).collect(),
             customers,
             tasks: Vec::new(),
             free: Vec::new(),
@@ -254,7 +254,7 @@
             callers: Vec::new(),
             again: 1.0,
             cpu: 1.0,
-            idle: told.idle_ms,
+            idle: told.idle_timeout_ms,
             rejected: Ring::default(),
             turned_away: 0,
             others: None,
