--- a/crates/asterdale-daemon/src/fleet.rs
+++ b/crates/asterdale-daemon/src/fleet.rs
@@ -8,7 +8,7 @@
 use asterdale_engine::log::Log;
 use asterdale_engine::message::{EngineMessage, FleetView, LocalStatus, OwnershipClient};
 use asterdale_membership::{Event, Notes, Phase, Start as Told, Terms};
-use asterdale_ownership::{Told as Word, Want};
+use asterdale_ownership::{OwnershipEvent as Word, OwnershipRequest};
 use asterdale_transport::custody::Heard;
 use asterdale_transport::{Place, Talk};
 use crossbeam_channel::Sender;
@@ -93,7 +93,7 @@
         hasher.finish()
     }
 
-    fn request(&self, number: u64, want: Want) {
+    fn request(&self, number: u64, want: OwnershipRequest) {
         self.custody.want(number, want);
     }
 
@@ -167,14 +167,14 @@
         .map(|told| asterdale_transport::custody::Place {
             disk,
             keepers: told.keepers.clone(),
-            terms: asterdale_ownership::Terms {
+            terms: asterdale_ownership::OwnershipSettings {
                 lease_ms: told.lease_ms,
-                margin_ms: told.lease_ms / 4.0,
+                lease_margin_ms: told.lease_ms / 4.0,
                 // An election takes ten to twenty ticks: half a lease to one.
                 tick_ms: (told.lease_ms / 20.0).clamp(20.0, 200.0),
-                most_bytes: told.bytes,
-                window_ms: told.window_ms,
-                ..asterdale_ownership::Terms::default()
+                max_bytes: told.bytes,
+                max_retry_window_ms: told.window_ms,
+                ..asterdale_ownership::OwnershipSettings::default()
             },
             unix_s: (unix_ms() / 1e3) as u64,
         });
@@ -216,36 +216,40 @@
 /// A line for each word of custody.
 fn told_of(lines: &slog::Logger, word: &Word) {
     match word {
-        Word::Formed(group, quiet_ms) => {
+        Word::GroupFormed(group, quiet_ms) => {
             slog::warn!(lines, "takeover: a group of keepers is formed, nothing is claimed before windows have passed";
                 "group" => group, "quiet_ms" => quiet_ms);
         }
-        Word::Joined(group) => {
+        Word::GroupJoined(group) => {
             slog::info!(lines, "takeover: this keeper is in a group"; "group" => group)
         }
-        Word::Restored(group) => {
+        Word::RestoredFromDisk(group) => {
             slog::info!(lines, "takeover: this keeper is the one that it was, by its disk"; "group" => group);
         }
-        Word::Leads(group) => slog::info!(lines, "takeover: this keeper leads"; "group" => group),
-        Word::Follows(group) => {
+        Word::BecameLeader(group) => {
+            slog::info!(lines, "takeover: this keeper leads"; "group" => group)
+        }
+        Word::LostLeadership(group) => {
             slog::warn!(lines, "takeover: this keeper leads no more"; "group" => group)
         }
-        Word::Abandoned(group) => {
+        Word::GroupAbandoned(group) => {
             slog::error!(lines, "takeover: most keepers lost their memory, the group is given up"; "group" => group);
         }
-        Word::Replaced(name) => {
+        Word::ReplicaReplaced(name) => {
             slog::info!(lines, "takeover: a keeper that came back takes its place"; "name" => name);
         }
-        Word::Epoch(epoch) => {
+        Word::EpochGranted(epoch) => {
             slog::info!(lines, "takeover: this process may claim work"; "epoch" => epoch)
         }
-        Word::Over(epoch) => {
+        Word::EpochEnded(epoch) => {
             slog::error!(lines, "takeover: what this process had claimed may be another's"; "epoch" => epoch);
         }
-        Word::Lapsed(epoch) => {
+        Word::LeaseLapsed(epoch) => {
             slog::warn!(lines, "takeover: the lease lapsed, nothing that is kept is started"; "epoch" => epoch);
         }
-        Word::Renewed(epoch) => slog::info!(lines, "takeover: the lease holds"; "epoch" => epoch),
+        Word::LeaseRestored(epoch) => {
+            slog::info!(lines, "takeover: the lease holds"; "epoch" => epoch)
+        }
     }
 }
 
--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -11,7 +11,7 @@
 use asterdale_journal::ledger::Bounds;
 use asterdale_journal::writer::Word;
 use asterdale_journal::{Heard, Journal, Known, Order, Place, Standing};
-use asterdale_ownership::{Answer, Verdict, Want};
+use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
 use crossbeam_channel::Sender;
 use siphasher::sip::SipHasher13;
 
@@ -48,20 +48,22 @@
         hasher.finish()
     }
 
-    fn request(&self, number: u64, want: Want) {
+    fn request(&self, number: u64, want: OwnershipRequest) {
         self.journal.order(match want {
-            Want::Look(key, sign) => Order::Look(number, key, sign),
-            Want::Claim(work) => Order::Claim {
+            OwnershipRequest::Lookup(key, sign) => Order::Look(number, key, sign),
+            OwnershipRequest::Claim(work) => Order::Claim {
                 number,
                 key: work.key,
-                sign: work.sign,
-                id: work.id,
+                sign: work.body_digest,
+                id: work.execution_id,
                 // A repeat that came before the window's end may be read that much later.
-                window_ms: work.window_ms + self.unread_ms,
+                window_ms: work.retry_window_ms + self.unread_ms,
             },
-            Want::End(key, claim, result) => Order::End(number, key, claim, result),
+            OwnershipRequest::Complete(key, claim, result) => {
+                Order::End(number, key, claim, result)
+            }
             // Nobody else has this folder: it is rejected as it would have been.
-            Want::Pass(work) => Order::Look(number, work.key, work.sign),
+            OwnershipRequest::HandOver(work) => Order::Look(number, work.key, work.body_digest),
         });
     }
 
@@ -99,24 +101,24 @@
     let verdict = match word {
         Word::Yours(claim) => {
             answer.number = claim;
-            Verdict::Yours
+            Verdict::Granted
         }
-        Word::Kept => Verdict::Kept,
-        Word::Known(Known::Nothing) => Verdict::Nothing,
-        Word::Known(Known::Open) => Verdict::Open,
+        Word::Kept => Verdict::Recorded,
+        Word::Known(Known::Nothing) => Verdict::NotFound,
+        Word::Known(Known::Open) => Verdict::InProgress,
         Word::Known(Known::Failed) => Verdict::Failed,
-        Word::Known(Known::Differs) => Verdict::Differs,
+        Word::Known(Known::Differs) => Verdict::DigestMismatch,
         Word::Known(Known::Passed(result)) => {
             answer.result = result;
-            Verdict::Passed
+            Verdict::Completed
         }
         Word::Known(Known::Unknown(ms)) => {
             answer.ms = ms;
-            Verdict::Unknown
+            Verdict::OutcomeUnknown
         }
         Word::Known(Known::Full) => {
             answer.ms = AGAIN_MS;
-            Verdict::Full
+            Verdict::RetryLater
         }
     };
     answer.set_verdict(verdict);
@@ -194,19 +196,25 @@
 
 #[cfg(feature = "fleet")]
 impl asterdale_transport::custody::Shelf for OnShelf {
-    fn save(&mut self, saves: Vec<asterdale_ownership::Save>) -> Result<(), String> {
+    fn save(&mut self, saves: Vec<asterdale_ownership::StorageWrite>) -> Result<(), String> {
         use asterdale_journal::shelf::Change;
-        use asterdale_ownership::Save;
+        use asterdale_ownership::StorageWrite;
         let mut changes = Vec::with_capacity(saves.len());
         for save in saves {
             match save {
-                Save::Face(face) => changes.push(Change::Fact(FACE, face)),
-                Save::Hard(hard) => changes.push(Change::Fact(HARD, hard)),
-                Save::Whole(index, whole, alone) => {
+                StorageWrite::Identity(face) => changes.push(Change::Fact(FACE, face)),
+                StorageWrite::HardState(hard) => changes.push(Change::Fact(HARD, hard)),
+                StorageWrite::Snapshot {
+                    last_index: index,
+                    bytes: whole,
+                    delete_all_entries: alone,
+                } => {
                     changes.push(Change::Fact(WHOLE, whole));
                     changes.push(Change::Cut((!alone).then_some(index)));
                 }
-                Save::Entries(first, entries) => changes.push(Change::Entries(first, entries)),
+                StorageWrite::Entries(first, entries) => {
+                    changes.push(Change::Entries(first, entries))
+                }
             }
         }
         self.0.change(&changes).map_err(|e| e.to_string())
@@ -245,10 +253,10 @@
             .find(|(known, _)| known == name)
             .map(|(_, value)| value.clone())
     };
-    let saved = asterdale_ownership::Saved {
-        face: fact(FACE).unwrap_or_default(),
-        hard: fact(HARD).unwrap_or_default(),
-        whole: fact(WHOLE).unwrap_or_default(),
+    let saved = asterdale_ownership::StoredState {
+        identity: fact(FACE).unwrap_or_default(),
+        hard_state: fact(HARD).unwrap_or_default(),
+        snapshot: fact(WHOLE).unwrap_or_default(),
         entries: found.entries.clone(),
     };
     let shelf = Arc::new(std::sync::Mutex::new(OnShelf(shelf)));
--- a/crates/asterdale-engine/src/message.rs
+++ b/crates/asterdale-engine/src/message.rs
@@ -169,7 +169,7 @@
     /// What tells a body from others, alike in all processes.
     fn body_digest(&self, body: &[u8]) -> u64;
     /// Something is wanted; what comes of it is mail under this number.
-    fn request(&self, number: u64, want: asterdale_ownership::Want);
+    fn request(&self, number: u64, want: asterdale_ownership::OwnershipRequest);
     /// Nobody waits for it any more.
     fn forget(&self, number: u64);
     /// What was claimed by this fence was never started.
@@ -232,9 +232,9 @@
     /// What came of something that was wanted of the keepers.
     #[cfg(feature = "ownership")]
     OwnershipAnswer(u64, asterdale_ownership::Answer),
-    /// Work whose owner is gone, that this process may take.
+    /// KeyedRequest whose owner is gone, that this process may take.
     #[cfg(feature = "ownership")]
-    OwnerlessRequests(Vec<asterdale_ownership::Work>),
+    OwnerlessRequests(Vec<asterdale_ownership::KeyedRequest>),
     /// The notice to leave.
     Drain,
     /// Print the counters.
--- a/crates/asterdale-engine/src/ownership.rs
+++ b/crates/asterdale-engine/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Work in hand that others keep, as the engine does it: who is asked before a task starts, what waits for an answer,
+//! KeyedRequest in hand that others keep, as the engine does it: who is asked before a task starts, what waits for an answer,
 //! and what becomes of it. What is owned is agreed by the keepers ([`asterdale_ownership`]); what is let in, in which
 //! order it runs and what is turned away is the module's, for orphans as for all others.
 //!
@@ -13,7 +13,7 @@
 use asterdale::parameters::{Arrival, Idempotency, Outcome};
 use asterdale::Handle;
 use asterdale_ownership::failpoint::{self, Failpoint};
-use asterdale_ownership::{Answer, Verdict, Want, Work};
+use asterdale_ownership::{Answer, KeyedRequest, OwnershipRequest, Verdict};
 
 use crate::engine::Engine;
 use crate::message::{
@@ -30,7 +30,7 @@
 const POLL_MS: f64 = 40.0;
 /// How often what waits is looked at.
 const TICK_MS: f64 = 20.0;
-/// Work that has been nobody's at two looks in a row is anybody's: whoever waits for it tries again.
+/// KeyedRequest that has been nobody's at two looks in a row is anybody's: whoever waits for it tries again.
 const NOBODYS_MS: f64 = 1.5 * POLL_MS;
 /// An answer that waits for its outcome to be kept is given so long before its caller goes.
 const BEFORE_MS: f64 = 20.0;
@@ -108,7 +108,7 @@
         sign: u64,
         since: f64,
     },
-    /// Work that runs elsewhere.
+    /// KeyedRequest that runs elsewhere.
     Poll(IdempotencyKey),
     /// A task that the module has run.
     Claim { who: TaskId, since: f64 },
@@ -137,7 +137,7 @@
     by: f64,
 }
 
-/// Work that runs elsewhere and is waited for here.
+/// KeyedRequest that runs elsewhere and is waited for here.
 struct Elsewhere {
     key: Vec<u8>,
     sign: u64,
@@ -193,7 +193,7 @@
         }
     }
 
-    fn want(&mut self, want: Want, awaited: Awaited) -> u64 {
+    fn want(&mut self, want: OwnershipRequest, awaited: Awaited) -> u64 {
         let number = self.next;
         self.next += 1;
         self.waiting.insert(number, awaited);
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Work that runs elsewhere is waited for from now on.
+    /// KeyedRequest that runs elsewhere is waited for from now on.
     fn waits(
         &mut self,
         now: f64,
@@ -304,7 +304,7 @@
             return;
         };
         let (key, sign, since) = (kept.key.clone(), kept.sign, self.now);
-        let want = Want::Look(key.clone(), sign);
+        let want = OwnershipRequest::Lookup(key.clone(), sign);
         let awaited = Awaited::Look {
             request: Box::new(request),
             mark,
@@ -364,14 +364,14 @@
             Claim::Held(_) => return true,
             Claim::Asked(_) | Claim::Elsewhere => return false,
         }
-        let work = Work {
+        let work = KeyedRequest {
             key: kept.key.clone(),
-            stage: facts.class_names[stage].clone(),
-            id: id.to_vec(),
-            sign: kept.sign,
+            class: facts.class_names[stage].clone(),
+            execution_id: id.to_vec(),
+            body_digest: kept.sign,
             body,
-            due_ms: (kept.due - now).max(0.0),
-            window_ms: facts.decisions.classes[stage]
+            deadline_ms: (kept.due - now).max(0.0),
+            retry_window_ms: facts.decisions.classes[stage]
                 .retry_window_ms
                 .clamp(0.0, 9e8),
             hint_ms: kept.hint_ms.clamp(0.0, 9e8),
@@ -381,13 +381,14 @@
         let Some(port) = &self.desk.port else {
             return true;
         };
-        let work = Work {
+        let work = KeyedRequest {
             fenced: port.replicates_class(stage).unwrap_or(false),
             ..work
         };
-        let number = self
-            .desk
-            .want(Want::Claim(work), Awaited::Claim { who, since: now });
+        let number = self.desk.want(
+            OwnershipRequest::Claim(work),
+            Awaited::Claim { who, since: now },
+        );
         if let Some(kept) = self.slot(task).and_then(|slot| slot.kept.as_mut()) {
             kept.claim = Claim::Asked(number);
         }
@@ -433,7 +434,7 @@
         }
         self.desk.taken -= usize::from(kept.orphan);
         let Kept { key, sign, by, .. } = kept;
-        let want = Want::End(key.clone(), fence, Some(result.to_vec()));
+        let want = OwnershipRequest::Complete(key.clone(), fence, Some(result.to_vec()));
         let ended = Ended {
             mark,
             who,
@@ -459,8 +460,10 @@
                 port.claim_unused(kept.key, fence);
             }
         } else {
-            self.desk
-                .want(Want::End(kept.key, fence, None), Awaited::Told);
+            self.desk.want(
+                OwnershipRequest::Complete(kept.key, fence, None),
+                Awaited::Told,
+            );
         }
     }
 
@@ -472,8 +475,10 @@
         };
         self.desk.taken -= usize::from(kept.orphan);
         if let (Some(fence), None) = (kept.held(), self.desk.leaves) {
-            self.desk
-                .want(Want::End(kept.key, fence, None), Awaited::Told);
+            self.desk.want(
+                OwnershipRequest::Complete(kept.key, fence, None),
+                Awaited::Told,
+            );
         }
     }
 
@@ -500,14 +505,14 @@
             return false;
         };
         let (key, sign, stage) = (kept.key.clone(), kept.sign, slot.stage);
-        let work = Work {
+        let work = KeyedRequest {
             key: key.clone(),
-            stage: facts.class_names[stage].clone(),
-            id: slot.id.to_vec(),
-            sign,
+            class: facts.class_names[stage].clone(),
+            execution_id: slot.id.to_vec(),
+            body_digest: sign,
             body: slot.body.clone(),
-            due_ms: (kept.due - now).max(0.0),
-            window_ms: facts.decisions.classes[stage]
+            deadline_ms: (kept.due - now).max(0.0),
+            retry_window_ms: facts.decisions.classes[stage]
                 .retry_window_ms
                 .clamp(0.0, 9e8),
             hint_ms: kept.hint_ms.clamp(0.0, 9e8),
@@ -524,7 +529,7 @@
             stay_away_ms: stay_away_ms as u64,
         };
         self.desk.want(
-            Want::Pass(work),
+            OwnershipRequest::HandOver(work),
             Awaited::Pass {
                 mark,
                 key,
@@ -656,15 +661,15 @@
 fn reply_of(answer: &Answer, lease_ms: f64) -> Option<Reply> {
     let wait_ms = answer.ms.clamp(0.0, 60_000.0) as u64;
     Some(match answer.verdict() {
-        Verdict::Passed => Reply::Served(answer.result.clone().into()),
+        Verdict::Completed => Reply::Served(answer.result.clone().into()),
         Verdict::Failed => Reply::Failed,
-        Verdict::Unknown => Reply::Unknown { wait_ms },
-        Verdict::Full => Reply::Rejected {
+        Verdict::OutcomeUnknown => Reply::Unknown { wait_ms },
+        Verdict::RetryLater => Reply::Rejected {
             last: false,
             stay_away_ms: wait_ms,
         },
-        Verdict::Differs => Reply::Malformed,
-        Verdict::Over => Reply::Rejected {
+        Verdict::DigestMismatch => Reply::Malformed,
+        Verdict::EpochEnded => Reply::Rejected {
             last: false,
             stay_away_ms: lease_ms as u64,
         },
@@ -704,7 +709,7 @@
                     self.tasks.desk.leaves.unwrap_or(self.tasks.now),
                 );
                 match answer.verdict() {
-                    Verdict::Kept | Verdict::Open => {
+                    Verdict::Recorded | Verdict::InProgress => {
                         let window = self.tasks.facts.decisions.classes[mark.class].retry_window_ms;
                         let elsewhere = self.tasks.desk.waits(now, &mark, (&key, sign), window);
                         elsewhere.backs.push(Detached {
@@ -733,8 +738,10 @@
     ) {
         let tasks = &mut self.tasks;
         let verdict = answer.verdict();
-        if matches!(verdict, Verdict::Open | Verdict::Passed | Verdict::Failed)
-            && !lock_is_ignored(verdict)
+        if matches!(
+            verdict,
+            Verdict::InProgress | Verdict::Completed | Verdict::Failed
+        ) && !lock_is_ignored(verdict)
         {
             if tasks.fingerprints.is_full() {
                 tasks.counters.requests_over.add();
@@ -763,7 +770,7 @@
             return self.take_in(request, true);
         }
         match reply_of(answer, tasks.desk.lease_ms()) {
-            Some(reply) if verdict != Verdict::Open => {
+            Some(reply) if verdict != Verdict::InProgress => {
                 if reply == Reply::Malformed {
                     tasks.counters.tasks_senseless.add();
                 } else {
@@ -783,8 +790,8 @@
         };
         (elsewhere.polling, elsewhere.at) = (false, now + POLL_MS);
         match answer.verdict() {
-            Verdict::Open => elsewhere.nobodys = None,
-            Verdict::Nothing => {
+            Verdict::InProgress => elsewhere.nobodys = None,
+            Verdict::NotFound => {
                 let since = *elsewhere.nobodys.get_or_insert(now);
                 if now - since >= NOBODYS_MS {
                     // Its owner is gone, or dropped it before it started. Who waits here never ran, and may try again:
@@ -798,7 +805,7 @@
                     );
                 }
             }
-            Verdict::Passed | Verdict::Failed | Verdict::Unknown => {
+            Verdict::Completed | Verdict::Failed | Verdict::OutcomeUnknown => {
                 if let Some(reply) = reply_of(answer, 0.0) {
                     tasks.known(mark, &reply);
                 }
@@ -826,7 +833,7 @@
             kept.claim = Claim::Held(u64::MAX >> 1);
             return asterdale::Actions::start(tasks, task);
         }
-        if verdict == Verdict::Yours {
+        if verdict == Verdict::Granted {
             if (waits || kept.orphan) && !void && port.may_act() {
                 kept.claim = Claim::Held(fence);
                 if kept.orphan {
@@ -844,7 +851,7 @@
             );
         }
         match verdict {
-            Verdict::Open => {
+            Verdict::InProgress => {
                 kept.claim = Claim::Elsewhere;
                 let (key, sign, mark) = (kept.key.clone(), kept.sign, slot.mark.clone());
                 let Some(mark) = mark else { return };
@@ -855,7 +862,7 @@
                     tasks.desk.waits(now, &mark, (&key, sign), window);
                 }
             }
-            Verdict::Passed => {
+            Verdict::Completed => {
                 let result: Arc<[u8]> = answer.result.clone().into();
                 kept.claim = Claim::Elsewhere;
                 if tasks.finished(task, result.clone()) {
@@ -939,7 +946,7 @@
     }
 
     /// Orphans that this process may take: they go through the module like any arrival.
-    pub(crate) fn offered(&mut self, all: Vec<Work>) {
+    pub(crate) fn offered(&mut self, all: Vec<KeyedRequest>) {
         for work in all {
             if self.room() == 0 {
                 return;
@@ -949,7 +956,7 @@
                 .facts
                 .class_names
                 .iter()
-                .position(|name| *name == work.stage)
+                .position(|name| *name == work.class)
             else {
                 continue;
             };
@@ -969,7 +976,8 @@
                 continue;
             }
             tasks.serial += 1;
-            let Some(id) = fresh_id(tasks.facts.decisions.seed, tasks.serial, &work.id) else {
+            let Some(id) = fresh_id(tasks.facts.decisions.seed, tasks.serial, &work.execution_id)
+            else {
                 continue;
             };
             let sign = tasks.fingerprints.sign(&work.body);
@@ -978,19 +986,19 @@
                 tenant: 0,
                 caller: 0,
                 unread_ms: 0.0,
-                remaining_ms: Some(work.due_ms),
+                remaining_ms: Some(work.deadline_ms),
                 cost_hint_ms: Some(work.hint_ms).filter(|ms| *ms > 0.0),
                 memory_kb: work.kb.max(0.1),
                 is_repeat: false,
             };
             let kept = Kept {
                 key: work.key,
-                sign: work.sign,
+                sign: work.body_digest,
                 claim: Claim::None,
                 fences: true,
                 orphan: true,
-                by: tasks.now + work.due_ms,
-                due: tasks.now + work.due_ms,
+                by: tasks.now + work.deadline_ms,
+                due: tasks.now + work.deadline_ms,
                 hint_ms: work.hint_ms,
                 kb: work.kb,
             };
@@ -1119,7 +1127,7 @@
         for (mark, key, sign) in looks {
             self.tasks
                 .desk
-                .want(Want::Look(key, sign), Awaited::Poll(mark));
+                .want(OwnershipRequest::Lookup(key, sign), Awaited::Poll(mark));
         }
         for mark in over {
             self.tasks.known(&mark, &Reply::Unknown { wait_ms: 0 });
@@ -1129,7 +1137,7 @@
 
 /// A look that finds the owner gone is taken for leave to run, where a proof plants that.
 fn lock_is_ignored(verdict: Verdict) -> bool {
-    failpoint::is_active(Failpoint::Lock) && verdict == Verdict::Open
+    failpoint::is_active(Failpoint::Lock) && verdict == Verdict::InProgress
 }
 
 /// An id that no edge node has given: of the one that ran, this process's seed and the task's number.
--- a/crates/asterdale-ownership/src/lib.rs
+++ b/crates/asterdale-ownership/src/lib.rs
@@ -1,4 +1,4 @@
-//! Work in hand survives the loss of its backend: another takes it over, once. Without I/O and clock; letters, orders
+//! KeyedRequest in hand survives the loss of its backend: another takes it over, once. Without I/O and clock; letters, orders
 //! and times come in; letters, verdicts and the next wake go out. `docs/takeover.md` weighs the ways, and has the table
 //! of what may be done with a task of which kind at which step.
 //!
@@ -9,21 +9,21 @@
 //! Floors, from below: [`terms`], [`message`] (bytes), [`book`] (what the log adds up to: who owns what, and how it
 //! ended), [`group`] (the log, by the library), [`saved`] (what a keeper has on disk), [`keeper`] (one keeper's part), [`owner`] (one owner's part).
 
-pub mod book;
 pub mod failpoint;
-pub mod group;
-pub mod keeper;
 pub mod message;
 pub mod owner;
-pub mod saved;
-pub mod terms;
+pub mod raft_node;
+pub mod replica;
+pub mod settings;
+pub mod storage;
+pub mod table;
 
-pub use book::Book;
-pub use keeper::Keeper;
-pub use message::wire::{Answer, Member, Verdict, Work};
-pub use owner::{Owner, Want};
-pub use saved::{Save, Saved};
-pub use terms::Terms;
+pub use message::wire::{Answer, KeyedRequest, Member, Verdict};
+pub use owner::{Owner, OwnershipRequest};
+pub use replica::Replica;
+pub use settings::OwnershipSettings;
+pub use storage::{StorageWrite, StoredState};
+pub use table::OwnershipTable;
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,38 +31,38 @@
     /// Send this letter there.
     Send(std::net::SocketAddr, Vec<u8>),
     /// A line for the log.
-    Tell(Told),
+    Report(OwnershipEvent),
     /// An owner hears this of what it wanted, by the number that it gave.
-    Verdict(u64, Answer),
+    Answer(u64, Answer),
     /// An owner may take these orphans.
-    Offered(Vec<Work>),
+    OfferOwnerless(Vec<KeyedRequest>),
     /// This has to be on disk before whatever comes after it is done; never told to a keeper that has none.
-    Save(Vec<Save>),
+    Persist(Vec<StorageWrite>),
 }
 
 /// What operators are told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum OwnershipEvent {
     /// A group of keepers is formed; nothing is claimed in it for so long.
-    Formed(u64, f64),
+    GroupFormed(u64, f64),
     /// This keeper belongs to a group from now on.
-    Joined(u64),
+    GroupJoined(u64),
     /// It leads it.
-    Leads(u64),
+    BecameLeader(u64),
     /// It leads no more.
-    Follows(u64),
+    LostLeadership(u64),
     /// Most of the group came back without memory: it is given up.
-    Abandoned(u64),
+    GroupAbandoned(u64),
     /// This keeper is the one that it was before its process ended, with its part of the log.
-    Restored(u64),
+    RestoredFromDisk(u64),
     /// A keeper that came back empty takes the place of the one that it was.
-    Replaced(String),
+    ReplicaReplaced(String),
     /// This owner may claim work, in this epoch.
-    Epoch(u64),
+    EpochGranted(u64),
     /// Its epoch is over: what it had claimed is no longer its own.
-    Over(u64),
+    EpochEnded(u64),
     /// Its lease can't be renewed: it starts nothing and calls nothing.
-    Lapsed(u64),
+    LeaseLapsed(u64),
     /// It can be again.
-    Renewed(u64),
+    LeaseRestored(u64),
 }
--- a/crates/asterdale-ownership/src/message.rs
+++ b/crates/asterdale-ownership/src/message.rs
@@ -11,18 +11,18 @@
     include!(concat!(env!("OUT_DIR"), "/asterdale.takeover.v1.rs"));
 }
 
-pub use wire::letter::What;
-pub use wire::order::What as Ordered;
-pub use wire::{Letter, Member, Work};
+pub use wire::command::Kind as CommandKind;
+pub use wire::envelope::Body as MessageBody;
+pub use wire::{Envelope, KeyedRequest, Member};
 
 /// A letter is no longer, in bytes: a whole book of the default size, and what the library puts around it.
-pub const MOST_LETTER: usize = 24 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 24 * 1024 * 1024;
 /// A name is no longer.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// A key is no longer: stage, tenant, and what a caller may send.
-pub const MOST_KEY: usize = 512;
+pub const MAX_KEY_BYTES: usize = 512;
 /// Bodies and results are no longer; the platform's are 2 and 4 KiB.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// A process under this name, with this number, reached there.
 pub fn member(name: &str, node: u64, at: SocketAddr) -> Member {
@@ -39,7 +39,7 @@
 }
 
 /// Where it is reached; `None` if that makes no sense.
-pub fn place(member: &Member) -> Option<SocketAddr> {
+pub fn socket_addr(member: &Member) -> Option<SocketAddr> {
     let ip: IpAddr = match member.ip.len() {
         4 => <[u8; 4]>::try_from(&member.ip[..]).ok()?.into(),
         _ => <[u8; 16]>::try_from(&member.ip[..]).ok()?.into(),
@@ -49,37 +49,42 @@
 }
 
 /// A letter as bytes.
-pub fn encode(seal: &Seal, from: &Member, what: What) -> Vec<u8> {
+pub fn encode(seal: &Seal, from: &Member, what: MessageBody) -> Vec<u8> {
     seal.close(
-        &Letter {
+        &Envelope {
             from: Some(from.clone()),
-            what: Some(what),
+            body: Some(what),
         }
         .encode_to_vec(),
     )
 }
 
 /// The letter of these bytes: who wrote it, from where, and what.
-pub fn decode(seal: &Seal, bytes: &[u8]) -> Option<(Member, SocketAddr, What)> {
-    if bytes.len() > MOST_LETTER {
+pub fn decode(seal: &Seal, bytes: &[u8]) -> Option<(Member, SocketAddr, MessageBody)> {
+    if bytes.len() > MAX_MESSAGE_BYTES {
         return None;
     }
-    let letter = Letter::decode(seal.open(bytes).ok()?).ok()?;
-    let from = letter.from.filter(|from| {
-        let named = !from.name.is_empty() && from.name.len() <= MOST_NAME;
+    let envelope = Envelope::decode(seal.open(bytes).ok()?).ok()?;
+    let from = envelope.from.filter(|from| {
+        let named = !from.name.is_empty() && from.name.len() <= MAX_NAME_BYTES;
         named && from.node != 0
     })?;
-    let at = place(&from)?;
-    Some((from, at, letter.what?))
+    let at = socket_addr(&from)?;
+    Some((from, at, envelope.body?))
 }
 
 /// Whether work makes sense: a peer's word fills no more than its place.
-pub fn is_sound(work: &Work) -> bool {
-    let times = [work.due_ms, work.window_ms, work.hint_ms, work.kb];
-    (1..=MOST_KEY).contains(&work.key.len())
-        && work.body.len() <= MOST_BODY
-        && work.id.len() == 16
-        && work.stage.len() <= MOST_NAME
+pub fn is_valid_request(work: &KeyedRequest) -> bool {
+    let times = [
+        work.deadline_ms,
+        work.retry_window_ms,
+        work.hint_ms,
+        work.kb,
+    ];
+    (1..=MAX_KEY_BYTES).contains(&work.key.len())
+        && work.body.len() <= MAX_BODY_BYTES
+        && work.execution_id.len() == 16
+        && work.class.len() <= MAX_NAME_BYTES
         && times
             .iter()
             .all(|ms| ms.is_finite() && *ms >= 0.0 && *ms < 1e9)
--- a/crates/asterdale-ownership/src/owner.rs
+++ b/crates/asterdale-ownership/src/owner.rs
@@ -7,11 +7,12 @@
 use asterdale_membership::seal::Seal;
 
 use crate::message::wire::{
-    Answer, Answers, Asked, Claim, Drop as Dropped, End, Look, Order, Renew, Verdict,
+    Answer, Answers, Claim, Command, CommandBatch, Complete, Lookup, Release as Dropped, Renew,
+    Verdict,
 };
-use crate::message::{self, place, Member, Ordered, What, Work};
-use crate::terms::Terms;
-use crate::{Action, Told};
+use crate::message::{self, socket_addr, CommandKind, KeyedRequest, Member, MessageBody};
+use crate::settings::OwnershipSettings;
+use crate::{Action, OwnershipEvent};
 
 /// Orders in one letter.
 const MOST_ORDERS: usize = 512;
@@ -20,22 +21,22 @@
 
 /// What an owner wants of the keepers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Want {
+pub enum OwnershipRequest {
     /// What is known of this key, with this sign of its body?
-    Look(Vec<u8>, u64),
+    Lookup(Vec<u8>, u64),
     /// It is about to start this.
-    Claim(Work),
+    Claim(KeyedRequest),
     /// What it claimed by this fence has ended, with a result or without.
-    End(Vec<u8>, u64, Option<Vec<u8>>),
+    Complete(Vec<u8>, u64, Option<Vec<u8>>),
     /// It holds this and won't start it.
-    Pass(Work),
+    HandOver(KeyedRequest),
 }
 
 #[derive(Clone, Debug)]
 struct Pending {
     /// By what the program knows it; `None` once it does not care.
     number: Option<u64>,
-    want: Want,
+    want: OwnershipRequest,
     sent_at: f64,
     /// The epoch that it was sent by.
     epoch: Option<u64>,
@@ -44,60 +45,66 @@
 /// One owner's part.
 #[derive(Clone, Debug)]
 pub struct Owner {
-    me: Member,
-    keepers: Vec<SocketAddr>,
+    member: Member,
+    replicas: Vec<SocketAddr>,
     /// Which it asks.
     target: usize,
-    terms: Terms,
+    settings: OwnershipSettings,
     seal: Seal,
     seq: u64,
     epoch: Option<u64>,
     /// The last that it had.
-    given_up: u64,
+    last_ended_epoch: u64,
     /// It acts by its lease until then, by its own clock.
-    lease_until: f64,
-    lapsed: bool,
+    lease_until_ms: f64,
+    lease_lapsed: bool,
     /// When each renewal, or wish to join, was sent, and of which epoch.
     renewals: BTreeMap<u64, (f64, Option<u64>)>,
-    renew_at: f64,
+    next_renewal_at_ms: f64,
     pending: BTreeMap<u64, Pending>,
     /// Claims that were kept and never started, to be dropped: key and fence.
-    drops: BTreeMap<u64, (Vec<u8>, u64, f64)>,
-    room: u32,
-    answered_at: f64,
-    leaving: bool,
-    out: Vec<Action>,
+    releases: BTreeMap<u64, (Vec<u8>, u64, f64)>,
+    capacity: u32,
+    last_answer_at_ms: f64,
+    shutting_down: bool,
+    actions: Vec<Action>,
 }
 
 impl Owner {
     /// An owner that starts now.
-    pub fn new(now: f64, me: Member, keepers: Vec<SocketAddr>, terms: Terms, seal: Seal) -> Owner {
+    pub fn new(
+        now: f64,
+        me: Member,
+        keepers: Vec<SocketAddr>,
+        terms: OwnershipSettings,
+        seal: Seal,
+    ) -> Owner {
         Owner {
-            me,
-            keepers,
+            member: me,
+            replicas: keepers,
             target: 0,
-            terms,
+            settings: terms,
             seal,
             seq: 0,
             epoch: None,
-            given_up: 0,
-            lease_until: f64::NEG_INFINITY,
-            lapsed: true,
+            last_ended_epoch: 0,
+            lease_until_ms: f64::NEG_INFINITY,
+            lease_lapsed: true,
             renewals: BTreeMap::new(),
-            renew_at: now,
+            next_renewal_at_ms: now,
             pending: BTreeMap::new(),
-            drops: BTreeMap::new(),
-            room: 0,
-            answered_at: now,
-            leaving: false,
-            out: Vec::new(),
+            releases: BTreeMap::new(),
+            capacity: 0,
+            last_answer_at_ms: now,
+            shutting_down: false,
+            actions: Vec::new(),
         }
     }
 
     /// Until when it may start what it has claimed, and make calls for it, by its own clock.
-    pub fn lease_until(&self) -> f64 {
+    pub fn lease_until_ms(&self) -> f64 {
         if self.epoch.is_some() {
-            self.lease_until
+            self.lease_until_ms
         } else {
             f64::NEG_INFINITY
         }
@@ -109,36 +116,36 @@
     }
 
     /// Orders that have no answer yet.
-    pub fn pending(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
     /// When it wants to be woken.
-    pub fn next(&self) -> f64 {
-        let again = self.terms.again_ms();
+    pub fn next_wake_ms(&self) -> f64 {
+        let again = self.settings.retry_interval_ms();
         let pending = self
             .pending
             .values()
             .filter(|pending| self.can_go(&pending.want));
         let pending = pending.map(|pending| pending.sent_at + again);
-        let drops = self.drops.values().map(|(.., sent_at)| sent_at + again);
-        let lapse = match (self.lapsed, self.epoch) {
-            (false, _) => self.lease_until,
-            (true, Some(_)) => self.lease_until + self.terms.lease_ms,
+        let drops = self.releases.values().map(|(.., sent_at)| sent_at + again);
+        let lapse = match (self.lease_lapsed, self.epoch) {
+            (false, _) => self.lease_until_ms,
+            (true, Some(_)) => self.lease_until_ms + self.settings.lease_ms,
             (true, None) => f64::INFINITY,
         };
         pending
             .chain(drops)
-            .fold(self.renew_at.min(lapse), f64::min)
+            .fold(self.next_renewal_at_ms.min(lapse), f64::min)
     }
 
     /// Orphans that it would take now.
-    pub fn room(&mut self, room: u32) {
-        self.room = room;
+    pub fn set_capacity(&mut self, capacity: u32) {
+        self.capacity = capacity;
     }
 
     /// The program wants this, and knows it by this number. It goes out with [`Owner::flush`].
-    pub fn want(&mut self, number: u64, want: Want) {
+    pub fn submit(&mut self, number: u64, want: OwnershipRequest) {
         self.seq += 1;
         let pending = Pending {
             number: Some(number),
@@ -156,90 +163,96 @@
 
     /// The program does not wait any more for this. A claim of it that is kept all the same is dropped; what must be
     /// kept is told until it is.
-    pub fn forget(&mut self, number: u64) {
+    pub fn stop_waiting(&mut self, number: u64) {
         self.pending.retain(|_, pending| {
             if pending.number == Some(number) {
                 pending.number = None;
             }
-            pending.number.is_some() || !matches!(pending.want, Want::Look(..))
+            pending.number.is_some() || !matches!(pending.want, OwnershipRequest::Lookup(..))
         });
     }
 
     /// What it claimed by this fence was never started.
-    pub fn drop_claim(&mut self, key: Vec<u8>, fence: u64) {
+    pub fn release_claim(&mut self, key: Vec<u8>, fence: u64) {
         self.seq += 1;
-        self.drops.insert(self.seq, (key, fence, f64::NEG_INFINITY));
+        self.releases
+            .insert(self.seq, (key, fence, f64::NEG_INFINITY));
     }
 
     /// It leaves: what it may still have started is orphaned now, not when its lease ends.
-    pub fn leave(&mut self, now: f64) -> Vec<Action> {
-        self.leaving = true;
+    pub fn shut_down(&mut self, now: f64) -> Vec<Action> {
+        self.shutting_down = true;
         if let Some(epoch) = self.epoch.take() {
             self.seq += 1;
-            let order = Order {
+            let command = Command {
                 seq: self.seq,
-                what: Some(Ordered::Leave(epoch)),
+                kind: Some(CommandKind::Leave(epoch)),
             };
-            self.send(vec![order]);
+            self.send(vec![command]);
         }
         self.done(now)
     }
 
     /// It is time.
     pub fn wake(&mut self, now: f64) -> Vec<Action> {
-        if now >= self.lease_until && !self.lapsed {
-            self.lapsed = true;
-            self.out
-                .push(Action::Tell(Told::Lapsed(self.epoch.unwrap_or(0))));
+        if now >= self.lease_until_ms && !self.lease_lapsed {
+            self.lease_lapsed = true;
+            self.actions
+                .push(Action::Report(OwnershipEvent::LeaseLapsed(
+                    self.epoch.unwrap_or(0),
+                )));
         }
         // It can't hear, but perhaps it is heard: its renewals would keep what it can't do from those who can.
-        if self.lapsed && now >= self.lease_until + self.terms.lease_ms {
+        if self.lease_lapsed && now >= self.lease_until_ms + self.settings.lease_ms {
             self.over();
         }
-        if now >= self.renew_at && !self.leaving {
-            self.renew_at = now + self.terms.renew_ms();
+        if now >= self.next_renewal_at_ms && !self.shutting_down {
+            self.next_renewal_at_ms = now + self.settings.renewal_interval_ms();
             self.seq += 1;
             let what = match self.epoch {
-                Some(epoch) => Ordered::Renew(Renew {
+                Some(epoch) => CommandKind::Renew(Renew {
                     epoch,
-                    room: self.room,
+                    capacity: self.capacity,
                 }),
-                None => Ordered::Join(self.given_up),
+                None => CommandKind::Join(self.last_ended_epoch),
             };
             while self.renewals.len() >= RENEWALS {
                 self.renewals.pop_first();
             }
             self.renewals.insert(self.seq, (now, self.epoch));
             // Whoever does not answer for so long does not lead, or can't be reached.
-            if now - self.answered_at > 1.5 * self.terms.renew_ms() {
-                self.target = (self.target + 1) % self.keepers.len().max(1);
+            if now - self.last_answer_at_ms > 1.5 * self.settings.renewal_interval_ms() {
+                self.target = (self.target + 1) % self.replicas.len().max(1);
                 self.unsend();
             }
-            self.send(vec![Order {
+            self.send(vec![Command {
                 seq: self.seq,
-                what: Some(what),
+                kind: Some(what),
             }]);
         }
         self.done(now)
     }
 
     /// Answers have come.
-    pub fn answers(&mut self, now: f64, answers: Answers) -> Vec<Action> {
-        if answers.to != self.me.node {
+    pub fn receive(&mut self, now: f64, answers: Answers) -> Vec<Action> {
+        if answers.to != self.member.node {
             return Vec::new();
         }
-        let leader = answers.leader.as_ref().and_then(place);
+        let leader = answers.leader.as_ref().and_then(socket_addr);
         for answer in answers.answers {
             let verdict = answer.verdict();
-            if verdict == Verdict::Elsewhere {
+            if verdict == Verdict::NotLeader {
                 self.elsewhere(now, leader);
                 continue;
             }
-            self.answered_at = now;
+            self.last_answer_at_ms = now;
             if let Some(sent) = self.renewals.remove(&answer.seq) {
                 self.renewed(now, sent, answer);
             } else if let Some(pending) = self.pending.remove(&answer.seq) {
-                if verdict == Verdict::Over && pending.epoch != self.epoch && self.epoch.is_some() {
+                if verdict == Verdict::EpochEnded
+                    && pending.epoch != self.epoch
+                    && self.epoch.is_some()
+                {
                     // It was over by then; the claim goes out by the one that it has now.
                     self.pending.insert(
                         answer.seq,
@@ -252,21 +265,21 @@
                 }
                 self.settled(pending, answer);
             } else {
-                self.drops.remove(&answer.seq);
+                self.releases.remove(&answer.seq);
             }
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     fn elsewhere(&mut self, now: f64, leader: Option<SocketAddr>) {
-        let known = leader.and_then(|leader| self.keepers.iter().position(|at| *at == leader));
+        let known = leader.and_then(|leader| self.replicas.iter().position(|at| *at == leader));
         if let Some(target) = known.filter(|target| *target != self.target) {
-            (self.target, self.answered_at) = (target, now);
+            (self.target, self.last_answer_at_ms) = (target, now);
             self.unsend();
             // Its wish to join or renew goes to the right one now.
-            self.renew_at = f64::NEG_INFINITY;
+            self.next_renewal_at_ms = f64::NEG_INFINITY;
         } else if known.is_none() {
-            self.target = (self.target + 1) % self.keepers.len().max(1);
+            self.target = (self.target + 1) % self.replicas.len().max(1);
         }
     }
 
@@ -280,29 +293,35 @@
     fn renewed(&mut self, now: f64, (sent, of): (f64, Option<u64>), answer: Answer) {
         match answer.verdict() {
             Verdict::Joined
-                if answer.number > self.given_up.max(self.epoch.map_or(0, |epoch| epoch - 1)) =>
+                if answer.number
+                    > self
+                        .last_ended_epoch
+                        .max(self.epoch.map_or(0, |epoch| epoch - 1)) =>
             {
                 if self.epoch != Some(answer.number) {
                     self.epoch = Some(answer.number);
-                    self.out.push(Action::Tell(Told::Epoch(answer.number)));
+                    self.actions
+                        .push(Action::Report(OwnershipEvent::EpochGranted(answer.number)));
                 }
             }
             Verdict::Renewed if self.epoch.is_some() && of == self.epoch => {
                 if !answer.offers.is_empty() {
-                    self.out.push(Action::Offered(answer.offers));
+                    self.actions.push(Action::OfferOwnerless(answer.offers));
                 }
             }
-            Verdict::Over if of == self.epoch => return self.over(),
+            Verdict::EpochEnded if of == self.epoch => return self.over(),
             _ => return,
         }
         // From when it was sent: the keepers count from when they wrote it, which is later.
-        self.lease_until = self
-            .lease_until
-            .max(sent + self.terms.lease_ms - self.terms.margin_ms);
-        if self.lapsed && now < self.lease_until {
-            self.lapsed = false;
-            self.out
-                .push(Action::Tell(Told::Renewed(self.epoch.unwrap_or(0))));
+        self.lease_until_ms = self
+            .lease_until_ms
+            .max(sent + self.settings.lease_ms - self.settings.lease_margin_ms);
+        if self.lease_lapsed && now < self.lease_until_ms {
+            self.lease_lapsed = false;
+            self.actions
+                .push(Action::Report(OwnershipEvent::LeaseRestored(
+                    self.epoch.unwrap_or(0),
+                )));
         }
     }
 
@@ -310,91 +329,101 @@
     /// still told, by their fences.
     fn over(&mut self) {
         if let Some(epoch) = self.epoch.take() {
-            self.given_up = epoch;
-            (self.lease_until, self.lapsed, self.renew_at) =
-                (f64::NEG_INFINITY, true, f64::NEG_INFINITY);
-            self.out.push(Action::Tell(Told::Over(epoch)));
+            self.last_ended_epoch = epoch;
+            (
+                self.lease_until_ms,
+                self.lease_lapsed,
+                self.next_renewal_at_ms,
+            ) = (f64::NEG_INFINITY, true, f64::NEG_INFINITY);
+            self.actions
+                .push(Action::Report(OwnershipEvent::EpochEnded(epoch)));
         }
     }
 
     fn settled(&mut self, pending: Pending, answer: Answer) {
         let Pending { number, want, .. } = pending;
         let verdict = answer.verdict();
-        if let (None, Want::Claim(work), Verdict::Yours) = (number, &want, verdict) {
+        if let (None, OwnershipRequest::Claim(work), Verdict::Granted) = (number, &want, verdict) {
             self.seq += 1;
-            self.drops.insert(
+            self.releases.insert(
                 self.seq,
                 (work.key.clone(), answer.number, f64::NEG_INFINITY),
             );
             return;
         }
-        if verdict == Verdict::Over {
+        if verdict == Verdict::EpochEnded {
             self.over();
         }
         if let Some(number) = number {
-            self.out.push(Action::Verdict(number, answer));
+            self.actions.push(Action::Answer(number, answer));
         }
     }
 
     /// Claims wait until there is an epoch to claim by.
-    fn can_go(&self, want: &Want) -> bool {
-        self.epoch.is_some() || !matches!(want, Want::Claim(_))
+    fn can_go(&self, want: &OwnershipRequest) -> bool {
+        self.epoch.is_some() || !matches!(want, OwnershipRequest::Claim(_))
     }
 
-    fn send(&mut self, orders: Vec<Order>) {
-        if let Some(&to) = self.keepers.get(self.target) {
-            let letter = message::encode(&self.seal, &self.me, What::Asked(Asked { orders }));
-            self.out.push(Action::Send(to, letter));
+    fn send(&mut self, commands: Vec<Command>) {
+        if let Some(&to) = self.replicas.get(self.target) {
+            let letter = message::encode(
+                &self.seal,
+                &self.member,
+                MessageBody::Commands(CommandBatch { commands }),
+            );
+            self.actions.push(Action::Send(to, letter));
         }
     }
 
     fn done(&mut self, now: f64) -> Vec<Action> {
-        let before = now - self.terms.again_ms();
-        let mut orders = Vec::new();
+        let before = now - self.settings.retry_interval_ms();
+        let mut commands = Vec::new();
         let epoch = self.epoch;
         for (&seq, pending) in &mut self.pending {
-            if pending.sent_at > before || orders.len() >= MOST_ORDERS {
+            if pending.sent_at > before || commands.len() >= MOST_ORDERS {
                 continue;
             }
             let what = match (&pending.want, epoch) {
-                (Want::Claim(_), None) => continue,
-                (Want::Claim(work), Some(epoch)) => Ordered::Claim(Claim {
+                (OwnershipRequest::Claim(_), None) => continue,
+                (OwnershipRequest::Claim(work), Some(epoch)) => CommandKind::Claim(Claim {
                     epoch,
-                    work: Some(work.clone()),
+                    request: Some(work.clone()),
                 }),
-                (Want::Look(key, sign), _) => Ordered::Look(Look {
+                (OwnershipRequest::Lookup(key, sign), _) => CommandKind::Lookup(Lookup {
                     key: key.clone(),
-                    sign: *sign,
+                    body_digest: *sign,
                 }),
-                (Want::End(key, fence, result), _) => Ordered::End(End {
-                    key: key.clone(),
-                    fence: *fence,
-                    result: result.clone(),
-                }),
-                (Want::Pass(work), _) => Ordered::Pass(work.clone()),
+                (OwnershipRequest::Complete(key, fence, result), _) => {
+                    CommandKind::Complete(Complete {
+                        key: key.clone(),
+                        fence: *fence,
+                        result: result.clone(),
+                    })
+                }
+                (OwnershipRequest::HandOver(work), _) => CommandKind::HandOver(work.clone()),
             };
             (pending.sent_at, pending.epoch) = (now, epoch);
-            orders.push(Order {
+            commands.push(Command {
                 seq,
-                what: Some(what),
+                kind: Some(what),
             });
         }
-        for (&seq, (key, fence, sent_at)) in &mut self.drops {
-            if *sent_at <= before && orders.len() < MOST_ORDERS {
+        for (&seq, (key, fence, sent_at)) in &mut self.releases {
+            if *sent_at <= before && commands.len() < MOST_ORDERS {
                 *sent_at = now;
-                let what = Ordered::Drop(Dropped {
+                let what = CommandKind::Release(Dropped {
                     key: key.clone(),
                     fence: *fence,
                 });
-                orders.push(Order {
+                commands.push(Command {
                     seq,
-                    what: Some(what),
+                    kind: Some(what),
                 });
             }
         }
-        if !orders.is_empty() {
-            self.send(orders);
+        if !commands.is_empty() {
+            self.send(commands);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 }
--- a/crates/asterdale-ownership/src/group.rs
+++ b/crates/asterdale-ownership/src/raft_node.rs
@@ -8,17 +8,17 @@
 use prost::Message as _;
 use protobuf::Message as _;
 use raft::eraftpb::{
-    ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry as Logged, EntryType, Message,
-    Snapshot,
+    ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry as RaftEntry, EntryType,
+    Message, Snapshot,
 };
 use raft::storage::MemStorage;
 use raft::{Config, GetEntriesContext, RaftState, RawNode, StateRole, Storage};
 
-use crate::book::Book;
-use crate::message::wire::{Answer, Entry, Proposal};
+use crate::message::wire::{Answer, LogEntry, Proposal};
 use crate::message::Member;
-use crate::saved::{self, Save, Saved};
-use crate::terms::Terms;
+use crate::settings::OwnershipSettings;
+use crate::storage::{self, StorageWrite, StoredState};
+use crate::table::OwnershipTable;
 
 /// Entries of the log that are kept behind the last one applied, for keepers that are a little late; more than a few
 /// seconds' worth. Beyond it they get the whole book.
@@ -49,7 +49,7 @@
         high: u64,
         most: impl Into<Option<u64>>,
         context: GetEntriesContext,
-    ) -> raft::Result<Vec<Logged>> {
+    ) -> raft::Result<Vec<RaftEntry>> {
         self.log.entries(low, high, most, context)
     }
     fn term(&self, index: u64) -> raft::Result<u64> {
@@ -67,56 +67,56 @@
 }
 
 /// A keeper's place in a group.
-pub struct Group {
+pub struct RaftNode {
     /// Its number.
-    pub number: u64,
+    pub group: u64,
     /// This keeper's.
     pub node: u64,
     /// What the log adds up to.
-    pub book: Book,
+    pub table: OwnershipTable,
     raft: RawNode<Store>,
-    store: Store,
-    terms: Terms,
-    applied: u64,
-    cut: u64,
+    storage: Store,
+    settings: OwnershipSettings,
+    applied_index: u64,
+    compacted_index: u64,
     /// When the last entry was stamped, by this keeper's clock.
-    stamped_at: f64,
-    leads: bool,
-    tick_at: f64,
+    last_proposal_ms: f64,
+    was_leader: bool,
+    next_tick_ms: f64,
     /// A change of the set is proposed and not applied.
-    changing: bool,
+    change_in_progress: bool,
     /// What has to be on disk, where it lasts.
-    saves: Option<Vec<Save>>,
+    writes: Option<Vec<StorageWrite>>,
 }
 
 /// What came of a turn.
 #[derive(Default)]
-pub struct Turn {
+pub struct ReadyOutput {
     /// What has to be on disk before any of the rest leaves.
-    pub saves: Vec<Save>,
+    pub writes: Vec<StorageWrite>,
     /// Messages to other keepers.
     pub messages: Vec<(u64, Vec<u8>)>,
     /// Answers to owners: of use where this keeper leads.
     pub answers: Vec<(Member, Answer)>,
     /// It leads from now on, or no more.
-    pub turned: Option<bool>,
+    pub leadership_change: Option<bool>,
 }
 
 fn quiet() -> slog::Logger {
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
-impl Group {
+impl RaftNode {
     /// The place of this keeper in a group that is formed of these; or, where it is none of them, in one that will
     /// send it all there is.
     pub fn new(
         now: f64,
         (number, node): (u64, u64),
         members: &[Member],
-        terms: &Terms,
+        terms: &OwnershipSettings,
         lasts: bool,
-    ) -> Option<Group> {
-        let book = Book::new(number, members, terms.clone());
+    ) -> Option<RaftNode> {
+        let book = OwnershipTable::new(number, members, terms.clone());
         let founds = members.iter().any(|member| member.node == node);
         let voters: Vec<u64> = if founds {
             members.iter().map(|m| m.node).collect()
@@ -134,42 +134,42 @@
             first.mut_metadata().set_conf_state(state);
             first.mut_metadata().index = 1;
             first.mut_metadata().term = 1;
-            first.set_data(book.write().into());
+            first.set_data(book.encode().into());
             log.wl().apply_snapshot(first.clone()).ok()?;
         }
-        let mut group = Group::over(now, (number, node), (log, first), book, terms)?;
+        let mut raft_node = RaftNode::over(now, (number, node), (log, first), book, terms)?;
         if lasts {
-            group.saves = Some(Vec::new());
-            group.save_whole(true);
+            raft_node.writes = Some(Vec::new());
+            raft_node.save_whole(true);
         }
-        Some(group)
+        Some(raft_node)
     }
 
     /// The place that this keeper had, by what it has on disk; `None` where that does not fit together.
     pub fn restore(
         now: f64,
         (number, node): (u64, u64),
-        saved: &Saved,
-        terms: &Terms,
-    ) -> Option<Group> {
-        let (log, whole) = saved.log()?;
+        stored: &StoredState,
+        terms: &OwnershipSettings,
+    ) -> Option<RaftNode> {
+        let (log, whole) = stored.log()?;
         let book = if whole.get_metadata().index > 0 {
-            Book::read(whole.get_data(), terms.clone())?
+            OwnershipTable::decode(whole.get_data(), terms.clone())?
         } else {
-            Book::new(number, &[], terms.clone())
+            OwnershipTable::new(number, &[], terms.clone())
         };
-        let mut group = Group::over(now, (number, node), (log, whole), book, terms)?;
-        group.saves = Some(Vec::new());
-        Some(group)
+        let mut raft_node = RaftNode::over(now, (number, node), (log, whole), book, terms)?;
+        raft_node.writes = Some(Vec::new());
+        Some(raft_node)
     }
 
     fn over(
         now: f64,
         (number, node): (u64, u64),
         (log, first): (MemStorage, Snapshot),
-        book: Book,
-        terms: &Terms,
-    ) -> Option<Group> {
+        book: OwnershipTable,
+        terms: &OwnershipSettings,
+    ) -> Option<RaftNode> {
         let applied = first.get_metadata().index;
         let store = Store {
             log,
@@ -187,66 +187,70 @@
             ..Config::default()
         };
         let raft = RawNode::new(&config, store.clone(), &quiet()).ok()?;
-        Some(Group {
-            number,
+        Some(RaftNode {
+            group: number,
             node,
-            book,
+            table: book,
             raft,
-            store,
-            terms: terms.clone(),
-            applied,
-            cut: applied,
-            stamped_at: now,
-            leads: false,
-            tick_at: now + terms.tick_ms,
-            changing: false,
-            saves: None,
+            storage: store,
+            settings: terms.clone(),
+            applied_index: applied,
+            compacted_index: applied,
+            last_proposal_ms: now,
+            was_leader: false,
+            next_tick_ms: now + terms.tick_ms,
+            change_in_progress: false,
+            writes: None,
         })
     }
 
-    fn save(&mut self, save: Option<Save>) {
-        if let Some(saves) = &mut self.saves {
+    fn save(&mut self, save: Option<StorageWrite>) {
+        if let Some(saves) = &mut self.writes {
             saves.extend(save);
         }
     }
 
     /// The book that was written last; with `alone` no entry is kept beside it.
     fn save_whole(&mut self, alone: bool) {
-        if self.saves.is_some() {
-            let book = self.store.book.borrow();
+        if self.writes.is_some() {
+            let book = self.storage.book.borrow();
             let whole = book
                 .write_to_bytes()
                 .ok()
-                .map(|bytes| Save::Whole(book.get_metadata().index, bytes, alone));
+                .map(|bytes| StorageWrite::Snapshot {
+                    last_index: book.get_metadata().index,
+                    bytes,
+                    delete_all_entries: alone,
+                });
             drop(book);
             self.save(whole);
         }
     }
 
     /// Whether it leads.
-    pub fn leads(&self) -> bool {
-        self.leads
+    pub fn is_leader(&self) -> bool {
+        self.was_leader
     }
 
     /// Who leads, as far as it knows.
     pub fn leader(&self) -> Option<&Member> {
-        self.book.members.get(&self.raft.raft.leader_id)
+        self.table.members.get(&self.raft.raft.leader_id)
     }
 
     /// Entries that it has applied.
-    pub fn applied(&self) -> u64 {
-        self.applied
+    pub fn applied_index(&self) -> u64 {
+        self.applied_index
     }
 
     /// When it wants to be woken.
-    pub fn next(&self) -> f64 {
-        self.tick_at
+    pub fn next_wake_ms(&self) -> f64 {
+        self.next_tick_ms
     }
 
     /// It is time. A wake that comes late is one tick: time in which it could hear nothing says nothing of the leader.
     pub fn tick(&mut self, now: f64) {
-        if now >= self.tick_at {
-            self.tick_at = now + self.terms.tick_ms;
+        if now >= self.next_tick_ms {
+            self.next_tick_ms = now + self.settings.tick_ms;
             self.raft.tick();
         }
     }
@@ -265,31 +269,31 @@
 
     /// Puts these orders into the log, where it leads; time passes by it in any case.
     pub fn propose(&mut self, now: f64, proposals: Vec<Proposal>) -> bool {
-        if !self.leads {
+        if !self.was_leader {
             return false;
         }
-        let elapsed_ms = (now - self.stamped_at).max(0.0);
-        let entry = Entry {
+        let elapsed_ms = (now - self.last_proposal_ms).max(0.0);
+        let entry = LogEntry {
             elapsed_ms,
             proposals,
         };
         let proposed = self.raft.propose(Vec::new(), entry.encode_to_vec()).is_ok();
         if proposed {
-            self.stamped_at = now;
+            self.last_proposal_ms = now;
         }
         proposed
     }
 
     /// Since the book's time was last moved on.
-    pub fn unstamped_ms(&self, now: f64) -> f64 {
-        now - self.stamped_at
+    pub fn since_last_proposal_ms(&self, now: f64) -> f64 {
+        now - self.last_proposal_ms
     }
 
     /// Has the log agree that `new` takes the place of the keeper that was under its name: first it learns all there
     /// is, then the two change places at once.
     /// `true` if that is proposed now.
-    pub fn replace(&mut self, new: &Member) -> bool {
-        if !self.leads || self.changing {
+    pub fn propose_replacement(&mut self, new: &Member) -> bool {
+        if !self.was_leader || self.change_in_progress {
             return false;
         }
         let tracker = self.raft.raft.prs();
@@ -314,7 +318,7 @@
                 change
                     .mut_changes()
                     .push(single(ConfChangeType::AddNode, new.node));
-                let old: Vec<u64> = (self.book.members.values())
+                let old: Vec<u64> = (self.table.members.values())
                     .filter(|member| member.name == new.name && member.node != new.node)
                     .map(|member| member.node)
                     .collect();
@@ -328,13 +332,13 @@
         }
         let takes = tracker.get(new.node).is_some();
         change.set_context(new.encode_to_vec().into());
-        self.changing = self.raft.propose_conf_change(Vec::new(), change).is_ok();
-        takes && self.changing
+        self.change_in_progress = self.raft.propose_conf_change(Vec::new(), change).is_ok();
+        takes && self.change_in_progress
     }
 
     /// Has the log agree that this one is no keeper any more.
-    pub fn remove(&mut self, node: u64) {
-        if !self.leads || self.changing || !self.book.members.contains_key(&node) {
+    pub fn propose_removal(&mut self, node: u64) {
+        if !self.was_leader || self.change_in_progress || !self.table.members.contains_key(&node) {
             return;
         }
         let mut change = ConfChangeV2::default();
@@ -342,12 +346,12 @@
         one.set_change_type(ConfChangeType::RemoveNode);
         one.node_id = node;
         change.mut_changes().push(one);
-        self.changing = self.raft.propose_conf_change(Vec::new(), change).is_ok();
+        self.change_in_progress = self.raft.propose_conf_change(Vec::new(), change).is_ok();
     }
 
     /// Does whatever there is to do.
-    pub fn turn(&mut self, now: f64) -> Turn {
-        let mut turn = Turn::default();
+    pub fn process_ready(&mut self, now: f64) -> ReadyOutput {
+        let mut turn = ReadyOutput::default();
         while self.raft.has_ready() {
             let mut ready = self.raft.ready();
             send(&mut turn, ready.take_messages());
@@ -358,19 +362,19 @@
             self.apply(committed, &mut turn);
             if !ready.entries().is_empty() {
                 // What the library hands out follows on what it has.
-                let _ = self.store.log.wl().append(ready.entries());
-                if self.saves.is_some() {
-                    self.save(saved::entries(ready.entries()));
+                let _ = self.storage.log.wl().append(ready.entries());
+                if self.writes.is_some() {
+                    self.save(storage::entries(ready.entries()));
                 }
             }
             if let Some(state) = ready.hs() {
-                self.store.log.wl().set_hardstate(state.clone());
-                self.save(state.write_to_bytes().ok().map(Save::Hard));
+                self.storage.log.wl().set_hardstate(state.clone());
+                self.save(state.write_to_bytes().ok().map(StorageWrite::HardState));
             }
             send(&mut turn, ready.take_persisted_messages());
             let mut light = self.raft.advance(ready);
             if let Some(commit) = light.commit_index() {
-                self.store.log.wl().mut_hard_state().set_commit(commit);
+                self.storage.log.wl().mut_hard_state().set_commit(commit);
             }
             send(&mut turn, light.take_messages());
             let committed = light.take_committed_entries();
@@ -379,35 +383,39 @@
         }
         self.shorten();
         let leads = self.raft.raft.state == StateRole::Leader;
-        if leads != self.leads {
-            (self.leads, self.changing, turn.turned) = (leads, false, Some(leads));
+        if leads != self.was_leader {
+            (
+                self.was_leader,
+                self.change_in_progress,
+                turn.leadership_change,
+            ) = (leads, false, Some(leads));
             // Time in which somebody else may have led is not this one's to tell.
-            self.stamped_at = now;
+            self.last_proposal_ms = now;
         }
-        turn.saves = self.saves.as_mut().map(std::mem::take).unwrap_or_default();
+        turn.writes = self.writes.as_mut().map(std::mem::take).unwrap_or_default();
         turn
     }
 
     fn adopt(&mut self, whole: &Snapshot) {
-        if self.store.log.wl().apply_snapshot(whole.clone()).is_ok() {
-            if let Some(book) = Book::read(whole.get_data(), self.terms.clone()) {
-                self.book = book;
+        if self.storage.log.wl().apply_snapshot(whole.clone()).is_ok() {
+            if let Some(book) = OwnershipTable::decode(whole.get_data(), self.settings.clone()) {
+                self.table = book;
             }
-            self.applied = whole.get_metadata().index;
-            self.cut = self.applied;
-            *self.store.book.borrow_mut() = whole.clone();
+            self.applied_index = whole.get_metadata().index;
+            self.compacted_index = self.applied_index;
+            *self.storage.book.borrow_mut() = whole.clone();
             self.save_whole(true);
         }
     }
 
-    fn apply(&mut self, committed: Vec<Logged>, turn: &mut Turn) {
+    fn apply(&mut self, committed: Vec<RaftEntry>, turn: &mut ReadyOutput) {
         for logged in committed {
-            self.applied = logged.index;
+            self.applied_index = logged.index;
             match logged.get_entry_type() {
                 EntryType::EntryNormal => {
                     // A leader's first entry is empty.
-                    if let Ok(entry) = Entry::decode(&logged.data[..]) {
-                        turn.answers.extend(self.book.apply(entry));
+                    if let Ok(entry) = LogEntry::decode(&logged.data[..]) {
+                        turn.answers.extend(self.table.apply(entry));
                     }
                 }
                 EntryType::EntryConfChangeV2 => self.apply_change(&logged.data, logged.term),
@@ -427,42 +435,42 @@
             };
             if let Ok(new) = Member::decode(change.get_context()) {
                 if in_set(&new.node) {
-                    self.book.members.insert(new.node, new);
+                    self.table.members.insert(new.node, new);
                 }
             }
-            self.book.members.retain(|node, _| in_set(node));
-            self.store.log.wl().set_conf_state(state);
+            self.table.members.retain(|node, _| in_set(node));
+            self.storage.log.wl().set_conf_state(state);
             // One that is new learns nothing from a book that was written before it was in the set.
             self.write_whole(term);
         }
         // A joint set is left by an empty change, which the library proposes by itself.
-        self.changing = false;
+        self.change_in_progress = false;
     }
 
     /// Writes the book and cuts the log, once it has grown.
     fn shorten(&mut self) {
-        if self.applied < self.cut + BEHIND + CUT {
+        if self.applied_index < self.compacted_index + BEHIND + CUT {
             return;
         }
-        let Ok(term) = self.store.log.term(self.applied) else {
+        let Ok(term) = self.storage.log.term(self.applied_index) else {
             return;
         };
         self.write_whole(term);
-        self.cut = self.applied - BEHIND;
-        let _ = self.store.log.wl().compact(self.cut);
+        self.compacted_index = self.applied_index - BEHIND;
+        let _ = self.storage.log.wl().compact(self.compacted_index);
     }
 
     /// Writes the book as it is now, for those who have nothing or are far behind.
     fn write_whole(&mut self, term: u64) {
-        let Ok(state) = self.store.log.initial_state() else {
+        let Ok(state) = self.storage.log.initial_state() else {
             return;
         };
         let mut whole = Snapshot::default();
         whole.mut_metadata().set_conf_state(state.conf_state);
-        whole.mut_metadata().index = self.applied;
+        whole.mut_metadata().index = self.applied_index;
         whole.mut_metadata().term = term;
-        whole.set_data(self.book.write().into());
-        *self.store.book.borrow_mut() = whole;
+        whole.set_data(self.table.encode().into());
+        *self.storage.book.borrow_mut() = whole;
         self.save_whole(false);
     }
 }
@@ -474,7 +482,7 @@
         .map(|message| message.to)
 }
 
-fn send(turn: &mut Turn, messages: Vec<Message>) {
+fn send(turn: &mut ReadyOutput, messages: Vec<Message>) {
     for message in messages {
         if let Ok(bytes) = message.write_to_bytes() {
             turn.messages.push((message.to, bytes));
--- a/crates/asterdale-ownership/tests/explore.rs
+++ b/crates/asterdale-ownership/tests/explore.rs
@@ -1,9 +1,9 @@
-//! One key, an owner, a taker and the keepers' agreed log, in every order of what may happen to what passes between them:
+//! One key, an owner, a taker and the keepers' agreed log, in every command of what may happen to what passes between them:
 //! a letter comes, is lost, comes twice or after a later one; time passes while an owner stands still; each owner may
 //! crash once, and come back as another process; the keepers' leader may change, which loses what it had not answered.
 //! That the log is agreed is the library's part (`group.rs` plays it by chance). What must hold:
 //!
-//! 1. Work that nobody fences is started once at the most, whoever starts it.
+//! 1. KeyedRequest that nobody fences is started once at the most, whoever starts it.
 //! 2. Of fenced work only the highest fence has its effect from then on, and fences are never given twice.
 //! 3. A key has one outcome, and whoever is answered hears that one.
 //! 4. A try that hears that it never ran was not started.
@@ -15,13 +15,16 @@
 use std::net::SocketAddr;
 
 use asterdale_membership::seal::Seal;
-use asterdale_ownership::message::wire::{Answers, Entry, Proposal};
-use asterdale_ownership::message::{decode, encode, member, What};
-use asterdale_ownership::{Action, Book, Member, Owner, Terms, Verdict, Want, Work};
+use asterdale_ownership::message::wire::{Answers, LogEntry, Proposal};
+use asterdale_ownership::message::{decode, encode, member, MessageBody};
+use asterdale_ownership::{
+    Action, KeyedRequest, Member, Owner, OwnershipRequest, OwnershipSettings, OwnershipTable,
+    Verdict,
+};
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Steps of every order, twice: tens of thousands of states, in seconds.
+/// Steps of every command, twice: tens of thousands of states, in seconds.
 const DEPTH: usize = 5;
 /// Long ways that are drawn.
 const WAYS: u64 = 1500;
@@ -38,7 +41,7 @@
     GoOn(usize),
     Crash(usize),
     /// Wants to run the key, as a first try or a repeat.
-    Asked(usize),
+    CommandBatch(usize),
     /// Looks at its lease, and starts; or is about to.
     Starts(usize),
     /// Its call reaches whoever has the effect.
@@ -65,7 +68,7 @@
 #[derive(Clone)]
 struct World {
     now: f64,
-    book: Book,
+    book: OwnershipTable,
     stamped: f64,
     owners: [Option<Owner>; 2],
     hosts: [Host; 2],
@@ -91,10 +94,10 @@
     Seal::new(b"key")
 }
 
-fn terms() -> Terms {
-    Terms {
-        window_ms: 0.0,
-        ..Terms::default()
+fn terms() -> OwnershipSettings {
+    OwnershipSettings {
+        max_retry_window_ms: 0.0,
+        ..OwnershipSettings::default()
     }
 }
 
@@ -114,7 +117,7 @@
     fn new(fenced: bool) -> World {
         let mut world = World {
             now: 0.0,
-            book: Book::new(1, &[], terms()),
+            book: OwnershipTable::new(1, &[], terms()),
             stamped: 0.0,
             owners: [Some(owner(0.0, 0, 1)), Some(owner(0.0, 1, 2))],
             hosts: Default::default(),
@@ -148,7 +151,7 @@
             .owners
             .iter()
             .flatten()
-            .all(|owner| owner.lease_until() > 0.0));
+            .all(|owner| owner.lease_until_ms() > 0.0));
         world
     }
 
@@ -156,29 +159,29 @@
         for action in actions {
             match action {
                 Action::Send(_, bytes) => self.letters.push((None, bytes)),
-                Action::Verdict(number, answer) => {
+                Action::Answer(number, answer) => {
                     let host = &mut self.hosts[n];
                     let (verdict, fence) = (answer.verdict(), answer.number);
                     if host.asked == Some(number) {
                         host.asked = None;
-                        if verdict == Verdict::Yours {
+                        if verdict == Verdict::Granted {
                             host.yours = Some(fence);
                             assert!(!self.fences.contains(&fence), "a fence is given twice");
                             self.fences.push(fence);
-                        } else if verdict == Verdict::Passed {
+                        } else if verdict == Verdict::Completed {
                             self.hear(answer.result);
                         }
                     } else if let Some((_, result)) =
                         host.ending.take_if(|ending| ending.0 == number)
                     {
-                        if verdict == Verdict::Kept {
+                        if verdict == Verdict::Recorded {
                             let known = self.outcome.get_or_insert_with(|| result.clone());
                             assert_eq!(*known, result, "two outcomes are kept");
                             self.hear(result);
                         }
                     }
                 }
-                Action::Tell(_) | Action::Offered(_) | Action::Save(_) => {}
+                Action::Report(_) | Action::OfferOwnerless(_) | Action::Persist(_) => {}
             }
         }
     }
@@ -193,7 +196,10 @@
 
     fn wake(&mut self, n: usize) {
         let now = self.now;
-        if let Some(owner) = self.owners[n].as_mut().filter(|owner| owner.next() <= now) {
+        if let Some(owner) = self.owners[n]
+            .as_mut()
+            .filter(|owner| owner.next_wake_ms() <= now)
+        {
             let actions = owner.wake(now);
             self.act(n, actions);
         }
@@ -201,19 +207,19 @@
 
     /// The keepers hear: what is proposed is agreed.
     fn keepers(&mut self, bytes: &[u8]) {
-        let Some((from, _, What::Asked(asked))) = decode(&seal(), bytes) else {
-            panic!("no order")
+        let Some((from, _, MessageBody::Commands(asked))) = decode(&seal(), bytes) else {
+            panic!("no command")
         };
-        let proposals = asked.orders.into_iter();
-        let proposals = proposals.map(|order| Proposal {
+        let proposals = asked.commands.into_iter();
+        let proposals = proposals.map(|command| Proposal {
             from: Some(from.clone()),
-            order: Some(order),
+            command: Some(command),
         });
         let answers = self.passes(proposals.collect());
         let to = usize::from(from.port as u16 - 9001);
         let answers = answers.into_iter().map(|(_, answer)| answer).collect();
         let keeper: Member = member("k", 99, KEEPERS.parse().unwrap());
-        let what = What::Answers(Answers {
+        let what = MessageBody::Answers(Answers {
             answers,
             leader: None,
             to: from.node,
@@ -225,7 +231,7 @@
     fn passes(&mut self, proposals: Vec<Proposal>) -> Vec<(Member, asterdale_ownership::Answer)> {
         let elapsed_ms = self.now - self.stamped;
         self.stamped = self.now;
-        self.book.apply(Entry {
+        self.book.apply(LogEntry {
             elapsed_ms,
             proposals,
         })
@@ -255,7 +261,7 @@
             let host = &self.hosts[n];
             if host.asked.is_none() && host.yours.is_none() && host.runs.is_none() && host.tries < 2
             {
-                all.push(Step::Asked(n));
+                all.push(Step::CommandBatch(n));
             }
             if host.yours.is_some() {
                 all.push(Step::Starts(n));
@@ -315,14 +321,14 @@
                 self.wake(n);
                 return self.spend("crash");
             }
-            Step::Asked(n) => self.asks(n),
+            Step::CommandBatch(n) => self.asks(n),
             Step::Starts(n) => {
                 let Some(fence) = self.hosts[n].yours.take() else {
                     return false;
                 };
                 let may = self.owners[n]
                     .as_ref()
-                    .is_some_and(|owner| owner.lease_until() > self.now);
+                    .is_some_and(|owner| owner.lease_until_ms() > self.now);
                 if may {
                     self.starts.push((n, fence));
                     self.hosts[n].runs = Some(fence);
@@ -345,10 +351,10 @@
                 let (now, host) = (self.now, &mut self.hosts[n]);
                 let result = format!("{n} {}", host.tries).into_bytes();
                 host.ending = Some((100 + host.tries, result.clone()));
-                let want = Want::End(b"key".to_vec(), fence, Some(result));
+                let want = OwnershipRequest::Complete(b"key".to_vec(), fence, Some(result));
                 let number = 100 + host.tries;
                 if let Some(owner) = &mut self.owners[n] {
-                    owner.want(number, want);
+                    owner.submit(number, want);
                     let actions = owner.flush(now);
                     self.act(n, actions);
                 }
@@ -366,17 +372,17 @@
         host.tries += 1;
         let number = host.tries;
         (host.asked, host.effect) = (Some(number), false);
-        let work = Work {
+        let work = KeyedRequest {
             key: b"key".to_vec(),
-            stage: "bid".to_owned(),
-            id: format!("{n:08x}{number:08x}").into_bytes(),
-            due_ms: 60_000.0,
-            window_ms: 60_000.0,
+            class: "bid".to_owned(),
+            execution_id: format!("{n:08x}{number:08x}").into_bytes(),
+            deadline_ms: 60_000.0,
+            retry_window_ms: 60_000.0,
             fenced,
-            ..Work::default()
+            ..KeyedRequest::default()
         };
         if let Some(owner) = &mut self.owners[n] {
-            owner.want(number, Want::Claim(work));
+            owner.submit(number, OwnershipRequest::Claim(work));
             let actions = owner.flush(now);
             self.act(n, actions);
         }
@@ -386,12 +392,12 @@
         let Some(to) = to else {
             return self.keepers(bytes);
         };
-        let Some((_, _, What::Answers(answers))) = decode(&seal(), bytes) else {
+        let Some((_, _, MessageBody::Answers(answers))) = decode(&seal(), bytes) else {
             panic!("no answer")
         };
         let now = self.now;
         if let Some(owner) = &mut self.owners[to] {
-            let mut actions = owner.answers(now, answers);
+            let mut actions = owner.receive(now, answers);
             actions.extend(owner.flush(now));
             self.act(to, actions);
         }
@@ -410,10 +416,10 @@
             .flatten()
             .zip(self.crashed)
             .filter(|(_, crashed)| !crashed);
-        for (owner, _) in alone.filter(|(owner, _)| owner.lease_until() > self.now) {
+        for (owner, _) in alone.filter(|(owner, _)| owner.lease_until_ms() > self.now) {
             let epoch = owner.epoch().unwrap_or(0);
             assert!(
-                self.book.owners().contains_key(&epoch),
+                self.book.leases().contains_key(&epoch),
                 "a lease outlives its epoch"
             );
         }
@@ -427,7 +433,7 @@
         );
         (
             text,
-            self.book.write(),
+            self.book.encode(),
             &self.letters,
             &self.starts,
             self.highest,
@@ -460,7 +466,7 @@
 /// The owner's try is always there first: what is of interest comes after it.
 fn asked(fenced: bool) -> World {
     let mut world = World::new(fenced);
-    world.take(Step::Asked(0));
+    world.take(Step::CommandBatch(0));
     world
 }
 
--- a/crates/asterdale-ownership/tests/group.rs
+++ b/crates/asterdale-ownership/tests/group.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use asterdale_ownership::{Told, Verdict, Want};
+use asterdale_ownership::{OwnershipEvent, OwnershipRequest, Verdict};
 use net::{terms, work, Net};
 
 fn formed(keepers: usize, owners: usize) -> Net {
@@ -20,47 +20,52 @@
 #[test]
 fn keepers_form_a_group_and_a_claim_outlives_the_one_that_led() {
     let mut net = formed(3, 2);
-    let fence = net.ask(100, 1, Want::Claim(work(7, 1)));
-    assert_eq!(fence.verdict(), Verdict::Yours);
+    let fence = net.ask(100, 1, OwnershipRequest::Claim(work(7, 1)));
+    assert_eq!(fence.verdict(), Verdict::Granted);
     let leader = net.leader().unwrap();
     net.keepers.remove(&leader);
     assert_eq!(
-        net.ask(101, 1, Want::Claim(work(7, 2))).verdict(),
-        Verdict::Open
+        net.ask(101, 1, OwnershipRequest::Claim(work(7, 2)))
+            .verdict(),
+        Verdict::InProgress
     );
-    let end = Want::End(work(7, 1).key, fence.number, Some(b"sold".to_vec()));
-    assert_eq!(net.ask(100, 2, end).verdict(), Verdict::Kept);
-    let known = net.ask(101, 2, Want::Look(work(7, 1).key, 0));
+    let end = OwnershipRequest::Complete(work(7, 1).key, fence.number, Some(b"sold".to_vec()));
+    assert_eq!(net.ask(100, 2, end).verdict(), Verdict::Recorded);
+    let known = net.ask(101, 2, OwnershipRequest::Lookup(work(7, 1).key, 0));
     assert_eq!(
         (known.verdict(), &known.result[..]),
-        (Verdict::Passed, &b"sold"[..])
+        (Verdict::Completed, &b"sold"[..])
     );
 }
 
 #[test]
 fn one_that_comes_back_empty_learns_all_and_takes_the_place_of_the_one_it_was() {
     let mut net = formed(3, 1);
-    let claim = net.ask(100, 1, Want::Claim(work(7, 1)));
+    let claim = net.ask(100, 1, OwnershipRequest::Claim(work(7, 1)));
     let gone = net.leader().unwrap();
     net.start_keeper(gone); // its process is another one, which remembers nothing
     net.until("its place", 60_000.0, |net| {
         net.told
             .iter()
-            .any(|(_, told)| *told == Told::Replaced(format!("k{gone}")))
+            .any(|(_, told)| *told == OwnershipEvent::ReplicaReplaced(format!("k{gone}")))
     });
     net.run(3000.0);
     assert_eq!(
-        net.keepers[&gone].shown().kept.iter().sum::<usize>(),
+        net.keepers[&gone]
+            .status()
+            .requests_by_state
+            .iter()
+            .sum::<usize>(),
         1,
         "it has the book"
     );
     // Now the two others go: with the one that came back there is a majority only if it counts as one of three.
     let others: Vec<usize> = (0..3).filter(|n| *n != gone).collect();
     net.keepers.remove(&others[0]);
-    let end = Want::End(work(7, 1).key, claim.number, None);
-    assert_eq!(net.ask(100, 2, end).verdict(), Verdict::Kept);
+    let end = OwnershipRequest::Complete(work(7, 1).key, claim.number, None);
+    assert_eq!(net.ask(100, 2, end).verdict(), Verdict::Recorded);
     net.keepers.remove(&others[1]);
-    net.want(100, 3, Want::Claim(work(8, 3)));
+    net.want(100, 3, OwnershipRequest::Claim(work(8, 3)));
     net.run(10_000.0);
     assert_eq!(net.verdict(100, 3), None, "one of three decides nothing");
 }
@@ -68,28 +73,28 @@
 #[test]
 fn where_most_came_back_empty_a_new_group_claims_nothing_before_windows_have_passed() {
     let mut net = formed(3, 1);
-    let claim = net.ask(100, 1, Want::Claim(work(7, 1)));
-    assert_eq!(claim.verdict(), Verdict::Yours);
+    let claim = net.ask(100, 1, OwnershipRequest::Claim(work(7, 1)));
+    assert_eq!(claim.verdict(), Verdict::Granted);
     let survivor = 1;
     net.start_keeper(0);
     net.start_keeper(2);
     net.until("its end", 60_000.0, |net| {
         net.told
             .iter()
-            .any(|(n, told)| *n == survivor && matches!(told, Told::Abandoned(_)))
+            .any(|(n, told)| *n == survivor && matches!(told, OwnershipEvent::GroupAbandoned(_)))
     });
     net.until("another", 20_000.0, |net| net.leader().is_some());
     net.until("a lease", 20_000.0, |net| net.has_epoch(100));
-    let number = net.keepers[&net.leader().unwrap()].shown().group;
-    let early = net.ask(100, 2, Want::Claim(work(7, 2)));
-    let late = if early.verdict() == Verdict::Yours {
+    let number = net.keepers[&net.leader().unwrap()].status().group;
+    let early = net.ask(100, 2, OwnershipRequest::Claim(work(7, 2)));
+    let late = if early.verdict() == Verdict::Granted {
         early
     } else {
-        assert_eq!(early.verdict(), Verdict::Full);
+        assert_eq!(early.verdict(), Verdict::RetryLater);
         net.run(1500.0);
-        net.ask(100, 3, Want::Claim(work(7, 3)))
+        net.ask(100, 3, OwnershipRequest::Claim(work(7, 3)))
     };
-    assert_eq!(late.verdict(), Verdict::Yours);
+    assert_eq!(late.verdict(), Verdict::Granted);
     assert!(
         late.number > claim.number && number > 1000,
         "its fences are above all of the lost one's"
@@ -100,10 +105,11 @@
 fn an_owner_that_is_cut_off_stops_before_its_work_is_anybody_elses() {
     let mut net = formed(3, 2);
     assert_eq!(
-        net.ask(100, 1, Want::Claim(work(7, 1))).verdict(),
-        Verdict::Yours
+        net.ask(100, 1, OwnershipRequest::Claim(work(7, 1)))
+            .verdict(),
+        Verdict::Granted
     );
-    net.owners.get_mut(&101).unwrap().room(4);
+    net.owners.get_mut(&101).unwrap().set_capacity(4);
     net.cut.extend((0..3).map(|k| (k, 100)));
     let stopped = net.until("its own stop", 5000.0, |net| !net.has_epoch(100));
     let offered = net.until("the offer", 9000.0, |net| !net.offered.is_empty());
@@ -112,24 +118,25 @@
         "stopped after {stopped}, offered {offered} later"
     );
     assert_eq!(net.offered[0].0, 101);
-    let taken = net.ask(101, 1, Want::Claim(work(7, 9)));
-    assert_eq!(taken.verdict(), Verdict::Yours);
+    let taken = net.ask(101, 1, OwnershipRequest::Claim(work(7, 9)));
+    assert_eq!(taken.verdict(), Verdict::Granted);
     net.cut.clear();
     net.until("a new epoch", 9000.0, |net| net.has_epoch(100));
-    let end = Want::End(work(7, 1).key, taken.number - 1, Some(b"late".to_vec()));
+    let end = OwnershipRequest::Complete(work(7, 1).key, taken.number - 1, Some(b"late".to_vec()));
     assert_eq!(net.ask(100, 2, end).verdict(), Verdict::Fenced);
 }
 
 #[test]
 fn a_claim_that_is_kept_when_nobody_waits_for_it_any_more_is_dropped() {
     let mut net = formed(3, 2);
-    net.want(100, 1, Want::Claim(work(7, 1)));
-    net.owners.get_mut(&100).unwrap().forget(1);
+    net.want(100, 1, OwnershipRequest::Claim(work(7, 1)));
+    net.owners.get_mut(&100).unwrap().stop_waiting(1);
     net.run(2000.0);
     assert_eq!(net.verdict(100, 1), None);
     assert_eq!(
-        net.ask(101, 1, Want::Claim(work(7, 2))).verdict(),
-        Verdict::Yours
+        net.ask(101, 1, OwnershipRequest::Claim(work(7, 2)))
+            .verdict(),
+        Verdict::Granted
     );
 }
 
@@ -190,21 +197,25 @@
                 _ if !net.stopped.contains(&owner) => {
                     let key = net.chance(12);
                     claims.insert((owner, number), key);
-                    net.want(owner, number, Want::Claim(work(key, number)));
+                    net.want(owner, number, OwnershipRequest::Claim(work(key, number)));
                 }
                 _ => {}
             }
             let heard: Vec<_> = std::mem::take(&mut net.heard).into_iter().collect();
             for ((owner, number), answer) in heard {
                 if let Some(key) = claims.remove(&(owner, number)) {
-                    if answer.verdict() == Verdict::Yours
+                    if answer.verdict() == Verdict::Granted
                         && effects.call(&work(key, 0).key, answer.number)
                     {
                         let result = format!("{owner} {number}").into_bytes();
-                        let end = Want::End(work(key, 0).key, answer.number, Some(result.clone()));
+                        let end = OwnershipRequest::Complete(
+                            work(key, 0).key,
+                            answer.number,
+                            Some(result.clone()),
+                        );
                         ends.insert((owner, 1_000_000 + number), (key, result));
                         net.want(owner, 1_000_000 + number, end);
-                    } else if answer.verdict() == Verdict::Passed {
+                    } else if answer.verdict() == Verdict::Completed {
                         let known = outcomes.entry(key).or_insert_with(|| answer.result.clone());
                         assert_eq!(
                             *known, answer.result,
@@ -212,7 +223,7 @@
                         );
                     }
                 } else if let Some((key, result)) = ends.remove(&(owner, number)) {
-                    if answer.verdict() == Verdict::Kept {
+                    if answer.verdict() == Verdict::Recorded {
                         let known = outcomes.entry(key).or_insert_with(|| result.clone());
                         assert_eq!(*known, result, "seed {seed}: two outcomes of {key}");
                     }
@@ -226,10 +237,10 @@
         net.run(20_000.0);
         for (key, result) in outcomes {
             number += 1;
-            let known = net.ask(100, number, Want::Look(work(key, 0).key, 0));
+            let known = net.ask(100, number, OwnershipRequest::Lookup(work(key, 0).key, 0));
             assert_eq!(
                 (known.verdict(), known.result),
-                (Verdict::Passed, result),
+                (Verdict::Completed, result),
                 "seed {seed}: {key}"
             );
         }
@@ -253,44 +264,46 @@
 #[test]
 fn keepers_with_disks_may_all_be_killed_at_once_and_know_what_they_kept() {
     let mut net = lasting(3, 2);
-    let claim = net.ask(100, 1, Want::Claim(work(7, 1)));
-    let end = Want::End(work(7, 1).key, claim.number, Some(b"sold".to_vec()));
-    assert_eq!(net.ask(100, 2, end).verdict(), Verdict::Kept);
+    let claim = net.ask(100, 1, OwnershipRequest::Claim(work(7, 1)));
+    let end = OwnershipRequest::Complete(work(7, 1).key, claim.number, Some(b"sold".to_vec()));
+    assert_eq!(net.ask(100, 2, end).verdict(), Verdict::Recorded);
     assert_eq!(
-        net.ask(100, 3, Want::Claim(work(8, 3))).verdict(),
-        Verdict::Yours
+        net.ask(100, 3, OwnershipRequest::Claim(work(8, 3)))
+            .verdict(),
+        Verdict::Granted
     );
     let formed = net
         .told
         .iter()
-        .filter(|(_, told)| matches!(told, Told::Formed(..)))
+        .filter(|(_, told)| matches!(told, OwnershipEvent::GroupFormed(..)))
         .count();
     // One claim's letter is on its way as they die; its owner dies with them.
-    net.want(101, 1, Want::Claim(work(9, 9)));
+    net.want(101, 1, OwnershipRequest::Claim(work(9, 9)));
     (0..3).for_each(|n| net.start_keeper(n));
     net.owners.remove(&100);
     net.until("a leader", 60_000.0, |net| net.leader().is_some());
-    let known = net.ask(101, 2, Want::Look(work(7, 1).key, 0));
+    let known = net.ask(101, 2, OwnershipRequest::Lookup(work(7, 1).key, 0));
     assert_eq!(
         (known.verdict(), &known.result[..]),
-        (Verdict::Passed, &b"sold"[..])
+        (Verdict::Completed, &b"sold"[..])
     );
     // What the dead owner had started is orphaned once its lease is over, and is another's by a higher fence.
     net.run(6000.0);
     assert_eq!(
-        net.ask(101, 3, Want::Claim(work(8, 5))).verdict(),
-        Verdict::Yours
+        net.ask(101, 3, OwnershipRequest::Claim(work(8, 5)))
+            .verdict(),
+        Verdict::Granted
     );
     let again = net
         .told
         .iter()
-        .filter(|(_, told)| matches!(told, Told::Formed(..)))
+        .filter(|(_, told)| matches!(told, OwnershipEvent::GroupFormed(..)))
         .count();
     assert_eq!((formed, again), (1, 1), "the same group goes on");
     assert_eq!(
         net.told
             .iter()
-            .filter(|(_, told)| matches!(told, Told::Restored(_)))
+            .filter(|(_, told)| matches!(told, OwnershipEvent::RestoredFromDisk(_)))
             .count(),
         3
     );
@@ -301,9 +314,9 @@
     let mut net = lasting(3, 1);
     let leader = net.leader().unwrap();
     net.full.insert(leader);
-    net.want(100, 1, Want::Claim(work(7, 1)));
+    net.want(100, 1, OwnershipRequest::Claim(work(7, 1)));
     net.until("a verdict", 60_000.0, |net| net.verdict(100, 1).is_some());
-    assert_eq!(net.verdict(100, 1), Some(Verdict::Yours));
+    assert_eq!(net.verdict(100, 1), Some(Verdict::Granted));
     assert!(!net.keepers.contains_key(&leader) && net.leader().is_some_and(|n| n != leader));
     // With its disk mended it is the one that it was, and learns the rest.
     net.full.clear();
@@ -312,10 +325,12 @@
     let most = net
         .keepers
         .values()
-        .filter_map(|keeper| Some(keeper.group()?.applied()))
+        .filter_map(|keeper| Some(keeper.raft_node()?.applied_index()))
         .max();
     assert_eq!(
-        net.keepers[&leader].group().map(|group| group.applied()),
+        net.keepers[&leader]
+            .raft_node()
+            .map(|group| group.applied_index()),
         most
     );
 }
@@ -325,12 +340,13 @@
     let mut net = lasting(3, 1);
     for n in 0..20 {
         assert_eq!(
-            net.ask(100, n, Want::Claim(work(n, n))).verdict(),
-            Verdict::Yours
+            net.ask(100, n, OwnershipRequest::Claim(work(n, n)))
+                .verdict(),
+            Verdict::Granted
         );
     }
     let gone = (0..3).find(|n| Some(*n) != net.leader()).unwrap();
-    let node = net.keepers[&gone].group().map(|group| group.node);
+    let node = net.keepers[&gone].raft_node().map(|group| group.node);
     // The middle of its log is lost.
     let disk = net.disks.get_mut(&gone).unwrap();
     let at = disk.entries.len() / 2;
@@ -338,16 +354,16 @@
     disk.entries.remove(at);
     net.start_keeper(gone);
     assert!(
-        net.keepers[&gone].group().is_none(),
+        net.keepers[&gone].raft_node().is_none(),
         "it does not speak as the one that it was"
     );
     net.until("its place", 90_000.0, |net| {
         net.told
             .iter()
-            .any(|(_, told)| *told == Told::Replaced(format!("k{gone}")))
+            .any(|(_, told)| *told == OwnershipEvent::ReplicaReplaced(format!("k{gone}")))
     });
     net.run(3000.0);
-    assert_ne!(net.keepers[&gone].group().map(|group| group.node), node);
+    assert_ne!(net.keepers[&gone].raft_node().map(|group| group.node), node);
 }
 
 #[test]
@@ -367,9 +383,9 @@
             let owner = 100 + net.chance(3) as usize;
             let key = 1000 + n;
             if net
-                .ask(owner, 10 * n + 1, Want::Claim(work(key, n)))
+                .ask(owner, 10 * n + 1, OwnershipRequest::Claim(work(key, n)))
                 .verdict()
-                != Verdict::Yours
+                != Verdict::Granted
             {
                 continue;
             }
@@ -377,7 +393,7 @@
             net.want(
                 owner,
                 10 * n + 2,
-                Want::End(work(key, n).key, fence, Some(vec![n as u8])),
+                OwnershipRequest::Complete(work(key, n).key, fence, Some(vec![n as u8])),
             );
             // Before, while or after that is agreed: one is killed, or all are.
             let (wait, which) = (net.chance(60) as f64, net.chance(5) as usize);
@@ -390,24 +406,28 @@
             net.until("a verdict", 60_000.0, |net| {
                 net.verdict(owner, 10 * n + 2).is_some()
             });
-            if net.verdict(owner, 10 * n + 2) == Some(Verdict::Kept) {
+            if net.verdict(owner, 10 * n + 2) == Some(Verdict::Recorded) {
                 ended.insert(key, n as u8);
             }
         }
         (net.loss, net.doubled) = (0.0, 0.0);
         assert!(ended.len() > 30, "seed {seed}: {} ended", ended.len());
         for (at, (key, result)) in ended.into_iter().enumerate() {
-            let known = net.ask(100, 10_000 + at as u64, Want::Look(work(key, 0).key, 0));
+            let known = net.ask(
+                100,
+                10_000 + at as u64,
+                OwnershipRequest::Lookup(work(key, 0).key, 0),
+            );
             assert_eq!(
                 (known.verdict(), known.result),
-                (Verdict::Passed, vec![result]),
+                (Verdict::Completed, vec![result]),
                 "seed {seed}"
             );
         }
         let formed = net
             .told
             .iter()
-            .filter(|(_, told)| matches!(told, Told::Formed(..)))
+            .filter(|(_, told)| matches!(told, OwnershipEvent::GroupFormed(..)))
             .count();
         assert_eq!(formed, 1, "seed {seed}: the group was never given up");
     }
--- a/crates/asterdale-ownership/tests/net/mod.rs
+++ b/crates/asterdale-ownership/tests/net/mod.rs
@@ -4,9 +4,12 @@
 use std::net::SocketAddr;
 
 use asterdale_membership::seal::Seal;
-use asterdale_ownership::keeper::{Keeper, Start};
-use asterdale_ownership::message::{decode, member, What};
-use asterdale_ownership::{Action, Answer, Owner, Save, Saved, Terms, Told, Verdict, Want, Work};
+use asterdale_ownership::message::{decode, member, MessageBody};
+use asterdale_ownership::replica::{Replica, ReplicaConfig};
+use asterdale_ownership::{
+    Action, Answer, KeyedRequest, Owner, OwnershipEvent, OwnershipRequest, OwnershipSettings,
+    StorageWrite, StoredState, Verdict,
+};
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -19,7 +22,7 @@
 
 pub struct Net {
     pub now: f64,
-    pub keepers: BTreeMap<usize, Keeper>,
+    pub keepers: BTreeMap<usize, Replica>,
     pub owners: BTreeMap<usize, Owner>,
     pub stopped: BTreeSet<usize>,
     /// Those that can't hear each other.
@@ -28,33 +31,37 @@
     pub doubled: f64,
     /// What owners heard, by owner and number.
     pub heard: BTreeMap<(usize, u64), Answer>,
-    pub offered: Vec<(usize, Work)>,
-    pub told: Vec<(usize, Told)>,
+    pub offered: Vec<(usize, KeyedRequest)>,
+    pub told: Vec<(usize, OwnershipEvent)>,
     /// What each position of each group's log added up to, as any keeper had it.
     books: BTreeMap<(u64, u64), Vec<u8>>,
     letters: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
     count: u64,
     random: Pcg64Mcg,
-    terms: Terms,
+    terms: OwnershipSettings,
     names: usize,
     /// Keepers have disks from now on.
     pub lasts: bool,
     /// What is on them.
-    pub disks: BTreeMap<usize, Saved>,
+    pub disks: BTreeMap<usize, StoredState>,
     /// Writes of this keeper fail.
     pub full: BTreeSet<usize>,
 }
 
 /// What is on a disk after this.
-fn save(disk: &mut Saved, save: Save) {
+fn save(disk: &mut StoredState, save: StorageWrite) {
     match save {
-        Save::Face(face) => disk.face = face,
-        Save::Hard(hard) => disk.hard = hard,
-        Save::Whole(index, whole, alone) => {
-            disk.whole = whole;
+        StorageWrite::Identity(face) => disk.identity = face,
+        StorageWrite::HardState(hard) => disk.hard_state = hard,
+        StorageWrite::Snapshot {
+            last_index: index,
+            bytes: whole,
+            delete_all_entries: alone,
+        } => {
+            disk.snapshot = whole;
             disk.entries.retain(|(number, _)| !alone && *number > index);
         }
-        Save::Entries(first, entries) => {
+        StorageWrite::Entries(first, entries) => {
             disk.entries.retain(|(number, _)| *number < first);
             disk.entries.extend((first..).zip(entries));
         }
@@ -62,7 +69,7 @@
 }
 
 impl Net {
-    pub fn new(seed: u64, keepers: usize, owners: usize, terms: Terms) -> Net {
+    pub fn new(seed: u64, keepers: usize, owners: usize, terms: OwnershipSettings) -> Net {
         let mut net = Net {
             now: 0.0,
             keepers: BTreeMap::new(),
@@ -105,16 +112,16 @@
         let saved = self
             .lasts
             .then(|| self.disks.get(&n).cloned().unwrap_or_default());
-        let start = Start {
-            me,
-            keepers,
-            terms,
+        let start = ReplicaConfig {
+            member: me,
+            replicas: keepers,
+            settings: terms,
             seal: Net::seal(),
             seed,
             unix_s: 1000,
-            saved,
+            stored: saved,
         };
-        self.keepers.insert(n, Keeper::new(self.now, start));
+        self.keepers.insert(n, Replica::new(self.now, start));
     }
 
     /// So many keepers are listed.
@@ -158,19 +165,19 @@
                             .insert((due.to_bits(), self.count), (from, to, bytes.clone()));
                     }
                 }
-                Action::Save(saves) if self.full.contains(&from) => {
+                Action::Persist(saves) if self.full.contains(&from) => {
                     // It can't speak as the one that it was: nothing of what follows leaves, and it is gone.
                     assert!(!saves.is_empty());
                     self.keepers.remove(&from);
                     return;
                 }
-                Action::Save(saves) => {
+                Action::Persist(saves) => {
                     let disk = self.disks.entry(from).or_default();
                     saves.into_iter().for_each(|one| save(disk, one));
                 }
-                Action::Tell(told) => self.told.push((from, told)),
-                Action::Verdict(number, answer) => drop(self.heard.insert((from, number), answer)),
-                Action::Offered(all) => self
+                Action::Report(told) => self.told.push((from, told)),
+                Action::Answer(number, answer) => drop(self.heard.insert((from, number), answer)),
+                Action::OfferOwnerless(all) => self
                     .offered
                     .extend(all.into_iter().map(|work| (from, work))),
             }
@@ -197,13 +204,13 @@
                 panic!("unreadable")
             };
             let actions = match (what, self.owners.get_mut(&to), self.keepers.get_mut(&to)) {
-                (What::Answers(answers), Some(owner), _) => {
-                    let mut actions = owner.answers(self.now, answers);
+                (MessageBody::Answers(answers), Some(owner), _) => {
+                    let mut actions = owner.receive(self.now, answers);
                     actions.extend(owner.flush(self.now));
                     actions
                 }
                 (what, _, Some(keeper)) => {
-                    let mut actions = keeper.letter(self.now, &from, place, what);
+                    let mut actions = keeper.receive(self.now, &from, place, what);
                     actions.extend(keeper.flush(self.now));
                     actions
                 }
@@ -226,10 +233,13 @@
             if let Some(keeper) = self
                 .keepers
                 .get_mut(&n)
-                .filter(|keeper| keeper.next() <= now)
+                .filter(|keeper| keeper.next_wake_ms() <= now)
             {
                 actions = keeper.wake(now);
-            } else if let Some(owner) = self.owners.get_mut(&n).filter(|owner| owner.next() <= now)
+            } else if let Some(owner) = self
+                .owners
+                .get_mut(&n)
+                .filter(|owner| owner.next_wake_ms() <= now)
             {
                 actions = owner.wake(now);
             }
@@ -241,21 +251,21 @@
     /// Whoever has applied as much of a log holds the same.
     fn compare(&mut self) {
         for keeper in self.keepers.values() {
-            let Some(group) = keeper.group() else {
+            let Some(group) = keeper.raft_node() else {
                 continue;
             };
-            let mut book = group.book.clone();
+            let mut book = group.table.clone();
             book.members.clear(); // a change of the set is no entry of the book's
-            let book = book.write();
+            let book = book.encode();
             let held = self
                 .books
-                .entry((group.number, group.applied()))
+                .entry((group.group, group.applied_index()))
                 .or_insert_with(|| book.clone());
             assert!(
                 *held == book,
                 "two books at {} of group {}",
-                group.applied(),
-                group.number
+                group.applied_index(),
+                group.group
             );
         }
     }
@@ -281,10 +291,10 @@
         self.now - began
     }
 
-    pub fn want(&mut self, owner: usize, number: u64, want: Want) {
+    pub fn want(&mut self, owner: usize, number: u64, want: OwnershipRequest) {
         let now = self.now;
         if let Some(one) = self.owners.get_mut(&owner) {
-            one.want(number, want);
+            one.submit(number, want);
             let actions = one.flush(now);
             self.act(owner, actions);
         }
@@ -295,7 +305,7 @@
     }
 
     /// Wants it, and waits for what comes of it.
-    pub fn ask(&mut self, owner: usize, number: u64, want: Want) -> Answer {
+    pub fn ask(&mut self, owner: usize, number: u64, want: OwnershipRequest) -> Answer {
         self.want(owner, number, want);
         self.until("a verdict", 30_000.0, |net| {
             net.heard.contains_key(&(owner, number))
@@ -304,7 +314,7 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |keeper: &Keeper| keeper.group().is_some_and(|group| group.leads());
+        let leads = |keeper: &Replica| keeper.raft_node().is_some_and(|group| group.is_leader());
         self.keepers
             .iter()
             .find(|(n, keeper)| !self.stopped.contains(n) && leads(keeper))
@@ -312,7 +322,7 @@
     }
 
     pub fn has_epoch(&self, owner: usize) -> bool {
-        self.owners[&owner].lease_until() > self.now
+        self.owners[&owner].lease_until_ms() > self.now
     }
 
     pub fn chance(&mut self, of: u64) -> u64 {
@@ -320,22 +330,22 @@
     }
 }
 
-pub fn work(key: u64, id: u64) -> Work {
-    Work {
+pub fn work(key: u64, id: u64) -> KeyedRequest {
+    KeyedRequest {
         key: key.to_be_bytes().to_vec(),
-        stage: "bid".to_owned(),
-        id: format!("{id:016x}").into_bytes(),
+        class: "bid".to_owned(),
+        execution_id: format!("{id:016x}").into_bytes(),
         body: b"body".to_vec(),
-        due_ms: 60_000.0,
-        window_ms: 600_000.0,
+        deadline_ms: 60_000.0,
+        retry_window_ms: 600_000.0,
         fenced: true,
-        ..Work::default()
+        ..KeyedRequest::default()
     }
 }
 
-pub fn terms() -> Terms {
-    Terms {
-        window_ms: 500.0,
-        ..Terms::default()
+pub fn terms() -> OwnershipSettings {
+    OwnershipSettings {
+        max_retry_window_ms: 500.0,
+        ..OwnershipSettings::default()
     }
 }
--- a/crates/asterdale-simulator/src/wave.rs
+++ b/crates/asterdale-simulator/src/wave.rs
@@ -3,9 +3,9 @@
 //! runs, each as fast as the cores it shares with the others. With the bound that owners state (room by idle cores), and
 //! without it (whatever is orphaned is taken by the first who is told).
 
-use asterdale_ownership::message::wire::{Claim, End, Entry, Order, Proposal};
-use asterdale_ownership::message::{member, Ordered};
-use asterdale_ownership::{Book, Member, Terms, Verdict, Work};
+use asterdale_ownership::message::wire::{Claim, Command, Complete, LogEntry, Proposal};
+use asterdale_ownership::message::{member, CommandKind};
+use asterdale_ownership::{KeyedRequest, Member, OwnershipSettings, OwnershipTable, Verdict};
 use serde::Serialize;
 
 use crate::chance::Chance;
@@ -51,7 +51,7 @@
 /// A step, in milliseconds.
 const STEP: f64 = 10.0;
 const CORES: f64 = 4.0;
-/// Work of a run, in milliseconds of one core: from half of this to one and a half.
+/// KeyedRequest of a run, in milliseconds of one core: from half of this to one and a half.
 const RUN: f64 = 300.0;
 /// Until a caller's due time, from when it asked.
 const DUE: f64 = 6000.0;
@@ -86,22 +86,22 @@
 }
 
 struct Wave {
-    book: Book,
+    book: OwnershipTable,
     chance: Chance,
     key: u64,
 }
 
 impl Wave {
-    fn order(&mut self, from: &Member, what: Ordered) -> asterdale_ownership::Answer {
-        let order = Some(Order {
+    fn order(&mut self, from: &Member, kind: CommandKind) -> asterdale_ownership::Answer {
+        let command = Some(Command {
             seq: 0,
-            what: Some(what),
+            kind: Some(kind),
         });
-        let entry = Entry {
+        let entry = LogEntry {
             elapsed_ms: 0.0,
             proposals: vec![Proposal {
                 from: Some(from.clone()),
-                order,
+                command,
             }],
         };
         self.book
@@ -111,31 +111,31 @@
             .unwrap_or_default()
     }
 
-    fn work(&mut self, due_ms: f64) -> Work {
+    fn work(&mut self, due_ms: f64) -> KeyedRequest {
         self.key += 1;
-        Work {
+        KeyedRequest {
             key: self.key.to_be_bytes().to_vec(),
-            stage: "bid".to_owned(),
-            id: format!("{:016x}", self.key).into_bytes(),
-            due_ms,
-            window_ms: 60_000.0,
+            class: "bid".to_owned(),
+            execution_id: format!("{:016x}", self.key).into_bytes(),
+            deadline_ms: due_ms,
+            retry_window_ms: 60_000.0,
             fenced: true,
-            ..Work::default()
+            ..KeyedRequest::default()
         }
     }
 }
 
 /// Plays it once.
 pub fn play(play: &Play, seed: u64) -> Figures {
-    let terms = Terms {
-        window_ms: 0.0,
-        most_kept: usize::MAX,
-        most_bytes: usize::MAX,
-        ..Terms::default()
+    let terms = OwnershipSettings {
+        max_retry_window_ms: 0.0,
+        max_requests: usize::MAX,
+        max_bytes: usize::MAX,
+        ..OwnershipSettings::default()
     };
     let lease_ms = terms.lease_ms;
     let mut wave = Wave {
-        book: Book::new(1, &[], terms),
+        book: OwnershipTable::new(1, &[], terms),
         chance: Chance::new(seed, 99),
         key: 0,
     };
@@ -157,7 +157,7 @@
     let settle = 4.0 * lease_ms;
     while now < settle + 15_000.0 {
         now += STEP;
-        wave.book.apply(Entry {
+        wave.book.apply(LogEntry {
             elapsed_ms: STEP,
             proposals: Vec::new(),
         });
@@ -175,7 +175,7 @@
                 continue;
             }
             if renews {
-                let answer = wave.order(&me[n], Ordered::Join(0));
+                let answer = wave.order(&me[n], CommandKind::Join(0));
                 servers[n].epoch = answer.number;
             }
             // Its own tasks: so many a second that the cores are busy for this part of their time. Callers who lost
@@ -186,10 +186,10 @@
                 let key = task.key.clone();
                 let claim = Claim {
                     epoch: servers[n].epoch,
-                    work: Some(task),
+                    request: Some(task),
                 };
-                let answer = wave.order(&me[n], Ordered::Claim(claim));
-                if answer.verdict() == Verdict::Yours {
+                let answer = wave.order(&me[n], CommandKind::Claim(claim));
+                if answer.verdict() == Verdict::Granted {
                     let fence = answer.number;
                     servers[n].runs.push(Run {
                         left: work,
@@ -215,7 +215,7 @@
                 if run.left > 0.0 {
                     return true;
                 }
-                over.push(End {
+                over.push(Complete {
                     key: std::mem::take(&mut run.key),
                     fence: run.fence,
                     result: None,
@@ -230,17 +230,17 @@
             });
             server.taken -= taken;
             for end in over {
-                wave.order(&me[n], Ordered::End(end));
+                wave.order(&me[n], CommandKind::Complete(end));
             }
         }
         if !renews || died.is_infinite() {
             continue;
         }
         // The leader's offers, the most urgent first.
-        let book_now = wave.book.now();
-        let loose = wave.book.loose().map(|kept| Work {
-            due_ms: kept.due - book_now,
-            ..kept.work.clone()
+        let book_now = wave.book.now_ms();
+        let loose = wave.book.ownerless().map(|kept| KeyedRequest {
+            deadline_ms: kept.deadline_ms - book_now,
+            ..kept.request.clone()
         });
         let mut next = loose.collect::<Vec<_>>().into_iter();
         let live: Vec<usize> = (lost..servers.len()).collect();
@@ -255,14 +255,14 @@
                 let Some(work) = next.next() else {
                     break 'offers;
                 };
-                let (due, epoch) = (now + work.due_ms, servers[n].epoch);
+                let (due, epoch) = (now + work.deadline_ms, servers[n].epoch);
                 let key = work.key.clone();
                 let claim = Claim {
                     epoch,
-                    work: Some(work),
+                    request: Some(work),
                 };
-                let answer = wave.order(&me[n], Ordered::Claim(claim));
-                if answer.verdict() == Verdict::Yours {
+                let answer = wave.order(&me[n], CommandKind::Claim(claim));
+                if answer.verdict() == Verdict::Granted {
                     let work = RUN * (0.5 + wave.chance.share());
                     let (orphan, fence) = (Some(due), answer.number);
                     servers[n].runs.push(Run {
--- a/crates/asterdale-transport/src/control.rs
+++ b/crates/asterdale-transport/src/control.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use asterdale_ownership::keeper::Shown as KeeperShown;
+use asterdale_ownership::replica::ReplicaStatus as KeeperShown;
 use serde_json::json;
 
 use crate::shown::Shown;
@@ -72,7 +72,7 @@
 }
 
 fn keepers_as_json(shown: &KeeperShown) -> serde_json::Value {
-    let [started, orphaned, unstarted, ended, failed, unknown] = shown.kept;
+    let [started, orphaned, unstarted, ended, failed, unknown] = shown.requests_by_state;
     let owners: Vec<_> = shown
         .owners
         .iter()
@@ -81,7 +81,7 @@
     json!({"group": shown.group, "leader": shown.leader, "members": shown.members, "owners": owners,
         "kept": {"started": started, "orphaned": orphaned, "unstarted": unstarted, "ended": ended, "failed": failed,
             "unknown": unknown},
-        "bytes": shown.bytes, "quiet_ms": shown.quiet_ms.round(), "applied": shown.applied})
+        "bytes": shown.size_bytes, "quiet_ms": shown.claims_blocked_ms.round(), "applied": shown.applied_index})
 }
 
 /// What the process behind this control socket holds as a keeper of work in hand; its group is 0 where it has none.
--- a/crates/asterdale-transport/src/custody.rs
+++ b/crates/asterdale-transport/src/custody.rs
@@ -8,9 +8,12 @@
 use std::time::{Duration, Instant};
 
 use asterdale_membership::seal::Seal;
-use asterdale_ownership::keeper::{Shown, Start};
-use asterdale_ownership::message::{decode, member, What};
-use asterdale_ownership::{Action, Answer, Keeper, Owner, Save, Saved, Terms, Told, Want, Work};
+use asterdale_ownership::message::{decode, member, MessageBody};
+use asterdale_ownership::replica::{ReplicaConfig, ReplicaStatus};
+use asterdale_ownership::{
+    Action, Answer, KeyedRequest, Owner, OwnershipEvent, OwnershipRequest, OwnershipSettings,
+    Replica, StorageWrite, StoredState,
+};
 use crossbeam_channel::{bounded, Receiver, Sender};
 
 use crate::links::Links;
@@ -31,14 +34,14 @@
 /// A keeper's disk.
 pub trait Shelf: Send {
     /// Has all of this there, in order; comes back once that is so, or can't be.
-    fn save(&mut self, saves: Vec<Save>) -> Result<(), String>;
+    fn save(&mut self, saves: Vec<StorageWrite>) -> Result<(), String>;
 }
 
 /// A keeper's disk, and what was found on it.
 #[derive(Clone)]
 pub struct Disk {
     /// What was found: nothing that may not be believed.
-    pub saved: Saved,
+    pub saved: StoredState,
     /// Where the rest goes.
     pub shelf: Arc<Mutex<dyn Shelf>>,
 }
@@ -57,7 +60,7 @@
     /// The keepers, by name and where they are reached; the same list in all processes.
     pub keepers: Vec<(String, SocketAddr)>,
     /// What the fleet agrees on.
-    pub terms: Terms,
+    pub terms: OwnershipSettings,
     /// The Unix time, in seconds.
     pub unix_s: u64,
 }
@@ -77,20 +80,20 @@
     /// What came of something that it wanted.
     Verdict(u64, Answer),
     /// Orphans that it may take.
-    Offered(Vec<Work>),
+    Offered(Vec<KeyedRequest>),
     /// A line for the log.
-    Told(Told),
+    Told(OwnershipEvent),
     /// A keeper's disk failed: it is none any more.
     Unsaved(String),
 }
 
 enum Order {
-    Want(u64, Want),
+    Want(u64, OwnershipRequest),
     Forget(u64),
     Dropped(Vec<u8>, u64),
     Room(u32),
     Leave(Sender<()>),
-    Show(Sender<Shown>),
+    Show(Sender<ReplicaStatus>),
 }
 
 /// Custody, as others hold it.
@@ -105,7 +108,7 @@
 
 impl Custody {
     /// Wants something of the keepers, under this number.
-    pub fn want(&self, number: u64, want: Want) {
+    pub fn want(&self, number: u64, want: OwnershipRequest) {
         let _ = self.orders.send(Order::Want(number, want));
     }
 
@@ -144,7 +147,7 @@
     }
 
     /// What this process holds as a keeper.
-    pub fn shown(&self) -> Option<Shown> {
+    pub fn shown(&self) -> Option<ReplicaStatus> {
         let (to, shown) = bounded(1);
         self.orders.send(Order::Show(to)).ok()?;
         shown.recv_timeout(PATIENCE).ok()
@@ -152,7 +155,7 @@
 }
 
 struct Actor {
-    keeper: Option<Keeper>,
+    keeper: Option<Replica>,
     owner: Owner,
     began: Instant,
     at: SocketAddr,
@@ -196,16 +199,16 @@
     crate::spawn("custody", move || {
         // The library's memory is this thread's alone.
         let (saved, shelf) = disk.map(|Disk { saved, shelf }| (saved, shelf)).unzip();
-        let start = Start {
-            me: myself,
-            keepers,
-            terms,
+        let start = ReplicaConfig {
+            member: myself,
+            replicas: keepers,
+            settings: terms,
             seal: seal.clone(),
             seed,
             unix_s,
-            saved,
+            stored: saved,
         };
-        let keeper = keeps.then(|| Keeper::new(0.0, start));
+        let keeper = keeps.then(|| Replica::new(0.0, start));
         let actor = Actor {
             keeper,
             owner,
@@ -242,8 +245,8 @@
             let next = self
                 .keeper
                 .as_ref()
-                .map_or(f64::INFINITY, Keeper::next)
-                .min(self.owner.next());
+                .map_or(f64::INFINITY, Replica::next_wake_ms)
+                .min(self.owner.next_wake_ms());
             let wait = ((next - self.now()) / 1e3).clamp(0.0, LONGEST.as_secs_f64());
             let timer = crossbeam_channel::after(Duration::from_secs_f64(wait));
             let mut actions = Vec::new();
@@ -267,17 +270,17 @@
             let now = self.now();
             if let Some(keeper) = &mut self.keeper {
                 actions.extend(keeper.flush(now));
-                if keeper.next() <= now {
+                if keeper.next_wake_ms() <= now {
                     actions.extend(keeper.wake(now));
                 }
             }
             actions.extend(self.owner.flush(now));
-            if self.owner.next() <= now {
+            if self.owner.next_wake_ms() <= now {
                 actions.extend(self.owner.wake(now));
             }
             if self.saved_at.elapsed() >= MARK && self.keeper.is_some() {
                 // A disk that is not marked of late is not believed by the next process.
-                actions.push(Action::Save(Vec::new()));
+                actions.push(Action::Persist(Vec::new()));
             }
             self.act(actions, &heard);
         }
@@ -289,8 +292,8 @@
             return;
         };
         match (what, &mut self.keeper) {
-            (What::Answers(answers), _) => actions.extend(self.owner.answers(now, answers)),
-            (what, Some(keeper)) => actions.extend(keeper.letter(now, &from, at, what)),
+            (MessageBody::Answers(answers), _) => actions.extend(self.owner.receive(now, answers)),
+            (what, Some(keeper)) => actions.extend(keeper.receive(now, &from, at, what)),
             _ => {}
         }
     }
@@ -298,16 +301,20 @@
     fn order(&mut self, order: Order, actions: &mut Vec<Action>) {
         let now = self.now();
         match order {
-            Order::Want(number, want) => self.owner.want(number, want),
-            Order::Forget(number) => self.owner.forget(number),
-            Order::Dropped(key, fence) => self.owner.drop_claim(key, fence),
-            Order::Room(room) => self.owner.room(room),
+            Order::Want(number, want) => self.owner.submit(number, want),
+            Order::Forget(number) => self.owner.stop_waiting(number),
+            Order::Dropped(key, fence) => self.owner.release_claim(key, fence),
+            Order::Room(room) => self.owner.set_capacity(room),
             Order::Leave(over) => {
-                actions.extend(self.owner.leave(now));
+                actions.extend(self.owner.shut_down(now));
                 let _ = over.try_send(());
             }
             Order::Show(to) => {
-                let shown = self.keeper.as_ref().map(Keeper::shown).unwrap_or_default();
+                let shown = self
+                    .keeper
+                    .as_ref()
+                    .map(Replica::status)
+                    .unwrap_or_default();
                 let _ = to.try_send(shown);
             }
         }
@@ -328,7 +335,7 @@
                     all.extend(more);
                 }
                 Action::Send(to, letter) => self.links.send(to, letter),
-                Action::Save(saves) => {
+                Action::Persist(saves) => {
                     let Some(shelf) = &self.shelf else { continue };
                     let saved = shelf
                         .lock()
@@ -338,16 +345,18 @@
                     if let Err(why) = saved {
                         // Whatever rests on it must not leave; nor may this process speak as that keeper again.
                         self.keeper = None;
-                        all.retain(|action| !matches!(action, Action::Send(..) | Action::Save(_)));
+                        all.retain(|action| {
+                            !matches!(action, Action::Send(..) | Action::Persist(_))
+                        });
                         heard(Heard::Unsaved(why));
                     }
                 }
-                Action::Tell(told) => heard(Heard::Told(told)),
-                Action::Verdict(number, answer) => heard(Heard::Verdict(number, answer)),
-                Action::Offered(works) => heard(Heard::Offered(works)),
+                Action::Report(told) => heard(Heard::Told(told)),
+                Action::Answer(number, answer) => heard(Heard::Verdict(number, answer)),
+                Action::OfferOwnerless(works) => heard(Heard::Offered(works)),
             }
         }
-        let until = self.owner.lease_until().max(0.0);
+        let until = self.owner.lease_until_ms().max(0.0);
         self.until.store((until * 1e3) as u64, Ordering::SeqCst);
     }
 }
--- a/crates/asterdale-transport/src/links.rs
+++ b/crates/asterdale-transport/src/links.rs
@@ -18,7 +18,7 @@
 /// The bit of a length that makes a stream a link.
 pub(crate) const LINK: u32 = 0x8000_0000;
 /// A letter is no longer: what the longest of those who write them may be.
-const MOST_LETTER: usize = asterdale_ownership::message::MOST_LETTER + 64;
+const MOST_LETTER: usize = asterdale_ownership::message::MAX_MESSAGE_BYTES + 64;
 /// Links that others have made at once, and those that this process has made.
 const MOST_IN: usize = 512;
 const MOST_OUT: usize = 512;
