--- a/crates/asterdale-ownership/src/replica.rs
+++ b/crates/asterdale-ownership/src/replica.rs
@@ -625,7 +625,7 @@
         self.offered_until_ms.retain(|_, until| *until > now);
         let free = raft_node
             .table
-            .ownerless()
+            .claimable()
             .filter(|kept| !self.offered_until_ms.contains_key(&kept.request.key));
         let book_now = raft_node.table.now_ms();
         let offers: Vec<wire::KeyedRequest> = (free.take(room))
--- a/crates/asterdale-simulator/src/wave.rs
+++ b/crates/asterdale-simulator/src/wave.rs
@@ -238,7 +238,7 @@
         }
         // The leader's offers, the most urgent first.
         let book_now = wave.book.now_ms();
-        let loose = wave.book.ownerless().map(|kept| KeyedRequest {
+        let loose = wave.book.claimable().map(|kept| KeyedRequest {
             deadline_ms: kept.deadline_ms - book_now,
             ..kept.request.clone()
         });
