--- a/crates/asterdale-host/src/passing.rs
+++ b/crates/asterdale-host/src/passing.rs
@@ -394,3 +394,6 @@
         false
     }
 }
+
+#[cfg(test)]
+mod tests;
