--- a/crates/asterdale-journal/src/shelf.rs
+++ b/crates/asterdale-journal/src/shelf.rs
@@ -190,3 +190,6 @@
         std::fs::remove_dir_all(folder).unwrap();
     }
 }
+
+#[cfg(test)]
+mod stored;
