--- /dev/null
+++ b/crates/asterdale-takeover/tests/stored_letters.rs
@@ -0,0 +1,145 @@
+//! Letters between keepers and owners that an earlier release wrote are read to the same messages, and are written
+//! again byte for byte: every kind, every order, every verdict, each field with a value of its own.
+//! `fixtures/ownership/README.md` says how the file was made.
+
+use asterdale_members::seal::Seal;
+use asterdale_takeover::message::wire::{
+    Answers, Asked, Claim, Drop, End, Entry, Hello, Look, Order, Proposal, Raft, Renew,
+};
+use asterdale_takeover::message::{decode, encode, member, place, Ordered, What};
+use asterdale_takeover::{Answer, Member, Verdict, Work};
+use prost::Message as _;
+
+const LETTERS: &[u8] = include_bytes!("fixtures/ownership/letters.bin");
+const KEY: &[u8] = b"the key of the stored letters";
+
+fn sender() -> Member {
+    member("alpha", 0x0102_0304_0506_0708, ([10, 0, 0, 7], 4100).into())
+}
+
+fn other() -> Member {
+    member("beta", 9, ([0xfd00, 0, 0, 0, 0, 0, 0, 9], 4200).into())
+}
+
+fn work() -> Work {
+    Work {
+        key: b"bid\0house\0key-1".to_vec(),
+        stage: "bid".to_owned(),
+        id: b"0000000000000001".to_vec(),
+        sign: 0xfeed_beef,
+        body: b"body".to_vec(),
+        due_ms: 1900.25,
+        window_ms: 5000.5,
+        hint_ms: 12.5,
+        kb: 6.75,
+        fenced: true,
+    }
+}
+
+/// One order of each kind.
+fn orders() -> Vec<Order> {
+    let kinds = [
+        Ordered::Join(41),
+        Ordered::Renew(Renew { epoch: 42, room: 43 }),
+        Ordered::Leave(44),
+        Ordered::Look(Look { key: b"key-2".to_vec(), sign: 45 }),
+        Ordered::Claim(Claim { epoch: 46, work: Some(work()) }),
+        Ordered::End(End { key: b"key-3".to_vec(), fence: 47, result: Some(b"sold".to_vec()) }),
+        Ordered::End(End { key: b"key-4".to_vec(), fence: 48, result: None }),
+        Ordered::Pass(work()),
+        Ordered::Drop(Drop { key: b"key-5".to_vec(), fence: 49 }),
+    ];
+    (1..).zip(kinds).map(|(seq, what)| Order { seq, what: Some(what) }).collect()
+}
+
+/// The verdicts by their stored numbers.
+const VERDICTS: [Verdict; 14] = [
+    Verdict::Elsewhere,
+    Verdict::Joined,
+    Verdict::Renewed,
+    Verdict::Over,
+    Verdict::Nothing,
+    Verdict::Yours,
+    Verdict::Open,
+    Verdict::Passed,
+    Verdict::Failed,
+    Verdict::Unknown,
+    Verdict::Full,
+    Verdict::Differs,
+    Verdict::Kept,
+    Verdict::Fenced,
+];
+
+/// One answer of each verdict.
+fn answers() -> Vec<Answer> {
+    let answer = |n: i32| Answer {
+        seq: 100 + n as u64,
+        verdict: n,
+        number: 200 + n as u64,
+        result: vec![n as u8; 2],
+        ms: 0.5 + f64::from(n),
+        offers: if n == 2 { vec![work()] } else { Vec::new() },
+    };
+    (0..14).map(answer).collect()
+}
+
+/// The letters in the order of the file.
+fn letters() -> Vec<What> {
+    vec![
+        What::Hello(Hello { group: 1000, highest: 1001, members: vec![sender(), other()], forming: true }),
+        What::Raft(Raft { group: 1000, message: vec![1, 2, 3] }),
+        What::Asked(Asked { orders: orders() }),
+        What::Answers(Answers { answers: answers(), leader: Some(other()), to: 0x0807_0605_0403_0201 }),
+    ]
+}
+
+/// An entry of the log, which goes into the library's messages and onto disks.
+fn entry() -> Entry {
+    let proposals = orders().into_iter().map(|order| Proposal { from: Some(other()), order: Some(order) });
+    Entry { elapsed_ms: 7.25, proposals: proposals.collect() }
+}
+
+/// The file: each part behind its length in four bytes; the entry is the last.
+fn stored() -> Vec<&'static [u8]> {
+    let (mut rest, mut all) = (LETTERS, Vec::new());
+    while let Some((length, after)) = rest.split_first_chunk::<4>() {
+        let (part, after) = after.split_at(u32::from_be_bytes(*length) as usize);
+        all.push(part);
+        rest = after;
+    }
+    all
+}
+
+#[test]
+fn stored_letters_are_read_to_the_same_messages() {
+    let (seal, stored) = (Seal::new(KEY), stored());
+    assert_eq!(stored.len(), letters().len() + 1);
+    let at = ([10, 0, 0, 7], 4100).into();
+    for (bytes, expected) in stored.into_iter().zip(letters()) {
+        assert_eq!(decode(&seal, bytes), Some((sender(), at, expected)));
+    }
+    assert_eq!(place(&other()), Some(([0xfd00, 0, 0, 0, 0, 0, 0, 9], 4200).into()));
+}
+
+#[test]
+fn every_stored_number_of_a_verdict_is_read() {
+    let Some((_, _, What::Answers(answers))) = decode(&Seal::new(KEY), stored()[3]) else {
+        panic!("not read")
+    };
+    let verdicts: Vec<Verdict> = answers.answers.iter().map(Answer::verdict).collect();
+    assert_eq!(verdicts, VERDICTS);
+}
+
+#[test]
+fn a_stored_entry_of_the_log_is_read_to_the_same_orders() {
+    assert_eq!(Entry::decode(stored()[4]), Ok(entry()));
+    assert_eq!(entry().encode_to_vec(), stored()[4]);
+}
+
+#[test]
+fn the_letters_are_written_to_the_stored_bytes() {
+    let seal = Seal::new(KEY);
+    for (bytes, what) in stored().into_iter().zip(letters()) {
+        assert!(encode(&seal, &sender(), what.clone()) == bytes, "the bytes of {what:?} differ");
+    }
+}
