--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -358,3 +358,6 @@
         })
     }
 }
+
+#[cfg(all(test, feature = "fleet"))]
+mod stored;
--- a/crates/asterdale-daemon/src/upgrade/mod.rs
+++ b/crates/asterdale-daemon/src/upgrade/mod.rs
@@ -525,3 +525,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod stored;
