--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -416,3 +416,6 @@
         })
     }
 }
+
+#[cfg(all(test, feature = "fleet"))]
+mod stored;
