--- a/crates/asterdale-ownership/tests/stored_letters.rs
+++ b/crates/asterdale-ownership/tests/stored_letters.rs
@@ -4,10 +4,11 @@
 
 use asterdale_membership::seal::Seal;
 use asterdale_ownership::message::wire::{
-    Answers, Asked, Claim, Drop, End, Entry, Hello, Look, Order, Proposal, Raft, Renew,
+    Answers, Claim, Command, CommandBatch, Complete, Hello, LogEntry, Lookup, Proposal,
+    RaftMessage, Release, Renew,
 };
-use asterdale_ownership::message::{decode, encode, member, place, Ordered, What};
-use asterdale_ownership::{Answer, Member, Verdict, Work};
+use asterdale_ownership::message::{decode, encode, member, socket_addr, CommandKind, MessageBody};
+use asterdale_ownership::{Answer, KeyedRequest, Member, Verdict};
 use prost::Message as _;
 
 const LETTERS: &[u8] = include_bytes!("fixtures/ownership/letters.bin");
@@ -21,15 +22,15 @@
     member("beta", 9, ([0xfd00, 0, 0, 0, 0, 0, 0, 9], 4200).into())
 }
 
-fn work() -> Work {
-    Work {
+fn request() -> KeyedRequest {
+    KeyedRequest {
         key: b"bid\0house\0key-1".to_vec(),
-        stage: "bid".to_owned(),
-        id: b"0000000000000001".to_vec(),
-        sign: 0xfeed_beef,
+        class: "bid".to_owned(),
+        execution_id: b"0000000000000001".to_vec(),
+        body_digest: 0xfeed_beef,
         body: b"body".to_vec(),
-        due_ms: 1900.25,
-        window_ms: 5000.5,
+        deadline_ms: 1900.25,
+        retry_window_ms: 5000.5,
         hint_ms: 12.5,
         kb: 6.75,
         fenced: true,
@@ -37,62 +38,62 @@
 }
 
 /// One order of each kind.
-fn orders() -> Vec<Order> {
+fn commands() -> Vec<Command> {
     let kinds = [
-        Ordered::Join(41),
-        Ordered::Renew(Renew {
+        CommandKind::Join(41),
+        CommandKind::Renew(Renew {
             epoch: 42,
-            room: 43,
+            capacity: 43,
         }),
-        Ordered::Leave(44),
-        Ordered::Look(Look {
+        CommandKind::Leave(44),
+        CommandKind::Lookup(Lookup {
             key: b"key-2".to_vec(),
-            sign: 45,
+            body_digest: 45,
         }),
-        Ordered::Claim(Claim {
+        CommandKind::Claim(Claim {
             epoch: 46,
-            work: Some(work()),
+            request: Some(request()),
         }),
-        Ordered::End(End {
+        CommandKind::Complete(Complete {
             key: b"key-3".to_vec(),
             fence: 47,
             result: Some(b"sold".to_vec()),
         }),
-        Ordered::End(End {
+        CommandKind::Complete(Complete {
             key: b"key-4".to_vec(),
             fence: 48,
             result: None,
         }),
-        Ordered::Pass(work()),
-        Ordered::Drop(Drop {
+        CommandKind::HandOver(request()),
+        CommandKind::Release(Release {
             key: b"key-5".to_vec(),
             fence: 49,
         }),
     ];
     (1..)
         .zip(kinds)
-        .map(|(seq, what)| Order {
+        .map(|(seq, kind)| Command {
             seq,
-            what: Some(what),
+            kind: Some(kind),
         })
         .collect()
 }
 
 /// The verdicts by their stored numbers.
 const VERDICTS: [Verdict; 14] = [
-    Verdict::Elsewhere,
+    Verdict::NotLeader,
     Verdict::Joined,
     Verdict::Renewed,
-    Verdict::Over,
-    Verdict::Nothing,
-    Verdict::Yours,
-    Verdict::Open,
-    Verdict::Passed,
+    Verdict::EpochEnded,
+    Verdict::NotFound,
+    Verdict::Granted,
+    Verdict::InProgress,
+    Verdict::Completed,
     Verdict::Failed,
-    Verdict::Unknown,
-    Verdict::Full,
-    Verdict::Differs,
-    Verdict::Kept,
+    Verdict::OutcomeUnknown,
+    Verdict::RetryLater,
+    Verdict::DigestMismatch,
+    Verdict::Recorded,
     Verdict::Fenced,
 ];
 
@@ -104,26 +105,28 @@
         number: 200 + n as u64,
         result: vec![n as u8; 2],
         ms: 0.5 + f64::from(n),
-        offers: if n == 2 { vec![work()] } else { Vec::new() },
+        offers: if n == 2 { vec![request()] } else { Vec::new() },
     };
     (0..14).map(answer).collect()
 }
 
 /// The letters in the order of the file.
-fn letters() -> Vec<What> {
+fn letters() -> Vec<MessageBody> {
     vec![
-        What::Hello(Hello {
+        MessageBody::Hello(Hello {
             group: 1000,
-            highest: 1001,
+            highest_group: 1001,
             members: vec![sender(), other()],
-            forming: true,
+            members_are_founders: true,
         }),
-        What::Raft(Raft {
+        MessageBody::Raft(RaftMessage {
             group: 1000,
             message: vec![1, 2, 3],
         }),
-        What::Asked(Asked { orders: orders() }),
-        What::Answers(Answers {
+        MessageBody::Commands(CommandBatch {
+            commands: commands(),
+        }),
+        MessageBody::Answers(Answers {
             answers: answers(),
             leader: Some(other()),
             to: 0x0807_0605_0403_0201,
@@ -132,12 +135,12 @@
 }
 
 /// An entry of the log, which goes into the library's messages and onto disks.
-fn entry() -> Entry {
-    let proposals = orders().into_iter().map(|order| Proposal {
+fn entry() -> LogEntry {
+    let proposals = commands().into_iter().map(|command| Proposal {
         from: Some(other()),
-        order: Some(order),
+        command: Some(command),
     });
-    Entry {
+    LogEntry {
         elapsed_ms: 7.25,
         proposals: proposals.collect(),
     }
@@ -163,14 +166,14 @@
         assert_eq!(decode(&seal, bytes), Some((sender(), at, expected)));
     }
     assert_eq!(
-        place(&other()),
+        socket_addr(&other()),
         Some(([0xfd00, 0, 0, 0, 0, 0, 0, 9], 4200).into())
     );
 }
 
 #[test]
 fn every_stored_number_of_a_verdict_is_read() {
-    let Some((_, _, What::Answers(answers))) = decode(&Seal::new(KEY), stored()[3]) else {
+    let Some((_, _, MessageBody::Answers(answers))) = decode(&Seal::new(KEY), stored()[3]) else {
         panic!("not read")
     };
     let verdicts: Vec<Verdict> = answers.answers.iter().map(Answer::verdict).collect();
@@ -179,7 +182,7 @@
 
 #[test]
 fn a_stored_entry_of_the_log_is_read_to_the_same_orders() {
-    assert_eq!(Entry::decode(stored()[4]), Ok(entry()));
+    assert_eq!(LogEntry::decode(stored()[4]), Ok(entry()));
     assert_eq!(entry().encode_to_vec(), stored()[4]);
 }
 
--- a/crates/asterdale-ownership/tests/stored_state.rs
+++ b/crates/asterdale-ownership/tests/stored_state.rs
@@ -1,18 +1,20 @@
-//! What a keeper of an earlier release had on disk, and the book of one, are read to the same owners, work, fences and
-//! epochs, and are written again byte for byte. `fixtures/ownership/README.md` says how the files were made.
+//! What a replica of an earlier release had on disk, and its ownership table, are read to the same leases, requests,
+//! fences and epochs, and are written again byte for byte. `fixtures/ownership/README.md` says how the files were made.
 
 use std::net::SocketAddr;
 
 use asterdale_membership::seal::Seal;
-use asterdale_ownership::book::State;
-use asterdale_ownership::keeper::{Keeper, Start};
-use asterdale_ownership::message::wire::{self, Entry};
-use asterdale_ownership::message::{member, Ordered};
-use asterdale_ownership::saved::Face;
-use asterdale_ownership::{Action, Book, Saved, Terms, Told, Work};
+use asterdale_ownership::message::wire::{self, LogEntry};
+use asterdale_ownership::message::{member, CommandKind};
+use asterdale_ownership::replica::{Replica, ReplicaConfig};
+use asterdale_ownership::storage::ReplicaIdentity;
+use asterdale_ownership::table::RequestState;
+use asterdale_ownership::{
+    Action, KeyedRequest, OwnershipEvent, OwnershipSettings, OwnershipTable, StoredState,
+};
 use prost::Message as _;
 use protobuf::Message as _;
-use raft::eraftpb::{Entry as LogEntry, EntryType, HardState, Snapshot};
+use raft::eraftpb::{Entry as RaftEntry, EntryType, HardState, Snapshot};
 
 const FACE: &[u8] = include_bytes!("fixtures/ownership/face.bin");
 const HARD: &[u8] = include_bytes!("fixtures/ownership/hard.bin");
@@ -20,13 +22,13 @@
 const ENTRIES: &[u8] = include_bytes!("fixtures/ownership/entries.bin");
 const BOOK: &[u8] = include_bytes!("fixtures/ownership/book.bin");
 
-/// Fences and epochs of a group begin at its number times this.
-const STEP: u64 = 1 << 30;
+/// Fencing tokens and epochs of a group begin at its number times this.
+const NUMBERS_PER_GROUP: u64 = 1 << 30;
 
-fn terms() -> Terms {
-    Terms {
-        window_ms: 500.0,
-        ..Terms::default()
+fn settings() -> OwnershipSettings {
+    OwnershipSettings {
+        max_retry_window_ms: 500.0,
+        ..OwnershipSettings::default()
     }
 }
 
@@ -34,7 +36,7 @@
     ([127, 0, 0, 1], 9000 + n).into()
 }
 
-/// The keeper's entries: each behind its number (8 bytes) and its length (4).
+/// The replica's log entries: each behind its index (8 bytes) and its length (4).
 fn entries() -> Vec<(u64, Vec<u8>)> {
     let (mut rest, mut all) = (ENTRIES, Vec::new());
     while let Some((number, after)) = rest.split_first_chunk::<8>() {
@@ -46,66 +48,74 @@
     all
 }
 
-fn saved() -> Saved {
-    Saved {
-        face: FACE.to_vec(),
-        hard: HARD.to_vec(),
-        whole: WHOLE.to_vec(),
+fn stored() -> StoredState {
+    StoredState {
+        identity: FACE.to_vec(),
+        hard_state: HARD.to_vec(),
+        snapshot: WHOLE.to_vec(),
         entries: entries(),
     }
 }
 
 #[test]
-fn a_stored_face_is_read_and_written_again() {
-    let face = saved().face().unwrap();
+fn stored_identity_is_read_and_written_again() {
+    let identity = stored().identity().unwrap();
     let founders = vec![
         member("k0", 10_277_665_017_230_984_823, at(0)),
         member("k1", 7_228_268_180_155_082_411, at(1)),
         member("k2", 13_638_903_821_675_014_887, at(2)),
     ];
     assert_eq!(
-        face,
-        Face {
+        identity,
+        ReplicaIdentity {
             node: 7_228_268_180_155_082_411,
             group: 1000,
-            highest: 1000,
+            highest_group: 1000,
             founders
         }
     );
-    assert_eq!(face.encode_to_vec(), FACE);
+    assert_eq!(identity.encode_to_vec(), FACE);
 }
 
 #[test]
-fn a_keeper_with_a_stored_disk_is_the_one_that_it_was() {
-    let start = Start {
-        me: member("k1", 4321, at(1)),
-        keepers: (0..3u16).map(|n| (format!("k{n}"), at(n))).collect(),
-        terms: terms(),
+fn replica_restores_itself_from_stored_state() {
+    let config = ReplicaConfig {
+        member: member("k1", 4321, at(1)),
+        replicas: (0..3u16).map(|n| (format!("k{n}"), at(n))).collect(),
+        settings: settings(),
         seal: Seal::new(b"key"),
         seed: 1,
         unix_s: 2000,
-        saved: Some(saved()),
+        stored: Some(stored()),
     };
-    let mut keeper = Keeper::new(0.0, start);
-    let told = keeper.wake(0.0);
+    let mut replica = Replica::new(0.0, config);
+    let actions = replica.wake(0.0);
     assert!(
-        told.contains(&Action::Tell(Told::Restored(1000))),
-        "{told:?}"
+        actions.contains(&Action::Report(OwnershipEvent::RestoredFromDisk(1000))),
+        "{actions:?}"
     );
-    let shown = keeper.shown();
-    // What it held to be agreed by the last vote that it saved; the rest of its entries a leader will confirm.
+    let status = replica.status();
+    // Up to the commit index that it had stored; a leader will confirm the other entries.
     assert_eq!(
-        (shown.group, shown.members.clone(), shown.quiet_ms),
+        (
+            status.group,
+            status.members.clone(),
+            status.claims_blocked_ms
+        ),
         (1000, names(&["k1", "k0", "k2"]), 0.0)
     );
     let epochs = [
-        ("o100".to_owned(), 1000 * STEP + 1),
-        ("o101".to_owned(), 1000 * STEP + 2),
+        ("o100".to_owned(), 1000 * NUMBERS_PER_GROUP + 1),
+        ("o101".to_owned(), 1000 * NUMBERS_PER_GROUP + 2),
     ];
-    assert_eq!(shown.owners, epochs);
-    // Started, orphaned, unstarted, ended, failed, unknown.
+    assert_eq!(status.owners, epochs);
+    // Started, ownerless, handed over, completed, failed, outcome unknown.
     assert_eq!(
-        (shown.applied, shown.kept, shown.bytes),
+        (
+            status.applied_index,
+            status.requests_by_state,
+            status.size_bytes
+        ),
         (19, [2, 0, 1, 1, 0, 0], 1110)
     );
 }
@@ -115,7 +125,7 @@
 }
 
 #[test]
-fn the_stored_entries_add_up_to_the_same_book() {
+fn stored_entries_give_the_same_table() {
     let whole = Snapshot::parse_from_bytes(WHOLE).unwrap();
     let hard = HardState::parse_from_bytes(HARD).unwrap();
     assert_eq!(
@@ -133,113 +143,138 @@
         ),
         (WHOLE.to_vec(), HARD.to_vec())
     );
-    let mut book = Book::read(whole.get_data(), terms()).unwrap();
+    let mut table = OwnershipTable::decode(whole.get_data(), settings()).unwrap();
     assert!(
-        book.write() == whole.get_data(),
-        "the bytes of the first book differ"
+        table.encode() == whole.get_data(),
+        "the bytes of the first table differ"
     );
     assert_eq!(entries().len(), 18);
     for (number, bytes) in entries() {
-        let logged = LogEntry::parse_from_bytes(&bytes).unwrap();
+        let logged = RaftEntry::parse_from_bytes(&bytes).unwrap();
         assert_eq!(
             (logged.index, logged.get_entry_type()),
             (number, EntryType::EntryNormal)
         );
         assert_eq!(logged.write_to_bytes().unwrap(), bytes);
         if logged.data.is_empty() {
-            continue; // a new leader's
+            continue; // the first entry of a new leader
         }
-        let entry = Entry::decode(&logged.data[..]).unwrap();
+        let entry = LogEntry::decode(&logged.data[..]).unwrap();
         assert_eq!(entry.encode_to_vec(), &logged.data[..]);
-        book.apply(entry);
+        table.apply(entry);
     }
-    let fences: Vec<(u64, &State)> = book
-        .kept()
+    let fences: Vec<(u64, &RequestState)> = table
+        .requests()
         .values()
-        .map(|kept| (kept.fence, &kept.state))
+        .map(|owned| (owned.fence, &owned.state))
         .collect();
-    let ended = State::Ended(b"sold for 7".to_vec());
+    let ended = RequestState::Completed(b"sold for 7".to_vec());
     let expected = [
-        (1000 * STEP + 1, &ended),
-        (1000 * STEP + 2, &State::Started),
-        (1000 * STEP + 3, &State::Started),
-        (0, &State::Unstarted),
+        (1000 * NUMBERS_PER_GROUP + 1, &ended),
+        (1000 * NUMBERS_PER_GROUP + 2, &RequestState::Started),
+        (1000 * NUMBERS_PER_GROUP + 3, &RequestState::Started),
+        (0, &RequestState::HandedOver),
     ];
     assert_eq!(fences, expected);
 }
 
 #[test]
-fn a_stored_book_is_read_to_the_same_owners_and_work() {
-    let book = Book::read(BOOK, terms()).unwrap();
+fn stored_table_is_read_to_the_same_leases_and_requests() {
+    let table = OwnershipTable::decode(BOOK, settings()).unwrap();
     assert_eq!(
-        (book.now(), book.quiet_ms(), book.bytes()),
+        (
+            table.now_ms(),
+            table.claims_blocked_ms(),
+            table.size_bytes()
+        ),
         (610.5, 0.0, 1582)
     );
-    let owners = book.owners();
-    let owner = |epoch: u64| {
-        let owner = &owners[&epoch];
-        (&owner.name[..], owner.node, owner.until, owner.renewed)
+    let leases = table.leases();
+    let lease = |epoch: u64| {
+        let lease = &leases[&epoch];
+        (
+            &lease.name[..],
+            lease.node,
+            lease.expires_at_ms,
+            lease.renewed,
+        )
     };
-    assert_eq!(owners.len(), 2);
-    assert_eq!(owner(3 * STEP + 2), ("owner-2", 2, 2609.0, true));
-    assert_eq!(owner(3 * STEP + 3), ("owner-1", 8, 2610.5, false));
-    let keeper = |n: u64| {
+    assert_eq!(leases.len(), 2);
+    assert_eq!(
+        lease(3 * NUMBERS_PER_GROUP + 2),
+        ("owner-2", 2, 2609.0, true)
+    );
+    assert_eq!(
+        lease(3 * NUMBERS_PER_GROUP + 3),
+        ("owner-1", 8, 2610.5, false)
+    );
+    let replica = |n: u64| {
         member(
             &format!("keeper-{n}"),
             90 + n,
             ([10, 0, 1, n as u8], 4100).into(),
         )
     };
-    let keepers: Vec<_> = book.members.values().cloned().collect();
-    assert_eq!(keepers, [keeper(1), keeper(2), keeper(3)]);
-    let kept: Vec<_> = book
-        .kept()
+    let members: Vec<_> = table.members.values().cloned().collect();
+    assert_eq!(members, [replica(1), replica(2), replica(3)]);
+    let requests: Vec<_> = table
+        .requests()
         .values()
-        .map(|kept| (kept.epoch, kept.fence, &kept.state))
+        .map(|owned| (owned.epoch, owned.fence, &owned.state))
         .collect();
-    let (first, second) = (3 * STEP + 1, 3 * STEP + 2);
-    let ended = State::Ended(b"sold for 7".to_vec());
+    let (first, second) = (3 * NUMBERS_PER_GROUP + 1, 3 * NUMBERS_PER_GROUP + 2);
+    let ended = RequestState::Completed(b"sold for 7".to_vec());
     let expected = [
-        (first, 3 * STEP + 1, &State::Orphaned),
-        (first, 3 * STEP + 2, &State::Unknown),
-        (second, 3 * STEP + 3, &ended),
-        (second, 3 * STEP + 4, &State::Failed),
-        (second, 3 * STEP + 5, &State::Started),
-        (0, 0, &State::Unstarted),
+        (first, 3 * NUMBERS_PER_GROUP + 1, &RequestState::Ownerless),
+        (
+            first,
+            3 * NUMBERS_PER_GROUP + 2,
+            &RequestState::OutcomeUnknown,
+        ),
+        (second, 3 * NUMBERS_PER_GROUP + 3, &ended),
+        (second, 3 * NUMBERS_PER_GROUP + 4, &RequestState::Failed),
+        (second, 3 * NUMBERS_PER_GROUP + 5, &RequestState::Started),
+        (0, 0, &RequestState::HandedOver),
     ];
-    assert_eq!(kept, expected);
-    let orphan = &book.kept()[&vec![b'k', 1]];
-    assert_eq!((orphan.due, orphan.until), (10_602.0, 20_602.0));
-    let work = Work {
+    assert_eq!(requests, expected);
+    let ownerless = &table.requests()[&vec![b'k', 1]];
+    assert_eq!(
+        (ownerless.deadline_ms, ownerless.expires_at_ms),
+        (10_602.0, 20_602.0)
+    );
+    let request = KeyedRequest {
         key: vec![b'k', 1],
-        stage: "bid".to_owned(),
-        id: b"0000000000000001".to_vec(),
-        sign: 0xfeed_0001,
+        class: "bid".to_owned(),
+        execution_id: b"0000000000000001".to_vec(),
+        body_digest: 0xfeed_0001,
         body: vec![1; 3],
-        due_ms: 10_001.0,
-        window_ms: 20_001.0,
+        deadline_ms: 10_001.0,
+        retry_window_ms: 20_001.0,
         hint_ms: 12.5,
         kb: 6.75,
         fenced: true,
     };
-    assert_eq!(orphan.work, work);
+    assert_eq!(ownerless.request, request);
     assert_eq!(
-        book.loose().map(|kept| kept.fence).collect::<Vec<_>>(),
-        [3 * STEP + 1, 0]
+        table
+            .claimable()
+            .map(|owned| owned.fence)
+            .collect::<Vec<_>>(),
+        [3 * NUMBERS_PER_GROUP + 1, 0]
     );
 }
 
 #[test]
-fn a_stored_book_goes_on_with_its_epochs_and_fences() {
-    let mut book = Book::read(BOOK, terms()).unwrap();
-    let mut say = |from: &wire::Member, what: Ordered| {
-        let order = Some(wire::Order {
+fn stored_table_continues_its_epochs_and_fences() {
+    let mut table = OwnershipTable::decode(BOOK, settings()).unwrap();
+    let mut execute = |from: &wire::Member, kind: CommandKind| {
+        let command = Some(wire::Command {
             seq: 1,
-            what: Some(what),
+            kind: Some(kind),
         });
         let from = Some(from.clone());
-        let proposals = vec![wire::Proposal { from, order }];
-        let answers = book.apply(Entry {
+        let proposals = vec![wire::Proposal { from, command }];
+        let answers = table.apply(LogEntry {
             elapsed_ms: 1.0,
             proposals,
         });
@@ -247,33 +282,36 @@
     };
     // The process that was replaced, and a new one.
     let replaced = member("owner-1", 1, ([10, 0, 0, 1], 4001).into());
-    let renew = |epoch| Ordered::Renew(wire::Renew { epoch, room: 0 });
+    let renew = |epoch| CommandKind::Renew(wire::Renew { epoch, capacity: 0 });
     assert_eq!(
-        say(&replaced, renew(3 * STEP + 1)),
-        (wire::Verdict::Over, 0)
+        execute(&replaced, renew(3 * NUMBERS_PER_GROUP + 1)),
+        (wire::Verdict::EpochEnded, 0)
     );
     let new = member("owner-3", 3, ([10, 0, 0, 3], 4003).into());
     assert_eq!(
-        say(&new, Ordered::Join(0)),
-        (wire::Verdict::Joined, 3 * STEP + 4)
+        execute(&new, CommandKind::Join(0)),
+        (wire::Verdict::Joined, 3 * NUMBERS_PER_GROUP + 4)
     );
-    let work = Work {
+    let request = KeyedRequest {
         key: b"new".to_vec(),
-        id: vec![b'9'; 16],
-        window_ms: 1000.0,
-        ..Work::default()
+        execution_id: vec![b'9'; 16],
+        retry_window_ms: 1000.0,
+        ..KeyedRequest::default()
     };
-    let claim = Ordered::Claim(wire::Claim {
-        epoch: 3 * STEP + 4,
-        work: Some(work),
+    let claim = CommandKind::Claim(wire::Claim {
+        epoch: 3 * NUMBERS_PER_GROUP + 4,
+        request: Some(request),
     });
-    assert_eq!(say(&new, claim), (wire::Verdict::Yours, 3 * STEP + 6));
+    assert_eq!(
+        execute(&new, claim),
+        (wire::Verdict::Granted, 3 * NUMBERS_PER_GROUP + 6)
+    );
 }
 
 #[test]
-fn a_stored_book_is_written_again_byte_for_byte() {
+fn stored_table_is_written_again_byte_for_byte() {
     assert!(
-        Book::read(BOOK, terms()).unwrap().write() == BOOK,
+        OwnershipTable::decode(BOOK, settings()).unwrap().encode() == BOOK,
         "the bytes differ"
     );
 }
