--- a/crates/asterdale-daemon/src/upgrade/port.rs
+++ b/crates/asterdale-daemon/src/upgrade/port.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale::parameters::Outcome;
+use asterdale::events::Outcome;
 use asterdale_engine::message::{
     Connection, EngineMessage, IdempotencyKey, Reply, Request, RequestHead, RequestId,
     ResponseRoute, TaskId,
--- a/crates/asterdale-engine/src/engine.rs
+++ b/crates/asterdale-engine/src/engine.rs
@@ -6,7 +6,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale::parameters::{Arrival, Gauges, Idempotency, Outcome};
+use asterdale::events::{Arrival, Gauges, Outcome, PeerCounts};
+use asterdale::parameters::Idempotency;
 use asterdale::{Actions, Server};
 use asterdale_identity::{Ask, Identity};
 use asterdale_parameters::Settings;
@@ -268,7 +269,8 @@
             load: load as u8,
         });
         if let Some(server) = &mut self.server {
-            server.set_peers(company.peer_counts());
+            let counts = company.peer_counts();
+            server.set_peers(counts.map(|(present, ready)| PeerCounts { present, ready }));
         }
     }
 
--- a/crates/asterdale-engine/src/message.rs
+++ b/crates/asterdale-engine/src/message.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale::parameters::Outcome;
+use asterdale::events::Outcome;
 pub use asterdale_identity::Certificate;
 use asterdale_identity::Kind;
 use crossbeam_channel::Sender;
--- a/crates/asterdale-engine/src/ownership.rs
+++ b/crates/asterdale-engine/src/ownership.rs
@@ -10,7 +10,8 @@
 use std::fmt::Write as _;
 use std::sync::Arc;
 
-use asterdale::parameters::{Arrival, Idempotency, Outcome};
+use asterdale::events::{Arrival, Outcome};
+use asterdale::parameters::Idempotency;
 use asterdale::Handle;
 use asterdale_ownership::failpoint::{self, Failpoint};
 use asterdale_ownership::{Answer, Verdict, Want, Work};
--- a/crates/asterdale-engine/src/records.rs
+++ b/crates/asterdale-engine/src/records.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale::parameters::Outcome;
+use asterdale::events::Outcome;
 use crossbeam_channel::Sender;
 use mio::{Events, Poll, Token};
 
--- a/crates/asterdale-engine/src/runtime_events.rs
+++ b/crates/asterdale-engine/src/runtime_events.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use asterdale::parameters::{Gauges, Outcome};
+use asterdale::events::{Gauges, Outcome};
 use asterdale::Actions;
 use crossbeam_channel::Sender;
 
--- a/crates/asterdale-simhost/src/host.rs
+++ b/crates/asterdale-simhost/src/host.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use asterdale::parameters::{Arrival, Gauges, Outcome};
+use asterdale::events::{Arrival, Gauges, Outcome};
 use asterdale::{Actions, Handle, Server};
 use asterdale_parameters::Settings;
 
--- a/crates/asterdale-simulator/src/decider.rs
+++ b/crates/asterdale-simulator/src/decider.rs
@@ -3,9 +3,9 @@
 
 use std::collections::VecDeque;
 
+use asterdale::events::{Arrival, Gauges, Outcome};
 use asterdale::parameters::{
-    Arrival, CapacityHint, ClassParameters, Dependency, Gauges, Idempotency, Outcome, Parameters,
-    Preemption,
+    CapacityHint, ClassParameters, Dependency, Idempotency, Parameters, Preemption,
 };
 use asterdale::{Actions, Handle, Server};
 
--- a/crates/asterdale-simulator/src/world.rs
+++ b/crates/asterdale-simulator/src/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use asterdale::parameters::Arrival;
+use asterdale::events::Arrival;
 use hdrhistogram::Histogram;
 
 use crate::chance::Chance;
--- a/crates/asterdale/src/decide.rs
+++ b/crates/asterdale/src/decide.rs
@@ -6,10 +6,9 @@
 //! told.rs, what is kept in state.rs. Times are ms.
 
 use crate::actions::Actions;
+use crate::events::{Arrival, Gauges, Outcome, PeerCounts};
 use crate::measure::{Ring, Spread};
-use crate::parameters::{
-    Arrival, CapacityHint, Dependency, Gauges, Idempotency, Outcome, Parameters, Preemption,
-};
+use crate::parameters::{CapacityHint, Dependency, Idempotency, Parameters, Preemption};
 use crate::state::{Customer, Stage, State, Task};
 
 pub use crate::state::{Handle, Server};
@@ -508,7 +507,7 @@
             0.0
         };
         // Where a view of the fleet says that nobody else takes work and is warm, elsewhere helps nobody.
-        let nobody = self.others.is_some_and(|(_, warm)| warm < 1.0);
+        let nobody = self.others.is_some_and(|peers| peers.ready < 1.0);
         (
             !ours || nobody,
             (share.max(part) * stay).max(most.min(BEAT)),
@@ -518,12 +517,12 @@
     /// Servers of this tier: by the view of the fleet where there is one, else as they were at the start.
     fn servers(&self) -> f64 {
         self.others
-            .map_or(self.told.servers, |(there, _)| there + 1.0)
+            .map_or(self.told.servers, |peers| peers.present + 1.0)
     }
 
     /// So many others are there, and so many of them take work and are warm; `None` where that is not known.
     /// A hint: it may be old or wrong, and bends what is advised and whose share is what, never what may run.
-    pub fn set_peers(&mut self, others: Option<(f64, f64)>) {
+    pub fn set_peers(&mut self, others: Option<PeerCounts>) {
         self.others = others;
     }
 
--- a/crates/asterdale/src/decide/tests.rs
+++ b/crates/asterdale/src/decide/tests.rs
@@ -545,14 +545,23 @@
     // 10 a second came here, of which 100 / 20 servers are its share; with ten there it is all.
     s.customers[0].read.add(40.0);
     assert!(s.in_share(&s.customers[0]) < 1.0);
-    s.set_peers(Some((9.0, 9.0)));
+    s.set_peers(Some(PeerCounts {
+        present: 9.0,
+        ready: 9.0,
+    }));
     assert_eq!(s.in_share(&s.customers[0]), 1.0);
     assert!(!s.advice().0);
     // A view without a warm server besides this one: the next would turn it away, or be pushed over.
-    s.set_peers(Some((9.0, 0.0)));
+    s.set_peers(Some(PeerCounts {
+        present: 9.0,
+        ready: 0.0,
+    }));
     assert!(s.advice().0);
     // Alone, there is nobody to move work to.
-    s.set_peers(Some((0.0, 0.0)));
+    s.set_peers(Some(PeerCounts {
+        present: 0.0,
+        ready: 0.0,
+    }));
     assert!(s.advice().0 && s.advice().1 <= BEAT);
     // Nothing known: as at the start.
     s.set_peers(None);
--- a/crates/asterdale/src/lib.rs
+++ b/crates/asterdale/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod actions;
 pub mod decide;
+pub mod events;
 mod measure;
 pub mod parameters;
 #[cfg(feature = "snapshot")]
--- a/crates/asterdale/src/parameters.rs
+++ b/crates/asterdale/src/parameters.rs
@@ -1,4 +1,4 @@
-//! Plain types: what a server is told at its start, and what arrives, ends and is measured later.
+//! The settings of one server: its resources, its request classes and tenants, and what it can rely on.
 
 /// How often a task of a stage may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -171,75 +171,3 @@
     #[cfg_attr(feature = "snapshot", serde(rename = "customers"))]
     pub tenants: Vec<TenantParameters>,
 }
-
-/// A task that has just been read.
-#[derive(Clone, Copy, Debug)]
-#[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
-pub struct Arrival {
-    /// Its stage, a position in [`Told::stages`].
-    #[cfg_attr(feature = "snapshot", serde(rename = "stage"))]
-    pub class: usize,
-    /// Its customer, a position in [`Told::customers`].
-    #[cfg_attr(feature = "snapshot", serde(rename = "customer"))]
-    pub tenant: usize,
-    /// The caller that sent it, as a small index.
-    pub caller: usize,
-    /// How long it lay unread.
-    pub unread_ms: f64,
-    /// How long its caller still waits, if that is told.
-    #[cfg_attr(feature = "snapshot", serde(rename = "left_ms"))]
-    pub remaining_ms: Option<f64>,
-    /// What it will cost, if that is told.
-    #[cfg_attr(feature = "snapshot", serde(rename = "hint_ms"))]
-    pub cost_hint_ms: Option<f64>,
-    /// Memory it takes while held.
-    #[cfg_attr(feature = "snapshot", serde(rename = "kb"))]
-    pub memory_kb: f64,
-    /// It repeats a task whose fingerprint is known here.
-    #[cfg_attr(feature = "snapshot", serde(rename = "repeat"))]
-    pub is_repeat: bool,
-}
-
-/// How a run or a call ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    /// It succeeded.
-    Ok,
-    /// It failed and may have had its effect.
-    Failed,
-    /// It was turned away and never ran.
-    Rejected,
-    /// It was given up and may have had its effect.
-    TimedOut,
-    /// What should have done it could not be reached.
-    Unreachable,
-    /// It broke off and may have had its effect.
-    Reset,
-    /// It was stopped, or ended because nobody waits.
-    Cancelled,
-    /// Nothing was started: the task was over.
-    Stale,
-}
-
-impl Outcome {
-    /// Whether this outcome proves that nothing ran.
-    pub fn never_ran(self) -> bool {
-        matches!(
-            self,
-            Outcome::Rejected | Outcome::Unreachable | Outcome::Stale
-        )
-    }
-}
-
-/// The server's own gauges; absent ones are `None`.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Gauges {
-    /// Busy part of the cores over the last half second.
-    pub cpu: Option<f64>,
-    /// Everything that wants a core now.
-    pub on_cores: Option<f64>,
-    /// Part of the memory in use.
-    pub memory: Option<f64>,
-    /// Open connections.
-    pub connections: Option<f64>,
-}
--- a/crates/asterdale/src/snapshot.rs
+++ b/crates/asterdale/src/snapshot.rs
@@ -142,6 +142,7 @@
     use super::*;
     use crate::actions::Actions;
     use crate::decide::Handle;
+    use crate::events::*;
     use crate::parameters::*;
 
     /// Writes down what it is told, and knows what is open.
--- a/crates/asterdale/src/state.rs
+++ b/crates/asterdale/src/state.rs
@@ -1,8 +1,9 @@
 //! What a server keeps: its tasks, the rows of its stages and customers, its counts. Plain state, no
 //! decisions.
 
+use crate::events::{Arrival, PeerCounts};
 use crate::measure::{Pcg, Ring, Spread};
-use crate::parameters::{Arrival, ClassParameters, Parameters, TenantParameters};
+use crate::parameters::{ClassParameters, Parameters, TenantParameters};
 
 /// A task that was taken, from `Server::take` until `Machine::release`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -187,7 +188,7 @@
     /// Other servers that are there, and those of them that take work and are warm, where a view of the fleet
     /// tells. It is another process's word, and not passed on.
     #[cfg_attr(feature = "snapshot", serde(skip))]
-    pub(crate) others: Option<(f64, f64)>,
+    pub(crate) others: Option<PeerCounts>,
 }
 
 impl Server {
