--- a/crates/asterdale/src/events.rs
+++ b/crates/asterdale/src/events.rs
@@ -1,29 +1,30 @@
-//! Input events of the decisions: arriving requests, outcomes of runs and calls, and gauges.
+//! Input events of the decisions: arriving requests, outcomes of runs and calls, gauges, and views of the fleet.
 
-/// A task that has just been read.
+/// A request that has just been read.
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub struct Arrival {
-    /// Its stage, a position in [`Parameters::classes`](crate::parameters::Parameters::classes).
+    /// Its request class, a position in [`Parameters::classes`](crate::parameters::Parameters::classes).
     #[cfg_attr(feature = "snapshot", serde(rename = "stage"))]
     pub class: usize,
-    /// Its customer, a position in [`Parameters::tenants`](crate::parameters::Parameters::tenants).
+    /// Its tenant, a position in [`Parameters::tenants`](crate::parameters::Parameters::tenants). One out of range
+    /// counts for the last tenant.
     #[cfg_attr(feature = "snapshot", serde(rename = "customer"))]
     pub tenant: usize,
     /// The caller that sent it, as a small index.
     pub caller: usize,
-    /// How long it lay unread.
+    /// How long it lay unread, in milliseconds.
     pub unread_ms: f64,
-    /// How long its caller still waits, if that is told.
+    /// How long its caller still waits, in milliseconds, if that is known.
     #[cfg_attr(feature = "snapshot", serde(rename = "left_ms"))]
     pub remaining_ms: Option<f64>,
-    /// What it will cost, if that is told.
+    /// The core time that it will cost, in milliseconds, if there is a hint.
     #[cfg_attr(feature = "snapshot", serde(rename = "hint_ms"))]
     pub cost_hint_ms: Option<f64>,
-    /// Memory it takes while held.
+    /// The memory that it takes while queued, in kilobytes.
     #[cfg_attr(feature = "snapshot", serde(rename = "kb"))]
     pub memory_kb: f64,
-    /// It repeats a task whose fingerprint is known here.
+    /// It repeats a request whose idempotency key is retained here.
     #[cfg_attr(feature = "snapshot", serde(rename = "repeat"))]
     pub is_repeat: bool,
 }
@@ -35,17 +36,17 @@
     Ok,
     /// It failed and may have had its effect.
     Failed,
-    /// It was turned away and never ran.
+    /// It was rejected and never ran.
     Rejected,
-    /// It was given up and may have had its effect.
+    /// It took too long, was given up, and may have had its effect.
     TimedOut,
-    /// What should have done it could not be reached.
+    /// What should have run it could not be reached: it never ran.
     Unreachable,
-    /// It broke off and may have had its effect.
+    /// The connection broke; it may have had its effect.
     Reset,
-    /// It was stopped, or ended because nobody waits.
+    /// It was aborted, or ended because nobody waits for it.
     Cancelled,
-    /// Nothing was started: the task was over.
+    /// Nothing was started, as the task had already ended.
     Stale,
 }
 
@@ -59,16 +60,16 @@
     }
 }
 
-/// The server's own gauges; absent ones are `None`.
+/// The server's own gauges; `None` where there is no such gauge.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Busy part of the cores over the last half second.
+    /// The busy part of the cores over the last half second, 0 to 1.
     pub cpu: Option<f64>,
-    /// Everything that wants a core now.
+    /// How much wants a core now: runs, reading, health checks and everything else.
     pub on_cores: Option<f64>,
-    /// Part of the memory in use.
+    /// The part of the memory in use, 0 to 1.
     pub memory: Option<f64>,
-    /// Open connections.
+    /// How many connections are open.
     pub connections: Option<f64>,
 }
 
--- a/crates/asterdale/src/lib.rs
+++ b/crates/asterdale/src/lib.rs
@@ -1,17 +1,20 @@
 //! Admission and scheduling decisions for one server behind balancers that it does not control.
 //!
-//! [`decide`] holds every decision. It is told what it needs at the start ([`told`]), hears what happens
-//! through method calls, and answers through the [`machine::Machine`] trait. It does no I/O and reads no
-//! clock.
+//! A [`Server`] is started with its [`parameters`]. It is called with the [`events`] of its requests and with the
+//! present time, and answers through the [`Actions`] of its host. It does no I/O and reads no clock. Times are
+//! milliseconds on a clock of the host's choice.
 
 pub mod actions;
-pub mod decide;
 pub mod events;
 mod measure;
 pub mod parameters;
+mod policy;
 #[cfg(feature = "snapshot")]
 pub mod snapshot;
 mod state;
+mod task;
+mod task_table;
 
 pub use actions::Actions;
-pub use decide::{Handle, Server};
+pub use state::Server;
+pub use task::Handle;
--- a/crates/asterdale/src/measure.rs
+++ b/crates/asterdale/src/measure.rs
@@ -1,114 +1,124 @@
-//! Containers for what is measured, and chance. They hold no decisions.
+//! Containers for what is measured, and random numbers. They hold no decisions.
 
-/// Counts of values in steps of equal ratio: fine enough for quantiles, and cheap to add up.
+/// Buckets of a [`Histogram`]: with steps of 8% they reach from 0.01 to over 100,000.
+pub(crate) const HISTOGRAM_BUCKETS: usize = 212;
+
+/// Counts of values in buckets of equal ratio: fine enough for quantiles, and cheap to merge.
 #[derive(Clone)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
-pub(crate) struct Spread {
-    least: f64,
-    step: f64,
+pub(crate) struct Histogram {
+    #[cfg_attr(feature = "snapshot", serde(rename = "least"))]
+    min: f64,
+    /// The logarithm of the ratio between two buckets.
+    #[cfg_attr(feature = "snapshot", serde(rename = "step"))]
+    log_ratio: f64,
     #[cfg_attr(feature = "snapshot", serde(with = "crate::snapshot::counts"))]
-    counts: [u32; 212],
+    counts: [u32; HISTOGRAM_BUCKETS],
     pub total: u32,
 }
 
-impl Spread {
-    /// Values from `least` on, each step `ratio` times the one before.
-    pub fn new(least: f64, ratio: f64) -> Self {
-        Spread {
-            least,
-            step: ratio.ln(),
-            counts: [0; 212],
+impl Histogram {
+    /// For times in milliseconds and for ratios around 1. Two p95s of a few hundred runs differ by more than its 8%.
+    pub fn of_latencies() -> Self {
+        Histogram::new(0.01, 1.08)
+    }
+
+    /// Values from `min` on, each bucket `ratio` times the one before.
+    fn new(min: f64, ratio: f64) -> Self {
+        Histogram {
+            min,
+            log_ratio: ratio.ln(),
+            counts: [0; HISTOGRAM_BUCKETS],
             total: 0,
         }
     }
+
     pub fn add(&mut self, value: f64) {
-        let step = ((value.max(self.least) / self.least).ln() / self.step).min(211.0);
-        self.counts[step as usize] += 1;
+        let last = (HISTOGRAM_BUCKETS - 1) as f64;
+        let bucket = ((value.max(self.min) / self.min).ln() / self.log_ratio).min(last);
+        self.counts[bucket as usize] += 1;
         self.total += 1;
     }
-    pub fn merge(&mut self, other: &Spread) {
-        for (mine, theirs) in self.counts.iter_mut().zip(&other.counts) {
-            *mine += theirs;
+
+    pub fn merge(&mut self, other: &Histogram) {
+        for (count, other) in self.counts.iter_mut().zip(&other.counts) {
+            *count += other;
         }
         self.total += other.total;
     }
+
+    /// Halves all counts, so that older values count less than those to come.
     pub fn halve(&mut self) {
-        self.counts.iter_mut().for_each(|n| *n /= 2);
+        self.counts.iter_mut().for_each(|count| *count /= 2);
         self.total = self.counts.iter().sum();
     }
-    /// The value under which this part of all lies; 0 of none.
+
+    /// The value below which this part of all values lies; 0 without values.
     pub fn quantile(&self, part: f64) -> f64 {
-        let mut left = (self.total as f64 * part).ceil().max(1.0) as u32;
-        for (step, &n) in self.counts.iter().enumerate() {
-            if n >= left {
-                return self.least * ((step as f64 + 0.5) * self.step).exp();
+        let mut remaining = (self.total as f64 * part).ceil().max(1.0) as u32;
+        for (bucket, &count) in self.counts.iter().enumerate() {
+            if count >= remaining {
+                return self.min * ((bucket as f64 + 0.5) * self.log_ratio).exp();
             }
-            left -= n;
+            remaining -= count;
         }
         0.0
     }
 }
 
-/// Amounts in fixed buckets of time that are used again: of the recent past, or of what lapses in the near
-/// future.
+/// Amounts in a ring of time buckets: of the recent past, or of what expires in the near future.
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
-pub(crate) struct Ring {
-    pub width: f64,
-    /// The present bucket, counted from time 0.
-    pub clock: u64,
-    cells: Vec<f64>,
+pub(crate) struct TimeBuckets {
+    #[cfg_attr(feature = "snapshot", serde(rename = "width"))]
+    pub width_ms: f64,
+    /// The number of the present bucket, counted from time 0.
+    #[cfg_attr(feature = "snapshot", serde(rename = "clock"))]
+    pub current: u64,
+    #[cfg_attr(feature = "snapshot", serde(rename = "cells"))]
+    amounts: Vec<f64>,
 }
 
-impl Ring {
-    /// So many buckets over this span of time, at least a second.
-    pub fn new(span: f64, cells: usize, now: f64) -> Self {
-        let width = span.max(1000.0) / cells as f64;
-        Ring {
-            width,
-            clock: (now / width) as u64,
-            cells: vec![0.0; cells],
+impl TimeBuckets {
+    /// So many buckets over `span_ms`, which is a second at the least.
+    pub fn new(span_ms: f64, buckets: usize, now_ms: f64) -> Self {
+        let width_ms = span_ms.max(1000.0) / buckets as f64;
+        TimeBuckets {
+            width_ms,
+            current: (now_ms / width_ms) as u64,
+            amounts: vec![0.0; buckets],
         }
     }
-    /// The bucket of this number, counted from time 0.
-    pub fn cell(&mut self, bucket: u64) -> &mut f64 {
-        let cells = self.cells.len() as u64;
-        &mut self.cells[(bucket % cells) as usize]
+
+    /// The amount in the bucket of this number, counted from time 0.
+    pub fn bucket(&mut self, number: u64) -> &mut f64 {
+        let buckets = self.amounts.len() as u64;
+        &mut self.amounts[(number % buckets) as usize]
     }
-    /// Rolls on to `now`; what lay in the buckets that are entered has lapsed and comes back.
-    pub fn roll(&mut self, now: f64) -> f64 {
-        let mut lapsed = 0.0;
-        while self.clock < (now / self.width) as u64 {
-            self.clock += 1;
-            let clock = self.clock;
-            lapsed += std::mem::take(self.cell(clock));
+
+    /// Advances to now; returns what was in the buckets that are used again, which has expired.
+    pub fn advance(&mut self, now_ms: f64) -> f64 {
+        let mut expired = 0.0;
+        while self.current < (now_ms / self.width_ms) as u64 {
+            self.current += 1;
+            let current = self.current;
+            expired += std::mem::take(self.bucket(current));
         }
-        lapsed
+        expired
     }
+
     /// Adds to the present bucket.
     pub fn add(&mut self, amount: f64) {
-        *self.cell(self.clock) += amount;
+        *self.bucket(self.current) += amount;
     }
-    pub fn total(&self) -> f64 {
-        self.cells.iter().sum()
-    }
-    /// Whether it can be used: one that came from outside may have no cells, or no width.
-    #[cfg(feature = "snapshot")]
-    pub fn sound(&self) -> bool {
-        !self.cells.is_empty() && self.width.is_finite() && self.width > 0.0
-    }
-}
 
-impl Default for Spread {
-    /// Of no use until it is made anew with its steps.
-    fn default() -> Self {
-        Spread::new(1.0, 2.0)
+    pub fn total(&self) -> f64 {
+        self.amounts.iter().sum()
     }
-}
 
-impl Default for Ring {
-    /// Of no use until it is made anew with its span.
-    fn default() -> Self {
-        Ring::new(0.0, 1, 0.0)
+    /// Whether it can be used: one that was read from bytes may have no buckets, or no width.
+    #[cfg(feature = "snapshot")]
+    pub fn is_valid(&self) -> bool {
+        !self.amounts.is_empty() && self.width_ms.is_finite() && self.width_ms > 0.0
     }
 }
 
@@ -120,7 +130,8 @@
     pub fn new(seed: u64) -> Self {
         Pcg(seed)
     }
-    /// From 0 to under 1.
+
+    /// The next number, from 0 to below 1.
     pub fn next(&mut self) -> f64 {
         let old = self.0;
         self.0 = old
--- /dev/null
+++ b/crates/asterdale/src/policy/admission.rs
@@ -0,0 +1,149 @@
+//! Admission: what becomes of a request that was read, and which queued tasks start.
+
+use super::MEMORY_PART;
+use crate::actions::Actions;
+use crate::events::Arrival;
+use crate::state::Server;
+use crate::task::{Handle, Task, TaskState};
+
+impl Server {
+    /// A request has been read. It gets exactly one final answer from now on.
+    pub fn receive(
+        &mut self,
+        now_ms: f64,
+        mut arrival: Arrival,
+        actions: &mut dyn Actions,
+    ) -> Handle {
+        self.advance_time(now_ms);
+        arrival.tenant = arrival.tenant.min(self.tenants.len() - 1);
+        let task = self.new_task(now_ms, arrival);
+        let handle = self.insert(task);
+        self.set_state(handle, TaskState::Queued);
+        actions.accepted(handle);
+        self.tenants[arrival.tenant].recent_arrivals.add(1.0);
+        self.limiter
+            .record_unread(arrival.unread_ms, self.parameters.tick_ms);
+        self.report.record_caller(arrival.caller);
+        if self.joins_earlier_attempt(&arrival) {
+            self.join_earlier_attempt(handle, actions);
+            return handle;
+        }
+        if self.arrived_after_grace(&task) || self.lacks_memory_for_entry(&arrival) {
+            self.give_up(handle, actions);
+            return handle;
+        }
+        self.retain_entry(handle, now_ms, actions);
+        self.start_queued(now_ms, actions);
+        handle
+    }
+
+    /// A task with its deadline and its latency objective.
+    fn new_task(&self, now_ms: f64, arrival: Arrival) -> Task {
+        let parameters = &self.classes[arrival.class].parameters;
+        let remaining_ms = arrival
+            .remaining_ms
+            .unwrap_or((parameters.deadline_ms - arrival.unread_ms).max(0.0));
+        let mut task = Task::new(arrival, now_ms);
+        task.deadline_ms = (now_ms + remaining_ms).min(self.drain_deadline_ms());
+        task.objective_ms = (task.arrived_ms + parameters.objective_ms).min(now_ms + remaining_ms);
+        task
+    }
+
+    /// Starts the queued tasks that may start, then rejects those that the queue has no place for.
+    pub(super) fn start_queued(&mut self, now_ms: f64, actions: &mut dyn Actions) {
+        let admitted = (self.count(TaskState::Queued) + self.count(TaskState::Running)) as f64;
+        let peak = &mut self.limiter.peak_concurrency[0];
+        *peak = peak.max(admitted);
+        while let Some(handle) = self.next_to_start(now_ms) {
+            let task = self.tasks[handle.index()];
+            if self.must_wait(&task) {
+                break;
+            }
+            if self.cannot_finish(&task, now_ms) {
+                self.give_up(handle, actions);
+                continue;
+            }
+            self.start_task(handle, now_ms);
+            actions.start(handle);
+        }
+        self.shed_queue(now_ms, actions);
+    }
+
+    /// Whether the limit, the concurrency that the server survives or the memory has no place for one more run.
+    fn must_wait(&self, task: &Task) -> bool {
+        let running = self.count(TaskState::Running);
+        let started = running + self.count(TaskState::CallQueued) + self.count(TaskState::Calling);
+        let memory_kb =
+            self.memory_kb + task.arrival.memory_kb * (self.parameters.running_memory_factor - 1.0);
+        let fits = memory_kb <= MEMORY_PART * self.parameters.memory_kb || started == 0;
+        running as f64 >= self.max_running().floor()
+            || started as f64 >= self.max_concurrency().floor()
+            || !fits
+    }
+
+    fn start_task(&mut self, handle: Handle, now_ms: f64) {
+        self.set_state(handle, TaskState::Running);
+        let task = &mut self.tasks[handle.index()];
+        task.started_ms = now_ms;
+        task.may_have_run = true;
+        task.uncontended = true;
+        task.resumed_at_core_ms = self.core_clock.core_time_ms;
+        self.clear_uncontended();
+    }
+
+    /// With full cores, rejects what is over the limit at once. The queue keeps one place a core, to choose from.
+    fn shed_queue(&mut self, now_ms: f64, actions: &mut dyn Actions) {
+        let queue_capacity = self.parameters.cores.max(self.limiter.limit / 2.0);
+        while self.limiter.cores_full && self.count(TaskState::Queued) as f64 > queue_capacity {
+            let Some(handle) = self.first_to_reject(now_ms) else {
+                break;
+            };
+            self.give_up(handle, actions);
+        }
+    }
+
+    /// With more runs than cores none of them is uncontended.
+    pub(super) fn clear_uncontended(&mut self) {
+        if self.count(TaskState::Running) as f64 > self.parameters.cores {
+            for &handle in &self.active {
+                self.tasks[handle.index()].uncontended = false;
+            }
+        }
+    }
+
+    /// Whether a task would end too late to earn anything. One run always goes ahead: with none the ratio of latencies
+    /// would never be measured again.
+    pub(super) fn cannot_finish(&self, task: &Task, now_ms: f64) -> bool {
+        let parameters = &self.class(task).parameters;
+        let late_earns = parameters.late_weight_share > 0.0 && !self.limiter.cores_full;
+        let last_ms = task.useful_until_ms(late_earns);
+        // A task that can't do without its call only uses up core time while the queue of calls is too long.
+        let mut end_ms = now_ms + self.expected_run_ms(task);
+        if parameters.makes_calls && parameters.degraded_weight_share <= 0.0 {
+            end_ms += self.count(TaskState::CallQueued) as f64 * self.call_turn_ms()
+                + self.dependency.mean_call_ms;
+        }
+        now_ms >= last_ms || (end_ms > last_ms && self.count(TaskState::Running) > 0)
+    }
+
+    /// Whether a task that has not ended should be given up: it earns nothing any more, or its deadline is here.
+    pub(super) fn is_useless(&self, task: &Task, now_ms: f64) -> bool {
+        let without_value = self.limiter.cores_full
+            && now_ms >= task.objective_ms
+            && self.class(task).parameters.late_weight_share <= 0.0;
+        // A queued task waits a sixth of its time to the objective (by its deadline, classes of long deadlines took
+        // all places) and half of the time in which a core comes free (all of it is too late with many cores).
+        let max_wait_ms = (task.objective_ms - task.arrived_ms) / 6.0
+            + 0.5 * self.limiter.mean_run_ms / self.parameters.cores;
+        match task.state {
+            TaskState::Queued => {
+                self.cannot_finish(task, now_ms)
+                    || (self.limiter.cores_full && now_ms - task.arrived_ms > max_wait_ms)
+            }
+            // A run without value takes full cores from others. With idle cores it goes on: a late answer costs
+            // nothing, aborted work does.
+            TaskState::Running | TaskState::Calling => without_value && self.can_abort(task),
+            _ => false,
+        }
+    }
+}
--- /dev/null
+++ b/crates/asterdale/src/policy/calls.rs
@@ -0,0 +1,217 @@
+//! Calls that tasks make to the dependency: their queue, their time limits, their retries with backoff.
+
+use std::cmp::Ordering;
+
+use super::TICK_MS;
+use crate::actions::Actions;
+use crate::events::Outcome;
+use crate::state::Server;
+use crate::task::{Handle, Task, TaskState};
+
+/// The first backoff of a failed call; doubled by each further failure, with jitter of half up or down.
+const FIRST_BACKOFF_MS: f64 = 20.0;
+/// Failures after which the backoff grows no further: 32 times the first.
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
+/// A call that takes this many times the usual is not coming, and keeps its place from others.
+const MAX_CALL_FACTOR: f64 = 16.0;
+/// The longest time that such a call gets at the least.
+const MIN_MAX_CALL_MS: f64 = 4.0 * TICK_MS;
+/// A call goes out only if this many times the usual is left for it, or all that its task has.
+const MIN_CALL_FACTOR: f64 = 4.0;
+
+impl Server {
+    /// Starts the queued calls that may go out, those first that can't be skipped; skips those that are too late.
+    pub(super) fn start_queued_calls(&mut self, now_ms: f64, actions: &mut dyn Actions) {
+        if self.count(TaskState::CallQueued) == 0 {
+            return;
+        }
+        let mut ahead = 0.0;
+        for handle in self.queued_calls(now_ms) {
+            let task = self.tasks[handle.index()];
+            if task.answered {
+                continue;
+            }
+            let can_skip = self.can_skip_call(&task);
+            let spare_ms = self.spare_call_ms(&task, now_ms);
+            let wait_ms = ahead * self.call_turn_ms()
+                + (-self.dependency.credit_ms).max(0.0) / self.paced_calls();
+            ahead += 1.0;
+            let too_late = spare_ms < wait_ms + self.dependency.mean_call_ms;
+            if can_skip && (too_late || task.failed_calls > 1) {
+                self.resume_run(handle, now_ms);
+                actions.skip_call(handle);
+            } else if spare_ms <= 0.0 {
+                // It earns nothing more: it would hold memory and a place, and take a call from others.
+                self.give_up(handle, actions);
+            } else if now_ms >= task.retry_not_before_ms
+                && self.dependency.credit_ms >= 0.0
+                && self.start_call(handle, spare_ms, now_ms, actions)
+            {
+                ahead -= 1.0;
+            }
+        }
+    }
+
+    /// The queue of calls: those that can't be skipped first, then by weight for each unit of work.
+    fn queued_calls(&self, now_ms: f64) -> Vec<Handle> {
+        let queued = |handle: &Handle| self.tasks[handle.index()].state == TaskState::CallQueued;
+        let mut calls: Vec<Handle> = self.active.iter().copied().filter(queued).collect();
+        let rank = |handle: Handle| {
+            let task = &self.tasks[handle.index()];
+            (self.can_skip_call(task), -self.weight_density(task, now_ms))
+        };
+        calls.sort_by(|&left, &right| {
+            rank(left)
+                .partial_cmp(&rank(right))
+                .unwrap_or(Ordering::Equal)
+        });
+        calls
+    }
+
+    /// Whether the task earns something without its call.
+    fn can_skip_call(&self, task: &Task) -> bool {
+        self.class(task).parameters.degraded_weight_share > 0.0
+    }
+
+    /// What is left for the call if the rest, about half a run, is to end in time.
+    fn spare_call_ms(&self, task: &Task, now_ms: f64) -> f64 {
+        let late_share = self.class(task).parameters.late_weight_share;
+        let late_earns = late_share > 0.0 && !self.can_skip_call(task);
+        let last_ms = task.useful_until_ms(late_earns);
+        last_ms - (0.5 * self.expected_run_ms(task)).max(2.0 * TICK_MS) - now_ms
+    }
+
+    /// Starts a call if there is enough time for it, and says whether it did.
+    fn start_call(
+        &mut self,
+        handle: Handle,
+        spare_ms: f64,
+        now_ms: f64,
+        actions: &mut dyn Actions,
+    ) -> bool {
+        let mean_ms = self.dependency.mean_call_ms;
+        let spare_ms = spare_ms.min((MAX_CALL_FACTOR * mean_ms).max(MIN_MAX_CALL_MS));
+        let linger_ms = self.parameters.call_linger_ms;
+        let timeout_ms = spare_ms.min(self.available_call_ms(now_ms) - linger_ms);
+        let fits = timeout_ms >= spare_ms.min(MIN_CALL_FACTOR * mean_ms).max(TICK_MS);
+        if fits {
+            self.set_state(handle, TaskState::Calling);
+            self.tasks[handle.index()].call_ends_ms = now_ms + timeout_ms + linger_ms;
+            actions.start_call(handle, timeout_ms);
+        }
+        fits
+    }
+
+    /// A task leaves its call behind and wants a core again.
+    fn resume_run(&mut self, handle: Handle, now_ms: f64) {
+        self.set_state(handle, TaskState::Running);
+        let task = &mut self.tasks[handle.index()];
+        task.call_wait_ms += now_ms - task.call_needed_ms;
+        task.resumed_at_core_ms = self.core_clock.core_time_ms;
+        task.failed_calls = 0;
+        self.clear_uncontended();
+    }
+
+    /// A run needs a call.
+    fn queue_call(&mut self, handle: Handle, now_ms: f64) {
+        self.set_state(handle, TaskState::CallQueued);
+        let core_time_ms = self.core_clock.core_time_ms;
+        let task = &mut self.tasks[handle.index()];
+        task.call_needed_ms = now_ms;
+        task.used_core_ms += core_time_ms - task.resumed_at_core_ms;
+    }
+
+    /// A failed call waits for its retry, unless it may have run and must not run twice.
+    fn queue_retry(
+        &mut self,
+        handle: Handle,
+        now_ms: f64,
+        outcome: Outcome,
+        actions: &mut dyn Actions,
+    ) {
+        let task = self.tasks[handle.index()];
+        // With jitter: a dependency that recovers must not meet all calls at once.
+        let doublings = task.failed_calls.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff_ms = FIRST_BACKOFF_MS * f64::from(1 << doublings) * (0.5 + self.rng.next());
+        let failed = &mut self.tasks[handle.index()];
+        failed.failed_calls += 1;
+        failed.retry_not_before_ms = now_ms + backoff_ms;
+        if !self.is_idempotent(&task) && !outcome.never_ran() {
+            if self.can_skip_call(&task) {
+                self.tasks[handle.index()].failed_calls = u32::MAX; // so that it is skipped
+            } else {
+                self.give_up(handle, actions);
+            }
+        }
+    }
+}
+
+impl Handle {
+    /// The run needs a call to the dependency before it can go on.
+    pub fn call_needed(self, server: &mut Server, now_ms: f64, actions: &mut dyn Actions) {
+        server.advance_time(now_ms);
+        if server.tasks[self.index()].state == TaskState::Running {
+            server.queue_call(self, now_ms);
+        }
+        server.start_queued_calls(now_ms, actions);
+        server.start_queued(now_ms, actions);
+    }
+
+    /// The call ended after `took_ms`. After a success the run goes on by itself.
+    pub fn call_ended(
+        self,
+        server: &mut Server,
+        now_ms: f64,
+        outcome: Outcome,
+        took_ms: f64,
+        actions: &mut dyn Actions,
+    ) {
+        server.advance_time(now_ms);
+        if server.tasks[self.index()].state != TaskState::Calling {
+            return;
+        }
+        if outcome == Outcome::Ok {
+            server.record_call_success(now_ms, took_ms);
+            server.resume_run(self, now_ms);
+        } else {
+            server.set_state(self, TaskState::CallQueued);
+            server.record_call_failure(now_ms, outcome, took_ms);
+            server.queue_retry(self, now_ms, outcome, actions);
+        }
+        server.start_queued_calls(now_ms, actions);
+    }
+
+    /// The run is over, or the wait for the earlier attempt is.
+    pub fn run_ended(
+        self,
+        server: &mut Server,
+        now_ms: f64,
+        outcome: Outcome,
+        actions: &mut dyn Actions,
+    ) {
+        server.advance_time(now_ms);
+        let task = server.tasks[self.index()];
+        if task.state == TaskState::Running && outcome == Outcome::Ok {
+            server.record_run(&task, now_ms);
+        }
+        if task.state == TaskState::Calling {
+            // It was given up with its call in flight, which may go on.
+            let until_ms = now_ms + server.parameters.call_linger_ms;
+            server.dependency.lingering_until_ms.push(until_ms);
+        }
+        if !task.answered && matches!(outcome, Outcome::Cancelled | Outcome::Stale) {
+            actions.fail(self); // no decision stops a task without an answer; if it happened, the caller gets one
+        }
+        server.release(self, actions);
+        server.start_queued_calls(now_ms, actions);
+        server.start_queued(now_ms, actions);
+    }
+
+    /// Nobody waits for this task any more.
+    pub fn caller_gone(self, server: &mut Server, now_ms: f64, actions: &mut dyn Actions) {
+        server.advance_time(now_ms);
+        server.tasks[self.index()].answered = true;
+        server.give_up(self, actions);
+        server.start_queued(now_ms, actions);
+    }
+}
--- /dev/null
+++ b/crates/asterdale/src/policy/dependency.rs
@@ -0,0 +1,176 @@
+//! Limits on calls to the dependency: the window of calls in flight, the quota of a shared dependency, and its pacing.
+
+use crate::events::Outcome;
+use crate::parameters::Dependency;
+use crate::state::{DependencyState, Server};
+use crate::task::{Handle, TaskState};
+
+use super::TICK_MS;
+
+/// Part of our quota at a shared dependency that calls use on average. By trial: 0.3 starves servers in their slow
+/// start, 0.9 overloads the dependency.
+const PACED_PART: f64 = 0.45;
+/// Part of our quota that calls may use at most.
+const MAX_QUOTA_PART: f64 = 0.9;
+/// Part of our quota under which the window is never cut: a dependency slows long before it fails.
+const MIN_QUOTA_PART: f64 = 0.2;
+/// What a cut leaves of the window.
+const WINDOW_CUT: f64 = 0.7;
+/// Unused time for calls that is kept, in milliseconds: a tenth of a second.
+const CREDIT_SPAN_MS: f64 = 10.0 * TICK_MS;
+/// Calls that took this many times the usual are slow: the doubling that the limiter allows to runs.
+const SLOW_FACTOR: f64 = 2.0;
+/// The fewest calls that have a median.
+const MIN_SAMPLES: u32 = 20;
+/// Calls after which older ones count half.
+const MAX_SAMPLES: u32 = 400;
+/// Weight of a new call in the mean duration.
+const MEAN_WEIGHT: f64 = 0.2;
+/// Weight of a new call in the share of failures.
+const FAILURE_WEIGHT: f64 = 0.1;
+
+impl DependencyState {
+    /// A call's duration for the mean. A reply that comes late, or never, counts as twice the usual, so that one call
+    /// can't speak for the others.
+    fn bounded_ms(&self, took_ms: f64) -> f64 {
+        if self.mean_call_ms > 0.0 {
+            took_ms.min(SLOW_FACTOR * self.mean_call_ms)
+        } else {
+            took_ms
+        }
+    }
+
+    fn record_success(&mut self, took_ms: f64) {
+        let bounded_ms = self.bounded_ms(took_ms);
+        self.failure_share *= 1.0 - FAILURE_WEIGHT;
+        self.mean_call_ms += MEAN_WEIGHT * (bounded_ms - self.mean_call_ms);
+        self.call_durations.add(took_ms);
+        if self.call_durations.total >= MAX_SAMPLES {
+            self.call_durations.halve();
+        }
+    }
+}
+
+impl Server {
+    /// Calls that are in flight or may be.
+    pub(super) fn calls_in_flight(&self) -> f64 {
+        (self.count(TaskState::Calling) + self.dependency.lingering_until_ms.len()) as f64
+    }
+
+    /// Advances to now: the time that calls spent, and the time that a shared dependency gives.
+    pub(super) fn advance_calls(&mut self, now_ms: f64) {
+        self.dependency
+            .lingering_until_ms
+            .retain(|&until_ms| until_ms > now_ms);
+        self.dependency.spent_ms.advance(now_ms);
+        let elapsed_ms = now_ms - self.last_event_ms;
+        let spent_ms = self.calls_in_flight() * elapsed_ms;
+        self.dependency.spent_ms.add(spent_ms);
+        // Calls to a shared dependency are paced. All servers see it slow and recover in the same moment: if each made
+        // its queued calls at once, their sum would overload it again, though each server stays within its quota over
+        // time. So a call that took long is followed by a longer pause.
+        if self.parameters.dependency == Dependency::Shared {
+            let earned_ms =
+                (self.paced_calls() - self.count(TaskState::Calling) as f64) * elapsed_ms;
+            let max_ms = CREDIT_SPAN_MS * self.paced_calls();
+            self.dependency.credit_ms = (self.dependency.credit_ms + earned_ms).min(max_ms);
+        }
+    }
+
+    /// A call succeeded: the window grows if it is used, and is cut if calls became slow.
+    pub(super) fn record_call_success(&mut self, now_ms: f64, took_ms: f64) {
+        self.dependency.record_success(took_ms);
+        if self.calls_are_slow() {
+            self.cut_call_window(now_ms);
+        } else if self.calls_in_flight() >= self.dependency.window.floor() {
+            // Only a window that is used is tested: one that grew unused would go out at once when calls slow down.
+            let grown = self.dependency.window + 1.0 / self.dependency.window;
+            self.dependency.window = grown.min(self.max_concurrency());
+        }
+    }
+
+    /// A call failed: the window is cut if the dependency is overloaded.
+    pub(super) fn record_call_failure(&mut self, now_ms: f64, outcome: Outcome, took_ms: f64) {
+        let dependency = &mut self.dependency;
+        if matches!(outcome, Outcome::TimedOut | Outcome::Reset) {
+            let bounded_ms = dependency.bounded_ms(took_ms);
+            dependency.mean_call_ms +=
+                MEAN_WEIGHT * (bounded_ms - dependency.mean_call_ms).max(0.0);
+            let until_ms = now_ms + self.parameters.call_linger_ms;
+            dependency.lingering_until_ms.push(until_ms);
+        }
+        dependency.failure_share += FAILURE_WEIGHT * (1.0 - dependency.failure_share);
+        // One server of a tier may fail alone, and one bad reply doesn't show overload: only most calls failing does.
+        let shed = self.parameters.dependency == Dependency::Shared && outcome == Outcome::Rejected;
+        if shed || self.dependency.failure_share > 0.5 {
+            self.cut_call_window(now_ms);
+        }
+    }
+
+    /// Whether a shared dependency takes twice its usual time. A tier sheds its own overload.
+    fn calls_are_slow(&self) -> bool {
+        let dependency = &self.dependency;
+        self.parameters.dependency == Dependency::Shared
+            && dependency.call_durations.total >= MIN_SAMPLES
+            && dependency.mean_call_ms > SLOW_FACTOR * dependency.call_durations.quantile(0.5)
+    }
+
+    /// Cuts the window, once for one fault and not once a call. It never falls below the cores, or a fifth of our quota
+    /// of a shared dependency.
+    pub(super) fn cut_call_window(&mut self, now_ms: f64) {
+        let dependency = &mut self.dependency;
+        if now_ms - dependency.last_cut_ms > dependency.mean_call_ms {
+            dependency.last_cut_ms = now_ms;
+            let min = if self.parameters.dependency == Dependency::Shared {
+                (MIN_QUOTA_PART * self.parameters.dependency_quota).max(1.0)
+            } else {
+                self.parameters.cores
+            };
+            dependency.window = (WINDOW_CUT * dependency.window).max(min);
+        }
+    }
+
+    /// The calls in flight that a shared dependency takes from us on average, often less than one.
+    pub(super) fn paced_calls(&self) -> f64 {
+        (PACED_PART * self.parameters.dependency_quota).max(1e-6)
+    }
+
+    /// How long one place in the queue of calls takes.
+    pub(super) fn call_turn_ms(&self) -> f64 {
+        let paced_calls = if self.parameters.dependency == Dependency::Shared {
+            self.paced_calls()
+        } else {
+            f64::INFINITY
+        };
+        self.dependency.mean_call_ms / self.dependency.window.min(paced_calls)
+    }
+
+    /// How long one more call may take if it went out now; 0 or less for no call.
+    pub(super) fn available_call_ms(&self, now_ms: f64) -> f64 {
+        if self.calls_in_flight() >= self.dependency.window.floor().max(1.0) {
+            return 0.0;
+        }
+        if self.parameters.dependency != Dependency::Shared {
+            return f64::INFINITY;
+        }
+        // Our quota of what the dependency survives, as an average, with every call in flight counted as if it took
+        // all of its time: a dependency that slows or stops replying must not find more calls than planned.
+        let remaining_ms = |&handle: &Handle| {
+            let task = &self.tasks[handle.index()];
+            match task.state {
+                TaskState::Calling => task.call_ends_ms - now_ms,
+                _ => 0.0,
+            }
+        };
+        let lingering = self.dependency.lingering_until_ms.iter();
+        let reserved_ms: f64 = self
+            .active
+            .iter()
+            .map(remaining_ms)
+            .chain(lingering.map(|until_ms| until_ms - now_ms))
+            .sum();
+        MAX_QUOTA_PART * self.parameters.dependency_quota * self.parameters.dependency_window_ms
+            - self.dependency.spent_ms.total()
+            - reserved_ms
+    }
+}
--- /dev/null
+++ b/crates/asterdale/src/policy/rejection.rs
@@ -0,0 +1,101 @@
+//! Tasks that are given up: their final answer, and the Retry-After that a rejection carries.
+
+use super::TICK_MS;
+use crate::actions::Actions;
+use crate::events::PeerCounts;
+use crate::parameters::CapacityHint;
+use crate::state::Server;
+use crate::task::{Handle, TaskState};
+
+/// Part of the requests read, up to which rejections are few. By trial: 0.05 leaves other servers idle, 0.2 costs
+/// reading in overload.
+const FEW_REJECTIONS: f64 = 0.1;
+/// How many servers would be overloaded by the work that long waits move away.
+const MIN_SERVERS_TO_MOVE_WORK: f64 = 4.0;
+
+/// What a rejection tells the caller.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct RetryAdvice {
+    /// The caller should not retry on another server.
+    pub last_attempt: bool,
+    /// How long it should send nothing to this server.
+    pub retry_after_ms: f64,
+}
+
+impl Server {
+    /// Answers a task that will not be served here at once, and aborts its run where that is possible.
+    pub(super) fn give_up(&mut self, handle: Handle, actions: &mut dyn Actions) {
+        let task = self.tasks[handle.index()];
+        if !task.answered {
+            if task.may_have_run && (!self.is_idempotent(&task) || task.state == TaskState::Joined)
+            {
+                actions.fail(handle);
+            } else {
+                let advice = self.retry_advice();
+                actions.reject(handle, advice.last_attempt, advice.retry_after_ms);
+                self.rejections.since_update += 1;
+                self.rejections.recent.add(1.0);
+            }
+            self.tasks[handle.index()].answered = true;
+        }
+        match task.state {
+            TaskState::Running if self.can_abort(&task) => actions.stop(handle),
+            TaskState::Queued | TaskState::Joined => {
+                self.drop_entry(handle, actions);
+                self.release(handle, actions);
+            }
+            _ => {} // `Handle::run_ended` follows and releases it
+        }
+    }
+
+    /// What a rejection says now.
+    pub(super) fn retry_advice(&mut self) -> RetryAdvice {
+        let max_ms = self.parameters.max_retry_after_ms;
+        if self.drain_notice.is_some() {
+            return RetryAdvice {
+                last_attempt: false,
+                retry_after_ms: max_ms,
+            };
+        }
+        let jittered_ms = max_ms * (0.5 + 0.5 * self.rng.next());
+        // Few recent rejections: the overload is of this server alone, or short, and the caller may retry elsewhere.
+        // Else the servers behind the same balancers are probably as full, and retries there only cost reading. A slow
+        // start or slow runs are no reason: after a release many servers are warming up, and when all work costs more
+        // all of them look slow.
+        let arrivals = self
+            .tenants
+            .iter()
+            .map(|tenant| tenant.recent_arrivals.total())
+            .sum::<f64>()
+            .max(1.0);
+        let share = self.rejections.recent.total() / arrivals;
+        let few = share <= FEW_REJECTIONS;
+        // Where no credit steers callers, Retry-After has to: a long one moves work to servers with capacity (four
+        // would be overloaded by it). Else it grows with the share of rejections, so that no cores stay idle.
+        let moves_work = few && self.parameters.capacity_hint != CapacityHint::Credit;
+        let min_part = if moves_work {
+            1.0 - MIN_SERVERS_TO_MOVE_WORK / self.server_count().max(MIN_SERVERS_TO_MOVE_WORK)
+        } else {
+            0.0
+        };
+        // Where the view of the fleet shows no other server that accepts work and has warmed up, retries elsewhere
+        // help nobody.
+        let no_peer_ready = self.peers.is_some_and(|peers| peers.ready < 1.0);
+        RetryAdvice {
+            last_attempt: !few || no_peer_ready,
+            retry_after_ms: (share.max(min_part) * jittered_ms).max(max_ms.min(TICK_MS)),
+        }
+    }
+
+    /// Servers of this tier: by the view of the fleet where there is one, else as they were at the start.
+    pub(super) fn server_count(&self) -> f64 {
+        self.peers
+            .map_or(self.parameters.servers, |peers| peers.present + 1.0)
+    }
+
+    /// Takes the counts of a view of the fleet, `None` where there is none. They may be old or wrong, so they change
+    /// what rejections advise and a tenant's quota here, and never what may run.
+    pub fn set_peers(&mut self, peers: Option<PeerCounts>) {
+        self.peers = peers;
+    }
+}
--- /dev/null
+++ b/crates/asterdale/src/policy/tests/mod.rs
@@ -0,0 +1,13 @@
+//! Tests of the decisions, a file a policy.
+
+mod admission;
+mod calls;
+mod capacity_report;
+mod dependency;
+mod drain;
+mod idempotency;
+mod limiter;
+mod queue;
+mod rejection;
+mod saturation;
+mod support;
