--- a/crates/asterdale-engine/src/state_transfer.rs
+++ b/crates/asterdale-engine/src/state_transfer.rs
@@ -457,3 +457,6 @@
         false
     }
 }
+
+#[cfg(test)]
+mod tests;
