--- a/crates/asterdale-daemon/src/upgrade/stored.rs
+++ b/crates/asterdale-daemon/src/upgrade/stored.rs
@@ -2,7 +2,7 @@
 //! a guardian: the numbers by which frames carry them are theirs. `tests/fixtures/frames/README.md` says how the file was
 //! made.
 
-use asterdale::parameters::Outcome;
+use asterdale::events::Outcome;
 use asterdale_engine::message::{IdempotencyKey, Reply, ResponseRoute};
 use asterdale_engine::state_transfer::MirroredEvent;
 use asterdale_hot_restart::frame::{encode, Incoming};
