--- a/crates/asterdale-daemon/src/fleet.rs
+++ b/crates/asterdale-daemon/src/fleet.rs
@@ -7,7 +7,7 @@
 use asterdale_engine::engine::unix_ms;
 use asterdale_engine::log::Log;
 use asterdale_engine::message::{EngineMessage, FleetView, LocalStatus, OwnershipClient};
-use asterdale_membership::{Event, Notes, Phase, Start as Told, Terms};
+use asterdale_membership::{Event, MembershipConfig as Told, Metadata, Phase, Settings};
 use asterdale_ownership::{Told as Word, Want};
 use asterdale_transport::custody::Heard;
 use asterdale_transport::{Place, Talk};
@@ -42,17 +42,17 @@
             load,
         } = doing;
         let phase = match (leaves, cold, takes) {
-            (true, ..) => Phase::Leaving,
-            (_, true, _) => Phase::Cold,
-            (.., false) => Phase::Full,
+            (true, ..) => Phase::Draining,
+            (_, true, _) => Phase::WarmingUp,
+            (.., false) => Phase::AtCapacity,
             _ => Phase::Ready,
         };
         // In steps, so that a load that wavers is no news.
         let load = load.saturating_add(5) / 10 * 10;
-        self.0.note(Notes {
+        self.0.note(Metadata {
             phase,
-            load,
-            warm: if cold { 0 } else { 100 },
+            load_percent: load,
+            warm_percent: if cold { 0 } else { 100 },
         });
     }
 }
@@ -144,17 +144,17 @@
     let interval_ms = fleet.interval_ms;
     let told = Told {
         name: start.name.clone(),
-        at: fleet.advertise,
-        generation,
+        address: fleet.advertise,
+        last_generation: generation,
         nonce: u64::from_be_bytes(nonce),
         seeds: fleet.seeds.clone(),
         key: fleet.key.clone(),
-        terms: Terms {
-            interval_ms,
-            timeout_ms: TIMEOUT * interval_ms,
-            ..Terms::default()
+        settings: Settings {
+            probe_interval_ms: interval_ms,
+            probe_timeout_ms: TIMEOUT * interval_ms,
+            ..Settings::default()
         },
-        seed: start.facts.decisions.seed,
+        random_seed: start.facts.decisions.seed,
     };
     let control = fleet.control.as_ref().map(PathBuf::from);
     #[cfg(feature = "journal")]
@@ -252,28 +252,28 @@
 /// A line for each event.
 fn tell(lines: &slog::Logger, event: &Event) {
     match event {
-        Event::Remembered(0) => {}
-        Event::Remembered(generation) => {
+        Event::PriorGeneration(0) => {}
+        Event::PriorGeneration(generation) => {
             slog::info!(lines, "fleet: others remember this name"; "generation" => generation);
         }
         Event::Joined(generation) => {
             slog::info!(lines, "fleet: a member"; "generation" => generation)
         }
-        Event::Changed {
+        Event::MemberChanged {
             name,
             generation,
-            what,
-            by,
+            change: what,
+            reported_by: by,
         } => {
             slog::info!(lines, "fleet: a change"; "name" => name, "generation" => generation, "what" => ?what, "by" => by);
         }
-        Event::Fallen { by } => {
+        Event::DeclaredDead { reported_by: by } => {
             slog::warn!(lines, "fleet: the others hold this process for dead, it begins anew"; "by" => by);
         }
-        Event::Renewed(generation) => {
+        Event::Rejoined(generation) => {
             slog::info!(lines, "fleet: a member again"; "generation" => generation);
         }
-        Event::Doubled(at) => {
+        Event::NameConflict(at) => {
             slog::error!(lines, "fleet: another process may have this name"; "at" => %at);
         }
         Event::Superseded(at) => {
@@ -282,9 +282,12 @@
         Event::Paused(ms) => {
             slog::warn!(lines, "fleet: this process stood still"; "ms" => ms.round())
         }
-        Event::Certain(true) => slog::info!(lines, "fleet: most of it is heard"),
-        Event::Certain(false) => slog::warn!(lines, "fleet: not sure to hear most of it"),
-        Event::Refused(least, most) => {
+        Event::MajorityChanged(true) => slog::info!(lines, "fleet: most of it is heard"),
+        Event::MajorityChanged(false) => slog::warn!(lines, "fleet: not sure to hear most of it"),
+        Event::VersionRejected {
+            min_version: least,
+            max_version: most,
+        } => {
             slog::error!(lines, "fleet: another speaks other versions"; "least" => least, "most" => most);
         }
     }
--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -278,7 +278,7 @@
 
         use asterdale_membership::Event;
         match event {
-            Event::Remembered(generation) => self.remembered.store(*generation, Relaxed),
+            Event::PriorGeneration(generation) => self.remembered.store(*generation, Relaxed),
             Event::Joined(generation) => {
                 let (generation, remembered) = (*generation, self.remembered.load(Relaxed));
                 self.journal.order(Order::Joined {
@@ -286,7 +286,7 @@
                     remembered,
                 });
             }
-            Event::Renewed(generation) => self.journal.order(Order::Renewed(*generation)),
+            Event::Rejoined(generation) => self.journal.order(Order::Renewed(*generation)),
             Event::Superseded(_) => self.journal.order(Order::Superseded),
             _ => {}
         }
--- a/crates/asterdale-membership/src/news.rs
+++ b/crates/asterdale-membership/src/gossip_queue.rs
@@ -3,38 +3,38 @@
 
 use std::collections::BTreeMap;
 
-use crate::record::{Record, Status};
+use crate::record::{MemberRecord, Status};
 
 /// News that wait to be told.
 #[derive(Clone, Debug, Default)]
-pub struct News {
+pub struct GossipQueue {
     /// By name: how often each was told, and what.
-    all: BTreeMap<String, (u32, Record)>,
+    pending: BTreeMap<String, (u32, MemberRecord)>,
 }
 
-impl News {
+impl GossipQueue {
     /// Something to be told: it takes the place of what was to be told of the same process.
-    pub fn add(&mut self, record: Record) {
-        self.all.insert(record.name.clone(), (0, record));
+    pub fn add(&mut self, record: MemberRecord) {
+        self.pending.insert(record.name.clone(), (0, record));
     }
 
     /// What rides on the next message: as many as there is room for by this measure of each. That somebody is suspected,
     /// dead or gone goes first, as a suspect has little time to speak and a dead one is still sent work; then those told
     /// least: that hundreds came at once must not hold up the loss of one. One that has ridden `rides` times is told no more.
-    pub fn take(
+    pub fn take_batch(
         &mut self,
         mut room: usize,
         rides: u32,
-        size: impl Fn(&Record) -> usize,
-    ) -> Vec<Record> {
-        let rank = |(name, (told, record)): (&String, &(u32, Record))| {
+        size: impl Fn(&MemberRecord) -> usize,
+    ) -> Vec<MemberRecord> {
+        let rank = |(name, (told, record)): (&String, &(u32, MemberRecord))| {
             (record.status == Status::Alive, *told, name.clone())
         };
-        let mut order: Vec<(bool, u32, String)> = self.all.iter().map(rank).collect();
+        let mut order: Vec<(bool, u32, String)> = self.pending.iter().map(rank).collect();
         order.sort_unstable();
         let mut taken = Vec::new();
         for (.., name) in order {
-            let Some((told, record)) = self.all.get_mut(&name) else {
+            let Some((told, record)) = self.pending.get_mut(&name) else {
                 continue;
             };
             let takes = size(record);
@@ -45,7 +45,7 @@
             *told += 1;
             taken.push(record.clone());
             if *told >= rides {
-                self.all.remove(&name);
+                self.pending.remove(&name);
             }
         }
         taken
@@ -53,40 +53,40 @@
 
     /// How many wait.
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.pending.len()
     }
 
     /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.pending.is_empty()
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::record::Notes;
+    use crate::record::Metadata;
 
     #[test]
     fn an_accusation_is_told_before_those_who_came() {
-        let mut news = News::default();
-        let record = |n: u16, status| Record {
+        let mut news = GossipQueue::default();
+        let record = |n: u16, status| MemberRecord {
             name: format!("m{n:02}"),
-            at: ([127, 0, 0, 1], n).into(),
+            address: ([127, 0, 0, 1], n).into(),
             generation: 1,
             nonce: 1,
             incarnation: 0,
             status,
-            notes: Notes::default(),
-            by: String::new(),
+            metadata: Metadata::default(),
+            reported_by: String::new(),
         };
         (0..10).for_each(|n| news.add(record(n, Status::Alive)));
         news.add(record(99, Status::Suspect));
         for _ in 0..5 {
-            assert_eq!(news.take(20, 5, |_| 10)[0].name, "m99");
+            assert_eq!(news.take_batch(20, 5, |_| 10)[0].name, "m99");
         }
         assert_ne!(
-            news.take(20, 5, |_| 10)[0].name,
+            news.take_batch(20, 5, |_| 10)[0].name,
             "m99",
             "no more than its rides"
         );
@@ -94,23 +94,23 @@
 
     #[test]
     fn each_rides_its_number_of_times_and_none_is_starved() {
-        let mut news = News::default();
-        let record = |n: u16| Record {
+        let mut news = GossipQueue::default();
+        let record = |n: u16| MemberRecord {
             name: format!("m{n:02}"),
-            at: ([127, 0, 0, 1], n).into(),
+            address: ([127, 0, 0, 1], n).into(),
             generation: 1,
             nonce: 1,
             incarnation: 0,
             status: Status::Alive,
-            notes: Notes::default(),
-            by: String::new(),
+            metadata: Metadata::default(),
+            reported_by: String::new(),
         };
         (0..10).for_each(|n| news.add(record(n)));
         news.add(record(3));
         let mut told = BTreeMap::new();
         let mut messages = 0;
         while !news.is_empty() {
-            let taken = news.take(30, 5, |_| 10);
+            let taken = news.take_batch(30, 5, |_| 10);
             assert!((1..=3).contains(&taken.len()));
             taken
                 .into_iter()
--- a/crates/asterdale-membership/src/lib.rs
+++ b/crates/asterdale-membership/src/lib.rs
@@ -10,18 +10,20 @@
 //! [`seal`] (bytes), [`health`], [`suspicion`] and [`news`] (one rule each), [`view`] (the table), [`fleet`] (the state
 //! machine).
 
+pub mod authentication;
+pub mod counters;
 pub mod failpoint;
-pub mod fleet;
-pub mod health;
+pub mod gossip_queue;
+pub mod local_health;
 pub mod message;
-pub mod news;
 pub mod record;
-pub mod seal;
+pub mod settings;
+pub mod state_machine;
 pub mod suspicion;
-pub mod terms;
 pub mod view;
 
-pub use fleet::{Action, Change, Counts, Event, Fleet, Start};
-pub use record::{Notes, Phase, Record, Status};
-pub use terms::Terms;
-pub use view::{Seen, View};
+pub use counters::Counters;
+pub use record::{MemberRecord, Metadata, Phase, Status};
+pub use settings::Settings;
+pub use state_machine::{Action, Event, MemberChange, Membership, MembershipConfig};
+pub use view::{MemberEntry, View};
--- a/crates/asterdale-membership/src/record.rs
+++ b/crates/asterdale-membership/src/record.rs
@@ -21,33 +21,33 @@
 pub enum Phase {
     /// It began without warm state.
     #[default]
-    Cold,
+    WarmingUp,
     /// It takes work.
     Ready,
     /// It has all the work that it can take.
-    Full,
+    AtCapacity,
     /// It takes no new work.
-    Leaving,
+    Draining,
 }
 
 /// What a process says of itself, bounded: a byte each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Notes {
+pub struct Metadata {
     /// How far it is.
     pub phase: Phase,
     /// Busy part of its cores, in hundredths.
-    pub load: u8,
+    pub load_percent: u8,
     /// How warm it is, in hundredths.
-    pub warm: u8,
+    pub warm_percent: u8,
 }
 
 /// What is known of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Record {
+pub struct MemberRecord {
     /// Its name: one process has it at a time, or is to.
     pub name: String,
     /// Where it is to be reached, as it says itself.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Counts the processes that had the name, and the times that one was believed dead: higher than all earlier.
     pub generation: u64,
     /// Tells two that took the same generation apart.
@@ -57,27 +57,34 @@
     /// Whether it is there.
     pub status: Status,
     /// What it says of itself.
-    pub notes: Notes,
+    pub metadata: Metadata,
     /// By whose word.
-    pub by: String,
+    pub reported_by: String,
 }
 
-impl Record {
+impl MemberRecord {
     /// Which process under this name it speaks of: the higher is the newer.
-    pub fn run(&self) -> (u64, u64) {
+    pub fn run_id(&self) -> (u64, u64) {
         (self.generation, self.nonce)
     }
 
     /// Orders two words on processes under one name; the greater holds. Of one process's: that it left beats all,
     /// then the higher incarnation, which only the process itself can raise, or its death, then the worse status. So
     /// whoever hears the same words, in any order and however often, holds the same.
-    pub fn beats(&self, other: &Record) -> Ordering {
-        let rank = |r: &Record| (r.run(), r.status == Status::Left, r.incarnation, r.status);
+    pub fn cmp_precedence(&self, other: &MemberRecord) -> Ordering {
+        let rank = |r: &MemberRecord| {
+            (
+                r.run_id(),
+                r.status == Status::Left,
+                r.incarnation,
+                r.status,
+            )
+        };
         rank(self).cmp(&rank(other))
     }
 
     /// It counts as there.
-    pub fn is_in(&self) -> bool {
+    pub fn is_live(&self) -> bool {
         matches!(self.status, Status::Alive | Status::Suspect)
     }
 }
@@ -88,15 +95,15 @@
 
     #[test]
     fn of_any_words_on_a_name_one_holds_whatever_the_order() {
-        let word = |generation, nonce, incarnation, status| Record {
+        let word = |generation, nonce, incarnation, status| MemberRecord {
             name: "a".to_owned(),
-            at: ([127, 0, 0, 1], 1).into(),
+            address: ([127, 0, 0, 1], 1).into(),
             generation,
             nonce,
             incarnation,
             status,
-            notes: Notes::default(),
-            by: String::new(),
+            metadata: Metadata::default(),
+            reported_by: String::new(),
         };
         // From the weakest to the strongest.
         let all = [
@@ -111,7 +118,7 @@
         ];
         for (i, one) in all.iter().enumerate() {
             for (j, other) in all.iter().enumerate() {
-                assert_eq!(one.beats(other), i.cmp(&j), "{one:?} {other:?}");
+                assert_eq!(one.cmp_precedence(other), i.cmp(&j), "{one:?} {other:?}");
             }
         }
     }
--- a/crates/asterdale-membership/tests/explore.rs
+++ b/crates/asterdale-membership/tests/explore.rs
@@ -12,7 +12,7 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-use asterdale_membership::{Action, Event, Fleet, Start, Status, Terms};
+use asterdale_membership::{Action, Event, Membership, MembershipConfig, Settings, Status};
 
 /// Steps of every order: tens of thousands of states, in seconds.
 const DEPTH: usize = 8;
@@ -39,7 +39,7 @@
 #[derive(Clone)]
 struct World {
     now: f64,
-    all: BTreeMap<SocketAddr, Fleet>,
+    all: BTreeMap<SocketAddr, Membership>,
     under_way: Vec<(SocketAddr, What)>,
     losses: u32,
     doubles: u32,
@@ -55,24 +55,24 @@
     SocketAddr::from(([10, 0, 0, n as u8 + 1], 7000))
 }
 
-fn told(n: usize, nonce: u64) -> Start {
-    let terms = Terms {
-        suspicion: 2.0,
-        doubt: 2.0,
-        exchange: 8.0,
-        ask_dead: 2.0,
-        ..Terms::default()
+fn told(n: usize, nonce: u64) -> MembershipConfig {
+    let terms = Settings {
+        suspicion_multiplier: 2.0,
+        max_suspicion_multiplier: 2.0,
+        exchange_intervals: 8.0,
+        dead_ping_intervals: 2.0,
+        ..Settings::default()
     };
     let (name, seeds) = (format!("m{n}"), vec![at(0), at(1)]);
-    Start {
+    MembershipConfig {
         name,
-        at: at(n),
-        generation: 0,
+        address: at(n),
+        last_generation: 0,
         nonce,
         seeds,
         key: b"key".to_vec(),
-        terms,
-        seed: n as u64,
+        settings: terms,
+        random_seed: n as u64,
     }
 }
 
@@ -93,7 +93,7 @@
             drop(
                 world
                     .all
-                    .insert(at(n), Fleet::new(0.0, told(n, n as u64 + 1))),
+                    .insert(at(n), Membership::new(0.0, told(n, n as u64 + 1))),
             )
         });
         world.fairly(30_000.0);
@@ -109,11 +109,8 @@
                 Action::Exchange(to, bytes) => {
                     self.under_way.push((to, What::Exchange(from, bytes)))
                 }
-                Action::Event(Event::Fallen { .. }) => {
-                    let actions = self
-                        .all
-                        .get_mut(&from)
-                        .map(|fleet| fleet.given_up(self.now));
+                Action::Event(Event::DeclaredDead { .. }) => {
+                    let actions = self.all.get_mut(&from).map(|fleet| fleet.rejoin(self.now));
                     self.act(from, actions.unwrap_or_default());
                 }
                 Action::Event(_) => {}
@@ -127,14 +124,14 @@
             return;
         };
         let actions = match what {
-            What::Datagram(bytes) => fleet.datagram(now, &bytes),
+            What::Datagram(bytes) => fleet.handle_datagram(now, &bytes),
             What::Exchange(from, bytes) => {
-                let (back, actions) = fleet.exchange(now, &bytes);
+                let (back, actions) = fleet.handle_exchange_request(now, &bytes);
                 self.under_way
                     .extend(back.map(|back| (from, What::Exchanged(back))));
                 actions
             }
-            What::Exchanged(bytes) => fleet.exchanged(now, &bytes),
+            What::Exchanged(bytes) => fleet.handle_exchange_response(now, &bytes),
         };
         self.act(to, actions);
         self.check();
@@ -144,7 +141,7 @@
         let wake = self
             .all
             .iter()
-            .map(|(&at, fleet)| (fleet.next(), at))
+            .map(|(&at, fleet)| (fleet.next_wake_ms(), at))
             .min_by(|a, b| a.0.total_cmp(&b.0));
         if let Some((due, who)) = wake.filter(|(due, _)| due.is_finite()) {
             self.now = self.now.max(due);
@@ -210,7 +207,7 @@
             Step::Restart(n) => {
                 self.restarts -= 1;
                 self.all
-                    .insert(at(n), Fleet::new(self.now, told(n, 10 + n as u64)));
+                    .insert(at(n), Membership::new(self.now, told(n, 10 + n as u64)));
             }
         }
     }
@@ -218,7 +215,7 @@
     /// Properties 1 to 4.
     fn check(&mut self) {
         for fleet in self.all.values().filter(|fleet| fleet.is_member()) {
-            let me = fleet.me();
+            let me = fleet.local_record();
             let said = self
                 .taken
                 .entry((me.name.clone(), me.generation, me.nonce))
@@ -229,7 +226,7 @@
         for (&holder, fleet) in &self.all {
             for seen in fleet.view().iter() {
                 let record = &seen.record;
-                assert_ne!(record.name, fleet.me().name);
+                assert_ne!(record.name, fleet.local_record().name);
                 let run = (record.name.clone(), record.generation, record.nonce);
                 let said = self
                     .taken
@@ -240,8 +237,8 @@
                     .saturating_sub(u32::from(record.status != Status::Alive));
                 assert!(spoken <= *said, "{record:?} was never said");
                 let held = self.held.entry((holder, record.name.clone())).or_default();
-                assert!(record.run() >= *held, "{holder} goes back to {record:?}");
-                *held = record.run();
+                assert!(record.run_id() >= *held, "{holder} goes back to {record:?}");
+                *held = record.run_id();
             }
         }
     }
@@ -259,14 +256,19 @@
     }
 
     fn unsettled(&self) -> Option<String> {
-        let hashes: HashSet<u64> = self.all.values().map(Fleet::hash).collect();
-        let there = |fleet: &Fleet| fleet.view().there() + 1 == self.all.len() && fleet.is_member();
+        let hashes: HashSet<u64> = self.all.values().map(Membership::view_hash).collect();
+        let there = |fleet: &Membership| {
+            fleet.view().live_count() + 1 == self.all.len() && fleet.is_member()
+        };
         let well = hashes.len() == 1 && self.all.values().all(there);
         let views = || {
-            let all = self
-                .all
-                .values()
-                .map(|f| (f.me().name.clone(), f.standing(), f.view().there()));
+            let all = self.all.values().map(|f| {
+                (
+                    f.local_record().name.clone(),
+                    f.state_name(),
+                    f.view().live_count(),
+                )
+            });
             format!("{:?}", all.collect::<Vec<_>>())
         };
         (!well).then(views)
@@ -275,7 +277,7 @@
     /// Property 5.
     fn settles(&self) {
         let mut world = self.clone();
-        let bound = told(0, 0).terms.settles_ms(3);
+        let bound = told(0, 0).settings.convergence_bound_ms(3);
         let began = world.now;
         loop {
             let Some(why) = world.unsettled() else { return };
--- a/crates/asterdale-membership/tests/faults.rs
+++ b/crates/asterdale-membership/tests/faults.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use asterdale_membership::{Change, Event, Notes, Phase, Status};
+use asterdale_membership::{Event, MemberChange, Metadata, Phase, Status};
 use net::{at, name, Net, What};
 
 /// So many processes that have settled.
@@ -17,8 +17,8 @@
 fn died(event: &Event) -> bool {
     matches!(
         event,
-        Event::Changed {
-            what: Change::Died,
+        Event::MemberChanged {
+            change: MemberChange::Died,
             ..
         }
     )
@@ -28,13 +28,16 @@
 fn joins_all_at_once_and_one_by_one_settle() {
     for seed in 0..4 {
         let mut net = settled(seed, 12);
-        assert!(net.all.values().all(|fleet| fleet.me().generation == 1));
+        assert!(net
+            .all
+            .values()
+            .all(|fleet| fleet.local_record().generation == 1));
         for n in 12..16 {
             net.start(n);
             net.run(300.0);
         }
         net.settles();
-        assert!(net.all.values().all(|fleet| fleet.is_certain(net.now)));
+        assert!(net.all.values().all(|fleet| fleet.has_majority(net.now)));
         assert_eq!(net.count(|_, event| died(event)), 0);
     }
 }
@@ -47,7 +50,7 @@
         net.settles();
         assert!(net.count(|_, event| died(event)) >= 8);
         let others = net.count(
-            |_, e| matches!(e, Event::Changed { what: Change::Died, name: n, .. } if *n != name(4)),
+            |_, e| matches!(e, Event::MemberChanged { change: MemberChange::Died, name: n, .. } if *n != name(4)),
         );
         assert_eq!(others, 0);
     }
@@ -58,7 +61,7 @@
     let mut net = settled(3, 12);
     (0..4).for_each(|n| net.kill(n));
     net.settles();
-    assert!(net.all.values().all(|fleet| fleet.is_certain(net.now)));
+    assert!(net.all.values().all(|fleet| fleet.has_majority(net.now)));
     // Whoever is asked in vain goes on alone, and is found as soon as a seed is back.
     net.start(12);
     net.run(10_000.0);
@@ -76,7 +79,11 @@
             net.run(wait);
             net.start(3);
             net.settles();
-            assert_eq!(net.fleet(3).me().generation, generation, "after {wait} ms");
+            assert_eq!(
+                net.fleet(3).local_record().generation,
+                generation,
+                "after {wait} ms"
+            );
         }
     }
 }
@@ -86,15 +93,18 @@
     for seed in 0..8 {
         let mut net = settled(seed, 6);
         let others: Vec<usize> = (0..6).filter(|n| *n != 3).collect();
-        let before = net.fleet(3).me().generation;
+        let before = net.fleet(3).local_record().generation;
         net.kill(3);
         net.part(&[3], &others, true);
         net.start(3);
         net.run(8_000.0);
-        assert!(net.fleet(3).is_member() && net.fleet(3).me().generation == before);
+        assert!(net.fleet(3).is_member() && net.fleet(3).local_record().generation == before);
         net.part(&[3], &others, false);
         net.settles();
-        assert!(net.fleet(3).me().generation > before, "seed {seed}");
+        assert!(
+            net.fleet(3).local_record().generation > before,
+            "seed {seed}"
+        );
     }
 }
 
@@ -102,15 +112,18 @@
 fn one_that_takes_its_own_number_again_while_it_counts_as_there_is_told() {
     for seed in 0..16 {
         let mut net = settled(seed, 6);
-        let before = net.fleet(3).me().generation;
+        let before = net.fleet(3).local_record().generation;
         net.kill(3);
         // It begins before any seed could answer, and nobody has missed the one before it.
-        net.terms.join = 0.0;
+        net.terms.join_timeout_intervals = 0.0;
         net.start(3);
         net.run(1.0);
-        assert!(net.fleet(3).is_member() && net.fleet(3).me().generation == before);
+        assert!(net.fleet(3).is_member() && net.fleet(3).local_record().generation == before);
         net.settles();
-        assert!(net.fleet(3).me().generation > before, "seed {seed}");
+        assert!(
+            net.fleet(3).local_record().generation > before,
+            "seed {seed}"
+        );
         let lost = net.count(|_, event| died(event));
         assert_eq!(lost, 0, "seed {seed}");
     }
@@ -124,7 +137,7 @@
         net.start(2);
         net.settles();
     }
-    let old = net.fleet(2).me().generation;
+    let old = net.fleet(2).local_record().generation;
     assert_eq!(old, 4);
     // Said by a process of the earlier time, and on its way for long.
     let late: Vec<_> = net.all.get_mut(&at(2)).unwrap().wake(net.now + 1000.0);
@@ -135,7 +148,7 @@
     let before: Vec<u64> = net
         .all
         .values()
-        .map(|fleet| fleet.me().generation)
+        .map(|fleet| fleet.local_record().generation)
         .collect();
     assert_eq!(before, [1; 6]);
     for action in late {
@@ -146,7 +159,7 @@
     // It tells of a later generation than there is: the process itself takes the next.
     net.run(1_000.0);
     net.settles();
-    assert!([1, old + 1].contains(&net.fleet(2).me().generation));
+    assert!([1, old + 1].contains(&net.fleet(2).local_record().generation));
     assert!(net
         .events
         .iter()
@@ -170,11 +183,11 @@
         .all
         .values()
         .all(|fleet| fleet.view().get(&name(5)).unwrap().record.status == Status::Left));
-    assert!(net.all.values().all(|fleet| fleet.part() == 1.0));
+    assert!(net.all.values().all(|fleet| fleet.live_fraction() == 1.0));
     // It comes back as a new one.
     net.start(5);
     net.settles();
-    assert_eq!(net.fleet(5).me().generation, 2);
+    assert_eq!(net.fleet(5).local_record().generation, 2);
 }
 
 #[test]
@@ -187,10 +200,10 @@
     assert!(net
         .all
         .values()
-        .all(|fleet| !fleet.is_certain(net.now) && fleet.part() == 0.5));
+        .all(|fleet| !fleet.has_majority(net.now) && fleet.live_fraction() == 0.5));
     net.part(one, other, false);
     net.settles();
-    assert!(net.all.values().all(|fleet| fleet.part() == 1.0));
+    assert!(net.all.values().all(|fleet| fleet.live_fraction() == 1.0));
 }
 
 #[test]
@@ -200,12 +213,12 @@
     net.part(few, most, true);
     net.run(200_000.0);
     for n in 0..9 {
-        assert_eq!(net.fleet(n).is_certain(net.now), most.contains(&n), "{n}");
+        assert_eq!(net.fleet(n).has_majority(net.now), most.contains(&n), "{n}");
     }
     net.part(few, most, false);
     net.settles();
     for n in 0..9 {
-        let generation = net.fleet(n).me().generation;
+        let generation = net.fleet(n).local_record().generation;
         assert_eq!(
             generation > 1,
             few.contains(&n),
@@ -233,13 +246,13 @@
     net.paused.clear();
     let woke = net.now;
     net.run(1.0);
-    assert!(!net.fleet(3).is_certain(net.now), "it can't know yet");
+    assert!(!net.fleet(3).has_majority(net.now), "it can't know yet");
     net.settles();
     let its = |event: &Event| {
         matches!(
             event,
-            Event::Changed {
-                what: Change::Died | Change::Suspected,
+            Event::MemberChanged {
+                change: MemberChange::Died | MemberChange::Suspected,
                 ..
             }
         )
@@ -254,10 +267,10 @@
         1
     );
     assert_eq!(
-        net.count(|who, event| who == name(3) && matches!(event, Event::Fallen { .. })),
+        net.count(|who, event| who == name(3) && matches!(event, Event::DeclaredDead { .. })),
         1
     );
-    assert_eq!(net.fleet(3).me().generation, 2);
+    assert_eq!(net.fleet(3).local_record().generation, 2);
     // A short one is no matter.
     net.events.clear();
     net.paused.insert(at(2));
@@ -265,7 +278,7 @@
     net.paused.clear();
     net.run(30_000.0);
     assert_eq!(
-        net.count(|_, event| died(event) || matches!(event, Event::Fallen { .. })),
+        net.count(|_, event| died(event) || matches!(event, Event::DeclaredDead { .. })),
         0
     );
     assert_eq!(net.unsettled(), None);
@@ -280,13 +293,16 @@
     net.paused.clear();
     net.run(60_000.0);
     assert_eq!(
-        (net.fleet(3).standing(), net.fleet(3).me().generation),
+        (
+            net.fleet(3).state_name(),
+            net.fleet(3).local_record().generation
+        ),
         ("fallen", 1)
     );
     let held = net.fleet(0).view().get(&name(3)).unwrap().record.status;
     assert_eq!(held, Status::Dead, "it is silent until then");
     let now = net.now;
-    let actions = net.all.get_mut(&at(3)).unwrap().given_up(now);
+    let actions = net.all.get_mut(&at(3)).unwrap().rejoin(now);
     assert!(!actions.is_empty() && net.fleet(3).is_member());
     net.run(10_000.0);
     net.settles();
@@ -297,12 +313,12 @@
     let mut net = settled(19, 5);
     // The same name at another address, while the first one runs.
     let mut told = net.told(2, 0);
-    told.at = at(20);
+    told.address = at(20);
     net.add(told);
     net.run(60_000.0);
     let (old, new) = (&net.all[&at(2)], &net.all[&at(20)]);
-    assert!(old.is_over() && new.is_member());
-    assert_eq!(new.me().generation, 2);
+    assert!(old.is_stopped() && new.is_member());
+    assert_eq!(new.local_record().generation, 2);
     assert_eq!(
         net.count(|_, event| matches!(event, Event::Superseded(to) if *to == at(20))),
         1
@@ -313,7 +329,7 @@
     net.kill(0);
     net.run(60_000.0);
     let mut told = net.told(0, 0);
-    told.at = at(21);
+    told.address = at(21);
     net.add(told);
     net.settles();
 }
@@ -335,7 +351,7 @@
     assert!(
         net.all
             .values()
-            .map(|fleet| fleet.counts.defended)
+            .map(|fleet| fleet.counters.refutations)
             .sum::<u64>()
             > 0,
         "nobody was accused"
@@ -344,11 +360,11 @@
 }
 
 /// What this process says once it holds all others for dead, as time passes for it alone.
-fn deaths(fleet: &mut asterdale_membership::Fleet) -> Vec<Vec<u8>> {
+fn deaths(fleet: &mut asterdale_membership::Membership) -> Vec<Vec<u8>> {
     let mut said = Vec::new();
     while said.len() < 20 {
-        let alone = fleet.view().there() == 0;
-        for action in fleet.wake(fleet.next()) {
+        let alone = fleet.view().live_count() == 0;
+        for action in fleet.wake(fleet.next_wake_ms()) {
             if let asterdale_membership::Action::Send(_, bytes) = action {
                 said.extend(alone.then_some(bytes));
             }
@@ -372,41 +388,45 @@
 #[test]
 fn notes_reach_all_and_are_news_no_more_often_than_stated() {
     let mut net = settled(25, 6);
-    let notes = Notes {
-        phase: Phase::Full,
-        load: 97,
-        warm: 100,
+    let notes = Metadata {
+        phase: Phase::AtCapacity,
+        load_percent: 97,
+        warm_percent: 100,
     };
-    net.all.get_mut(&at(4)).unwrap().note(notes);
+    net.all.get_mut(&at(4)).unwrap().set_metadata(notes);
     net.run(10_000.0);
     for n in [0, 1, 2, 3, 5] {
         assert_eq!(
-            net.fleet(n).view().get(&name(4)).unwrap().record.notes,
+            net.fleet(n).view().get(&name(4)).unwrap().record.metadata,
             notes
         );
     }
-    let before = net.fleet(4).me().incarnation;
+    let before = net.fleet(4).local_record().incarnation;
     for n in 0..200u8 {
-        net.all.get_mut(&at(4)).unwrap().note(Notes {
-            load: n % 100,
+        net.all.get_mut(&at(4)).unwrap().set_metadata(Metadata {
+            load_percent: n % 100,
             ..notes
         });
         net.run(50.0);
     }
-    assert!(net.fleet(4).me().incarnation - before <= 6);
+    assert!(net.fleet(4).local_record().incarnation - before <= 6);
 }
 
 #[test]
 fn noise_foreign_keys_and_floods_change_nothing_and_are_counted() {
     let mut net = settled(27, 4);
-    let hash = net.fleet(0).hash();
+    let hash = net.fleet(0).view_hash();
     let mut told = net.told(9, 0);
     told.key = b"another's".to_vec();
-    let mut foreign = asterdale_membership::Fleet::new(net.now, told);
+    let mut foreign = asterdale_membership::Membership::new(net.now, told);
     let now = net.now;
     for action in foreign.wake(now) {
         if let asterdale_membership::Action::Exchange(_, bytes) = action {
-            let (back, _) = net.all.get_mut(&at(0)).unwrap().exchange(now, &bytes);
+            let (back, _) = net
+                .all
+                .get_mut(&at(0))
+                .unwrap()
+                .handle_exchange_request(now, &bytes);
             assert_eq!(back, None);
         }
     }
@@ -416,11 +436,11 @@
     }
     net.send(at(0), What::Datagram(vec![1; 2000]), 5_000.0);
     net.run(6_000.0);
-    let counts = &net.fleet(0).counts;
+    let counters = &net.fleet(0).counters;
     assert!(
-        counts.foreign > 100 && counts.flooded > 1000 && counts.unreadable == 1,
-        "{counts:?}"
+        counters.unauthenticated > 100 && counters.rate_limited > 1000 && counters.malformed == 1,
+        "{counters:?}"
     );
-    assert_eq!(net.fleet(0).hash(), hash);
+    assert_eq!(net.fleet(0).view_hash(), hash);
     net.settles();
 }
--- a/crates/asterdale-membership/tests/net/mod.rs
+++ b/crates/asterdale-membership/tests/net/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 
-use asterdale_membership::{Action, Event, Fleet, Start, Terms};
+use asterdale_membership::{Action, Event, Membership, MembershipConfig, Settings};
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -22,7 +22,7 @@
 
 pub struct Net {
     pub now: f64,
-    pub all: BTreeMap<SocketAddr, Fleet>,
+    pub all: BTreeMap<SocketAddr, Membership>,
     /// Those that stand still.
     pub paused: BTreeSet<SocketAddr>,
     /// From the first to the second nothing passes.
@@ -37,7 +37,7 @@
     came: u64,
     random: Pcg64Mcg,
     pub events: Vec<(f64, String, Event)>,
-    pub terms: Terms,
+    pub terms: Settings,
     seeds: Vec<SocketAddr>,
     started: u64,
     /// Gives up at once what it holds when it is believed dead.
@@ -66,7 +66,7 @@
             came: 0,
             random: Pcg64Mcg::seed_from_u64(seed),
             events: Vec::new(),
-            terms: Terms::default(),
+            terms: Settings::default(),
             seeds: (0..seeds).map(at).collect(),
             started: 0,
             gives_up: true,
@@ -78,17 +78,17 @@
     }
 
     /// What process n is told at a start, if it remembers this generation.
-    pub fn told(&mut self, n: usize, generation: u64) -> Start {
+    pub fn told(&mut self, n: usize, generation: u64) -> MembershipConfig {
         self.started += 1;
-        Start {
+        MembershipConfig {
             name: name(n),
-            at: at(n),
-            generation,
+            address: at(n),
+            last_generation: generation,
             nonce: self.random.next_u64(),
             seeds: self.seeds.clone(),
             key: b"the fleet's key".to_vec(),
-            terms: self.terms.clone(),
-            seed: self.started,
+            settings: self.terms.clone(),
+            random_seed: self.started,
         }
     }
 
@@ -97,9 +97,9 @@
         self.add(told);
     }
 
-    pub fn add(&mut self, told: Start) {
-        let fleet = Fleet::new(self.now, told);
-        self.all.insert(fleet.me().at, fleet);
+    pub fn add(&mut self, told: MembershipConfig) {
+        let fleet = Membership::new(self.now, told);
+        self.all.insert(fleet.local_record().address, fleet);
     }
 
     pub fn kill(&mut self, n: usize) {
@@ -107,7 +107,7 @@
         self.paused.remove(&at(n));
     }
 
-    pub fn fleet(&self, n: usize) -> &Fleet {
+    pub fn fleet(&self, n: usize) -> &Membership {
         &self.all[&at(n)]
     }
 
@@ -154,12 +154,12 @@
                     }
                 }
                 Action::Event(event) => {
-                    let name = self.all[&from].me().name.clone();
-                    if matches!(event, Event::Fallen { .. }) && self.gives_up {
+                    let name = self.all[&from].local_record().name.clone();
+                    if matches!(event, Event::DeclaredDead { .. }) && self.gives_up {
                         let actions = self
                             .all
                             .get_mut(&from)
-                            .map(|fleet| fleet.given_up(self.now))
+                            .map(|fleet| fleet.rejoin(self.now))
                             .unwrap_or_default();
                         self.act(from, actions);
                     }
@@ -175,7 +175,7 @@
         loop {
             let awake = self.all.iter().filter(|(at, _)| !self.paused.contains(at));
             let wake = awake
-                .map(|(&at, fleet)| (fleet.next(), at))
+                .map(|(&at, fleet)| (fleet.next_wake_ms(), at))
                 .min_by(|a, b| a.0.total_cmp(&b.0));
             let due = self
                 .under_way
@@ -215,15 +215,15 @@
             return;
         };
         let actions = match what {
-            What::Datagram(bytes) => fleet.datagram(now, &bytes),
+            What::Datagram(bytes) => fleet.handle_datagram(now, &bytes),
             What::Exchange(from, bytes) => {
-                let (back, actions) = fleet.exchange(now, &bytes);
+                let (back, actions) = fleet.handle_exchange_request(now, &bytes);
                 if let Some(back) = back {
                     self.send(from, What::Exchanged(back), 2.0);
                 }
                 actions
             }
-            What::Exchanged(bytes) => fleet.exchanged(now, &bytes),
+            What::Exchanged(bytes) => fleet.handle_exchange_response(now, &bytes),
         };
         self.act(to, actions);
     }
@@ -234,28 +234,43 @@
         let live: BTreeMap<String, u64> = self
             .all
             .values()
-            .map(|fleet| (fleet.me().name.clone(), fleet.me().generation))
+            .map(|fleet| {
+                (
+                    fleet.local_record().name.clone(),
+                    fleet.local_record().generation,
+                )
+            })
             .collect();
         for fleet in self.all.values() {
             if !fleet.is_member() {
-                return Some(format!("{} is {}", fleet.me().name, fleet.standing()));
+                return Some(format!(
+                    "{} is {}",
+                    fleet.local_record().name,
+                    fleet.state_name()
+                ));
             }
-            let there = fleet.view().iter().filter(|seen| seen.record.is_in());
+            let there = fleet.view().iter().filter(|seen| seen.record.is_live());
             let mut held: BTreeMap<String, u64> = there
                 .map(|seen| (seen.record.name.clone(), seen.record.generation))
                 .collect();
-            held.insert(fleet.me().name.clone(), fleet.me().generation);
+            held.insert(
+                fleet.local_record().name.clone(),
+                fleet.local_record().generation,
+            );
             if held != live {
-                return Some(format!("{} holds {held:?} of {live:?}", fleet.me().name));
+                return Some(format!(
+                    "{} holds {held:?} of {live:?}",
+                    fleet.local_record().name
+                ));
             }
         }
-        let hashes: BTreeSet<u64> = self.all.values().map(Fleet::hash).collect();
+        let hashes: BTreeSet<u64> = self.all.values().map(Membership::view_hash).collect();
         (hashes.len() > 1).then(|| "hashes differ".to_owned())
     }
 
     /// Goes on until it has settled; how long that took. No longer than the bound.
     pub fn settles(&mut self) -> f64 {
-        let (began, bound) = (self.now, self.terms.settles_ms(self.all.len()));
+        let (began, bound) = (self.now, self.terms.convergence_bound_ms(self.all.len()));
         while let Some(why) = self.unsettled() {
             assert!(self.now - began < bound, "not within {bound} ms: {why}");
             self.run(100.0);
--- a/crates/asterdale-ownership/src/keeper.rs
+++ b/crates/asterdale-ownership/src/keeper.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -47,7 +47,7 @@
     /// What the fleet agrees on.
     pub terms: Terms,
     /// The fleet's key.
-    pub seal: Seal,
+    pub seal: MessageAuthenticator,
     /// Chance: its own number comes from the process's random bytes, later ones from this.
     pub seed: u64,
     /// The Unix time, in seconds: numbers of groups grow with it.
@@ -69,7 +69,7 @@
     me: Member,
     keepers: Vec<(String, SocketAddr)>,
     terms: Terms,
-    seal: Seal,
+    seal: MessageAuthenticator,
     random: Pcg64Mcg,
     unix_s: u64,
     began: f64,
--- a/crates/asterdale-ownership/src/message.rs
+++ b/crates/asterdale-ownership/src/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use prost::Message as _;
 
 /// The messages, as `proto/takeover.proto` has them.
@@ -49,8 +49,8 @@
 }
 
 /// A letter as bytes.
-pub fn encode(seal: &Seal, from: &Member, what: What) -> Vec<u8> {
-    seal.close(
+pub fn encode(seal: &MessageAuthenticator, from: &Member, what: What) -> Vec<u8> {
+    seal.authenticate(
         &Letter {
             from: Some(from.clone()),
             what: Some(what),
@@ -60,11 +60,11 @@
 }
 
 /// The letter of these bytes: who wrote it, from where, and what.
-pub fn decode(seal: &Seal, bytes: &[u8]) -> Option<(Member, SocketAddr, What)> {
+pub fn decode(seal: &MessageAuthenticator, bytes: &[u8]) -> Option<(Member, SocketAddr, What)> {
     if bytes.len() > MOST_LETTER {
         return None;
     }
-    let letter = Letter::decode(seal.open(bytes).ok()?).ok()?;
+    let letter = Letter::decode(seal.verify(bytes).ok()?).ok()?;
     let from = letter.from.filter(|from| {
         let named = !from.name.is_empty() && from.name.len() <= MOST_NAME;
         named && from.node != 0
--- a/crates/asterdale-ownership/src/owner.rs
+++ b/crates/asterdale-ownership/src/owner.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 
 use crate::message::wire::{
     Answer, Answers, Asked, Claim, Drop as Dropped, End, Look, Order, Renew, Verdict,
@@ -49,7 +49,7 @@
     /// Which it asks.
     target: usize,
     terms: Terms,
-    seal: Seal,
+    seal: MessageAuthenticator,
     seq: u64,
     epoch: Option<u64>,
     /// The last that it had.
@@ -71,7 +71,13 @@
 
 impl Owner {
     /// An owner that starts now.
-    pub fn new(now: f64, me: Member, keepers: Vec<SocketAddr>, terms: Terms, seal: Seal) -> Owner {
+    pub fn new(
+        now: f64,
+        me: Member,
+        keepers: Vec<SocketAddr>,
+        terms: Terms,
+        seal: MessageAuthenticator,
+    ) -> Owner {
         Owner {
             me,
             keepers,
--- a/crates/asterdale-ownership/tests/explore.rs
+++ b/crates/asterdale-ownership/tests/explore.rs
@@ -14,7 +14,7 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use asterdale_ownership::message::wire::{Answers, Entry, Proposal};
 use asterdale_ownership::message::{decode, encode, member, What};
 use asterdale_ownership::{Action, Book, Member, Owner, Terms, Verdict, Want, Work};
@@ -87,8 +87,8 @@
 
 const KEEPERS: &str = "127.0.0.1:9000";
 
-fn seal() -> Seal {
-    Seal::new(b"key")
+fn seal() -> MessageAuthenticator {
+    MessageAuthenticator::new(b"key")
 }
 
 fn terms() -> Terms {
--- a/crates/asterdale-ownership/tests/net/mod.rs
+++ b/crates/asterdale-ownership/tests/net/mod.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use asterdale_ownership::keeper::{Keeper, Start};
 use asterdale_ownership::message::{decode, member, What};
 use asterdale_ownership::{Action, Answer, Owner, Save, Saved, Terms, Told, Verdict, Want, Work};
@@ -89,8 +89,8 @@
         net
     }
 
-    fn seal() -> Seal {
-        Seal::new(b"key")
+    fn seal() -> MessageAuthenticator {
+        MessageAuthenticator::new(b"key")
     }
 
     /// A keeper's process, with what is on its disk, or an empty memory.
--- a/crates/asterdale-simulator/src/members.rs
+++ b/crates/asterdale-simulator/src/members.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-use asterdale_membership::{Action, Change, Event, Fleet, Start, Terms};
+use asterdale_membership::{Action, Event, MemberChange, Membership, MembershipConfig, Settings};
 use rayon::prelude::*;
 use serde::Serialize;
 
@@ -81,8 +81,8 @@
 
 struct Net {
     now: Nanos,
-    terms: Terms,
-    all: Vec<Option<Fleet>>,
+    terms: Settings,
+    all: Vec<Option<Membership>>,
     queue: Queue<(usize, What)>,
     wakes: Vec<Nanos>,
     chance: Chance,
@@ -110,9 +110,9 @@
 
 impl Net {
     fn new(play: &Play, seed: u64) -> Net {
-        let mut terms = Terms::default();
+        let mut terms = Settings::default();
         if play.plain {
-            terms.doubt = 1.0;
+            terms.max_suspicion_multiplier = 1.0;
         }
         let mut net = Net {
             now: 0,
@@ -132,19 +132,19 @@
             false_suspicions: 0,
         };
         for n in 0..play.members {
-            let start = Start {
+            let start = MembershipConfig {
                 name: name(n),
-                at: at(n),
-                generation: 0,
+                address: at(n),
+                last_generation: 0,
                 nonce: seed << 20 | n as u64,
                 seeds: (0..3.min(play.members)).map(at).collect(),
                 key: b"key".to_vec(),
-                terms: terms.clone(),
-                seed: seed ^ (n as u64) << 32,
+                settings: terms.clone(),
+                random_seed: seed ^ (n as u64) << 32,
             };
             net.index.insert(at(n), n);
             net.wakes.push(Nanos::MAX);
-            net.all.push(Some(Fleet::new(0.0, start)));
+            net.all.push(Some(Membership::new(0.0, start)));
             net.stir(n);
         }
         net
@@ -157,7 +157,7 @@
     /// Sees to it that this one is woken when it wants to be.
     fn stir(&mut self, n: usize) {
         let Some(fleet) = &self.all[n] else { return };
-        let next = fleet.next();
+        let next = fleet.next_wake_ms();
         if next.is_finite() {
             let at = ((next * MS) as Nanos + 1).max(self.now);
             if at < self.wakes[n] {
@@ -198,24 +198,26 @@
                         self.send(to, What::Exchange(from, bytes), 2.0);
                     }
                 }
-                Action::Event(Event::Fallen { .. }) => {
+                Action::Event(Event::DeclaredDead { .. }) => {
                     let now = self.ms();
-                    let actions = self.all[from].as_mut().map(|fleet| fleet.given_up(now));
+                    let actions = self.all[from].as_mut().map(|fleet| fleet.rejoin(now));
                     self.act(from, actions.unwrap_or_default());
                 }
-                Action::Event(Event::Changed {
+                Action::Event(Event::MemberChanged {
                     name: whom,
-                    what,
-                    by,
+                    change: what,
+                    reported_by: by,
                     ..
                 }) => {
                     let dead = self.dead.is_some_and(|dead| whom == name(dead));
                     match what {
-                        Change::Died if dead => {
+                        MemberChange::Died if dead => {
                             self.held.entry(from).or_insert(self.now as f64 / MS);
                         }
-                        Change::Died if by == name(from) && !self.parted => self.false_deaths += 1,
-                        Change::Suspected if by == name(from) && !dead && !self.parted => {
+                        MemberChange::Died if by == name(from) && !self.parted => {
+                            self.false_deaths += 1
+                        }
+                        MemberChange::Suspected if by == name(from) && !dead && !self.parted => {
                             self.false_suspicions += 1;
                         }
                         _ => {}
@@ -267,10 +269,10 @@
         };
         let actions = match what {
             What::Wake | What::GoesOn => fleet.wake(now),
-            What::Datagram(bytes) => fleet.datagram(now, &bytes),
-            What::Exchanged(bytes) => fleet.exchanged(now, &bytes),
+            What::Datagram(bytes) => fleet.handle_datagram(now, &bytes),
+            What::Exchanged(bytes) => fleet.handle_exchange_response(now, &bytes),
             What::Exchange(from, bytes) => {
-                let (back, actions) = fleet.exchange(now, &bytes);
+                let (back, actions) = fleet.handle_exchange_request(now, &bytes);
                 if let Some(back) = back {
                     self.sent.1 += back.len() as u64;
                     self.send(from, What::Exchanged(back), 1.0);
@@ -283,12 +285,12 @@
     }
 
     fn settled(&self) -> bool {
-        let live: Vec<&Fleet> = self.all.iter().flatten().collect();
-        let hash = live.first().map(|fleet| fleet.hash());
+        let live: Vec<&Membership> = self.all.iter().flatten().collect();
+        let hash = live.first().map(|fleet| fleet.view_hash());
         live.iter().all(|fleet| {
             fleet.is_member()
-                && fleet.view().there() + 1 == live.len()
-                && Some(fleet.hash()) == hash
+                && fleet.view().live_count() + 1 == live.len()
+                && Some(fleet.view_hash()) == hash
         })
     }
 
@@ -308,7 +310,7 @@
 /// Plays it once.
 pub fn play(play: &Play, seed: u64) -> Figures {
     let mut net = Net::new(play, seed);
-    let bound_ms = net.terms.settles_ms(play.members);
+    let bound_ms = net.terms.convergence_bound_ms(play.members);
     net.settles(bound_ms);
     // What was told of the start has ridden its times: a fault meets a fleet that is well.
     net.run(net.now + (30.0 * 1e3 * MS) as Nanos);
@@ -343,8 +345,8 @@
         }
         Fault::Halves => {
             net.parted = true;
-            let long = net.terms.most_suspicion_ms(play.members)
-                + net.terms.least_suspicion_ms(play.members);
+            let long =
+                net.terms.max_suspicion_ms(play.members) + net.terms.min_suspicion_ms(play.members);
             net.run(net.now + (1.5 * long * MS) as Nanos);
             net.parted = false;
             net.loss = 0.0;
@@ -379,13 +381,13 @@
 /// When the first holds a dead one for dead, by the papers: its probe comes after e/(e-1) intervals in the mean, and ends
 /// with the interval; then the suspicion lasts from the least, where others confirm it, to the most.
 pub fn published_ms(members: usize) -> (f64, f64, f64) {
-    let terms = Terms::default();
+    let terms = Settings::default();
     let e = std::f64::consts::E;
-    let probed = terms.interval_ms * (e / (e - 1.0) + 1.0);
+    let probed = terms.probe_interval_ms * (e / (e - 1.0) + 1.0);
     (
-        probed + terms.least_suspicion_ms(members),
-        probed + terms.most_suspicion_ms(members),
-        terms.interval_ms * f64::from(terms.rides(members)),
+        probed + terms.min_suspicion_ms(members),
+        probed + terms.max_suspicion_ms(members),
+        terms.probe_interval_ms * f64::from(terms.retransmissions(members)),
     )
 }
 
--- a/crates/asterdale-transport/src/actor.rs
+++ b/crates/asterdale-transport/src/actor.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale_membership::message::MOST_DATAGRAM;
-use asterdale_membership::{Action, Event, Fleet, Notes, Phase};
+use asterdale_membership::message::MAX_DATAGRAM_BYTES;
+use asterdale_membership::{Action, Event, Membership, Metadata, Phase};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError};
 
 use crate::exchanges::{Exchanges, Word};
@@ -27,7 +27,7 @@
     /// What came back of one.
     Exchanged(Vec<u8>),
     /// What the process says of itself.
-    Note(Notes),
+    Note(Metadata),
     /// Show what is held.
     Show(Sender<Shown>),
     /// Leave, and say when that is said.
@@ -36,7 +36,7 @@
 
 /// The actor.
 pub struct Actor {
-    pub(crate) fleet: Fleet,
+    pub(crate) fleet: Membership,
     pub(crate) began: Instant,
     pub(crate) socket: Arc<UdpSocket>,
     pub(crate) exchanges: Exchanges,
@@ -55,20 +55,21 @@
     /// Serves until nobody can write to it any more.
     pub fn serve(mut self, mailbox: &Receiver<Mail>, heard: impl Fn(&Event)) {
         loop {
-            let wait = ((self.fleet.next() - self.now()) / 1e3).clamp(0.0, LONGEST.as_secs_f64());
+            let wait =
+                ((self.fleet.next_wake_ms() - self.now()) / 1e3).clamp(0.0, LONGEST.as_secs_f64());
             let actions = match mailbox.recv_timeout(Duration::from_secs_f64(wait)) {
                 Ok(mail) => self.take(mail),
                 Err(RecvTimeoutError::Timeout) => Vec::new(),
                 Err(RecvTimeoutError::Disconnected) => return,
             };
             self.act(actions, &heard);
-            if self.now() >= self.fleet.next() {
+            if self.now() >= self.fleet.next_wake_ms() {
                 let now = self.now();
                 let actions = self.fleet.wake(now);
                 self.act(actions, &heard);
             }
             self.sum_up();
-            if self.fleet.is_over() {
+            if self.fleet.is_stopped() {
                 if let Some(over) = self.left.take() {
                     let _ = over.try_send(());
                 }
@@ -79,15 +80,15 @@
     fn take(&mut self, mail: Mail) -> Vec<Action> {
         let now = self.now();
         match mail {
-            Mail::Datagram(bytes) => self.fleet.datagram(now, &bytes),
+            Mail::Datagram(bytes) => self.fleet.handle_datagram(now, &bytes),
             Mail::Exchange(stream, bytes) => {
-                let (back, actions) = self.fleet.exchange(now, &bytes);
+                let (back, actions) = self.fleet.handle_exchange_request(now, &bytes);
                 self.exchanges.say(Word::Back(stream, back));
                 actions
             }
-            Mail::Exchanged(bytes) => self.fleet.exchanged(now, &bytes),
+            Mail::Exchanged(bytes) => self.fleet.handle_exchange_response(now, &bytes),
             Mail::Note(notes) => {
-                self.fleet.note(notes);
+                self.fleet.set_metadata(notes);
                 Vec::new()
             }
             Mail::Show(to) => {
@@ -111,9 +112,9 @@
                 Action::Event(event) => {
                     heard(&event);
                     // Nothing that this program holds so far outlives a doubt: it is given up by the word alone.
-                    if matches!(event, Event::Fallen { .. }) {
+                    if matches!(event, Event::DeclaredDead { .. }) {
                         let now = self.now();
-                        let actions = self.fleet.given_up(now);
+                        let actions = self.fleet.rejoin(now);
                         self.act(actions, heard);
                     }
                 }
@@ -124,33 +125,33 @@
     fn sum_up(&self) {
         let (fleet, now) = (&self.fleet, self.now());
         let there = if fleet.is_member() {
-            fleet.view().there() + 1
+            fleet.view().live_count() + 1
         } else {
             0
         };
-        let takes = |notes: &Notes| notes.phase == Phase::Ready && notes.warm >= WARM;
+        let takes = |notes: &Metadata| notes.phase == Phase::Ready && notes.warm_percent >= WARM;
         let others = fleet
             .view()
             .iter()
-            .filter(|seen| seen.record.is_in() && takes(&seen.record.notes));
-        let own = fleet.is_member() && takes(&fleet.me().notes);
+            .filter(|seen| seen.record.is_live() && takes(&seen.record.metadata));
+        let own = fleet.is_member() && takes(&fleet.local_record().metadata);
         let warm = others.count() + usize::from(own);
         self.summary.own.store(u32::from(own), Ordering::Relaxed);
         self.summary.there.store(there as u32, Ordering::Relaxed);
         self.summary.warm.store(warm as u32, Ordering::Relaxed);
         self.summary
             .certain
-            .store(u32::from(fleet.is_certain(now)), Ordering::Relaxed);
+            .store(u32::from(fleet.has_majority(now)), Ordering::Relaxed);
         self.summary
             .generation
-            .store(fleet.me().generation, Ordering::Relaxed);
+            .store(fleet.local_record().generation, Ordering::Relaxed);
     }
 }
 
 /// Reads datagrams for as long as there is a mailbox.
 pub fn datagrams(socket: &UdpSocket, mail: &Sender<Mail>, dropped: &AtomicU64) {
     // One byte more shows that it is too long.
-    let mut bytes = vec![0; MOST_DATAGRAM + 1];
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         // An error here is another's answer to what was sent to nobody: there is nothing to be done about it.
         let Ok((count, _)): Result<(usize, SocketAddr), _> = socket.recv_from(&mut bytes) else {
--- a/crates/asterdale-transport/src/custody.rs
+++ b/crates/asterdale-transport/src/custody.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use asterdale_ownership::keeper::{Shown, Start};
 use asterdale_ownership::message::{decode, member, What};
 use asterdale_ownership::{Action, Answer, Keeper, Owner, Save, Saved, Terms, Told, Want, Work};
@@ -68,7 +68,7 @@
     pub name: String,
     pub node: u64,
     pub at: SocketAddr,
-    pub seal: Seal,
+    pub seal: MessageAuthenticator,
     pub seed: u64,
 }
 
@@ -156,7 +156,7 @@
     owner: Owner,
     began: Instant,
     at: SocketAddr,
-    seal: Seal,
+    seal: MessageAuthenticator,
     links: Links,
     until: Arc<AtomicU64>,
     shelf: Option<Arc<Mutex<dyn Shelf>>>,
--- a/crates/asterdale-transport/src/exchanges.rs
+++ b/crates/asterdale-transport/src/exchanges.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale_membership::message::MOST_EXCHANGE;
+use asterdale_membership::message::MAX_EXCHANGE_BYTES;
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use mio::net::TcpStream;
 use mio::unix::SourceFd;
@@ -283,7 +283,7 @@
             if self.is_link() {
                 break;
             }
-            if self.got.len() > 4 + MOST_EXCHANGE {
+            if self.got.len() > 4 + MAX_EXCHANGE_BYTES {
                 return Err(io::ErrorKind::InvalidData.into());
             }
         }
@@ -294,7 +294,7 @@
         if self.is_link() {
             return Err(io::ErrorKind::Unsupported.into());
         }
-        if length > MOST_EXCHANGE {
+        if length > MAX_EXCHANGE_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
         let Some(body) = self.got.get(4..4 + length) else {
--- a/crates/asterdale-transport/src/lib.rs
+++ b/crates/asterdale-transport/src/lib.rs
@@ -22,8 +22,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use asterdale_membership::seal::Seal;
-use asterdale_membership::{Event, Fleet, Notes, Start};
+use asterdale_membership::authentication::MessageAuthenticator;
+use asterdale_membership::{Event, Membership, MembershipConfig, Metadata};
 use crossbeam_channel::{bounded, Sender};
 
 use actor::{Actor, Mail};
@@ -44,7 +44,7 @@
     /// Path of its control socket, if it has one.
     pub control: Option<PathBuf>,
     /// What it tells the others of itself; its address there is the one that they reach it at.
-    pub start: Start,
+    pub start: MembershipConfig,
     /// Where work in hand is kept, if it is.
     pub custody: Option<custody::Place>,
 }
@@ -102,7 +102,7 @@
 
 impl Talk {
     /// What this process says of itself from now on.
-    pub fn note(&self, notes: Notes) {
+    pub fn note(&self, notes: Metadata) {
         let _ = self.mail.try_send(Mail::Note(notes));
     }
 
@@ -145,10 +145,15 @@
     let (mut streams, mut custody) = (None, None);
     if let Some(told) = place.custody {
         let start = &place.start;
-        let seal = Seal::new(&start.key);
+        let seal = MessageAuthenticator::new(&start.key);
         let (letters, read) = bounded(custody::WAITING);
         let links = links::begin(seal.clone(), letters)?;
-        let (name, node, at, seed) = (start.name.clone(), start.nonce | 1, start.at, start.seed);
+        let (name, node, at, seed) = (
+            start.name.clone(),
+            start.nonce | 1,
+            start.address,
+            start.random_seed,
+        );
         let me = custody::Me {
             name,
             node,
@@ -167,7 +172,7 @@
         custody,
     };
     let actor = Actor {
-        fleet: Fleet::new(0.0, place.start),
+        fleet: Membership::new(0.0, place.start),
         began,
         socket: socket.clone(),
         exchanges,
--- a/crates/asterdale-transport/src/links.rs
+++ b/crates/asterdale-transport/src/links.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use crossbeam_channel::{unbounded, Receiver, Sender, TrySendError};
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -88,7 +88,7 @@
     poll: Poll,
     words: Receiver<Word>,
     letters: Sender<Vec<u8>>,
-    seal: Seal,
+    seal: MessageAuthenticator,
     ins: HashMap<usize, In>,
     outs: HashMap<usize, Out>,
     places: HashMap<SocketAddr, usize>,
@@ -99,7 +99,7 @@
 }
 
 /// Begins to serve: letters made with the fleet's key go there. One that finds no place is lost.
-pub(crate) fn begin(seal: Seal, letters: Sender<Vec<u8>>) -> io::Result<Links> {
+pub(crate) fn begin(seal: MessageAuthenticator, letters: Sender<Vec<u8>>) -> io::Result<Links> {
     let poll = Poll::new()?;
     let waker = Arc::new(Waker::new(poll.registry(), WORDS)?);
     let (to, words) = unbounded();
@@ -245,7 +245,7 @@
             let Some(letter) = link.got.get(taken + 4..taken + 4 + size) else {
                 break;
             };
-            if self.seal.open(letter).is_err() {
+            if self.seal.verify(letter).is_err() {
                 stranger = true;
                 break;
             }
--- a/crates/asterdale-transport/src/shown.rs
+++ b/crates/asterdale-transport/src/shown.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use asterdale_membership::{Fleet, Phase, Record, Status};
+use asterdale_membership::{MemberRecord, Membership, Phase, Status};
 use serde::{Deserialize, Serialize};
 
 /// A process, as it is held.
@@ -65,51 +65,57 @@
 /// A phase, in a word.
 pub fn phase(phase: Phase) -> &'static str {
     match phase {
-        Phase::Cold => "cold",
+        Phase::WarmingUp => "cold",
         Phase::Ready => "ready",
-        Phase::Full => "full",
-        Phase::Leaving => "leaving",
+        Phase::AtCapacity => "full",
+        Phase::Draining => "leaving",
     }
 }
 
-fn member(record: &Record, for_ms: f64, heard_ms: f64) -> Member {
+fn member(record: &MemberRecord, for_ms: f64, heard_ms: f64) -> Member {
     Member {
         name: record.name.clone(),
-        at: record.at.to_string(),
+        at: record.address.to_string(),
         generation: record.generation,
         incarnation: record.incarnation,
         status: status(record.status).to_owned(),
         for_ms: for_ms.max(0.0) as u64,
-        by: record.by.clone(),
+        by: record.reported_by.clone(),
         heard_ms: heard_ms.is_finite().then(|| heard_ms.max(0.0) as u64),
-        phase: phase(record.notes.phase).to_owned(),
-        load: record.notes.load,
-        warm: record.notes.warm,
+        phase: phase(record.metadata.phase).to_owned(),
+        load: record.metadata.load_percent,
+        warm: record.metadata.warm_percent,
     }
 }
 
 impl Shown {
     /// What this process holds now; so many datagrams found no place.
-    pub fn of(fleet: &Fleet, now: f64, dropped: u64) -> Shown {
+    pub fn of(fleet: &Membership, now: f64, dropped: u64) -> Shown {
         let others = fleet.view().iter();
         let mut counts: BTreeMap<String, u64> = fleet
-            .counts
+            .counters
             .all()
             .into_iter()
             .map(|(name, n)| (name.to_owned(), n))
             .collect();
         counts.insert("dropped".to_owned(), dropped);
         Shown {
-            me: member(fleet.me(), now, 0.0),
-            standing: fleet.standing().to_owned(),
-            certain: fleet.is_certain(now),
-            part: (fleet.part() * 1e3).round() / 1e3,
-            age_ms: Some(fleet.age_ms(now))
+            me: member(fleet.local_record(), now, 0.0),
+            standing: fleet.state_name().to_owned(),
+            certain: fleet.has_majority(now),
+            part: (fleet.live_fraction() * 1e3).round() / 1e3,
+            age_ms: Some(fleet.view_age_ms(now))
                 .filter(|ms| ms.is_finite())
                 .map(|ms| ms.max(0.0) as u64),
-            hash: format!("{:016x}", fleet.hash()),
+            hash: format!("{:016x}", fleet.view_hash()),
             members: others
-                .map(|seen| member(&seen.record, now - seen.since, now - seen.heard))
+                .map(|seen| {
+                    member(
+                        &seen.record,
+                        now - seen.status_since_ms,
+                        now - seen.last_contact_ms,
+                    )
+                })
                 .collect(),
             counts,
         }
--- a/crates/asterdale-transport/tests/sockets.rs
+++ b/crates/asterdale-transport/tests/sockets.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use asterdale_membership::{Event, Notes, Phase, Start, Terms};
+use asterdale_membership::{Event, MembershipConfig, Metadata, Phase, Settings};
 use asterdale_transport::{begin, control, Place, Talk};
 
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -23,21 +23,21 @@
 }
 
 fn place(name: &str, listen: SocketAddr, seeds: &[SocketAddr]) -> Place {
-    let terms = Terms {
-        interval_ms: 100.0,
-        timeout_ms: 30.0,
-        ..Terms::default()
+    let terms = Settings {
+        probe_interval_ms: 100.0,
+        probe_timeout_ms: 30.0,
+        ..Settings::default()
     };
     let nonce = u64::from(listen.port()) << 8 | name.len() as u64;
-    let start = Start {
+    let start = MembershipConfig {
         name: name.to_owned(),
-        at: listen,
-        generation: 0,
+        address: listen,
+        last_generation: 0,
         nonce,
         seeds: seeds.to_vec(),
         key: b"sixteen bytes ok".to_vec(),
-        terms,
-        seed: nonce,
+        settings: terms,
+        random_seed: nonce,
     };
     Place {
         listen,
@@ -73,10 +73,10 @@
         first.summary.there() == 2 && second.summary.there() == 2
     });
     assert!(events.iter().any(|event| event == Event::Joined(1)));
-    second.note(Notes {
+    second.note(Metadata {
         phase: Phase::Ready,
-        load: 30,
-        warm: 100,
+        load_percent: 30,
+        warm_percent: 100,
     });
     until("its word", || {
         first.summary.warm() == 1 && !first.summary.is_warm()
