--- a/crates/asterdale-membership/tests/stored_datagrams.rs
+++ b/crates/asterdale-membership/tests/stored_datagrams.rs
@@ -4,13 +4,13 @@
 
 use std::net::SocketAddr;
 
+use asterdale_membership::authentication::{MessageAuthenticator, PROTOCOL_VERSION};
 use asterdale_membership::message::wire::{Address, Record as StoredRecord};
 use asterdale_membership::message::{
-    asked, decode, encode, read, write, Ack, Ask, Message, Nack, Ping, Refusal, What, Whole,
-    MOST_EXCHANGE,
+    decode, decode_record, encode, encode_record, ping_request_address, Ack, FullView, Message,
+    Nack, Payload, Ping, PingRequest, VersionRejection, MAX_EXCHANGE_BYTES,
 };
-use asterdale_membership::seal::{Seal, VERSION};
-use asterdale_membership::{Notes, Phase, Record, Status};
+use asterdale_membership::{MemberRecord, Metadata, Phase, Status};
 
 const DATAGRAMS: &[u8] = include_bytes!("fixtures/datagrams/every-kind.bin");
 const KEY: &[u8] = b"the key of the stored datagrams";
@@ -31,7 +31,7 @@
 fn sender() -> StoredRecord {
     StoredRecord {
         name: text("alpha"),
-        at: Some(Address {
+        address: Some(Address {
             ip: vec![10, 0, 0, 7],
             port: 4100,
         }),
@@ -40,9 +40,9 @@
         incarnation: 3,
         status: 0,
         phase: 1,
-        load: 37,
-        warm: 88,
-        by: text("alpha"),
+        load_percent: 37,
+        warm_percent: 88,
+        reported_by: text("alpha"),
     }
 }
 
@@ -51,7 +51,7 @@
     (0..4u32)
         .map(|n| StoredRecord {
             name: format!("beta-{n}"),
-            at: Some(Address {
+            address: Some(Address {
                 ip: vec![0xfd, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 9],
                 port: 4200,
             }),
@@ -60,9 +60,9 @@
             incarnation: 40 + n,
             status: n,
             phase: n,
-            load: 50 + n,
-            warm: 60 + n,
-            by: text("gamma"),
+            load_percent: 50 + n,
+            warm_percent: 60 + n,
+            reported_by: text("gamma"),
         })
         .collect()
 }
@@ -70,32 +70,35 @@
 /// The messages in the order of the file.
 fn messages() -> Vec<Message> {
     let kinds = [
-        What::Ping(Ping { seq: 101 }),
-        What::Ack(Ack {
+        Payload::Ping(Ping { seq: 101 }),
+        Payload::Ack(Ack {
             seq: 102,
-            of: text("beta"),
+            target: text("beta"),
             generation: 21,
         }),
-        What::Ask(Ask {
+        Payload::PingRequest(PingRequest {
             seq: 103,
             name: text("beta"),
-            at: Some(Address {
+            address: Some(Address {
                 ip: vec![10, 0, 0, 7],
                 port: 4100,
             }),
         }),
-        What::Nack(Nack { seq: 104 }),
-        What::Whole(Whole { reply: true }),
-        What::Refusal(Refusal { least: 1, most: 2 }),
+        Payload::Nack(Nack { seq: 104 }),
+        Payload::FullView(FullView { is_reply: true }),
+        Payload::VersionRejection(VersionRejection {
+            min_version: 1,
+            max_version: 2,
+        }),
     ];
-    let whole = |(n, what): (usize, What)| Message {
-        from: Some(sender()),
-        hash: 0xfedc_ba98_7654_3210,
+    let message = |(n, payload): (usize, Payload)| Message {
+        sender: Some(sender()),
+        view_hash: 0xfedc_ba98_7654_3210,
         joining: n == 0,
-        news: if n == 4 { news() } else { Vec::new() },
-        what: Some(what),
+        records: if n == 4 { news() } else { Vec::new() },
+        payload: Some(payload),
     };
-    kinds.into_iter().enumerate().map(whole).collect()
+    kinds.into_iter().enumerate().map(message).collect()
 }
 
 /// The file: each message behind its length in four bytes.
@@ -111,29 +114,29 @@
 
 #[test]
 fn stored_datagrams_are_read_to_the_same_messages() {
-    assert_eq!(VERSION, 1);
-    let seal = Seal::new(KEY);
-    let notes = Notes {
+    assert_eq!(PROTOCOL_VERSION, 1);
+    let authenticator = MessageAuthenticator::new(KEY);
+    let metadata = Metadata {
         phase: Phase::Ready,
-        load: 37,
-        warm: 88,
+        load_percent: 37,
+        warm_percent: 88,
     };
-    let from = Record {
+    let from = MemberRecord {
         name: text("alpha"),
-        at: alpha(),
+        address: alpha(),
         generation: 12,
         nonce: 0x0102_0304_0506_0708,
         incarnation: 3,
         status: Status::Alive,
-        notes,
-        by: text("alpha"),
+        metadata,
+        reported_by: text("alpha"),
     };
-    assert_eq!(write(&from), sender());
+    assert_eq!(encode_record(&from), sender());
     let stored = stored();
     assert_eq!(stored.len(), messages().len());
     for (bytes, expected) in stored.into_iter().zip(messages()) {
         assert_eq!(
-            decode(&seal, bytes, MOST_EXCHANGE),
+            decode(&authenticator, bytes, MAX_EXCHANGE_BYTES),
             Ok((expected, from.clone()))
         );
     }
@@ -141,49 +144,66 @@
 
 #[test]
 fn stored_records_are_read_in_every_status_and_phase() {
-    let (message, _) = decode(&Seal::new(KEY), stored()[4], MOST_EXCHANGE).unwrap();
-    let records: Vec<Record> = message
-        .news
+    let (message, _) = decode(
+        &MessageAuthenticator::new(KEY),
+        stored()[4],
+        MAX_EXCHANGE_BYTES,
+    )
+    .unwrap();
+    let records: Vec<MemberRecord> = message
+        .records
         .iter()
-        .map(|record| read(record).unwrap())
+        .map(|record| decode_record(record).unwrap())
         .collect();
     let states: Vec<(Status, Phase)> = records
         .iter()
-        .map(|one| (one.status, one.notes.phase))
+        .map(|one| (one.status, one.metadata.phase))
         .collect();
     let expected = [
-        (Status::Alive, Phase::Cold),
+        (Status::Alive, Phase::WarmingUp),
         (Status::Suspect, Phase::Ready),
-        (Status::Dead, Phase::Full),
-        (Status::Left, Phase::Leaving),
+        (Status::Dead, Phase::AtCapacity),
+        (Status::Left, Phase::Draining),
     ];
     assert_eq!(states, expected);
     assert_eq!(
-        (records[2].run(), records[2].incarnation, records[2].at),
+        (
+            records[2].run_id(),
+            records[2].incarnation,
+            records[2].address
+        ),
         ((22, 32), 42, beta())
     );
     assert_eq!(
         (
-            records[2].notes.load,
-            records[2].notes.warm,
-            &records[2].by[..]
+            records[2].metadata.load_percent,
+            records[2].metadata.warm_percent,
+            &records[2].reported_by[..]
         ),
         (52, 62, "gamma")
     );
-    assert_eq!(records.iter().map(write).collect::<Vec<_>>(), news());
-    let (question, _) = decode(&Seal::new(KEY), stored()[2], MOST_EXCHANGE).unwrap();
-    let Some(What::Ask(ask)) = question.what else {
+    assert_eq!(
+        records.iter().map(encode_record).collect::<Vec<_>>(),
+        news()
+    );
+    let (question, _) = decode(
+        &MessageAuthenticator::new(KEY),
+        stored()[2],
+        MAX_EXCHANGE_BYTES,
+    )
+    .unwrap();
+    let Some(Payload::PingRequest(request)) = question.payload else {
         panic!("another kind")
     };
-    assert_eq!(asked(&ask), Some(alpha()));
+    assert_eq!(ping_request_address(&request), Some(alpha()));
 }
 
 #[test]
 fn the_messages_are_written_to_the_stored_bytes() {
-    let seal = Seal::new(KEY);
+    let authenticator = MessageAuthenticator::new(KEY);
     for (bytes, message) in stored().into_iter().zip(messages()) {
         assert!(
-            encode(&seal, &message) == bytes,
+            encode(&authenticator, &message) == bytes,
             "the bytes of {message:?} differ"
         );
     }
