--- a/crates/asterdale-daemon/src/edge/mod.rs
+++ b/crates/asterdale-daemon/src/edge/mod.rs
@@ -103,7 +103,6 @@
 
 impl Edge {
     /// An edge at this door, and the loop that serves it once it runs.
-    #[expect(clippy::too_many_arguments, reason = "to become a settings struct")]
     pub fn new(
         start: &Start,
         door: Door,
--- a/crates/asterdale-simulator/src/edge.rs
+++ b/crates/asterdale-simulator/src/edge.rs
@@ -54,7 +54,6 @@
 
     /// A server for a task about this subject: one that is seen and not asked to be left alone, and best of all not
     /// the last. Where there is none, one that is seen; `None` if none is.
-    #[expect(clippy::too_many_arguments, reason = "to become a settings struct")]
     pub fn pick(
         &mut self,
         now: Nanos,
