--- a/crates/asterdale-ownership/tests/stored_letters.rs
+++ b/crates/asterdale-ownership/tests/stored_letters.rs
@@ -2,7 +2,7 @@
 //! again byte for byte: every kind, every order, every verdict, each field with a value of its own.
 //! `fixtures/ownership/README.md` says how the file was made.
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use asterdale_ownership::message::wire::{
     Answers, Asked, Claim, Drop, End, Entry, Hello, Look, Order, Proposal, Raft, Renew,
 };
@@ -156,7 +156,7 @@
 
 #[test]
 fn stored_letters_are_read_to_the_same_messages() {
-    let (seal, stored) = (Seal::new(KEY), stored());
+    let (seal, stored) = (MessageAuthenticator::new(KEY), stored());
     assert_eq!(stored.len(), letters().len() + 1);
     let at = ([10, 0, 0, 7], 4100).into();
     for (bytes, expected) in stored.into_iter().zip(letters()) {
@@ -170,7 +170,8 @@
 
 #[test]
 fn every_stored_number_of_a_verdict_is_read() {
-    let Some((_, _, What::Answers(answers))) = decode(&Seal::new(KEY), stored()[3]) else {
+    let Some((_, _, What::Answers(answers))) = decode(&MessageAuthenticator::new(KEY), stored()[3])
+    else {
         panic!("not read")
     };
     let verdicts: Vec<Verdict> = answers.answers.iter().map(Answer::verdict).collect();
@@ -185,7 +186,7 @@
 
 #[test]
 fn the_letters_are_written_to_the_stored_bytes() {
-    let seal = Seal::new(KEY);
+    let seal = MessageAuthenticator::new(KEY);
     for (bytes, what) in stored().into_iter().zip(letters()) {
         assert!(
             encode(&seal, &sender(), what.clone()) == bytes,
--- a/crates/asterdale-ownership/tests/stored_state.rs
+++ b/crates/asterdale-ownership/tests/stored_state.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use asterdale_ownership::book::State;
 use asterdale_ownership::keeper::{Keeper, Start};
 use asterdale_ownership::message::wire::{self, Entry};
@@ -81,7 +81,7 @@
         me: member("k1", 4321, at(1)),
         keepers: (0..3u16).map(|n| (format!("k{n}"), at(n))).collect(),
         terms: terms(),
-        seal: Seal::new(b"key"),
+        seal: MessageAuthenticator::new(b"key"),
         seed: 1,
         unix_s: 2000,
         saved: Some(saved()),
