--- a/crates/asterdale-ownership/src/message.rs
+++ b/crates/asterdale-ownership/src/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use prost::Message as _;
 
 /// The messages, as `proto/takeover.proto` has them.
@@ -49,8 +49,8 @@
 }
 
 /// A letter as bytes.
-pub fn encode(seal: &Seal, from: &Member, what: MessageBody) -> Vec<u8> {
-    seal.close(
+pub fn encode(authenticator: &MessageAuthenticator, from: &Member, what: MessageBody) -> Vec<u8> {
+    authenticator.authenticate(
         &Envelope {
             from: Some(from.clone()),
             body: Some(what),
@@ -60,11 +60,14 @@
 }
 
 /// The letter of these bytes: who wrote it, from where, and what.
-pub fn decode(seal: &Seal, bytes: &[u8]) -> Option<(Member, SocketAddr, MessageBody)> {
+pub fn decode(
+    authenticator: &MessageAuthenticator,
+    bytes: &[u8],
+) -> Option<(Member, SocketAddr, MessageBody)> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         return None;
     }
-    let envelope = Envelope::decode(seal.open(bytes).ok()?).ok()?;
+    let envelope = Envelope::decode(authenticator.verify(bytes).ok()?).ok()?;
     let from = envelope.from.filter(|from| {
         let named = !from.name.is_empty() && from.name.len() <= MAX_NAME_BYTES;
         named && from.node != 0
--- a/crates/asterdale-ownership/src/owner.rs
+++ b/crates/asterdale-ownership/src/owner.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 
 use crate::message::wire::{
     Answer, Answers, Claim, Command, CommandBatch, Complete, Lookup, Release as Dropped, Renew,
@@ -50,7 +50,7 @@
     /// Which it asks.
     target: usize,
     settings: OwnershipSettings,
-    seal: Seal,
+    authenticator: MessageAuthenticator,
     seq: u64,
     epoch: Option<u64>,
     /// The last that it had.
@@ -77,14 +77,14 @@
         me: Member,
         keepers: Vec<SocketAddr>,
         terms: OwnershipSettings,
-        seal: Seal,
+        authenticator: MessageAuthenticator,
     ) -> Owner {
         Owner {
             member: me,
             replicas: keepers,
             target: 0,
             settings: terms,
-            seal,
+            authenticator,
             seq: 0,
             epoch: None,
             last_ended_epoch: 0,
@@ -367,7 +367,7 @@
     fn send(&mut self, commands: Vec<Command>) {
         if let Some(&to) = self.replicas.get(self.target) {
             let letter = message::encode(
-                &self.seal,
+                &self.authenticator,
                 &self.member,
                 MessageBody::Commands(CommandBatch { commands }),
             );
--- a/crates/asterdale-ownership/src/replica.rs
+++ b/crates/asterdale-ownership/src/replica.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -47,7 +47,7 @@
     /// What the fleet agrees on.
     pub settings: OwnershipSettings,
     /// The fleet's key.
-    pub seal: Seal,
+    pub authenticator: MessageAuthenticator,
     /// Chance: its own number comes from the process's random bytes, later ones from this.
     pub seed: u64,
     /// The Unix time, in seconds: numbers of groups grow with it.
@@ -69,7 +69,7 @@
     member: Member,
     replicas: Vec<(String, SocketAddr)>,
     settings: OwnershipSettings,
-    seal: Seal,
+    authenticator: MessageAuthenticator,
     random: Pcg64Mcg,
     unix_s: u64,
     started_at_ms: f64,
@@ -125,7 +125,7 @@
             member: mut me,
             replicas: keepers,
             settings: terms,
-            seal,
+            authenticator,
             seed,
             unix_s,
             stored: saved,
@@ -149,7 +149,7 @@
             random: Pcg64Mcg::seed_from_u64(seed ^ me.node),
             member: me,
             replicas: keepers,
-            seal,
+            authenticator,
             unix_s,
             started_at_ms: now,
             raft_node,
@@ -295,7 +295,7 @@
             },
             members_are_founders: self.raft_node.is_some() && !self.founders.is_empty(),
         };
-        let letter = message::encode(&self.seal, &self.member, MessageBody::Hello(hello));
+        let letter = message::encode(&self.authenticator, &self.member, MessageBody::Hello(hello));
         for (name, at) in &self.replicas {
             if *name != self.member.name {
                 self.actions.push(Action::Send(*at, letter.clone()));
@@ -607,7 +607,7 @@
         });
         self.actions.push(Action::Send(
             at,
-            message::encode(&self.seal, &self.member, answers),
+            message::encode(&self.authenticator, &self.member, answers),
         ));
     }
 
@@ -678,7 +678,7 @@
                 });
                 self.actions.push(Action::Send(
                     *at,
-                    message::encode(&self.seal, &self.member, letter),
+                    message::encode(&self.authenticator, &self.member, letter),
                 ));
             }
         }
--- a/crates/asterdale-ownership/tests/explore.rs
+++ b/crates/asterdale-ownership/tests/explore.rs
@@ -14,7 +14,7 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use asterdale_ownership::message::wire::{Answers, LogEntry, Proposal};
 use asterdale_ownership::message::{decode, encode, member, MessageBody};
 use asterdale_ownership::{
@@ -90,8 +90,8 @@
 
 const KEEPERS: &str = "127.0.0.1:9000";
 
-fn seal() -> Seal {
-    Seal::new(b"key")
+fn authenticator() -> MessageAuthenticator {
+    MessageAuthenticator::new(b"key")
 }
 
 fn terms() -> OwnershipSettings {
@@ -109,7 +109,7 @@
         member(&format!("o{n}"), process, at),
         keepers,
         terms(),
-        seal(),
+        authenticator(),
     )
 }
 
@@ -207,7 +207,7 @@
 
     /// The keepers hear: what is proposed is agreed.
     fn keepers(&mut self, bytes: &[u8]) {
-        let Some((from, _, MessageBody::Commands(asked))) = decode(&seal(), bytes) else {
+        let Some((from, _, MessageBody::Commands(asked))) = decode(&authenticator(), bytes) else {
             panic!("no command")
         };
         let proposals = asked.commands.into_iter();
@@ -225,7 +225,7 @@
             to: from.node,
         });
         self.letters
-            .push((Some(to), encode(&seal(), &keeper, what)));
+            .push((Some(to), encode(&authenticator(), &keeper, what)));
     }
 
     fn passes(&mut self, proposals: Vec<Proposal>) -> Vec<(Member, asterdale_ownership::Answer)> {
@@ -392,7 +392,7 @@
         let Some(to) = to else {
             return self.keepers(bytes);
         };
-        let Some((_, _, MessageBody::Answers(answers))) = decode(&seal(), bytes) else {
+        let Some((_, _, MessageBody::Answers(answers))) = decode(&authenticator(), bytes) else {
             panic!("no answer")
         };
         let now = self.now;
--- a/crates/asterdale-ownership/tests/net/mod.rs
+++ b/crates/asterdale-ownership/tests/net/mod.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use asterdale_ownership::message::{decode, member, MessageBody};
 use asterdale_ownership::replica::{Replica, ReplicaConfig};
 use asterdale_ownership::{
@@ -96,8 +96,8 @@
         net
     }
 
-    fn seal() -> Seal {
-        Seal::new(b"key")
+    fn authenticator() -> MessageAuthenticator {
+        MessageAuthenticator::new(b"key")
     }
 
     /// A keeper's process, with what is on its disk, or an empty memory.
@@ -116,7 +116,7 @@
             member: me,
             replicas: keepers,
             settings: terms,
-            seal: Net::seal(),
+            authenticator: Net::authenticator(),
             seed,
             unix_s: 1000,
             stored: saved,
@@ -137,7 +137,13 @@
         let me = member(&format!("o{n}"), node, at(n));
         self.owners.insert(
             n,
-            Owner::new(self.now, me, keepers, self.terms.clone(), Net::seal()),
+            Owner::new(
+                self.now,
+                me,
+                keepers,
+                self.terms.clone(),
+                Net::authenticator(),
+            ),
         );
     }
 
@@ -200,7 +206,7 @@
                     .insert(((self.now + STEP).to_bits(), self.count), (to, to, bytes));
                 continue;
             }
-            let Some((from, place, what)) = decode(&Net::seal(), &bytes) else {
+            let Some((from, place, what)) = decode(&Net::authenticator(), &bytes) else {
                 panic!("unreadable")
             };
             let actions = match (what, self.owners.get_mut(&to), self.keepers.get_mut(&to)) {
--- a/crates/asterdale-ownership/tests/stored_state.rs
+++ b/crates/asterdale-ownership/tests/stored_state.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use asterdale_ownership::message::wire::{self, LogEntry};
 use asterdale_ownership::message::{member, CommandKind};
 use asterdale_ownership::replica::{Replica, ReplicaConfig};
@@ -83,7 +83,7 @@
         member: member("k1", 4321, at(1)),
         replicas: (0..3u16).map(|n| (format!("k{n}"), at(n))).collect(),
         settings: settings(),
-        seal: Seal::new(b"key"),
+        authenticator: MessageAuthenticator::new(b"key"),
         seed: 1,
         unix_s: 2000,
         stored: Some(stored()),
--- a/crates/asterdale-transport/src/custody.rs
+++ b/crates/asterdale-transport/src/custody.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use asterdale_membership::seal::Seal;
+use asterdale_membership::authentication::MessageAuthenticator;
 use asterdale_ownership::message::{decode, member, MessageBody};
 use asterdale_ownership::replica::{ReplicaConfig, ReplicaStatus};
 use asterdale_ownership::{
@@ -71,7 +71,7 @@
     pub name: String,
     pub node: u64,
     pub at: SocketAddr,
-    pub seal: Seal,
+    pub seal: MessageAuthenticator,
     pub seed: u64,
 }
 
@@ -159,7 +159,7 @@
     owner: Owner,
     began: Instant,
     at: SocketAddr,
-    seal: Seal,
+    seal: MessageAuthenticator,
     links: Links,
     until: Arc<AtomicU64>,
     shelf: Option<Arc<Mutex<dyn Shelf>>>,
@@ -203,7 +203,7 @@
             member: myself,
             replicas: keepers,
             settings: terms,
-            seal: seal.clone(),
+            authenticator: seal.clone(),
             seed,
             unix_s,
             stored: saved,
