--- a/crates/asterdale-daemon/src/cli.rs
+++ b/crates/asterdale-daemon/src/cli.rs
@@ -140,7 +140,7 @@
             println!(
                 "{}: good: {} stages, {callers}",
                 file.display(),
-                start.facts.class_names.len()
+                start.settings.class_names.len()
             );
             ExitCode::SUCCESS
         }
@@ -165,7 +165,7 @@
             let binary = binary
                 .map(|path| path.display().to_string())
                 .unwrap_or_default();
-            crate::upgrade::ask(&control, &binary, |phase| println!("{phase}"))
+            crate::upgrade::request_upgrade(&control, &binary, |phase| println!("{phase}"))
                 .map(|process| println!("done: process {process} serves"))
         }
         #[cfg(feature = "fleet")]
--- a/crates/asterdale-daemon/src/edge/mod.rs
+++ b/crates/asterdale-daemon/src/edge/mod.rs
@@ -115,7 +115,7 @@
         let poll = Poll::new()?;
         let (post, letters) = mailbox::open(&poll, serve::LETTERS)?;
         let longest = start
-            .facts
+            .settings
             .decisions
             .classes
             .iter()
@@ -130,20 +130,20 @@
             began,
         });
         let shared = connection::Shared {
-            facts: start.facts.clone(),
+            facts: start.settings.clone(),
             asked_who: start.identity.is_some(),
             host: edge.host.clone(),
             counters,
             log,
             most_connections: most_connections(start, door.share),
             unread: 0,
-            most_unread: start.memory / 8 / door.share,
+            most_unread: start.memory_bytes / 8 / door.share,
             longest_ms: longest as u64,
             began,
         };
         // Many times as many as edge nodes keep where they come again.
-        let most_quiet = (start.descriptors / 8 / door.share).max(16);
-        let idle_ms = start.facts.decisions.idle_timeout_ms as u64;
+        let most_quiet = (start.max_descriptors / 8 / door.share).max(16);
+        let idle_ms = start.settings.decisions.idle_timeout_ms as u64;
         let around = serve::Around {
             edge: edge.clone(),
             writer,
@@ -168,10 +168,10 @@
 /// for calls, the runtime and the registry. A connection takes up to 64 KiB by itself, what the kernel keeps for it
 /// included: half of the memory.
 fn most_connections(start: &Start, share: usize) -> usize {
-    (start.descriptors * 3 / 4)
-        .min(start.descriptors.saturating_sub(64))
-        .max(start.descriptors / 2)
-        .min(start.memory / 2 / 65_536)
+    (start.max_descriptors * 3 / 4)
+        .min(start.max_descriptors.saturating_sub(64))
+        .max(start.max_descriptors / 2)
+        .min(start.memory_bytes / 2 / 65_536)
         .div_euclid(share)
         .max(1)
 }
@@ -217,7 +217,7 @@
         let start = json!({"name": "n", "listen": "127.0.0.1:0", "runtime": "127.0.0.1:1", "registry":
             "127.0.0.1:1", "records": "127.0.0.1:1", "seed": "1", "stop_ms": 1, "limits": {"memory_mb": 32,
             "sockets": 64}, "settings": {"extra": {"cores": 1, "memoryKb": 1}, "lanes": [{"name": "page"}]}});
-        let start = crate::start::read(start.to_string().as_bytes(), None, None).unwrap();
+        let start = crate::start::parse(start.to_string().as_bytes(), None, None).unwrap();
         let ((host, mailbox), (writer, answers)) = (bounded(9), unbounded());
         let (log, _guard) = Log::to_stderr("n", false, slog::Level::Info);
         let door = Door {
--- a/crates/asterdale-daemon/src/fleet.rs
+++ b/crates/asterdale-daemon/src/fleet.rs
@@ -14,7 +14,7 @@
 use crossbeam_channel::Sender;
 use siphasher::sip::SipHasher13;
 
-use crate::start::{Start, Takeover};
+use crate::start::{OwnershipSettings, Start};
 
 /// A probe's answer may take this part of the interval, as by default.
 const TIMEOUT: f64 = 0.3;
@@ -66,7 +66,11 @@
 }
 
 impl Keepers {
-    fn new(custody: asterdale_transport::custody::Custody, told: &Takeover, key: &[u8]) -> Keepers {
+    fn new(
+        custody: asterdale_transport::custody::Custody,
+        told: &OwnershipSettings,
+        key: &[u8],
+    ) -> Keepers {
         use std::hash::Hasher as _;
         let half = |n: u64| {
             let mut hasher = SipHasher13::new_with_keys(n, !n);
@@ -75,7 +79,7 @@
         };
         Keepers {
             custody,
-            stages: told.stages.clone(),
+            stages: told.replicated_classes.clone(),
             secret: (half(1), half(2)),
         }
     }
@@ -141,7 +145,7 @@
     let generation = 0;
     let mut nonce = [0; 8];
     getrandom::fill(&mut nonce).map_err(|e| format!("fleet: no random bytes: {e}"))?;
-    let interval_ms = fleet.interval_ms;
+    let interval_ms = fleet.protocol_period_ms;
     let told = Told {
         name: start.name.clone(),
         at: fleet.advertise,
@@ -154,26 +158,26 @@
             timeout_ms: TIMEOUT * interval_ms,
             ..Terms::default()
         },
-        seed: start.facts.decisions.seed,
+        seed: start.settings.decisions.seed,
     };
-    let control = fleet.control.as_ref().map(PathBuf::from);
+    let control = fleet.control_socket.as_ref().map(PathBuf::from);
     #[cfg(feature = "journal")]
     let disk = crate::journal::disk(start, log)?;
     #[cfg(not(feature = "journal"))]
     let disk = None;
     let custody = start
-        .takeover
+        .ownership
         .as_ref()
         .map(|told| asterdale_transport::custody::Place {
             disk,
-            keepers: told.keepers.clone(),
+            keepers: told.replicas.clone(),
             terms: asterdale_ownership::Terms {
                 lease_ms: told.lease_ms,
                 margin_ms: told.lease_ms / 4.0,
                 // An election takes ten to twenty ticks: half a lease to one.
                 tick_ms: (told.lease_ms / 20.0).clamp(20.0, 200.0),
-                most_bytes: told.bytes,
-                window_ms: told.window_ms,
+                most_bytes: told.max_bytes,
+                window_ms: told.retry_window_ms,
                 ..asterdale_ownership::Terms::default()
             },
             unix_s: (unix_ms() / 1e3) as u64,
@@ -207,7 +211,7 @@
     };
     let talk = asterdale_transport::begin(place, told, kept);
     let talk = talk.map_err(|e| format!("fleet: {}: {e}", fleet.listen))?;
-    let keepers = talk.custody.clone().zip(start.takeover.as_ref());
+    let keepers = talk.custody.clone().zip(start.ownership.as_ref());
     let keepers = keepers.map(|(custody, told)| Keepers::new(custody, told, &fleet.key));
     let keepers = keepers.map(|keepers| Arc::new(keepers) as Arc<dyn OwnershipClient>);
     Ok((Some(Arc::new(Others(talk))), keepers))
--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -136,12 +136,12 @@
     let place = Place {
         folder: told.folder.clone().into(),
         name: start.name.clone(),
-        most_bytes: told.disk,
+        most_bytes: told.max_disk_bytes,
         bounds: Bounds {
-            entries: told.memory / ENTRY,
-            bytes: told.memory,
+            entries: told.max_memory_bytes / ENTRY,
+            bytes: told.max_memory_bytes,
         },
-        window_ms: told.window_ms,
+        window_ms: told.retention_ms,
         random: u64::from_be_bytes(random),
     };
     let (host, lines) = (mail.clone(), log.lines.clone());
@@ -170,11 +170,11 @@
     if start.fleet.is_none() {
         journal.order(Order::Alone);
     }
-    if start.takeover.is_some() {
+    if start.ownership.is_some() {
         return Ok((Some(journal), None));
     }
     let stages = start
-        .facts
+        .settings
         .decisions
         .classes
         .iter()
@@ -183,7 +183,7 @@
     let on_disk = OnDisk {
         journal: journal.clone(),
         stages,
-        unread_ms: told.unread_ms,
+        unread_ms: told.max_unread_ms,
     };
     Ok((Some(journal), Some(Arc::new(on_disk))))
 }
@@ -228,15 +228,19 @@
     log: &Log,
 ) -> Result<Option<asterdale_transport::custody::Disk>, String> {
     use asterdale_journal::shelf::Shelf;
-    let (Some(told), Some(takeover)) = (&start.journal, &start.takeover) else {
+    let (Some(told), Some(takeover)) = (&start.journal, &start.ownership) else {
         return Ok(None);
     };
-    if !takeover.keepers.iter().any(|(name, _)| *name == start.name) {
+    if !takeover
+        .replicas
+        .iter()
+        .any(|(name, _)| *name == start.name)
+    {
         return Ok(None);
     }
     let folder = std::path::Path::new(&told.folder);
-    let (shelf, found) =
-        Shelf::open(folder, &start.name, told.disk).map_err(|e| format!("journal: {e}"))?;
+    let (shelf, found) = Shelf::open(folder, &start.name, told.max_disk_bytes)
+        .map_err(|e| format!("journal: {e}"))?;
     slog::info!(log.lines, "journal: a keeper's part of the log is open"; "entries" => found.entries.len());
     let fact = |name: &str| {
         found
--- a/crates/asterdale-daemon/src/main.rs
+++ b/crates/asterdale-daemon/src/main.rs
@@ -43,7 +43,7 @@
 
 use edge::{Door, Edge};
 use start::faults::Fault;
-use start::{Source, Start};
+use start::{KeySetSource, Start};
 #[cfg(feature = "tls")]
 use tls::Doorkeeper;
 
@@ -158,17 +158,17 @@
         let keys = start
             .identity
             .as_ref()
-            .map(|identity| identity.keys.clone());
-        let facts = start.identity.map(|identity| Box::new(identity.facts));
+            .map(|identity| identity.key_source.clone());
+        let facts = start.identity.map(|identity| Box::new(identity.parameters));
         let mut sent = host
-            .send(EngineMessage::Reloaded(start.peers, facts))
+            .send(EngineMessage::Reloaded(start.endpoints, facts))
             .is_ok();
         match (keys, &self.issuer) {
-            (Some(Source::Issuer(place)), Some(issuer)) => {
+            (Some(KeySetSource::Issuer(place)), Some(issuer)) => {
                 drop(issuer.try_send(KeyRefresh::SetSource(place)))
             }
             (Some(source), _) => {
-                if let Some(set) = source.read() {
+                if let Some(set) = source.read_file() {
                     sent &= host.send(EngineMessage::KeySet(set?)).is_ok();
                 }
             }
@@ -196,8 +196,9 @@
                 let Some(control) = again.control.clone() else {
                     continue;
                 };
-                if let Err(why) = spawn("upgrade", move || drop(upgrade::ask(&control, "", |_| ())))
-                {
+                if let Err(why) = spawn("upgrade", move || {
+                    drop(upgrade::request_upgrade(&control, "", |_| ()))
+                }) {
                     counters.threads_refused.add();
                     slog::error!(log.lines, "upgrade: not begun"; "why" => why);
                 }
@@ -233,7 +234,7 @@
     #[cfg_attr(not(feature = "upgrade"), expect(unused_mut))]
     let mut doors = doors(&start)?;
     #[cfg(feature = "upgrade")]
-    let mut taken = upgrade::take(start.facts.class_names.len(), start.descriptors)?;
+    let mut taken = upgrade::inherit(start.settings.class_names.len(), start.max_descriptors)?;
     #[cfg(feature = "upgrade")]
     if let Some(taken) = &taken {
         // No two connections of processes that know of each other have the same number.
@@ -264,7 +265,10 @@
     let mut listeners = Vec::new();
     for door in &doors {
         #[cfg(feature = "upgrade")]
-        if let Some(listener) = taken.as_mut().and_then(|taken| taken.listener(door.listen)) {
+        if let Some(listener) = taken
+            .as_mut()
+            .and_then(|taken| taken.take_listener(door.listen))
+        {
             listeners.push(listener);
             continue;
         }
@@ -283,7 +287,7 @@
         #[cfg(feature = "tls")]
         doorkeeper: doors.iter().find_map(|door| door.tls.clone()),
         #[cfg(feature = "upgrade")]
-        control: start.control.as_ref().map(PathBuf::from),
+        control: start.control_socket.as_ref().map(PathBuf::from),
     };
     spawn("signals", move || {
         signals(caught, &host, &again, &counted, &lines)
@@ -292,13 +296,13 @@
         mail.clone(),
         counters.clone(),
         log.clone(),
-        start.peers.runtime,
+        start.endpoints.runtime,
     );
     spawn("runtime", move || {
         runtime::link(at, &moved, &host, &counted, &lines)
     })?;
     let (list, reporter) = registry::new(
-        start.peers.registry,
+        start.endpoints.registry,
         start.name.clone(),
         counters.clone(),
         log.clone(),
@@ -316,7 +320,7 @@
         })?;
     }
     let (records, caller) = records::new(
-        start.peers.records,
+        start.endpoints.records,
         mail.clone(),
         counters.clone(),
         log.clone(),
@@ -352,10 +356,10 @@
         log: log.clone(),
     };
     let Start {
-        facts,
-        memory,
+        settings: facts,
+        memory_bytes: memory,
         stop_ms,
-        peers,
+        endpoints: peers,
         ..
     } = start;
     let begin = EngineSettings {
@@ -370,9 +374,17 @@
         None => Engine::new(begin, around),
         Some(taken) => {
             let (stages, epoch) = (begin.facts.class_names.len(), taken.epoch);
-            let host = Engine::go_on(begin, around, &taken.state, &taken.client(), taken.mirror())?;
+            let host = Engine::go_on(
+                begin,
+                around,
+                &taken.state,
+                &taken.remote_connections(),
+                taken.mirror_to_old_process(),
+            )?;
             slog::info!(log.lines, "upgrade: this process goes on"; "process" => std::process::id(), "epoch" => epoch, "gist" => ?host.gist());
-            spawn("hearing", move || taken.hear(&mail, stages))?;
+            spawn("hearing", move || {
+                taken.relay_from_old_process(&mail, stages)
+            })?;
             host
         }
     };
@@ -384,7 +396,7 @@
     #[cfg(feature = "upgrade")]
     if let Some(guardian) = guardian {
         // It left in order: there is nothing to take back.
-        guardian.release();
+        guardian.send_release();
     }
     Ok(())
 }
@@ -393,22 +405,22 @@
 #[cfg(feature = "upgrade")]
 fn control(
     start: &Start,
-    taken: Option<&upgrade::Taken>,
+    taken: Option<&upgrade::Inherited>,
     listeners: &[TcpListener],
     mail: &Sender<EngineMessage>,
     log: &Log,
-) -> Result<Option<upgrade::Line>, String> {
-    let guardian = taken.map(upgrade::Taken::line);
-    let Some(path) = &start.control else {
+) -> Result<Option<upgrade::FrameWriter>, String> {
+    let guardian = taken.map(upgrade::Inherited::old_process);
+    let Some(path) = &start.control_socket else {
         return Ok(guardian);
     };
     let path = PathBuf::from(path);
     let told = |e: std::io::Error| format!("upgrade: {e}");
     let socket = match taken {
         Some(taken) => taken.control.try_clone().map_err(told)?,
-        None => upgrade::bind(&path)?,
+        None => upgrade::bind_control_socket(&path)?,
     };
-    let control = upgrade::Control {
+    let control = upgrade::ControlServer {
         path,
         socket,
         listeners: listeners
@@ -417,8 +429,8 @@
             .collect::<Result<_, _>>()
             .map_err(told)?,
         epoch: taken.map_or(1, |taken| taken.epoch),
-        guardian: guardian.clone(),
-        host: mail.clone(),
+        previous_process: guardian.clone(),
+        engine: mail.clone(),
         log: log.clone(),
     };
     spawn("control", move || control.serve())?;
@@ -436,10 +448,10 @@
     let Some(identity) = &start.identity else {
         return Ok((None, None));
     };
-    let seed = identity.facts.seed;
-    let gate =
-        Identity::new(unix_ms(), identity.facts.clone()).map_err(|e| format!("identity: {e}"))?;
-    if let Source::Issuer(place) = &identity.keys {
+    let seed = identity.parameters.seed;
+    let gate = Identity::new(unix_ms(), identity.parameters.clone())
+        .map_err(|e| format!("identity: {e}"))?;
+    if let KeySetSource::Issuer(place) = &identity.key_source {
         let (nudges, nudged) = bounded(WORDS);
         let (host, counted, lines, place) =
             (mail.clone(), counters.clone(), log.clone(), place.clone());
@@ -448,7 +460,7 @@
         })?;
         return Ok((Some(gate), Some(nudges)));
     }
-    match identity.keys.read() {
+    match identity.key_source.read_file() {
         Some(Ok(set)) => drop(mail.send(EngineMessage::KeySet(set))),
         Some(Err(why)) => slog::error!(log.lines, "identity: no set of keys"; "why" => why),
         None => {}
--- a/crates/asterdale-daemon/src/start/faults.rs
+++ b/crates/asterdale-daemon/src/start/faults.rs
@@ -15,12 +15,12 @@
     /// The path of the field.
     pub path: String,
     /// What is wrong with it.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.path, self.what)
+        write!(f, "{}: {}", self.path, self.message)
     }
 }
 
@@ -33,7 +33,7 @@
     pub fn add(&mut self, path: impl Into<String>, what: impl Into<String>) {
         let fault = Fault {
             path: path.into(),
-            what: what.into(),
+            message: what.into(),
         };
         if self.0.len() < MOST && !self.0.contains(&fault) {
             self.0.push(fault);
--- a/crates/asterdale-daemon/src/start/mod.rs
+++ b/crates/asterdale-daemon/src/start/mod.rs
@@ -29,82 +29,82 @@
     /// Where edge nodes connect.
     pub listen: SocketAddr,
     /// Where the peers listen.
-    pub peers: Endpoints,
+    pub endpoints: Endpoints,
     /// From the notice to leave until the process is killed, in milliseconds.
     pub stop_ms: f64,
     /// Memory of this process, in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// Descriptors of this process.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// What the decisions are told.
-    pub facts: Arc<Settings>,
+    pub settings: Arc<Settings>,
     /// Who may call; `None` where nobody is asked.
-    pub identity: Option<Identity>,
+    pub identity: Option<IdentitySettings>,
     /// The listener for edge nodes that show a certificate, where there is one.
     #[cfg_attr(
         not(feature = "tls"),
         expect(dead_code, reason = "such a file is a fault there")
     )]
-    pub tls: Option<Tls>,
+    pub tls: Option<TlsSettings>,
     /// Path of the control socket, where another process can take over.
     #[cfg_attr(
         not(feature = "upgrade"),
         expect(dead_code, reason = "such a file is a fault there")
     )]
-    pub control: Option<String>,
+    pub control_socket: Option<String>,
     /// The fleet that this process talks with.
     #[cfg_attr(
         not(any(feature = "fleet", feature = "journal")),
         expect(dead_code, reason = "such a file is a fault there")
     )]
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetSettings>,
     /// Work in hand that survives its backend.
     #[cfg_attr(
         not(feature = "fleet"),
         expect(dead_code, reason = "such a file is a fault there")
     )]
-    pub takeover: Option<Takeover>,
+    pub ownership: Option<OwnershipSettings>,
     /// What lasts over a crash of this process.
     #[cfg_attr(
         not(feature = "journal"),
         expect(dead_code, reason = "such a file is a fault there")
     )]
-    pub journal: Option<Lasting>,
+    pub journal: Option<JournalSettings>,
 }
 
 /// What lasts over a crash of this process.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Lasting {
+pub struct JournalSettings {
     /// The folder.
     pub folder: String,
     /// Bytes that its file may take.
-    pub disk: u64,
+    pub max_disk_bytes: u64,
     /// Bytes of it that are kept in memory.
-    pub memory: usize,
+    pub max_memory_bytes: usize,
     /// The longest window of any fingerprinted task, with the time that one may lie unread.
-    pub window_ms: f64,
+    pub retention_ms: f64,
     /// The longest that a task may lie unread.
-    pub unread_ms: f64,
+    pub max_unread_ms: f64,
 }
 
 /// Work in hand that survives its backend.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Takeover {
+pub struct OwnershipSettings {
     /// The processes that keep it, by name and where they are reached.
-    pub keepers: Vec<(String, SocketAddr)>,
+    pub replicas: Vec<(String, SocketAddr)>,
     /// By stage: whether its tasks are kept, and if so whether what has their effect refuses an older fence.
-    pub stages: Vec<Option<bool>>,
+    pub replicated_classes: Vec<Option<bool>>,
     /// An owner that is not heard for so long has lost what it owns.
     pub lease_ms: f64,
     /// The longest window of what is kept.
-    pub window_ms: f64,
+    pub retry_window_ms: f64,
     /// Bytes that may be kept.
-    pub bytes: usize,
+    pub max_bytes: usize,
 }
 
 /// The fleet that a process talks with.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
+pub struct FleetSettings {
     /// Where it hears the others.
     pub listen: SocketAddr,
     /// Where they reach it.
@@ -114,46 +114,46 @@
     /// The fleet's key.
     pub key: Vec<u8>,
     /// From one probe to the next.
-    pub interval_ms: f64,
+    pub protocol_period_ms: f64,
     /// Path of the control socket.
-    pub control: Option<String>,
+    pub control_socket: Option<String>,
 }
 
 /// A listener for edge nodes that show a certificate: where, and the paths of its files.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Tls {
+pub struct TlsSettings {
     /// Where they connect.
     pub listen: SocketAddr,
     /// This server's certificates.
-    pub certificate: String,
+    pub certificate_path: String,
     /// Its private key.
-    pub key: String,
+    pub key_path: String,
     /// Certificates of those who sign the edge nodes'.
-    pub clients: String,
+    pub client_ca_path: String,
 }
 
 /// Who may call, and where the keys come from.
 #[derive(Clone, Debug)]
-pub struct Identity {
+pub struct IdentitySettings {
     /// What holds of callers.
-    pub facts: IdentityFacts,
+    pub parameters: IdentityFacts,
     /// Where sets of keys come from.
-    pub keys: Source,
+    pub key_source: KeySetSource,
 }
 
 /// Where sets of keys come from.
 #[derive(Clone, Debug)]
-pub enum Source {
+pub enum KeySetSource {
     /// A file, by its path.
     File(String),
     /// An issuer.
     Issuer(KeySource),
 }
 
-impl Source {
+impl KeySetSource {
     /// The set in the file, if it is one.
-    pub fn read(&self) -> Option<Result<Vec<u8>, String>> {
-        let Source::File(path) = self else {
+    pub fn read_file(&self) -> Option<Result<Vec<u8>, String>> {
+        let KeySetSource::File(path) = self else {
             return None;
         };
         // One byte more than may be shows that it is too long, whatever is behind the path.
@@ -166,21 +166,21 @@
 }
 
 /// A fault of what comes from outside of the file.
-fn outside(name: &str, what: String) -> Vec<Fault> {
+fn outside(name: &str, message: String) -> Vec<Fault> {
     vec![Fault {
         path: name.to_owned(),
-        what,
+        message,
     }]
 }
 
 /// A variable that says something.
-pub fn variable(name: &str) -> Option<String> {
+pub fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
 /// Reads the file that `ROUTER_CONFIG` names. Errors name the field.
 pub fn from_environment() -> Result<Start, Vec<Fault>> {
-    let path = variable("ROUTER_CONFIG")
+    let path = environment_variable("ROUTER_CONFIG")
         .ok_or_else(|| outside("ROUTER_CONFIG", "is not set".to_owned()))?;
     from(Path::new(&path), "ROUTER_CONFIG")
 }
@@ -193,12 +193,16 @@
 fn from(path: &Path, called: &str) -> Result<Start, Vec<Fault>> {
     let text =
         std::fs::read(path).map_err(|e| outside(called, format!("{}: {e}", path.display())))?;
-    read(&text, variable("ROUTER_NAME"), variable("ROUTER_LISTEN"))
+    parse(
+        &text,
+        environment_variable("ROUTER_NAME"),
+        environment_variable("ROUTER_LISTEN"),
+    )
 }
 
 /// Reads the text of the file. Name and address that are given from outside come before the file's. All that
 /// is wrong comes back at once.
-pub fn read(
+pub fn parse(
     text: &[u8],
     name: Option<String>,
     listen: Option<String>,
@@ -292,21 +296,21 @@
     Ok(Start {
         name,
         listen,
-        peers,
+        endpoints: peers,
         stop_ms,
-        memory,
-        descriptors,
-        facts: Arc::new(facts),
+        memory_bytes: memory,
+        max_descriptors: descriptors,
+        settings: Arc::new(facts),
         identity,
         tls,
-        control,
+        control_socket: control,
         fleet,
-        takeover,
+        ownership: takeover,
         journal,
     })
 }
 
-fn tls(faults: &mut Faults, section: file::Tls) -> Option<Tls> {
+fn tls(faults: &mut Faults, section: file::Tls) -> Option<TlsSettings> {
     if !cfg!(feature = "tls") {
         faults.add("tls", "this build has no TLS");
     }
@@ -314,11 +318,11 @@
     let certificate = faults.wanted("tls.certificate", section.certificate);
     let key = faults.wanted("tls.key", section.key);
     let clients = faults.wanted("tls.clients", section.clients);
-    Some(Tls {
+    Some(TlsSettings {
         listen: listen?.0,
-        certificate: certificate?,
-        key: key?,
-        clients: clients?,
+        certificate_path: certificate?,
+        key_path: key?,
+        client_ca_path: clients?,
     })
 }
 
@@ -327,7 +331,7 @@
 /// No key is longer, whatever is behind the path.
 const MOST_KEY: u64 = 4096;
 
-fn fleet(faults: &mut Faults, section: file::Fleet) -> Option<Fleet> {
+fn fleet(faults: &mut Faults, section: file::Fleet) -> Option<FleetSettings> {
     if !cfg!(feature = "fleet") {
         faults.add("fleet", "this build talks with nobody");
     }
@@ -363,20 +367,24 @@
         .into_iter()
         .map(|seed| seed.0)
         .collect();
-    Some(Fleet {
+    Some(FleetSettings {
         listen: listen?.0,
         advertise: advertise?.0,
         seeds,
         key: key.trim_ascii().to_vec(),
-        interval_ms,
-        control: section.control,
+        protocol_period_ms: interval_ms,
+        control_socket: section.control,
     })
 }
 
 /// More keepers make each claim dearer, and no safer by much.
 const MOST_KEEPERS: usize = 7;
 
-fn takeover(faults: &mut Faults, section: file::Takeover, facts: &Settings) -> Option<Takeover> {
+fn takeover(
+    faults: &mut Faults,
+    section: file::Takeover,
+    facts: &Settings,
+) -> Option<OwnershipSettings> {
     let mut keepers = Vec::new();
     let told = faults
         .wanted("takeover.keepers", section.keepers)
@@ -441,16 +449,20 @@
     let window_ms = kept
         .map(|(stage, _)| stage.retry_window_ms)
         .fold(0.0, f64::max);
-    Some(Takeover {
-        keepers,
-        stages,
+    Some(OwnershipSettings {
+        replicas: keepers,
+        replicated_classes: stages,
         lease_ms,
-        window_ms,
-        bytes: (megabytes * 1e6) as usize,
+        retry_window_ms: window_ms,
+        max_bytes: (megabytes * 1e6) as usize,
     })
 }
 
-fn lasting(faults: &mut Faults, section: file::Lasting, facts: &Settings) -> Option<Lasting> {
+fn lasting(
+    faults: &mut Faults,
+    section: file::Lasting,
+    facts: &Settings,
+) -> Option<JournalSettings> {
     if !cfg!(feature = "journal") {
         faults.add("journal", "this build keeps nothing on disk");
     }
@@ -478,12 +490,12 @@
         .fold(0.0, f64::max)
         + unread_ms;
     let (disk, memory) = ((disk * 1e6) as u64, (memory * 1e6) as usize);
-    Some(Lasting {
+    Some(JournalSettings {
         folder: folder?,
-        disk,
-        memory,
-        window_ms,
-        unread_ms,
+        max_disk_bytes: disk,
+        max_memory_bytes: memory,
+        retention_ms: window_ms,
+        max_unread_ms: unread_ms,
     })
 }
 
@@ -534,7 +546,12 @@
     names
 }
 
-fn identity(faults: &mut Faults, callers: Callers, seed: u64, told: &Settings) -> Option<Identity> {
+fn identity(
+    faults: &mut Faults,
+    callers: Callers,
+    seed: u64,
+    told: &Settings,
+) -> Option<IdentitySettings> {
     let text = |faults: &mut Faults, path, found: Option<String>| {
         let found = faults.wanted(path, found).unwrap_or_default();
         if found.is_empty() && !faults.0.iter().any(|fault| fault.path == path) {
@@ -570,7 +587,7 @@
     let certificates = certificates(faults, callers.certificates, &known, &tenants);
     let keys = faults.wanted("identity.keys", callers.keys)?;
     let keys = match (keys.file, keys.fetch) {
-        (Some(path), None) => Source::File(path),
+        (Some(path), None) => KeySetSource::File(path),
         (None, Some(fetch)) => {
             let at = faults.wanted("identity.keys.fetch.at", fetch.at)?.0;
             let path = faults.wanted("identity.keys.fetch.path", fetch.path)?;
@@ -581,7 +598,7 @@
                     "a path that begins with / is wanted",
                 );
             }
-            Source::Issuer(KeySource {
+            KeySetSource::Issuer(KeySource {
                 address: at,
                 path,
                 interval_ms: fetch.every_ms.map_or(30_000.0, |ms| ms.0),
@@ -606,7 +623,10 @@
         tenants,
         certificates,
     };
-    Some(Identity { facts, keys })
+    Some(IdentitySettings {
+        parameters: facts,
+        key_source: keys,
+    })
 }
 
 fn roles(faults: &mut Faults, given: Option<Vec<file::Role>>, told: &Settings) -> Vec<Role> {
@@ -785,7 +805,7 @@
     }
 
     fn paths(all: &Value) -> Vec<String> {
-        read(all.to_string().as_bytes(), None, None)
+        parse(all.to_string().as_bytes(), None, None)
             .unwrap_err()
             .into_iter()
             .map(|fault| fault.path)
@@ -795,7 +815,7 @@
     #[test]
     fn variables_come_before_the_file() {
         let text = whole().to_string();
-        let start = read(
+        let start = parse(
             text.as_bytes(),
             Some("n9".into()),
             Some("127.0.0.9:9".into()),
@@ -806,10 +826,10 @@
             ("n9", "127.0.0.9:9")
         );
         assert_eq!(
-            read(text.as_bytes(), None, None).unwrap().listen.port(),
+            parse(text.as_bytes(), None, None).unwrap().listen.port(),
             8080
         );
-        assert_eq!(start.facts.decisions.seed, 0x8c1f_30d2_7a5b_e964);
+        assert_eq!(start.settings.decisions.seed, 0x8c1f_30d2_7a5b_e964);
         assert!(start.identity.is_none());
     }
 
@@ -846,7 +866,7 @@
                 paths(&all)
             );
         }
-        let broken = read(b"{", None, None).unwrap_err();
+        let broken = parse(b"{", None, None).unwrap_err();
         assert_eq!(broken[0].path, "start file");
     }
 
@@ -857,11 +877,14 @@
         std::fs::write(&key, "sixteen bytes ok\n").unwrap();
         let mut all = whole();
         all["fleet"] = json!({"listen": "127.0.0.1:7000", "seeds": ["10.0.0.1:7000"], "key": key});
-        let fleet = read(all.to_string().as_bytes(), None, None)
+        let fleet = parse(all.to_string().as_bytes(), None, None)
             .unwrap()
             .fleet
             .unwrap();
-        assert_eq!((fleet.listen, fleet.interval_ms), (fleet.advertise, 1000.0));
+        assert_eq!(
+            (fleet.listen, fleet.protocol_period_ms),
+            (fleet.advertise, 1000.0)
+        );
         assert_eq!(fleet.key, b"sixteen bytes ok");
         for (field, value, path) in [
             ("listen", json!("here"), "fleet.listen"),
@@ -893,12 +916,12 @@
         all["fleet"] = json!({"listen": "127.0.0.1:7000", "key": key});
         all["takeover"] = json!({"keepers": [{"name": "n0", "at": "127.0.0.1:7000"}],
             "stages": [{"name": "bid", "fenced": true}], "lease_ms": 1000});
-        let told = read(all.to_string().as_bytes(), None, None)
+        let told = parse(all.to_string().as_bytes(), None, None)
             .unwrap()
-            .takeover
+            .ownership
             .unwrap();
         assert_eq!(
-            (told.stages, told.window_ms, told.lease_ms),
+            (told.replicated_classes, told.retry_window_ms, told.lease_ms),
             (vec![None, Some(true)], 5000.0, 1000.0)
         );
         for (field, value, path) in [
@@ -934,12 +957,12 @@
         let lane = json!({"name": "bid", "repeat": "by_key", "memorySpanNs": 5_000_000_000u64, "deadlineNs": 2_000_000_000u64});
         all["settings"]["lanes"] = json!([lane]);
         all["journal"] = json!({"folder": "/var/lib/asterdale"});
-        let told = read(all.to_string().as_bytes(), None, None)
+        let told = parse(all.to_string().as_bytes(), None, None)
             .unwrap()
             .journal
             .unwrap();
         assert_eq!(
-            (told.window_ms, told.unread_ms, told.disk),
+            (told.retention_ms, told.max_unread_ms, told.max_disk_bytes),
             (7000.0, 2000.0, 256_000_000)
         );
         for (field, value, path) in [
@@ -961,7 +984,7 @@
         let mut all = with_callers();
         all["new"] = json!(1);
         all["settings"]["extra"]["new"] = json!({"a": []});
-        assert!(read(all.to_string().as_bytes(), None, None).is_ok());
+        assert!(parse(all.to_string().as_bytes(), None, None).is_ok());
         all["registry"] = Value::Null;
         all["stop_ms"] = json!("soon");
         all["settings"]["lanes"] = json!([{"name": "bid", "worth": "much"}, {"name": 5}]);
@@ -996,8 +1019,11 @@
 
     #[test]
     fn who_may_call_is_read_with_its_usual_figures() {
-        let start = read(with_callers().to_string().as_bytes(), None, None).unwrap();
-        let Identity { facts, keys } = start.identity.unwrap();
+        let start = parse(with_callers().to_string().as_bytes(), None, None).unwrap();
+        let IdentitySettings {
+            parameters: facts,
+            key_source: keys,
+        } = start.identity.unwrap();
         assert_eq!(
             (facts.skew_ms, facts.cache, facts.per_edge, facts.in_all),
             (500.0, 2048, 50.0, 400.0)
@@ -1006,7 +1032,7 @@
             (facts.roles[0].stages.as_slice(), facts.tenants[0].customer),
             (&[0][..], 1)
         );
-        assert!(matches!(keys, Source::File(path) if path == "/k"));
+        assert!(matches!(keys, KeySetSource::File(path) if path == "/k"));
     }
 
     #[cfg(feature = "tools")]
@@ -1030,7 +1056,7 @@
             if path.extension().is_some_and(|kind| kind == "json") {
                 let text = std::fs::read(&path).unwrap();
                 assert_eq!(
-                    read(&text, None, None).map(drop),
+                    parse(&text, None, None).map(drop),
                     Ok(()),
                     "{}",
                     path.display()
--- a/crates/asterdale-daemon/src/tls.rs
+++ b/crates/asterdale-daemon/src/tls.rs
@@ -20,7 +20,7 @@
 use x509_parser::prelude::{FromDer, X509Certificate};
 
 use crate::start::faults::Fault;
-use crate::start::Tls;
+use crate::start::TlsSettings;
 
 /// Encrypted bytes that one read takes: no more plain ones come of it than a session holds.
 const CHUNK: usize = 4096;
@@ -40,12 +40,12 @@
 fn fault(path: &str, file: &str, what: impl std::fmt::Display) -> Vec<Fault> {
     vec![Fault {
         path: path.to_owned(),
-        what: format!("{file}: {what}"),
+        message: format!("{file}: {what}"),
     }]
 }
 
 /// Reads the files that the section names. All that is wrong comes by the path of the field.
-fn material(tls: &Tls) -> Result<Arc<ServerConfig>, Vec<Fault>> {
+fn material(tls: &TlsSettings) -> Result<Arc<ServerConfig>, Vec<Fault>> {
     let certificates = |path: &str, file: &str| {
         let read = CertificateDer::pem_file_iter(Path::new(file))
             .and_then(Iterator::collect::<Result<Vec<_>, _>>);
@@ -54,24 +54,25 @@
             read => read.map_err(|e| fault(path, file, e)),
         }
     };
-    let chain = certificates("tls.certificate", &tls.certificate)?;
-    let key = PrivateKeyDer::from_pem_file(&tls.key).map_err(|e| fault("tls.key", &tls.key, e))?;
+    let chain = certificates("tls.certificate", &tls.certificate_path)?;
+    let key = PrivateKeyDer::from_pem_file(&tls.key_path)
+        .map_err(|e| fault("tls.key", &tls.key_path, e))?;
     let mut roots = RootCertStore::empty();
-    for root in certificates("tls.clients", &tls.clients)? {
+    for root in certificates("tls.clients", &tls.client_ca_path)? {
         roots
             .add(root)
-            .map_err(|e| fault("tls.clients", &tls.clients, e))?;
+            .map_err(|e| fault("tls.clients", &tls.client_ca_path, e))?;
     }
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let clients = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider.clone())
         .build()
-        .map_err(|e| fault("tls.clients", &tls.clients, e))?;
+        .map_err(|e| fault("tls.clients", &tls.client_ca_path, e))?;
     let mut built = ServerConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
         .map_err(|e| fault("tls", "", e))?
         .with_client_cert_verifier(clients)
         .with_single_cert(chain, key)
-        .map_err(|e| fault("tls.key", &tls.key, e))?;
+        .map_err(|e| fault("tls.key", &tls.key_path, e))?;
     // A session that is resumed would bring no certificate to look at, and a CA that is gone would live on.
     built.session_storage = Arc::new(rustls::server::NoServerSessionStorage {});
     built.send_tls13_tickets = 0;
@@ -80,14 +81,14 @@
 
 impl Doorkeeper {
     /// Reads all that is needed.
-    pub fn new(tls: &Tls) -> Result<Doorkeeper, Vec<Fault>> {
+    pub fn new(tls: &TlsSettings) -> Result<Doorkeeper, Vec<Fault>> {
         Ok(Doorkeeper {
             now: RwLock::new(material(tls)?),
         })
     }
 
     /// Reads it anew. If anything is wrong, what was there stays.
-    pub fn reload(&self, tls: &Tls) -> Result<(), Vec<Fault>> {
+    pub fn reload(&self, tls: &TlsSettings) -> Result<(), Vec<Fault>> {
         let read = material(tls)?;
         *self.now.write().unwrap_or_else(PoisonError::into_inner) = read;
         Ok(())
--- a/crates/asterdale-daemon/src/token.rs
+++ b/crates/asterdale-daemon/src/token.rs
@@ -109,7 +109,7 @@
     stage: Option<String>,
 ) -> Result<(), String> {
     let told = |e: std::io::Error| format!("{}: {e}", file.display());
-    let start = start::read(
+    let start = start::parse(
         &std::fs::read(file).map_err(told)?,
         Some(String::new()),
         None,
@@ -124,14 +124,14 @@
     let callers = start
         .identity
         .ok_or("identity: the start file has no such section")?;
-    let source = set.map_or(callers.keys, |path| {
-        start::Source::File(path.display().to_string())
+    let source = set.map_or(callers.key_source, |path| {
+        start::KeySetSource::File(path.display().to_string())
     });
     let set = source
-        .read()
+        .read_file()
         .ok_or("--set: the start file names an issuer, and no file")??;
     let now = keys::now();
-    let mut identity = Identity::new(now, callers.facts)?;
+    let mut identity = Identity::new(now, callers.parameters)?;
     identity
         .offer(now, &set)
         .map_err(|why| format!("the set of keys is refused: {why:?}"))?;
@@ -152,7 +152,7 @@
     );
     if let Some(stage) = stage {
         let at = start
-            .facts
+            .settings
             .class_names
             .iter()
             .position(|name| *name == stage);
--- a/crates/asterdale-daemon/src/upgrade/mod.rs
+++ b/crates/asterdale-daemon/src/upgrade/mod.rs
@@ -30,8 +30,8 @@
 use crossbeam_channel::{bounded, Receiver, Sender};
 
 use port::{from_after, from_before, hello, mirror_frame, Remote, Successor};
-pub use wire::Line;
-use wire::{open, place, same_user, Hearing};
+pub use wire::FrameWriter;
+use wire::{open, place, same_user, FrameReader};
 
 /// Names the control socket to a process that is started to take over.
 const CONTROL: &str = "ASTERDALE_HANDOVER";
@@ -46,7 +46,7 @@
 
 /// Binds the control socket. Its folder must be this user's and closed to others; what is left of a process that
 /// is gone is removed, one that is there is not.
-pub fn bind(path: &Path) -> Result<UnixListener, String> {
+pub fn bind_control_socket(path: &Path) -> Result<UnixListener, String> {
     let told = |what: &str| format!("upgrade.control: {}: {what}", path.display());
     let folder = path
         .parent()
@@ -68,7 +68,7 @@
 }
 
 /// What a process that took over got of the one before.
-pub struct Taken {
+pub struct Inherited {
     /// The listeners, with where they listen.
     pub listeners: Vec<TcpListener>,
     /// The control socket.
@@ -77,14 +77,14 @@
     pub state: Vec<u8>,
     /// The epoch that it serves in.
     pub epoch: u64,
-    line: Line,
-    hearing: Hearing,
+    line: FrameWriter,
+    hearing: FrameReader,
     guarded: bool,
 }
 
-impl Taken {
+impl Inherited {
     /// The listener for this address, if one passed.
-    pub fn listener(&mut self, at: std::net::SocketAddr) -> Option<TcpListener> {
+    pub fn take_listener(&mut self, at: std::net::SocketAddr) -> Option<TcpListener> {
         let n = self
             .listeners
             .iter()
@@ -93,7 +93,7 @@
     }
 
     /// A way back over a connection of the process before.
-    pub fn client(&self) -> impl Fn(u64) -> Arc<dyn Connection> + '_ {
+    pub fn remote_connections(&self) -> impl Fn(u64) -> Arc<dyn Connection> + '_ {
         |connection| {
             Arc::new(Remote {
                 connection,
@@ -103,19 +103,19 @@
     }
 
     /// Where the guardian is told what it must know.
-    pub fn mirror(&self) -> Option<Mirror> {
+    pub fn mirror_to_old_process(&self) -> Option<Mirror> {
         let line = self.line.clone();
         let mirror = move |what| drop(line.send(What::Mirror(mirror_frame(what))));
         self.guarded.then(|| Box::new(mirror) as Mirror)
     }
 
     /// To the guardian.
-    pub fn line(&self) -> Line {
+    pub fn old_process(&self) -> FrameWriter {
         self.line.clone()
     }
 
     /// Hears what comes over connections of the process before, until it ends.
-    pub fn hear(mut self, host: &Sender<EngineMessage>, stages: usize) {
+    pub fn relay_from_old_process(mut self, host: &Sender<EngineMessage>, stages: usize) {
         let _ = self.hearing.within(None);
         while let Ok(Some(what)) = self.hearing.next() {
             let mail = match what {
@@ -131,7 +131,7 @@
 }
 
 /// Takes over, if this process was started for that. `Err` with why it can't: then it must end.
-pub fn take(stages: usize, descriptors: usize) -> Result<Option<Taken>, String> {
+pub fn inherit(stages: usize, descriptors: usize) -> Result<Option<Inherited>, String> {
     let (Some(control), Ok(nonce)) = (std::env::var_os(CONTROL), std::env::var(NONCE)) else {
         return Ok(None);
     };
@@ -208,7 +208,7 @@
         }
         if own {
             let control = sockets.take().ok_or("upgrade: no control socket")?;
-            return Ok(Some(Taken {
+            return Ok(Some(Inherited {
                 listeners,
                 control,
                 state,
@@ -232,10 +232,10 @@
     }
 }
 
-type Greeting = (Line, Hearing, message::Hello);
+type Greeting = (FrameWriter, FrameReader, message::Hello);
 
 /// The control socket's actor, and what a process needs to give its work away.
-pub struct Control {
+pub struct ControlServer {
     /// Its path.
     pub path: PathBuf,
     /// The socket.
@@ -245,22 +245,22 @@
     /// The epoch that this process serves in.
     pub epoch: u64,
     /// To the process that guards this one.
-    pub guardian: Option<Line>,
+    pub previous_process: Option<FrameWriter>,
     /// The host.
-    pub host: Sender<EngineMessage>,
+    pub engine: Sender<EngineMessage>,
     /// Has lines.
     pub log: Log,
 }
 
 struct Shared {
-    control: Control,
+    control: ControlServer,
     epoch: AtomicU64,
     busy: AtomicBool,
     aside: AtomicBool,
     greeting: Mutex<Option<Sender<Greeting>>>,
 }
 
-impl Control {
+impl ControlServer {
     /// Serves whoever connects, for the life of the process.
     pub fn serve(self) {
         let epoch = AtomicU64::new(self.epoch);
@@ -294,7 +294,7 @@
 }
 
 /// Tells whoever asked which process serves from now on, or why nothing has changed.
-fn outcome(line: &Line, done: Result<u32, String>) {
+fn outcome(line: &FrameWriter, done: Result<u32, String>) {
     let process = done.as_ref().copied().unwrap_or(0);
     let (done, why) = (done.is_ok(), done.err().unwrap_or_default());
     let _ = line.send(What::Outcome(Outcome { done, why, process }));
@@ -352,7 +352,7 @@
     }
 
     /// Gives the work away, and guards whoever has it until that is not needed any more.
-    fn give(&self, program: &str, asker: &Line) {
+    fn give(&self, program: &str, asker: &FrameWriter) {
         let lines = &self.control.log.lines;
         let mut nonce = [0; 16];
         if getrandom::fill(&mut nonce).is_err() {
@@ -397,11 +397,11 @@
     shared: &'a Shared,
     machine: Giver,
     child: Child,
-    asker: &'a Line,
+    asker: &'a FrameWriter,
     nonce: String,
     began: Instant,
-    line: Option<Line>,
-    hearing: Option<Hearing>,
+    line: Option<FrameWriter>,
+    hearing: Option<FrameReader>,
 }
 
 impl Giving<'_> {
@@ -472,7 +472,7 @@
                     let _ = self
                         .shared
                         .control
-                        .host
+                        .engine
                         .send(EngineMessage::HotRestart(step));
                 }
                 None
@@ -500,7 +500,7 @@
         let state = |step: fn(Sender<Vec<u8>>) -> HotRestartStep| {
             let (to, state) = bounded(1);
             control
-                .host
+                .engine
                 .send(EngineMessage::HotRestart(step(to)))
                 .ok()?;
             state.recv_timeout(STATE).ok()
@@ -551,16 +551,16 @@
                 let gone = line.send(What::Go(Go { epoch })).is_err();
                 if failpoint::is_active(Failpoint::Fence) {
                     let _ = control
-                        .host
+                        .engine
                         .send(EngineMessage::HotRestart(HotRestartStep::Thaw));
                     return None;
                 }
                 let _ = control
-                    .host
+                    .engine
                     .send(EngineMessage::HotRestart(HotRestartStep::Commit(Box::new(
                         Successor(line),
                     ))));
-                if let Some(guardian) = &control.guardian {
+                if let Some(guardian) = &control.previous_process {
                     let _ = guardian.send(What::Release(message::Release {}));
                 }
                 gone.then_some(giver::Event::Ended)
@@ -575,7 +575,7 @@
             }
             giver::Action::Thaw => {
                 let _ = control
-                    .host
+                    .engine
                     .send(EngineMessage::HotRestart(HotRestartStep::Thaw));
                 None
             }
@@ -583,13 +583,13 @@
                 self.shared.aside.store(false, Ordering::SeqCst);
                 self.shared.epoch.fetch_add(1, Ordering::SeqCst);
                 let _ = control
-                    .host
+                    .engine
                     .send(EngineMessage::HotRestart(HotRestartStep::Resume));
                 None
             }
             giver::Action::Exit => {
                 let _ = control
-                    .host
+                    .engine
                     .send(EngineMessage::HotRestart(HotRestartStep::Exit));
                 None
             }
@@ -606,7 +606,11 @@
 
 /// Asks the process behind this control socket to hand over, and tells how far it is; for the command line and for
 /// the signal. The number of the process that serves from then on.
-pub fn ask(control: &Path, program: &str, mut told: impl FnMut(&str)) -> Result<u32, String> {
+pub fn request_upgrade(
+    control: &Path,
+    program: &str,
+    mut told: impl FnMut(&str),
+) -> Result<u32, String> {
     let at = |e: io::Error| format!("{}: {e}", control.display());
     let (line, mut hearing) = open(UnixStream::connect(control).map_err(at)?).map_err(at)?;
     line.send(What::Upgrade(Upgrade {
--- a/crates/asterdale-daemon/src/upgrade/port.rs
+++ b/crates/asterdale-daemon/src/upgrade/port.rs
@@ -13,14 +13,14 @@
 use asterdale_hot_restart::message::frame::What;
 use asterdale_hot_restart::message::{self, Called, Check, Left, Mirror, Release, Task};
 
-use super::wire::{reply, reply_frame, way, way_frame, Line};
+use super::wire::{reply, reply_frame, way, way_frame, FrameWriter};
 
 /// The way back over a connection of the process before.
 pub struct Remote {
     /// The connection's number there.
     pub connection: u64,
     /// To that process.
-    pub line: Line,
+    pub line: FrameWriter,
 }
 
 impl Connection for Remote {
@@ -39,7 +39,7 @@
 }
 
 /// The way to the successor.
-pub struct Successor(pub Line);
+pub struct Successor(pub FrameWriter);
 
 /// Outcomes by their number in a frame.
 const OUTCOMES: [Outcome; 8] = [
@@ -117,7 +117,7 @@
 }
 
 /// What a frame of the process before is to the host; `None` for one that makes no sense here.
-pub fn from_before(what: What, line: &Line, stages: usize) -> Option<EngineMessage> {
+pub fn from_before(what: What, line: &FrameWriter, stages: usize) -> Option<EngineMessage> {
     let client = |connection| -> Arc<dyn Connection> {
         Arc::new(Remote {
             connection,
--- a/crates/asterdale-daemon/src/upgrade/wire.rs
+++ b/crates/asterdale-daemon/src/upgrade/wire.rs
@@ -25,13 +25,13 @@
 
 /// One end of a connection between two processes. Whoever writes holds it for one frame.
 #[derive(Clone)]
-pub struct Line {
+pub struct FrameWriter {
     stream: Arc<UnixStream>,
     writing: Arc<Mutex<()>>,
 }
 
 /// What comes in over it.
-pub struct Hearing {
+pub struct FrameReader {
     stream: Arc<UnixStream>,
     incoming: Incoming,
     /// Descriptors that came with what was read.
@@ -39,16 +39,16 @@
 }
 
 /// Both directions of a connection.
-pub fn open(stream: UnixStream) -> io::Result<(Line, Hearing)> {
+pub fn open(stream: UnixStream) -> io::Result<(FrameWriter, FrameReader)> {
     stream.set_write_timeout(Some(PATIENCE))?;
     let stream = Arc::new(stream);
-    let line = Line {
+    let line = FrameWriter {
         stream: stream.clone(),
         writing: Arc::default(),
     };
     Ok((
         line,
-        Hearing {
+        FrameReader {
             stream,
             incoming: Incoming::default(),
             descriptors: Vec::new(),
@@ -56,7 +56,7 @@
     ))
 }
 
-impl Line {
+impl FrameWriter {
     /// Writes a frame. Once this has returned well it lies in the other's buffer, whatever becomes of this process.
     pub fn send(&self, what: What) -> io::Result<()> {
         let bytes = encode(what);
@@ -102,7 +102,7 @@
     }
 
     /// Tells a guardian that it is not needed any more.
-    pub fn release(&self) {
+    pub fn send_release(&self) {
         let _ = self.send(What::Release(Release {}));
     }
 
@@ -112,7 +112,7 @@
     }
 }
 
-impl Hearing {
+impl FrameReader {
     /// How long to wait for more; `None` for ever.
     pub fn within(&self, time: Option<Duration>) -> io::Result<()> {
         self.stream
