--- a/crates/asterdale-daemon/src/cli.rs
+++ b/crates/asterdale-daemon/src/cli.rs
@@ -125,7 +125,7 @@
 
 /// The schema of the start file, as text.
 pub fn schema() -> String {
-    let schema = schemars::schema_for!(start::file::File);
+    let schema = schemars::schema_for!(start::file::StartFile);
     serde_json::to_string_pretty(&schema).unwrap_or_default()
 }
 
@@ -144,7 +144,7 @@
             );
             ExitCode::SUCCESS
         }
-        Err(faults) => tell(&faults),
+        Err(error) => tell(&error),
     }
 }
 
--- a/crates/asterdale-daemon/src/main.rs
+++ b/crates/asterdale-daemon/src/main.rs
@@ -42,8 +42,7 @@
 use signal_hook::iterator::Signals;
 
 use edge::{Door, Edge};
-use start::faults::Fault;
-use start::{KeySetSource, Start};
+use start::{KeySetSource, Start, StartError};
 #[cfg(feature = "tls")]
 use tls::Doorkeeper;
 
@@ -108,7 +107,7 @@
         tls: None,
     }];
     if let Some(tls) = &start.tls {
-        let doorkeeper = Doorkeeper::new(tls).map_err(|faults| one_line(&faults))?;
+        let doorkeeper = Doorkeeper::new(tls).map_err(|e| e.to_string())?;
         doors.push(Door {
             listen: tls.listen,
             first: 1 << 48,
@@ -128,14 +127,6 @@
     }])
 }
 
-fn one_line(faults: &[Fault]) -> String {
-    faults
-        .iter()
-        .map(ToString::to_string)
-        .collect::<Vec<_>>()
-        .join("; ")
-}
-
 /// What has to hear of a start file that is read again, but for the host.
 struct Rereading {
     file: Option<PathBuf>,
@@ -150,10 +141,10 @@
 impl Rereading {
     /// Reads it, and hands on what can change while the program serves.
     fn read(&self, host: &Sender<EngineMessage>) -> Result<bool, String> {
-        let start = told(self.file.as_deref()).map_err(|faults| one_line(&faults))?;
+        let start = told(self.file.as_deref()).map_err(|e| e.to_string())?;
         #[cfg(feature = "tls")]
         if let (Some(doorkeeper), Some(tls)) = (&self.doorkeeper, &start.tls) {
-            doorkeeper.reload(tls).map_err(|faults| one_line(&faults))?;
+            doorkeeper.reload(tls).map_err(|e| e.to_string())?;
         }
         let keys = start
             .identity
@@ -169,7 +160,9 @@
             }
             (Some(source), _) => {
                 if let Some(set) = source.read_file() {
-                    sent &= host.send(EngineMessage::KeySet(set?)).is_ok();
+                    sent &= host
+                        .send(EngineMessage::KeySet(set.map_err(|e| e.to_string())?))
+                        .is_ok();
                 }
             }
             _ => {}
@@ -462,7 +455,7 @@
     }
     match identity.key_source.read_file() {
         Some(Ok(set)) => drop(mail.send(EngineMessage::KeySet(set))),
-        Some(Err(why)) => slog::error!(log.lines, "identity: no set of keys"; "why" => why),
+        Some(Err(why)) => slog::error!(log.lines, "identity: no set of keys"; "why" => %why),
         None => {}
     }
     Ok((Some(gate), None))
@@ -481,7 +474,7 @@
     }));
 }
 
-fn told(file: Option<&Path>) -> Result<Start, Vec<Fault>> {
+fn told(file: Option<&Path>) -> Result<Start, StartError> {
     file.map_or_else(start::from_environment, start::from_file)
 }
 
@@ -497,8 +490,9 @@
 }
 
 /// Tells what is wrong, a line each.
-fn tell(faults: &[Fault]) -> ExitCode {
-    faults
+fn tell(error: &StartError) -> ExitCode {
+    error
+        .faults()
         .iter()
         .for_each(|fault| eprintln!("asterdale: {fault}"));
     ExitCode::from(2)
@@ -508,7 +502,7 @@
     end_on_panic();
     let start = match told(how.file.as_deref()) {
         Ok(start) => start,
-        Err(faults) => return tell(&faults),
+        Err(error) => return tell(&error),
     };
     let (log, guard) = Log::to_stderr(
         &start.name,
--- /dev/null
+++ b/crates/asterdale-daemon/src/start/identity/callers.rs
@@ -0,0 +1,169 @@
+//! The lists of section `identity`: roles, tenants and client certificates, and how they refer to each other.
+
+use asterdale_identity::rights::{Role, Tenant, MOST_NAMED_ROLES, MOST_TENANTS};
+use asterdale_identity::Named;
+use asterdale_parameters::Settings;
+
+use super::section::{CertificateSection, RoleSection, TenantSection};
+use crate::start::error::Faults;
+use crate::start::unique_names;
+
+/// Requests of one tenant that may be open in a role at once where the section has no limit.
+const DEFAULT_MAX_OPEN: u32 = 256;
+/// The burst of a role where the section has none, in seconds of its rate.
+const DEFAULT_BURST_SECONDS: f64 = 2.0;
+/// Prefixes of a subject alternative name, one for each kind.
+const NAME_KINDS: [&str; 3] = ["dns:", "uri:", "email:"];
+
+/// The roles. What is wrong is reported and left out.
+pub fn check_roles(
+    sections: Option<Vec<RoleSection>>,
+    settings: &Settings,
+    faults: &mut Faults,
+) -> Vec<Role> {
+    let sections = faults
+        .require("identity.roles", sections)
+        .unwrap_or_default();
+    let names = sections.iter().map(|role| role.name.as_ref());
+    unique_names("identity.roles", names, faults);
+    if sections.len() > MOST_NAMED_ROLES {
+        let rule = format!("no more than {MOST_NAMED_ROLES} are taken");
+        faults.add("identity.roles", rule);
+    }
+    let sections = sections.into_iter().enumerate();
+    sections
+        .map(|(index, section)| check_role(index, section, settings, faults))
+        .collect()
+}
+
+fn check_role(
+    index: usize,
+    section: RoleSection,
+    settings: &Settings,
+    faults: &mut Faults,
+) -> Role {
+    let path = format!("identity.roles[{index}].stages");
+    let names = faults.require(&path, section.classes).unwrap_or_default();
+    let mut classes = Vec::new();
+    for (position, name) in names.iter().enumerate() {
+        match settings.class_names.iter().position(|known| known == name) {
+            Some(class) => classes.push(class),
+            None => faults.add(
+                format!("{path}[{position}]"),
+                format!("{name:?} is no name in settings.lanes"),
+            ),
+        }
+    }
+    let rate_per_s = section.rate_per_s.map_or(f64::INFINITY, |rate| rate.0);
+    let default_burst = (DEFAULT_BURST_SECONDS * rate_per_s).max(1.0);
+    Role {
+        name: section.name.unwrap_or_default(),
+        stages: classes,
+        open: section.max_open.unwrap_or(DEFAULT_MAX_OPEN) as usize,
+        per_s: rate_per_s,
+        burst: section
+            .burst
+            .map_or(default_burst, |burst| burst.0.max(1.0)),
+        hint_ms: section.max_cost_ms.map_or(f64::INFINITY, |ms| ms.0),
+    }
+}
+
+/// The tenants. What is wrong is reported.
+pub fn check_tenants(
+    sections: Option<Vec<TenantSection>>,
+    roles: &[Role],
+    settings: &Settings,
+    faults: &mut Faults,
+) -> Vec<Tenant> {
+    let sections = faults
+        .require("identity.tenants", sections)
+        .unwrap_or_default();
+    let names = sections.iter().map(|tenant| tenant.name.as_ref());
+    unique_names("identity.tenants", names, faults);
+    if sections.len() > MOST_TENANTS {
+        let rule = format!("no more than {MOST_TENANTS} are taken");
+        faults.add("identity.tenants", rule);
+    }
+    let quotas = settings.decisions.tenants.len();
+    let mut tenants = Vec::new();
+    for (index, section) in sections.into_iter().enumerate() {
+        let path = format!("identity.tenants[{index}]");
+        let quota = section.quota_index.unwrap_or(0) as usize;
+        if section.quota_index.is_some() && quota >= quotas {
+            let rule = format!("{quota} is no position in settings.tenants, which has {quotas}");
+            faults.add(format!("{path}.customer"), rule);
+        }
+        tenants.push(Tenant {
+            name: section.name.unwrap_or_default(),
+            customer: quota,
+            roles: check_role_names(&format!("{path}.roles"), section.roles, roles, faults),
+        });
+    }
+    tenants
+}
+
+/// The callers that client certificates stand for. What is wrong is reported.
+pub fn check_certificates(
+    sections: Option<Vec<CertificateSection>>,
+    roles: &[Role],
+    tenants: &[Tenant],
+    faults: &mut Faults,
+) -> Vec<Named> {
+    let sections = sections.unwrap_or_default();
+    let names = sections.iter().map(|certificate| certificate.name.as_ref());
+    unique_names("identity.certificates", names, faults);
+    let mut certificates = Vec::new();
+    for (index, section) in sections.into_iter().enumerate() {
+        let path = format!("identity.certificates[{index}]");
+        let name = check_certificate_name(&path, section.name, faults);
+        let tenant_path = format!("{path}.tenant");
+        let tenant = faults
+            .require(&tenant_path, section.tenant)
+            .unwrap_or_default();
+        if !tenants.iter().any(|known| known.name == tenant) {
+            let rule = format!("{tenant:?} is no name in identity.tenants");
+            faults.add(tenant_path, rule);
+        }
+        let roles = check_role_names(&format!("{path}.roles"), section.roles, roles, faults);
+        let subject = section.subject.unwrap_or_else(|| name.clone());
+        certificates.push(Named {
+            name,
+            tenant,
+            subject,
+            roles,
+        });
+    }
+    certificates
+}
+
+/// A subject alternative name with its prefix. DNS names are compared in lower case.
+fn check_certificate_name(path: &str, name: Option<String>, faults: &mut Faults) -> String {
+    let mut name = name.unwrap_or_default();
+    if !NAME_KINDS.iter().any(|kind| name.starts_with(kind)) {
+        faults.add(
+            format!("{path}.name"),
+            "dns:, uri: or email: and a name is wanted",
+        );
+    }
+    if name.starts_with("dns:") {
+        name.make_ascii_lowercase();
+    }
+    name
+}
+
+/// A required list of names, each of which must be a role's. All are returned.
+fn check_role_names(
+    path: &str,
+    names: Option<Vec<String>>,
+    roles: &[Role],
+    faults: &mut Faults,
+) -> Vec<String> {
+    let names = faults.require(path, names).unwrap_or_default();
+    for (index, name) in names.iter().enumerate() {
+        if !roles.iter().any(|role| role.name == *name) {
+            let rule = format!("{name:?} is no name in identity.roles");
+            faults.add(format!("{path}[{index}]"), rule);
+        }
+    }
+    names
+}
--- /dev/null
+++ b/crates/asterdale-daemon/src/start/identity/mod.rs
@@ -0,0 +1,176 @@
+//! Section `identity` of the start file: which callers are accepted, and where the keys that verify them come from.
+
+mod callers;
+pub mod section;
+
+use std::io::{self, Read as _};
+
+use asterdale_engine::issuer::KeySource;
+use asterdale_identity::keyring::{public_key, MOST_SET};
+use asterdale_identity::Facts as IdentityParameters;
+use asterdale_parameters::Settings;
+use thiserror::Error;
+
+use super::error::{Faults, Problem};
+use section::{IdentitySection, IssuerSection, KeySetSection};
+
+/// The difference of clocks that is allowed where the section has none, in milliseconds.
+const DEFAULT_SKEW_MS: f64 = 500.0;
+/// Differences of clocks that are accepted, in milliseconds: a larger one would let tokens live long past their end.
+const SKEW_MS: std::ops::RangeInclusive<f64> = 0.0..=300_000.0;
+/// The size of the token cache where the section has none, in tokens.
+const DEFAULT_CACHED_TOKENS: u32 = 2048;
+/// The largest size of the token cache, in tokens, to bound its memory.
+const MAX_CACHED_TOKENS: u32 = 65_536;
+/// Signatures a second for one edge node where the section has none: a small part of one core.
+const DEFAULT_SIGNATURES_PER_EDGE: f64 = 50.0;
+/// Signatures a second for all edge nodes together where the section has none.
+const DEFAULT_SIGNATURES: f64 = 400.0;
+/// The time between two polls of the issuer where the section has none, in milliseconds.
+const DEFAULT_POLL_INTERVAL_MS: f64 = 30_000.0;
+/// The longest path of a key set at its issuer, in bytes, so that a request for it fits in one packet.
+const MAX_ISSUER_PATH_BYTES: usize = 1024;
+
+/// Which callers are accepted, and where the keys that verify them come from.
+#[derive(Clone, Debug)]
+pub struct IdentitySettings {
+    /// How callers are verified.
+    pub parameters: IdentityParameters,
+    /// Where key sets come from.
+    pub key_source: KeySetSource,
+}
+
+/// Where key sets come from.
+#[derive(Clone, Debug)]
+pub enum KeySetSource {
+    /// A file, by its path.
+    File(String),
+    /// An issuer that is polled over HTTP.
+    Issuer(KeySource),
+}
+
+/// The file of a key set can't be read.
+#[derive(Debug, Error)]
+#[error("{path}: {source}")]
+pub struct ReadKeySetError {
+    path: String,
+    source: io::Error,
+}
+
+impl KeySetSource {
+    /// Reads the key set, without the white space around it; `None` if it comes from an issuer. A file that is longer than
+    /// a key set may be is cut one byte beyond that, so that the check of the set rejects it for its length.
+    pub fn read_file(&self) -> Option<Result<Vec<u8>, ReadKeySetError>> {
+        let KeySetSource::File(path) = self else {
+            return None;
+        };
+        let mut text = Vec::new();
+        let read = std::fs::File::open(path)
+            .and_then(|file| file.take(MOST_SET as u64 + 1).read_to_end(&mut text))
+            .map_err(|source| ReadKeySetError {
+                path: path.clone(),
+                source,
+            });
+        Some(read.map(|_| text.trim_ascii().to_vec()))
+    }
+}
+
+/// Checks the section; `None` if it has no usable source of key sets.
+pub fn check(
+    section: IdentitySection,
+    seed: u64,
+    settings: &Settings,
+    faults: &mut Faults,
+) -> Option<IdentitySettings> {
+    let issuer = require_text("identity.issuer", section.issuer, faults);
+    let audience = require_text("identity.audience", section.audience, faults);
+    let mut roots = Vec::new();
+    for (index, text) in require_roots(section.roots, faults).iter().enumerate() {
+        match public_key(text) {
+            Some(root) => roots.push(root),
+            None => faults.add(
+                format!("identity.roots[{index}]"),
+                "is no public key: 32 bytes in base64url",
+            ),
+        }
+    }
+    let skew_ms = section.skew_ms.unwrap_or(DEFAULT_SKEW_MS);
+    if !SKEW_MS.contains(&skew_ms) {
+        faults.add("identity.skew_ms", "from 0 to 300000 is wanted");
+    }
+    let roles = callers::check_roles(section.roles, settings, faults);
+    let tenants = callers::check_tenants(section.tenants, &roles, settings, faults);
+    let certificates = callers::check_certificates(section.certificates, &roles, &tenants, faults);
+    let key_source = check_key_source(section.keys, faults)?;
+    let cached_tokens = section.cache.unwrap_or(DEFAULT_CACHED_TOKENS);
+    let parameters = IdentityParameters {
+        seed,
+        issuer,
+        audience,
+        roots,
+        most_age_ms: section.max_age_ms.map_or(f64::INFINITY, |ms| ms.0),
+        skew_ms,
+        cache: cached_tokens.clamp(1, MAX_CACHED_TOKENS) as usize,
+        per_edge: section
+            .signatures_per_edge
+            .map_or(DEFAULT_SIGNATURES_PER_EDGE, |rate| rate.0),
+        in_all: section.signatures.map_or(DEFAULT_SIGNATURES, |rate| rate.0),
+        roles,
+        tenants,
+        certificates,
+    };
+    Some(IdentitySettings {
+        parameters,
+        key_source,
+    })
+}
+
+/// A required text; empty if it is missing or empty, which is reported.
+fn require_text(path: &str, text: Option<String>, faults: &mut Faults) -> String {
+    let text = faults.require(path, text).unwrap_or_default();
+    if text.is_empty() && !faults.has(path) {
+        faults.add(path, Problem::Empty);
+    }
+    text
+}
+
+/// The texts of the public keys that sign key sets; at least one is required.
+fn require_roots(roots: Option<Vec<String>>, faults: &mut Faults) -> Vec<String> {
+    let roots = faults.require("identity.roots", roots).unwrap_or_default();
+    if roots.is_empty() {
+        faults.add("identity.roots", "at least one is wanted");
+    }
+    roots
+}
+
+/// The source of key sets; `None` if it is missing or incomplete.
+fn check_key_source(section: Option<KeySetSection>, faults: &mut Faults) -> Option<KeySetSource> {
+    let section = faults.require("identity.keys", section)?;
+    match (section.file, section.fetch) {
+        (Some(path), None) => Some(KeySetSource::File(path)),
+        (None, Some(issuer)) => check_issuer(issuer, faults).map(KeySetSource::Issuer),
+        _ => {
+            faults.add("identity.keys", "one of file and fetch is wanted");
+            None
+        }
+    }
+}
+
+fn check_issuer(section: IssuerSection, faults: &mut Faults) -> Option<KeySource> {
+    let address = faults.require("identity.keys.fetch.at", section.address)?.0;
+    let path = faults.require("identity.keys.fetch.path", section.path)?;
+    let is_printable = path.bytes().all(|byte| byte.is_ascii_graphic());
+    if !path.starts_with('/') || !is_printable || path.len() > MAX_ISSUER_PATH_BYTES {
+        faults.add(
+            "identity.keys.fetch.path",
+            "a path that begins with / is wanted",
+        );
+    }
+    Some(KeySource {
+        address,
+        path,
+        interval_ms: section
+            .poll_interval_ms
+            .map_or(DEFAULT_POLL_INTERVAL_MS, |ms| ms.0),
+    })
+}
--- /dev/null
+++ b/crates/asterdale-daemon/src/start/journal.rs
@@ -0,0 +1,87 @@
+//! Section `journal` of the start file: state on a local disk that survives a crash of this process.
+
+#[cfg(feature = "tools")]
+use schemars::JsonSchema;
+use serde::Deserialize;
+
+use asterdale::parameters::Idempotency;
+use asterdale_parameters::Settings;
+
+use super::error::Faults;
+use super::value::Positive;
+
+/// The size of the file where the section has none, in megabytes.
+const DEFAULT_DISK_MB: f64 = 256.0;
+/// Sizes of the file that are accepted, in megabytes: a smaller one has no space for a burst of keys, a larger one takes
+/// too long to check at the start.
+const DISK_MB: std::ops::RangeInclusive<f64> = 8.0..=65_536.0;
+/// The size of the part in memory where the section has none, in megabytes.
+const DEFAULT_MEMORY_MB: f64 = 16.0;
+
+/// State on a local disk that survives a crash of this process.
+#[derive(Clone, Debug, Default, Deserialize)]
+#[cfg_attr(feature = "tools", derive(JsonSchema))]
+#[serde(
+    rename = "Lasting",
+    expecting = "struct Lasting",
+    default,
+    deny_unknown_fields
+)]
+pub struct JournalSection {
+    /// A folder on a local disk, for this process alone.
+    #[cfg_attr(feature = "tools", schemars(required))]
+    pub folder: Option<String>,
+    /// The largest size of its file, in megabytes; 256 if absent.
+    pub disk_mb: Option<Positive>,
+    /// The largest size of its part in memory, in megabytes; 16 if absent.
+    pub memory_mb: Option<Positive>,
+}
+
+/// The journal of this process.
+#[derive(Clone, Debug, PartialEq)]
+pub struct JournalSettings {
+    /// The folder.
+    pub folder: String,
+    /// The largest size of its file, in bytes.
+    pub max_disk_bytes: u64,
+    /// The largest size of its part in memory, in bytes.
+    pub max_memory_bytes: usize,
+    /// How long a key is kept: the longest retry window of any keyed request class, and `max_unread_ms`.
+    pub retention_ms: f64,
+    /// The longest that a request may wait unread in a socket, in milliseconds: the longest deadline of any class.
+    pub max_unread_ms: f64,
+}
+
+/// Checks the section; `None` if the folder is missing.
+pub fn check(
+    section: JournalSection,
+    settings: &Settings,
+    faults: &mut Faults,
+) -> Option<JournalSettings> {
+    if !cfg!(feature = "journal") {
+        faults.add("journal", "this build keeps nothing on disk");
+    }
+    let folder = faults.require("journal.folder", section.folder);
+    let disk_mb = section.disk_mb.map_or(DEFAULT_DISK_MB, |mb| mb.0);
+    if !DISK_MB.contains(&disk_mb) {
+        faults.add("journal.disk_mb", "from 8 to 65536 is wanted");
+    }
+    let memory_mb = section.memory_mb.map_or(DEFAULT_MEMORY_MB, |mb| mb.0);
+    let classes = &settings.decisions.classes;
+    let max_unread_ms = classes
+        .iter()
+        .map(|class| class.deadline_ms)
+        .fold(0.0, f64::max);
+    let retry_window_ms = classes
+        .iter()
+        .filter(|class| class.idempotency == Idempotency::Keyed)
+        .map(|class| class.retry_window_ms)
+        .fold(0.0, f64::max);
+    Some(JournalSettings {
+        folder: folder?,
+        max_disk_bytes: (disk_mb * 1e6) as u64,
+        max_memory_bytes: (memory_mb * 1e6) as usize,
+        retention_ms: retry_window_ms + max_unread_ms,
+        max_unread_ms,
+    })
+}
--- /dev/null
+++ b/crates/asterdale-daemon/src/start/load.rs
@@ -0,0 +1,216 @@
+//! Loading the start file: finds it, reads all sections in order, and checks what they demand of each other.
+
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::Arc;
+
+use asterdale_engine::message::Endpoints;
+use asterdale_parameters::Settings;
+use serde_json::Value;
+
+use super::deserialize::deserialize_reporting;
+use super::error::{Fault, Faults, Problem, StartError};
+use super::file::StartFile;
+use super::value::Address;
+use super::{decisions, fleet, identity, journal, limits, ownership, tls, upgrade};
+use super::{FleetSettings, JournalSettings, OwnershipSettings, Start, TlsSettings};
+
+/// The variable that names the start file.
+const FILE_VARIABLE: &str = "ROUTER_CONFIG";
+/// The variable with the backend's name, which takes precedence over the file.
+const NAME_VARIABLE: &str = "ROUTER_NAME";
+/// The variable with the address to listen on, which takes precedence over the file.
+const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
+/// What faults of the file as a whole are reported under.
+const FILE: &str = "start file";
+
+/// The value of an environment variable; `None` if it is absent or empty.
+fn environment_variable(name: &str) -> Option<String> {
+    std::env::var(name).ok().filter(|value| !value.is_empty())
+}
+
+/// Loads the file that the variable `ROUTER_CONFIG` names.
+///
+/// # Errors
+/// Every fault, if the variable is not set, the file can't be read, or its content is wrong.
+pub fn from_environment() -> Result<Start, StartError> {
+    let path = environment_variable(FILE_VARIABLE)
+        .ok_or_else(|| Fault::new(FILE_VARIABLE, Problem::NotSet))?;
+    load(Path::new(&path), FILE_VARIABLE)
+}
+
+/// Loads this file.
+///
+/// # Errors
+/// Every fault, if the file can't be read or its content is wrong.
+pub fn from_file(path: &Path) -> Result<Start, StartError> {
+    load(path, FILE)
+}
+
+fn load(path: &Path, reported_as: &str) -> Result<Start, StartError> {
+    let text = std::fs::read(path).map_err(|source| {
+        let file = path.display().to_string();
+        Fault::new(reported_as, Problem::UnreadableFile { file, source })
+    })?;
+    parse(
+        &text,
+        environment_variable(NAME_VARIABLE),
+        environment_variable(LISTEN_VARIABLE),
+    )
+}
+
+/// Reads the text of a start file. A name and an address that are given take precedence over the file's.
+///
+/// # Errors
+/// Every fault that was found, each with the path of its field.
+pub fn parse(
+    text: &[u8],
+    name: Option<String>,
+    listen: Option<String>,
+) -> Result<Start, StartError> {
+    let json: Value = serde_json::from_slice(text)
+        .map_err(|e| Fault::new(FILE, Problem::Malformed(e.to_string())))?;
+    let mut faults = Faults::default();
+    let file: StartFile = deserialize_reporting(json.clone(), &mut faults);
+    let start = check(file, &json, name, listen, &mut faults);
+    faults.into_result().map(|()| start)
+}
+
+/// Checks all sections in the order in which their faults are reported. What is wrong is reported, and a placeholder
+/// stands for it in the result.
+fn check(
+    file: StartFile,
+    json: &Value,
+    name: Option<String>,
+    listen: Option<String>,
+    faults: &mut Faults,
+) -> Start {
+    let endpoints = Endpoints {
+        runtime: require_address("runtime", file.runtime, faults),
+        registry: require_address("registry", file.registry, faults),
+        records: require_address("records", file.records, faults),
+    };
+    let listen = listen_address(listen, file.listen, faults);
+    let name = name
+        .or_else(|| faults.require("name", file.name))
+        .unwrap_or_default();
+    let seed = faults.require("seed", file.seed).map_or(0, |seed| seed.0);
+    let stop_ms = limits::require_number(faults, "stop_ms", file.stop_ms);
+    let limits = limits::check(file.limits, faults);
+    decisions::check(file.decisions.as_ref(), faults);
+    let settings = asterdale_parameters::from_json(seed, &json["settings"]);
+    let tls = check_tls(file.tls, file.identity.is_some(), faults);
+    let control_socket = file
+        .upgrade
+        .and_then(|section| upgrade::check(section, faults));
+    let is_upgradable = control_socket.is_some();
+    let fleet = check_fleet(file.fleet, is_upgradable, faults);
+    let ownership = check_ownership(file.ownership, fleet.is_some(), &settings, faults);
+    let journal = check_journal(file.journal, is_upgradable, &settings, faults);
+    let identity = file
+        .identity
+        .and_then(|section| identity::check(section, seed, &settings, faults));
+    Start {
+        name,
+        listen,
+        endpoints,
+        stop_ms,
+        memory_bytes: limits.memory_bytes,
+        max_descriptors: limits.max_descriptors,
+        settings: Arc::new(settings),
+        identity,
+        tls,
+        control_socket,
+        fleet,
+        ownership,
+        journal,
+    }
+}
+
+/// A required address; an unspecified one if it is missing, which is reported.
+fn require_address(path: &str, address: Option<Address>, faults: &mut Faults) -> SocketAddr {
+    faults
+        .require(path, address)
+        .map_or_else(unspecified_address, |address| address.0)
+}
+
+fn unspecified_address() -> SocketAddr {
+    SocketAddr::from(([0, 0, 0, 0], 0))
+}
+
+/// The address to listen on: the variable's, else the file's.
+fn listen_address(
+    variable: Option<String>,
+    field: Option<Address>,
+    faults: &mut Faults,
+) -> SocketAddr {
+    let Some(text) = variable else {
+        return require_address("listen", field, faults);
+    };
+    text.parse().unwrap_or_else(|_| {
+        faults.add(LISTEN_VARIABLE, Problem::NotAnAddress(text));
+        unspecified_address()
+    })
+}
+
+fn check_tls(
+    section: Option<tls::TlsSection>,
+    has_identity: bool,
+    faults: &mut Faults,
+) -> Option<TlsSettings> {
+    let settings = tls::check(section?, faults);
+    if settings.is_some() && !has_identity {
+        faults.add(
+            "tls",
+            "means nothing without identity, which says for whom certificates speak",
+        );
+    }
+    settings
+}
+
+fn check_fleet(
+    section: Option<fleet::FleetSection>,
+    is_upgradable: bool,
+    faults: &mut Faults,
+) -> Option<FleetSettings> {
+    let settings = fleet::check(section?, faults);
+    if settings.is_some() && is_upgradable {
+        faults.add(
+            "fleet",
+            "can't be told together with upgrade: two processes would have one address",
+        );
+    }
+    settings
+}
+
+fn check_ownership(
+    section: Option<ownership::OwnershipSection>,
+    has_fleet: bool,
+    settings: &Settings,
+    faults: &mut Faults,
+) -> Option<OwnershipSettings> {
+    let section = section?;
+    if !has_fleet {
+        faults.add(
+            "takeover",
+            "means nothing without fleet, whose processes keep it",
+        );
+    }
+    Some(ownership::check(section, settings, faults))
+}
+
+fn check_journal(
+    section: Option<journal::JournalSection>,
+    is_upgradable: bool,
+    settings: &Settings,
+    faults: &mut Faults,
+) -> Option<JournalSettings> {
+    let section = section?;
+    if is_upgradable {
+        faults.add(
+            "journal",
+            "can't be told together with upgrade yet: two processes would have one folder",
+        );
+    }
+    journal::check(section, settings, faults)
+}
--- /dev/null
+++ b/crates/asterdale-daemon/src/start/tests.rs
@@ -0,0 +1,319 @@
+//! Tests of reading the start file: precedence, faults and their paths, defaults, the schema, the files in `deploy`.
+
+use serde_json::{json, Value};
+
+use super::*;
+
+fn minimal() -> Value {
+    json!({"name": "n3", "listen": "127.0.0.1:8080", "runtime": "127.0.0.2:1", "registry": "127.0.0.3:1",
+        "records": "127.0.0.4:1", "seed": "8c1f30d27a5be964", "stop_ms": 3200,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "settings": {"extra": {"cores": 6, "memoryKb": 9e4}, "lanes": [{"name": "bid"}],
+            "tenants": [{}, {}]}})
+}
+
+fn with_identity() -> Value {
+    let mut all = minimal();
+    let root = asterdale_identity::mint::Secret::from_seed([1; 32], "r").public_text();
+    all["identity"] = json!({"issuer": "i", "audience": "a", "roots": [root], "keys": {"file": "/k"},
+        "roles": [{"name": "phone", "stages": ["bid"]}],
+        "tenants": [{"name": "t", "customer": 1, "roles": ["phone"]}]});
+    all
+}
+
+/// The paths of all faults that are found in this file.
+fn paths(all: &Value) -> Vec<String> {
+    parse(all.to_string().as_bytes(), None, None)
+        .unwrap_err()
+        .faults()
+        .iter()
+        .map(|fault| fault.path.clone())
+        .collect()
+}
+
+#[test]
+fn environment_variables_take_precedence_over_the_file() {
+    let text = minimal().to_string();
+    let start = parse(
+        text.as_bytes(),
+        Some("n9".into()),
+        Some("127.0.0.9:9".into()),
+    )
+    .unwrap();
+    assert_eq!(
+        (start.name.as_str(), start.listen.to_string().as_str()),
+        ("n9", "127.0.0.9:9")
+    );
+    assert_eq!(
+        parse(text.as_bytes(), None, None).unwrap().listen.port(),
+        8080
+    );
+    assert_eq!(start.settings.decisions.seed, 0x8c1f_30d2_7a5b_e964);
+    assert!(start.identity.is_none());
+}
+
+#[test]
+fn each_fault_has_the_path_of_its_field() {
+    for (field, value, path) in [
+        ("runtime", json!("nowhere"), "runtime"),
+        ("records", json!(5), "records"),
+        ("seed", json!("xyz"), "seed"),
+        ("stop_ms", json!(-1), "stop_ms"),
+        ("limits", json!({"memory_mb": 192}), "limits.sockets"),
+        ("settings", json!([]), "settings.lanes"),
+        (
+            "settings",
+            json!({"extra": {"cores": 1, "memoryKb": 1}, "lanes": []}),
+            "settings.lanes",
+        ),
+        (
+            "settings",
+            json!({"extra": {"cores": 1, "memoryKb": 1}, "lanes": [{}]}),
+            "settings.lanes[0].name",
+        ),
+        (
+            "settings",
+            json!({"extra": {"cores": 0, "memoryKb": 1}, "lanes": [{"name": "a"}]}),
+            "settings.extra.cores",
+        ),
+    ] {
+        let mut all = minimal();
+        all[field] = value.clone();
+        assert!(
+            paths(&all).contains(&path.to_owned()),
+            "{path} of {value}: {:?}",
+            paths(&all)
+        );
+    }
+    let broken = parse(b"{", None, None).unwrap_err();
+    assert_eq!(broken.faults()[0].path, "start file");
+}
+
+#[cfg(feature = "fleet")]
+#[test]
+fn faults_in_the_fleet_section_have_their_paths() {
+    let key = std::env::temp_dir().join(format!("asterdale-start-{}", std::process::id()));
+    std::fs::write(&key, "sixteen bytes ok\n").unwrap();
+    let mut all = minimal();
+    all["fleet"] = json!({"listen": "127.0.0.1:7000", "seeds": ["10.0.0.1:7000"], "key": key});
+    let fleet = parse(all.to_string().as_bytes(), None, None)
+        .unwrap()
+        .fleet
+        .unwrap();
+    assert_eq!(
+        (fleet.listen, fleet.protocol_period_ms),
+        (fleet.advertise, 1000.0)
+    );
+    assert_eq!(fleet.key, b"sixteen bytes ok");
+    for (field, value, path) in [
+        ("listen", json!("here"), "fleet.listen"),
+        ("listen", json!("0.0.0.0:7000"), "fleet.advertise"),
+        ("seeds", json!(["one"]), "fleet.seeds[0]"),
+        ("interval_ms", json!(1), "fleet.interval_ms"),
+        ("key", json!("/nowhere"), "fleet.key"),
+        ("keys", json!("x"), "fleet.keys"),
+    ] {
+        let mut wrong = all.clone();
+        wrong["fleet"][field] = value;
+        assert_eq!(paths(&wrong), [path], "{wrong}");
+    }
+    std::fs::write(&key, "short").unwrap();
+    assert_eq!(paths(&all), ["fleet.key"]);
+    all["upgrade"] = json!({"control": "/c"});
+    assert_eq!(paths(&all), ["fleet.key", "fleet"]);
+    std::fs::remove_file(key).unwrap();
+}
+
+#[cfg(feature = "fleet")]
+#[test]
+fn faults_in_the_ownership_section_have_their_paths() {
+    let key = std::env::temp_dir().join(format!("asterdale-custody-{}", std::process::id()));
+    std::fs::write(&key, "sixteen bytes ok\n").unwrap();
+    let mut all = minimal();
+    let class = json!({"name": "bid", "repeat": "by_key", "memorySpanNs": 5_000_000_000u64});
+    all["settings"]["lanes"] = json!([{"name": "page", "repeat": "repeatable"}, class]);
+    all["fleet"] = json!({"listen": "127.0.0.1:7000", "key": key});
+    all["takeover"] = json!({"keepers": [{"name": "n0", "at": "127.0.0.1:7000"}],
+        "stages": [{"name": "bid", "fenced": true}], "lease_ms": 1000});
+    let section = parse(all.to_string().as_bytes(), None, None)
+        .unwrap()
+        .ownership
+        .unwrap();
+    assert_eq!(
+        (
+            section.replicated_classes,
+            section.retry_window_ms,
+            section.lease_ms
+        ),
+        (vec![None, Some(true)], 5000.0, 1000.0)
+    );
+    for (field, value, path) in [
+        ("keepers", json!([]), "takeover.keepers"),
+        ("keepers", json!([{"name": "n0"}]), "takeover.keepers[0].at"),
+        (
+            "stages",
+            json!([{"name": "page"}]),
+            "takeover.stages[0].name",
+        ),
+        (
+            "stages",
+            json!([{"name": "none"}]),
+            "takeover.stages[0].name",
+        ),
+        ("lease_ms", json!(10), "takeover.lease_ms"),
+        ("memory_mb", json!(100), "takeover.memory_mb"),
+        ("leases", json!(1), "takeover.leases"),
+    ] {
+        let mut wrong = all.clone();
+        wrong["takeover"][field] = value;
+        assert_eq!(paths(&wrong), [path], "{wrong}");
+    }
+    all["fleet"] = Value::Null;
+    assert_eq!(paths(&all), ["takeover"]);
+    std::fs::remove_file(key).unwrap();
+}
+
+#[cfg(feature = "journal")]
+#[test]
+fn faults_in_the_journal_section_have_their_paths() {
+    let mut all = minimal();
+    let class = json!({"name": "bid", "repeat": "by_key", "memorySpanNs": 5_000_000_000u64, "deadlineNs": 2_000_000_000u64});
+    all["settings"]["lanes"] = json!([class]);
+    all["journal"] = json!({"folder": "/var/lib/asterdale"});
+    let section = parse(all.to_string().as_bytes(), None, None)
+        .unwrap()
+        .journal
+        .unwrap();
+    assert_eq!(
+        (
+            section.retention_ms,
+            section.max_unread_ms,
+            section.max_disk_bytes
+        ),
+        (7000.0, 2000.0, 256_000_000)
+    );
+    for (field, value, path) in [
+        ("folder", Value::Null, "journal.folder"),
+        ("disk_mb", json!(1), "journal.disk_mb"),
+        ("memory_mb", json!(0), "journal.memory_mb"),
+        ("folders", json!("x"), "journal.folders"),
+    ] {
+        let mut wrong = all.clone();
+        wrong["journal"][field] = value;
+        assert_eq!(paths(&wrong), [path], "{wrong}");
+    }
+    all["upgrade"] = json!({"control": "/c"});
+    assert_eq!(paths(&all), ["journal"]);
+}
+
+#[test]
+fn all_faults_are_reported_at_once_and_unknown_keys_in_strict_sections_only() {
+    let mut all = with_identity();
+    all["new"] = json!(1);
+    all["settings"]["extra"]["new"] = json!({"a": []});
+    assert!(parse(all.to_string().as_bytes(), None, None).is_ok());
+    all["registry"] = Value::Null;
+    all["stop_ms"] = json!("soon");
+    all["settings"]["lanes"] = json!([{"name": "bid", "worth": "much"}, {"name": 5}]);
+    all["identity"]["new"] = json!(1);
+    all["identity"]["roots"] = json!(["short"]);
+    all["identity"]["keys"] = json!({"file": "/k", "fetch": {"at": "127.0.0.1:1", "path": "/"}});
+    all["identity"]["roles"][0]["stages"] = json!(["page"]);
+    all["identity"]["tenants"] = json!([{"name": "t", "customer": 2, "roles": ["clerk"]},
+        {"name": "t", "roles": []}]);
+    let found = paths(&all);
+    for path in [
+        "registry",
+        "stop_ms",
+        "settings.lanes[0].worth",
+        "settings.lanes[1].name",
+        "identity.new",
+        "identity.roots[0]",
+        "identity.keys",
+        "identity.roles[0].stages[0]",
+        "identity.tenants[0].customer",
+        "identity.tenants[0].roles[0]",
+        "identity.tenants[1].name",
+    ] {
+        assert!(
+            found.contains(&path.to_owned()),
+            "{path} is not in {found:?}"
+        );
+    }
+    assert_eq!(found.len(), 11, "{found:?}");
+}
+
+#[test]
+fn identity_defaults_are_applied() {
+    let start = parse(with_identity().to_string().as_bytes(), None, None).unwrap();
+    let IdentitySettings {
+        parameters: facts,
+        key_source: keys,
+    } = start.identity.unwrap();
+    assert_eq!(
+        (facts.skew_ms, facts.cache, facts.per_edge, facts.in_all),
+        (500.0, 2048, 50.0, 400.0)
+    );
+    assert_eq!(
+        (facts.roles[0].stages.as_slice(), facts.tenants[0].customer),
+        (&[0][..], 1)
+    );
+    assert!(matches!(keys, KeySetSource::File(path) if path == "/k"));
+}
+
+#[cfg(feature = "tools")]
+#[test]
+fn the_schema_in_the_docs_is_up_to_date() {
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/start.schema.json");
+    let kept = std::fs::read_to_string(path).unwrap();
+    let made = crate::cli::schema();
+    assert_eq!(
+        kept.trim_end(),
+        made.trim_end(),
+        "write it anew: asterdale schema > docs/start.schema.json"
+    );
+}
+
+#[test]
+fn the_start_files_in_the_repository_are_valid() {
+    for file in std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy")).unwrap() {
+        let path = file.unwrap().path();
+        if path.extension().is_some_and(|kind| kind == "json") {
+            let text = std::fs::read(&path).unwrap();
+            if let Err(e) = parse(&text, None, None) {
+                panic!("{}: {e}", path.display());
+            }
+        }
+    }
+}
+
+#[test]
+fn faults_have_these_texts() {
+    let mut all = with_identity();
+    all["runtime"] = json!("nowhere");
+    all["seed"] = json!("xyz");
+    all["stop_ms"] = json!(0);
+    all["limits"] = json!({"memory_mb": 192, "sockets": "many"});
+    all["settings"]["lanes"] = json!([{"name": ""}]);
+    all["identity"]["issuer"] = json!("");
+    all["identity"]["roles"] =
+        json!([{"name": "phone", "stages": ["bid"]}, {"name": "phone", "stages": []}]);
+    let error = parse(all.to_string().as_bytes(), None, Some("here".to_owned())).unwrap_err();
+    let texts: Vec<String> = error.faults().iter().map(ToString::to_string).collect();
+    assert_eq!(
+        texts,
+        [
+            // Values of a wrong type come first, in the order of the JSON's keys.
+            r#"limits.sockets: invalid type: string "many", expected f64"#,
+            r#"runtime: "nowhere" is no address with a port"#,
+            r#"seed: "xyz" is not hexadecimal"#,
+            "stop_ms: 0 is no number above 0",
+            r#"ROUTER_LISTEN: "here" is no address with a port"#,
+            "settings.lanes[0].name: is empty",
+            "identity.issuer: is empty",
+            r#"identity.roles[1].name: "phone" comes twice"#,
+            r#"identity.roles[0].stages[0]: "bid" is no name in settings.lanes"#,
+        ]
+    );
+    assert_eq!(error.to_string(), texts.join("; "));
+}
--- a/crates/asterdale-daemon/src/tls.rs
+++ b/crates/asterdale-daemon/src/tls.rs
@@ -19,8 +19,8 @@
 use x509_parser::extensions::GeneralName;
 use x509_parser::prelude::{FromDer, X509Certificate};
 
-use crate::start::faults::Fault;
-use crate::start::TlsSettings;
+use crate::start::error::{Fault, Problem};
+use crate::start::{StartError, TlsSettings};
 
 /// Encrypted bytes that one read takes: no more plain ones come of it than a session holds.
 const CHUNK: usize = 4096;
@@ -37,15 +37,13 @@
     now: RwLock<Arc<ServerConfig>>,
 }
 
-fn fault(path: &str, file: &str, what: impl std::fmt::Display) -> Vec<Fault> {
-    vec![Fault {
-        path: path.to_owned(),
-        message: format!("{file}: {what}"),
-    }]
+fn fault(path: &str, file: &str, reason: impl std::fmt::Display) -> StartError {
+    let (file, reason) = (file.to_owned(), reason.to_string());
+    Fault::new(path, Problem::UnusableFile { file, reason }).into()
 }
 
 /// Reads the files that the section names. All that is wrong comes by the path of the field.
-fn material(tls: &TlsSettings) -> Result<Arc<ServerConfig>, Vec<Fault>> {
+fn material(tls: &TlsSettings) -> Result<Arc<ServerConfig>, StartError> {
     let certificates = |path: &str, file: &str| {
         let read = CertificateDer::pem_file_iter(Path::new(file))
             .and_then(Iterator::collect::<Result<Vec<_>, _>>);
@@ -81,14 +79,14 @@
 
 impl Doorkeeper {
     /// Reads all that is needed.
-    pub fn new(tls: &TlsSettings) -> Result<Doorkeeper, Vec<Fault>> {
+    pub fn new(tls: &TlsSettings) -> Result<Doorkeeper, StartError> {
         Ok(Doorkeeper {
             now: RwLock::new(material(tls)?),
         })
     }
 
     /// Reads it anew. If anything is wrong, what was there stays.
-    pub fn reload(&self, tls: &TlsSettings) -> Result<(), Vec<Fault>> {
+    pub fn reload(&self, tls: &TlsSettings) -> Result<(), StartError> {
         let read = material(tls)?;
         *self.now.write().unwrap_or_else(PoisonError::into_inner) = read;
         Ok(())
--- a/crates/asterdale-daemon/src/token.rs
+++ b/crates/asterdale-daemon/src/token.rs
@@ -114,8 +114,9 @@
         Some(String::new()),
         None,
     );
-    let start = start.map_err(|faults| {
-        faults
+    let start = start.map_err(|error| {
+        error
+            .faults()
             .iter()
             .map(|f| f.to_string())
             .collect::<Vec<_>>()
@@ -129,7 +130,8 @@
     });
     let set = source
         .read_file()
-        .ok_or("--set: the start file names an issuer, and no file")??;
+        .ok_or("--set: the start file names an issuer, and no file")?
+        .map_err(|e| e.to_string())?;
     let now = keys::now();
     let mut identity = Identity::new(now, callers.parameters)?;
     identity
