--- a/crates/asterdale-ownership/src/failpoint.rs
+++ b/crates/asterdale-ownership/src/failpoint.rs
@@ -1,14 +1,14 @@
-//! Failpoints of this package, each of which a proof must find.
+//! Failpoints of this package. Each is a mistake that a proof must find; no shipped build has them.
 
 asterdale_failpoints::failpoints! {
-    /// An owner acts however old its lease is.
+    /// An owner acts although its lease has expired.
     Lease = "lease",
-    /// Starts and calls go without their fence.
+    /// Starts and calls are made without their fencing token.
     Fence = "unfenced",
-    /// A keeper that comes back empty goes on under its old number, and votes.
+    /// A replica that lost its state continues under its old node id, and votes.
     Empty = "empty",
-    /// The answer leaves before the outcome is kept.
+    /// The result is returned before the outcome is recorded.
     Outcome = "outcome",
-    /// A look that finds the owner gone is taken for leave to run.
+    /// A lookup that finds no owner is taken for a granted claim.
     Lock = "lock",
 }
--- a/crates/asterdale-ownership/src/lib.rs
+++ b/crates/asterdale-ownership/src/lib.rs
@@ -1,13 +1,16 @@
-//! KeyedRequest in hand survives the loss of its backend: another takes it over, once. Without I/O and clock; letters, orders
-//! and times come in; letters, verdicts and the next wake go out. `docs/takeover.md` weighs the ways, and has the table
-//! of what may be done with a task of which kind at which step.
+//! Ownership of keyed requests across backends: a request whose backend is lost is taken over by another one, and runs
+//! once. Without I/O and without a clock: messages, requests and times come in; messages, answers and the time of the
+//! next wake go out. `docs/takeover.md` compares the possible designs, and lists what may be done with which kind of
+//! request at which step.
 //!
-//! **What is owned is agreed, what is fenced is fenced where the effect is.** Before a fingerprinted task starts, its
-//! claim is in a log that a majority of keepers holds (the `raft` crate agrees on it); its outcome is there before the
-//! answer leaves. A claim has a fence, a number above all earlier ones, which goes with the start and every call.
+//! Before a keyed request starts, its claim is in a log that a majority of the replicas has stored (Raft, by the `raft`
+//! crate). Its outcome is there before its answer leaves. A claim has a fencing token above all earlier ones, which goes
+//! with the start and with every call to a dependency. So two guarantees add up: the log agrees on who owns a request,
+//! and the dependency rejects an owner that has not noticed yet that it lost it.
 //!
-//! Floors, from below: [`terms`], [`message`] (bytes), [`book`] (what the log adds up to: who owns what, and how it
-//! ended), [`group`] (the log, by the library), [`saved`] (what a keeper has on disk), [`keeper`] (one keeper's part), [`owner`] (one owner's part).
+//! Modules, each using those before it: [`settings`], [`message`] (encoding), [`table`] (the replicated state: who owns
+//! what, and how it ended), [`storage`] (a replica's durable state), [`raft_node`] (the log), [`replica`] (one replica),
+//! [`owner`] (one owner).
 
 pub mod failpoint;
 pub mod message;
@@ -25,44 +28,44 @@
 pub use storage::{StorageWrite, StoredState};
 pub use table::OwnershipTable;
 
-/// What is to be done.
+/// What the caller of a state machine has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send this letter there.
+    /// Send this message to this address.
     Send(std::net::SocketAddr, Vec<u8>),
-    /// A line for the log.
+    /// Report this event to operators.
     Report(OwnershipEvent),
-    /// An owner hears this of what it wanted, by the number that it gave.
+    /// Hand the answer to whoever submitted the request with this number.
     Answer(u64, Answer),
-    /// An owner may take these orphans.
+    /// Offer these ownerless requests to the engine, which may claim them.
     OfferOwnerless(Vec<KeyedRequest>),
-    /// This has to be on disk before whatever comes after it is done; never told to a keeper that has none.
+    /// Make these writes durable before any later action is done. Only for a replica with durable storage.
     Persist(Vec<StorageWrite>),
 }
 
 /// What operators are told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnershipEvent {
-    /// A group of keepers is formed; nothing is claimed in it for so long.
+    /// This replica has formed the group of this number, which grants no claims for so many milliseconds.
     GroupFormed(u64, f64),
-    /// This keeper belongs to a group from now on.
+    /// This replica is in the group of this number.
     GroupJoined(u64),
-    /// It leads it.
+    /// This replica leads the group of this number.
     BecameLeader(u64),
-    /// It leads no more.
+    /// This replica no longer leads the group of this number.
     LostLeadership(u64),
-    /// Most of the group came back without memory: it is given up.
+    /// Most members of the group of this number lost their state: this replica has left it.
     GroupAbandoned(u64),
-    /// This keeper is the one that it was before its process ended, with its part of the log.
+    /// This replica has restored its part of the log of the group of this number.
     RestoredFromDisk(u64),
-    /// A keeper that came back empty takes the place of the one that it was.
+    /// The restarted replica of this name takes the place of the member that it was.
     ReplicaReplaced(String),
-    /// This owner may claim work, in this epoch.
+    /// This owner may claim requests, in this epoch.
     EpochGranted(u64),
-    /// Its epoch is over: what it had claimed is no longer its own.
+    /// This owner's epoch has ended: other owners may have its claims.
     EpochEnded(u64),
-    /// Its lease can't be renewed: it starts nothing and calls nothing.
+    /// The lease of this epoch can't be renewed: this owner starts nothing and makes no calls.
     LeaseLapsed(u64),
-    /// It can be again.
+    /// The lease of this epoch is valid: this owner may start requests and make calls.
     LeaseRestored(u64),
 }
--- a/crates/asterdale-ownership/src/message.rs
+++ b/crates/asterdale-ownership/src/message.rs
@@ -1,11 +1,12 @@
-//! Letters as bytes. All of them are untrusted: what can't be read, or makes no sense, is passed over.
+//! The messages between owners and replicas as bytes. All received bytes are untrusted: what can't be read, or is
+//! invalid, is ignored.
 
 use std::net::{IpAddr, SocketAddr};
 
 use asterdale_membership::authentication::MessageAuthenticator;
 use prost::Message as _;
 
-/// The messages, as `proto/takeover.proto` has them.
+/// The messages of `proto/takeover.proto`, which documents them.
 #[allow(missing_docs, clippy::doc_markdown)]
 pub mod wire {
     include!(concat!(env!("OUT_DIR"), "/asterdale.takeover.v1.rs"));
@@ -15,18 +16,22 @@
 pub use wire::envelope::Body as MessageBody;
 pub use wire::{Envelope, KeyedRequest, Member};
 
-/// A letter is no longer, in bytes: a whole book of the default size, and what the library puts around it.
+/// Bound of a message: a snapshot of a table of the default size (16 MiB), and what the `raft` crate adds to it.
 pub const MAX_MESSAGE_BYTES: usize = 24 * 1024 * 1024;
-/// A name is no longer.
+/// Bound of a process's or a class's name.
 pub const MAX_NAME_BYTES: usize = 64;
-/// A key is no longer: stage, tenant, and what a caller may send.
+/// Bound of a key: request class, tenant, and the longest idempotency key that a caller may send.
 pub const MAX_KEY_BYTES: usize = 512;
-/// Bodies and results are no longer; the platform's are 2 and 4 KiB.
+/// Bound of a body and of a result. The platform's are 2 and 4 KiB.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Length of an execution id.
+const EXECUTION_ID_BYTES: usize = 16;
+/// Bound, not included, of the durations and sizes of a request: eleven days in milliseconds.
+const MAX_NUMBER: f64 = 1e9;
 
-/// A process under this name, with this number, reached there.
-pub fn member(name: &str, node: u64, at: SocketAddr) -> Member {
-    let ip = match at.ip() {
+/// The process with this name and node id, reached at this address.
+pub fn member(name: &str, node: u64, address: SocketAddr) -> Member {
+    let ip = match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
         IpAddr::V6(ip) => ip.octets().to_vec(),
     };
@@ -34,11 +39,11 @@
         name: name.to_owned(),
         node,
         ip,
-        port: at.port().into(),
+        port: address.port().into(),
     }
 }
 
-/// Where it is reached; `None` if that makes no sense.
+/// The address of a process; `None` if it is malformed.
 pub fn socket_addr(member: &Member) -> Option<SocketAddr> {
     let ip: IpAddr = match member.ip.len() {
         4 => <[u8; 4]>::try_from(&member.ip[..]).ok()?.into(),
@@ -48,18 +53,16 @@
     Some(SocketAddr::new(ip, port))
 }
 
-/// A letter as bytes.
-pub fn encode(authenticator: &MessageAuthenticator, from: &Member, what: MessageBody) -> Vec<u8> {
-    authenticator.authenticate(
-        &Envelope {
-            from: Some(from.clone()),
-            body: Some(what),
-        }
-        .encode_to_vec(),
-    )
+/// Encodes a message of `from`.
+pub fn encode(authenticator: &MessageAuthenticator, from: &Member, body: MessageBody) -> Vec<u8> {
+    let envelope = Envelope {
+        from: Some(from.clone()),
+        body: Some(body),
+    };
+    authenticator.authenticate(&envelope.encode_to_vec())
 }
 
-/// The letter of these bytes: who wrote it, from where, and what.
+/// Decodes a message into its sender, the sender's address, and its body; `None` if it is not authentic or is malformed.
 pub fn decode(
     authenticator: &MessageAuthenticator,
     bytes: &[u8],
@@ -68,27 +71,28 @@
         return None;
     }
     let envelope = Envelope::decode(authenticator.verify(bytes).ok()?).ok()?;
-    let from = envelope.from.filter(|from| {
-        let named = !from.name.is_empty() && from.name.len() <= MAX_NAME_BYTES;
-        named && from.node != 0
-    })?;
-    let at = socket_addr(&from)?;
-    Some((from, at, envelope.body?))
+    let from = envelope.from.filter(is_valid_sender)?;
+    let address = socket_addr(&from)?;
+    Some((from, address, envelope.body?))
+}
+
+fn is_valid_sender(from: &Member) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&from.name.len()) && from.node != 0
 }
 
-/// Whether work makes sense: a peer's word fills no more than its place.
-pub fn is_valid_request(work: &KeyedRequest) -> bool {
-    let times = [
-        work.deadline_ms,
-        work.retry_window_ms,
-        work.hint_ms,
-        work.kb,
+/// Whether a request is within all bounds, so that no process can make the table take more than it should.
+pub fn is_valid_request(request: &KeyedRequest) -> bool {
+    let numbers = [
+        request.deadline_ms,
+        request.retry_window_ms,
+        request.hint_ms,
+        request.kb,
     ];
-    (1..=MAX_KEY_BYTES).contains(&work.key.len())
-        && work.body.len() <= MAX_BODY_BYTES
-        && work.execution_id.len() == 16
-        && work.class.len() <= MAX_NAME_BYTES
-        && times
+    (1..=MAX_KEY_BYTES).contains(&request.key.len())
+        && request.body.len() <= MAX_BODY_BYTES
+        && request.execution_id.len() == EXECUTION_ID_BYTES
+        && request.class.len() <= MAX_NAME_BYTES
+        && numbers
             .iter()
-            .all(|ms| ms.is_finite() && *ms >= 0.0 && *ms < 1e9)
+            .all(|number| number.is_finite() && *number >= 0.0 && *number < MAX_NUMBER)
 }
--- /dev/null
+++ b/crates/asterdale-ownership/src/raft_node/mod.rs
@@ -0,0 +1,360 @@
+//! One member of a Raft group: drives the `raft` crate and applies committed entries to the ownership table.
+//!
+//! The log is in memory. With durable storage, whatever Raft requires to be durable is also handed out as writes, which
+//! must be stored before anything else of the same turn is sent. A process that restarts without that state is another
+//! member, with another node id, and the group must agree on it as such: it may have forgotten a vote.
+
+use prost::Message as _;
+use protobuf::Message as _;
+use raft::eraftpb::{ConfState, Entry as RaftEntry, EntryType, Message, MessageType, Snapshot};
+use raft::storage::MemStorage;
+use raft::{Config, LightReady, RawNode, Ready, StateRole};
+
+use crate::message::wire::{Answer, LogEntry, Proposal};
+use crate::message::Member;
+use crate::settings::OwnershipSettings;
+use crate::storage::{self, RestoredLog, StorageWrite, StoredState};
+use crate::table::OwnershipTable;
+
+mod log_store;
+mod membership_change;
+mod snapshots;
+
+use log_store::LogStore;
+pub use membership_change::ReplacementStep;
+
+/// An election starts after ten to twenty ticks without a heartbeat of the leader, which comes every three: two
+/// heartbeats may be lost.
+const ELECTION_TICKS: usize = 10;
+const HEARTBEAT_TICKS: usize = 3;
+/// Bound of the entries in one message: well under the longest message, and a fraction of a second on a slow network.
+const MAX_ENTRIES_BYTES: u64 = 1024 * 1024;
+/// Messages with entries in flight to one follower.
+const MAX_INFLIGHT_MESSAGES: usize = 64;
+
+/// Which member of which group a node is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MemberId {
+    /// The group's number.
+    pub group: u64,
+    /// The node id of the process.
+    pub node: u64,
+}
+
+/// A member of a Raft group.
+pub struct RaftNode {
+    /// The group's number.
+    pub group: u64,
+    /// This process's node id.
+    pub node: u64,
+    /// The state that the applied entries add up to.
+    pub table: OwnershipTable,
+    raft: RawNode<LogStore>,
+    store: LogStore,
+    settings: OwnershipSettings,
+    applied_index: u64,
+    compacted_index: u64,
+    /// When the last entry was proposed, by this process's clock: the next one carries the time since.
+    last_proposal_ms: f64,
+    /// Whether it led at the end of the last turn.
+    was_leader: bool,
+    next_tick_ms: f64,
+    /// A change of the members is proposed and not yet applied. Raft allows one at a time.
+    change_in_progress: bool,
+    /// What is to be stored; `None` without durable storage.
+    writes: Option<Vec<StorageWrite>>,
+}
+
+/// What one turn produced.
+#[derive(Default)]
+pub struct ReadyOutput {
+    /// To be durable before any of the rest is sent.
+    pub writes: Vec<StorageWrite>,
+    /// Encoded Raft messages.
+    pub messages: Vec<RaftMessageTo>,
+    /// Answers to owners. Only the leader sends them.
+    pub answers: Vec<(Member, Answer)>,
+    /// `Some(true)` if it became the leader in this turn, `Some(false)` if it lost the leadership.
+    pub leadership_change: Option<bool>,
+}
+
+/// An encoded Raft message and its recipient.
+pub struct RaftMessageTo {
+    /// The recipient's node id.
+    pub node: u64,
+    /// The message, as the `raft` crate encodes it.
+    pub bytes: Vec<u8>,
+}
+
+impl RaftNode {
+    /// A founder of a group, if `members` lists it; otherwise a member that gets the log from its leader. `None` if the
+    /// `raft` crate refuses the configuration.
+    pub fn new(
+        now_ms: f64,
+        id: MemberId,
+        members: &[Member],
+        settings: &OwnershipSettings,
+        has_storage: bool,
+    ) -> Option<RaftNode> {
+        let table = OwnershipTable::new(id.group, members, settings.clone());
+        let is_founder = members.iter().any(|member| member.node == id.node);
+        let mut snapshot = Snapshot::default();
+        let log = MemStorage::new();
+        if is_founder {
+            snapshot = founding_snapshot(&table, members);
+            log.wl().apply_snapshot(snapshot.clone()).ok()?;
+        }
+        let restored = RestoredLog { log, snapshot };
+        let mut raft_node = RaftNode::with_log(now_ms, id, restored, table, settings)?;
+        if has_storage {
+            raft_node.writes = Some(Vec::new());
+            raft_node.persist_snapshot(true);
+        }
+        Some(raft_node)
+    }
+
+    /// The member that this process was before it restarted; `None` if the stored state is incomplete.
+    pub fn restore(
+        now_ms: f64,
+        id: MemberId,
+        stored: &StoredState,
+        settings: &OwnershipSettings,
+    ) -> Option<RaftNode> {
+        let restored = stored.restore_log()?;
+        let table = if restored.snapshot.get_metadata().index > 0 {
+            OwnershipTable::decode(restored.snapshot.get_data(), settings.clone())?
+        } else {
+            OwnershipTable::new(id.group, &[], settings.clone())
+        };
+        let mut raft_node = RaftNode::with_log(now_ms, id, restored, table, settings)?;
+        raft_node.writes = Some(Vec::new());
+        Some(raft_node)
+    }
+
+    fn with_log(
+        now_ms: f64,
+        id: MemberId,
+        restored: RestoredLog,
+        table: OwnershipTable,
+        settings: &OwnershipSettings,
+    ) -> Option<RaftNode> {
+        let applied_index = restored.snapshot.get_metadata().index;
+        let store = LogStore::new(restored.log, restored.snapshot);
+        let config = Config {
+            id: id.node,
+            election_tick: ELECTION_TICKS,
+            heartbeat_tick: HEARTBEAT_TICKS,
+            max_size_per_msg: MAX_ENTRIES_BYTES,
+            max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
+            applied: applied_index,
+            // A leader that is cut off from the majority steps down, and a member that was cut off does not depose a
+            // working leader when it returns.
+            check_quorum: true,
+            pre_vote: true,
+            ..Config::default()
+        };
+        let logger = slog::Logger::root(slog::Discard, slog::o!());
+        Some(RaftNode {
+            group: id.group,
+            node: id.node,
+            table,
+            raft: RawNode::new(&config, store.clone(), &logger).ok()?,
+            store,
+            settings: settings.clone(),
+            applied_index,
+            compacted_index: applied_index,
+            last_proposal_ms: now_ms,
+            was_leader: false,
+            next_tick_ms: now_ms + settings.tick_ms,
+            change_in_progress: false,
+            writes: None,
+        })
+    }
+
+    /// Whether it led at the end of the last turn.
+    pub fn is_leader(&self) -> bool {
+        self.was_leader
+    }
+
+    /// The leader, as far as this node knows.
+    pub fn leader(&self) -> Option<&Member> {
+        self.table.members.get(&self.raft.raft.leader_id)
+    }
+
+    /// Index of the last applied entry.
+    pub fn applied_index(&self) -> u64 {
+        self.applied_index
+    }
+
+    /// When [`RaftNode::tick`] is due, in the caller's milliseconds.
+    pub fn next_wake_ms(&self) -> f64 {
+        self.next_tick_ms
+    }
+
+    /// Advances Raft's timers by one tick if it is due. A late call is one tick, however late: while this process was
+    /// paused it could not hear the leader, so the pause says nothing about the leader.
+    pub fn tick(&mut self, now_ms: f64) {
+        if now_ms >= self.next_tick_ms {
+            self.next_tick_ms = now_ms + self.settings.tick_ms;
+            self.raft.tick();
+        }
+    }
+
+    /// Takes a Raft message. One that is malformed or meant for another node is ignored, like a lost one.
+    pub fn step(&mut self, bytes: &[u8]) {
+        let Ok(message) = Message::parse_from_bytes(bytes) else {
+            return;
+        };
+        // A heartbeat can say that entries are committed which a member that lost its memory no longer has; the `raft`
+        // crate panics on a commit index beyond the log.
+        let is_commit_beyond_log = message.get_msg_type() == MessageType::MsgHeartbeat
+            && message.commit > self.raft.raft.raft_log.last_index();
+        if message.to == self.node && !is_commit_beyond_log {
+            // An error means that the message is of no use to this node: Raft repeats what matters.
+            let _ = self.raft.step(message);
+        }
+    }
+
+    /// Proposes an entry with these commands, if this node leads. Without commands it only advances the table's time.
+    /// Returns whether it was proposed; owners repeat commands that were not.
+    pub fn propose(&mut self, now_ms: f64, proposals: Vec<Proposal>) -> bool {
+        if !self.is_leader() {
+            return false;
+        }
+        let entry = LogEntry {
+            elapsed_ms: (now_ms - self.last_proposal_ms).max(0.0),
+            proposals,
+        };
+        let is_proposed = self.raft.propose(Vec::new(), entry.encode_to_vec()).is_ok();
+        if is_proposed {
+            self.last_proposal_ms = now_ms;
+        }
+        is_proposed
+    }
+
+    /// Milliseconds since the last proposal advanced the table's time.
+    pub fn since_last_proposal_ms(&self, now_ms: f64) -> f64 {
+        now_ms - self.last_proposal_ms
+    }
+
+    /// Processes all that Raft has ready: stores, applies, collects messages and answers.
+    ///
+    /// Messages may be collected before the entries that they rest on are written: all of them leave after
+    /// [`ReadyOutput::writes`] is durable.
+    pub fn process_ready(&mut self, now_ms: f64) -> ReadyOutput {
+        let mut output = ReadyOutput::default();
+        while self.raft.has_ready() {
+            let ready = self.raft.ready();
+            let light_ready = self.handle_ready(ready, &mut output);
+            self.handle_light_ready(light_ready, &mut output);
+            self.raft.advance_apply();
+        }
+        self.compact_if_needed();
+        output.leadership_change = self.update_leadership(now_ms);
+        output.writes = self.writes.as_mut().map(std::mem::take).unwrap_or_default();
+        output
+    }
+
+    fn handle_ready(&mut self, mut ready: Ready, output: &mut ReadyOutput) -> LightReady {
+        output.collect_messages(ready.take_messages());
+        if ready.snapshot().get_metadata().index > 0 {
+            self.install_snapshot(ready.snapshot());
+        }
+        let committed = ready.take_committed_entries();
+        self.apply(committed, output);
+        if !ready.entries().is_empty() {
+            // Can't leave a gap: Raft's new entries follow on the log that it read from this store.
+            let _ = self.store.log.wl().append(ready.entries());
+            if self.writes.is_some() {
+                self.persist(storage::entries_write(ready.entries()));
+            }
+        }
+        if let Some(state) = ready.hs() {
+            self.store.log.wl().set_hardstate(state.clone());
+            self.persist(state.write_to_bytes().ok().map(StorageWrite::HardState));
+        }
+        output.collect_messages(ready.take_persisted_messages());
+        self.raft.advance(ready)
+    }
+
+    fn handle_light_ready(&mut self, mut light_ready: LightReady, output: &mut ReadyOutput) {
+        if let Some(commit) = light_ready.commit_index() {
+            self.store.log.wl().mut_hard_state().set_commit(commit);
+        }
+        output.collect_messages(light_ready.take_messages());
+        let committed = light_ready.take_committed_entries();
+        self.apply(committed, output);
+    }
+
+    /// Notes whether the leadership has changed since the last turn.
+    fn update_leadership(&mut self, now_ms: f64) -> Option<bool> {
+        let is_leader = self.raft.raft.state == StateRole::Leader;
+        if is_leader == self.was_leader {
+            return None;
+        }
+        self.was_leader = is_leader;
+        self.change_in_progress = false;
+        // Another node may have led until now and counted that time itself: counting it again would end leases early.
+        self.last_proposal_ms = now_ms;
+        Some(is_leader)
+    }
+
+    fn apply(&mut self, committed: Vec<RaftEntry>, output: &mut ReadyOutput) {
+        for entry in committed {
+            self.applied_index = entry.index;
+            match entry.get_entry_type() {
+                EntryType::EntryNormal => {
+                    // The first entry of a leader is empty: it applies as no commands and no time.
+                    if let Ok(entry) = LogEntry::decode(&entry.data[..]) {
+                        output.answers.extend(self.table.apply(entry));
+                    }
+                }
+                EntryType::EntryConfChangeV2 => {
+                    self.apply_membership_change(&entry.data, entry.term);
+                }
+                // Never proposed.
+                EntryType::EntryConfChange => {}
+            }
+        }
+    }
+
+    fn persist(&mut self, write: Option<StorageWrite>) {
+        if let Some(writes) = &mut self.writes {
+            writes.extend(write);
+        }
+    }
+}
+
+/// The snapshot with which all founders begin: the same index, term, voters and table, as if they had agreed on a first
+/// entry.
+fn founding_snapshot(table: &OwnershipTable, founders: &[Member]) -> Snapshot {
+    let state = ConfState {
+        voters: founders.iter().map(|member| member.node).collect(),
+        ..ConfState::default()
+    };
+    let mut snapshot = Snapshot::default();
+    snapshot.mut_metadata().set_conf_state(state);
+    snapshot.mut_metadata().index = 1;
+    snapshot.mut_metadata().term = 1;
+    snapshot.set_data(table.encode().into());
+    snapshot
+}
+
+/// The node id of the recipient of an encoded Raft message.
+pub fn recipient(bytes: &[u8]) -> Option<u64> {
+    let message = Message::parse_from_bytes(bytes).ok()?;
+    Some(message.to)
+}
+
+impl ReadyOutput {
+    fn collect_messages(&mut self, messages: Vec<Message>) {
+        for message in messages {
+            if let Ok(bytes) = message.write_to_bytes() {
+                self.messages.push(RaftMessageTo {
+                    node: message.to,
+                    bytes,
+                });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/asterdale-ownership/src/replica/membership.rs
@@ -0,0 +1,75 @@
+//! Keeps the members of the Raft group in step with the configured replicas. Only the leader does this.
+
+use std::collections::BTreeSet;
+
+use super::{PeerHello, Replica, REPLACE_AFTER_TICKS};
+use crate::message::Member;
+use crate::raft_node::{RaftNode, ReplacementStep};
+use crate::OwnershipEvent;
+
+impl Replica {
+    /// Proposes at most one change: a replacement of a restarted member first, then the removal of one that is no longer
+    /// configured.
+    pub(super) fn reconcile_members(&mut self, now_ms: f64) {
+        let Some(raft_node) = self.raft_node.as_ref().filter(|node| node.is_leader()) else {
+            return;
+        };
+        let replacement = self.find_replacement(now_ms, raft_node);
+        let unlisted = self.find_unlisted_member(raft_node);
+        let Some(raft_node) = &mut self.raft_node else {
+            return;
+        };
+        if let Some(new) = replacement {
+            if raft_node.propose_replacement(&new) == ReplacementStep::Promote {
+                self.report(OwnershipEvent::ReplicaReplaced(new.name));
+            }
+        } else if let Some(node) = unlisted {
+            raft_node.propose_removal(node);
+        }
+    }
+
+    /// The first present replica that is to become a member in place of the one that has its name.
+    fn find_replacement(&self, now_ms: f64, raft_node: &RaftNode) -> Option<Member> {
+        let hellos = self.replicas.iter().filter_map(|(name, _)| {
+            self.last_hellos
+                .get(name)
+                .filter(|hello| self.is_present(now_ms, hello))
+        });
+        hellos
+            .filter(|hello| self.may_replace(now_ms, hello, raft_node))
+            .map(|hello| hello.member.clone())
+            .next()
+    }
+
+    /// Whether this process may take the place of the members that have its name.
+    ///
+    /// Those must have been silent: two live processes under one name would both vote if one were added while the other
+    /// is still a member. And it must not belong to another group, as its log is of no use here.
+    fn may_replace(&self, now_ms: f64, hello: &PeerHello, raft_node: &RaftNode) -> bool {
+        let members = raft_node.table.members.values();
+        let nodes: BTreeSet<u64> = members
+            .filter(|member| member.name == hello.member.name)
+            .map(|member| member.node)
+            .collect();
+        let is_only_member = nodes.len() == 1 && nodes.contains(&hello.member.node);
+        let is_free = hello.group == 0 || hello.group == raft_node.group;
+        let mut others = nodes.iter().filter(|node| **node != hello.member.node);
+        is_free && !is_only_member && others.all(|node| self.is_silent(now_ms, *node))
+    }
+
+    fn is_silent(&self, now_ms: f64, node: u64) -> bool {
+        let max_silence_ms = REPLACE_AFTER_TICKS * self.settings.tick_ms;
+        self.last_messages
+            .get(&node)
+            .is_none_or(|last| now_ms - last.received_at_ms > max_silence_ms)
+    }
+
+    fn find_unlisted_member(&self, raft_node: &RaftNode) -> Option<u64> {
+        let is_listed =
+            |member: &Member| self.replicas.iter().any(|(name, _)| *name == member.name);
+        let mut members = raft_node.table.members.values();
+        members
+            .find(|member| !is_listed(member))
+            .map(|member| member.node)
+    }
+}
--- a/crates/asterdale-ownership/src/storage.rs
+++ b/crates/asterdale-ownership/src/storage.rs
@@ -1,6 +1,8 @@
-//! What a keeper has on disk, where it has one: its number, its group, and its part of the log. Whatever is saved in a turn
-//! has to be there before any letter of that turn leaves: a vote, a word that an entry is held, an answer to an owner rest
-//! on it. One that comes back with all of it is the keeper that it was; one that lacks anything is another.
+//! The durable state of a replica, where it has durable storage: its identity, Raft's hard state, snapshot and log.
+//!
+//! The writes of a turn must be durable before any message of that turn leaves: votes, acknowledgements of entries and
+//! answers to owners all promise that the replica remembers. A replica that restarts with all of its state is the same
+//! member of its group; one that lacks any of it must join as another.
 
 use prost::Message as _;
 use protobuf::Message as _;
@@ -42,66 +44,81 @@
     pub entries: Vec<(u64, Vec<u8>)>,
 }
 
-/// Who a keeper was.
+/// Which member of which group a replica is.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ReplicaIdentity {
-    /// Its number.
+    /// Its node id.
     #[prost(fixed64, tag = "1")]
     pub node: u64,
-    /// Its group's; 0 for none.
+    /// Its group's number; 0 for none.
     #[prost(uint64, tag = "2")]
     pub group: u64,
-    /// The highest number of a group that it has heard of.
+    /// The highest group number that it has seen.
     #[prost(uint64, tag = "3")]
     pub highest_group: u64,
-    /// Those that its group was formed of, where it knows.
+    /// The founders of its group, if it knows them.
     #[prost(message, repeated, tag = "4")]
     pub founders: Vec<Member>,
 }
 
+/// A log in memory and the snapshot that it begins with.
+pub(crate) struct RestoredLog {
+    pub(crate) log: MemStorage,
+    pub(crate) snapshot: Snapshot,
+}
+
 impl StoredState {
-    /// Who it was; `None` where nothing was saved, or nothing that can be read.
+    /// The stored identity; `None` if there is none or it can't be read.
     pub fn identity(&self) -> Option<ReplicaIdentity> {
         ReplicaIdentity::decode(&self.identity[..])
             .ok()
-            .filter(|face| face.node != 0)
+            .filter(|identity| identity.node != 0)
     }
 
-    /// The library's memory of it, and the book that it begins with. What does not fit together is no memory.
-    pub(crate) fn log(&self) -> Option<(MemStorage, Snapshot)> {
-        let whole = Snapshot::parse_from_bytes(&self.snapshot).ok()?;
-        let mut hard = HardState::parse_from_bytes(&self.hard_state).ok()?;
+    /// Rebuilds the log; `None` if anything is missing or doesn't fit together. The replica then has to join as another
+    /// member: with part of its memory lost it could vote for a leader that lacks committed entries.
+    pub(crate) fn restore_log(&self) -> Option<RestoredLog> {
+        let snapshot = Snapshot::parse_from_bytes(&self.snapshot).ok()?;
+        let mut hard_state = HardState::parse_from_bytes(&self.hard_state).ok()?;
+        let snapshot_index = snapshot.get_metadata().index;
         let log = MemStorage::new();
-        let from = whole.get_metadata().index;
-        if from > 0 {
-            log.wl().apply_snapshot(whole.clone()).ok()?;
+        if snapshot_index > 0 {
+            log.wl().apply_snapshot(snapshot.clone()).ok()?;
         }
+        let entries = self.contiguous_entries_after(snapshot_index)?;
+        let last_index = snapshot_index + entries.len() as u64;
+        if hard_state.commit > last_index {
+            // It has acknowledged entries that are gone.
+            return None;
+        }
+        log.wl().append(&entries).ok()?;
+        hard_state.commit = hard_state.commit.max(snapshot_index);
+        hard_state.term = hard_state.term.max(snapshot.get_metadata().term);
+        log.wl().set_hardstate(hard_state);
+        Some(RestoredLog { log, snapshot })
+    }
+
+    /// The entries after an index; `None` if one is missing or can't be read.
+    fn contiguous_entries_after(&self, index: u64) -> Option<Vec<RaftEntry>> {
         let mut entries = Vec::new();
-        for (number, bytes) in self.entries.iter().filter(|(number, _)| *number > from) {
+        for (number, bytes) in self.entries.iter().filter(|(number, _)| *number > index) {
             let entry = RaftEntry::parse_from_bytes(bytes).ok()?;
-            if entry.index != *number || entry.index != from + 1 + entries.len() as u64 {
+            let expected_index = index + 1 + entries.len() as u64;
+            if entry.index != *number || entry.index != expected_index {
                 return None;
             }
             entries.push(entry);
         }
-        let last = from + entries.len() as u64;
-        if hard.commit > last {
-            return None; // it has said that it holds more
-        }
-        log.wl().append(&entries).ok()?;
-        hard.commit = hard.commit.max(from);
-        hard.term = hard.term.max(whole.get_metadata().term);
-        log.wl().set_hardstate(hard);
-        Some((log, whole))
+        Some(entries)
     }
 }
 
-/// Entries, as they are saved.
-pub(crate) fn entries(entries: &[RaftEntry]) -> Option<StorageWrite> {
-    let first = entries.first()?.index;
-    let bytes: Vec<Vec<u8>> = entries
+/// The write that stores these entries; `None` if there are none, or one can't be encoded.
+pub(crate) fn entries_write(entries: &[RaftEntry]) -> Option<StorageWrite> {
+    let first_index = entries.first()?.index;
+    let encoded: Vec<Vec<u8>> = entries
         .iter()
         .filter_map(|entry| entry.write_to_bytes().ok())
         .collect();
-    (bytes.len() == entries.len()).then_some(StorageWrite::Entries(first, bytes))
+    (encoded.len() == entries.len()).then_some(StorageWrite::Entries(first_index, encoded))
 }
