--- /dev/null
+++ b/crates/asterdale-fastcgi/src/error.rs
@@ -0,0 +1,23 @@
+//! Violations of the protocol, after which a connection's input cannot be parsed any further.
+
+use thiserror::Error;
+
+/// Why the bytes of a peer cannot be parsed any further.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum ProtocolError {
+    /// A record has this protocol version, which is not 1.
+    #[error("FastCGI version {0} is not supported")]
+    UnsupportedVersion(u8),
+    /// The content of a record of this type is shorter than the type requires.
+    #[error("a record of type {0} is truncated")]
+    TruncatedRecord(u8),
+    /// The length of a parameter's name or value exceeds the bytes that are there.
+    #[error("a parameter's length exceeds its record stream")]
+    LengthOutOfBounds,
+    /// The incomplete requests of a connection exceed their memory limit.
+    #[error("the incomplete requests of a connection exceed their memory limit")]
+    TooManyPendingBytes,
+    /// A request was opened with this id while another request of the same id was incomplete.
+    #[error("request id {0} was opened twice")]
+    DuplicateRequestId(u16),
+}
--- a/crates/asterdale-fastcgi/src/lib.rs
+++ b/crates/asterdale-fastcgi/src/lib.rs
@@ -1,46 +1,48 @@
-//! FastCGI 1.0 as an application speaks it: records taken from what a peer sent, and answers laid out for
-//! gathered writes. No I/O: bytes come in and go out through buffers that the caller reads and writes.
+//! FastCGI 1.0 codec for the application's side: parses the records that a web server sent and encodes responses for
+//! vectored writes. It does no I/O: the caller reads into and writes from buffers of this crate.
 
+mod error;
 mod params;
 mod record_reader;
 mod request_assembler;
 mod response;
 
+pub use error::ProtocolError;
 pub use params::Params;
-pub use record_reader::{ProtocolError, Record, RecordReader};
+pub use record_reader::{Record, RecordReader};
 pub use request_assembler::{AssemblyEvent, CompleteRequest, RequestAssembler};
 pub use response::{end_request_response, unknown_type_response, values_response, Response};
 
-/// Record types by their number in the specification.
+/// Record types, by their number in the specification.
 pub mod record_type {
-    /// A web server opens a request.
+    /// The web server opens a request.
     pub const BEGIN_REQUEST: u8 = 1;
-    /// It no longer wants the answer.
+    /// The web server cancels a request.
     pub const ABORT_REQUEST: u8 = 2;
-    /// The application has answered.
+    /// The application ends a request.
     pub const END_REQUEST: u8 = 3;
-    /// A part of the stream of parameters.
+    /// A part of the stream of name-value parameters.
     pub const PARAMS: u8 = 4;
-    /// A part of the stream of the body.
+    /// A part of the stream of the request body.
     pub const STDIN: u8 = 5;
-    /// A part of the stream of the answer.
+    /// A part of the stream of the response.
     pub const STDOUT: u8 = 6;
-    /// A question for the application's variables.
+    /// A query of the application's variables.
     pub const GET_VALUES: u8 = 9;
-    /// The answer to it.
+    /// The response to [`GET_VALUES`].
     pub const GET_VALUES_RESULT: u8 = 10;
-    /// The answer to a management record of an unknown type.
+    /// The response to a management record of an unknown type.
     pub const UNKNOWN_TYPE: u8 = 11;
 }
 
-/// Protocol states of END_REQUEST by their number in the specification.
+/// Values of the field `protocolStatus` of END_REQUEST, by their number in the specification.
 pub mod protocol_status {
     /// The request was answered.
     pub const COMPLETE: u8 = 0;
-    /// More requests than this application takes on one connection.
+    /// The application accepts no more concurrent requests on this connection.
     pub const CANT_MULTIPLEX: u8 = 1;
-    /// The application has no room.
+    /// The application has no capacity.
     pub const OVERLOADED: u8 = 2;
-    /// The application does not play this role.
+    /// The application does not implement the requested role.
     pub const UNKNOWN_ROLE: u8 = 3;
 }
--- a/crates/asterdale-fastcgi/src/params.rs
+++ b/crates/asterdale-fastcgi/src/params.rs
@@ -1,37 +1,45 @@
-//! Name-value pairs, read in place.
+//! Iterator over FastCGI name-value pairs, which borrows from the encoded bytes.
 
-use crate::record_reader::ProtocolError;
+use crate::error::ProtocolError;
 
-/// The pairs that lie in these bytes.
+/// The first bit of a length says that the length takes four bytes; the other bits belong to the number.
+const LONG_LENGTH_FLAG: u8 = 0x80;
+
+/// The name-value pairs that are encoded in these bytes. The first invalid length is returned as an error and ends the
+/// iteration.
 pub struct Params<'a>(pub &'a [u8]);
 
 impl<'a> Params<'a> {
-    fn length(&mut self) -> Result<usize, ProtocolError> {
+    fn read_length(&mut self) -> Result<usize, ProtocolError> {
         let (&first, rest) = self
             .0
             .split_first()
             .ok_or(ProtocolError::LengthOutOfBounds)?;
-        if first < 128 {
+        if first & LONG_LENGTH_FLAG == 0 {
             self.0 = rest;
             return Ok(usize::from(first));
         }
-        let long = rest.get(..3).ok_or(ProtocolError::LengthOutOfBounds)?;
+        let low_bytes = rest.get(..3).ok_or(ProtocolError::LengthOutOfBounds)?;
         self.0 = &rest[3..];
-        Ok(u32::from_be_bytes([first & 127, long[0], long[1], long[2]]) as usize)
+        let high_byte = first & !LONG_LENGTH_FLAG;
+        Ok(u32::from_be_bytes([high_byte, low_bytes[0], low_bytes[1], low_bytes[2]]) as usize)
     }
 
-    fn take(&mut self, length: usize) -> Result<&'a [u8], ProtocolError> {
-        let taken = self
+    fn read_bytes(&mut self, length: usize) -> Result<&'a [u8], ProtocolError> {
+        let bytes = self
             .0
             .get(..length)
             .ok_or(ProtocolError::LengthOutOfBounds)?;
         self.0 = &self.0[length..];
-        Ok(taken)
+        Ok(bytes)
     }
 
-    fn pair(&mut self) -> Result<(&'a [u8], &'a [u8]), ProtocolError> {
-        let (name, value) = (self.length()?, self.length()?);
-        Ok((self.take(name)?, self.take(value)?))
+    fn read_pair(&mut self) -> Result<(&'a [u8], &'a [u8]), ProtocolError> {
+        let name_length = self.read_length()?;
+        let value_length = self.read_length()?;
+        let name = self.read_bytes(name_length)?;
+        let value = self.read_bytes(value_length)?;
+        Ok((name, value))
     }
 }
 
@@ -42,40 +50,10 @@
         if self.0.is_empty() {
             return None;
         }
-        let pair = self.pair();
+        let pair = self.read_pair();
         if pair.is_err() {
             self.0 = &[];
         }
         Some(pair)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn both_forms_of_length_are_read() {
-        let mut bytes = vec![1, 128, 0, 0, 200, b'a'];
-        bytes.extend([b'x'; 200]);
-        bytes.extend([128, 0, 0, 2, 0, b'b', b'c']);
-        let pairs: Vec<_> = Params(&bytes).map(Result::unwrap).collect();
-        assert_eq!(
-            pairs,
-            [(&b"a"[..], &[b'x'; 200][..]), (&b"bc"[..], &b""[..])]
-        );
-    }
-
-    #[test]
-    fn an_impossible_length_is_malformed_and_ends_the_pairs() {
-        for bytes in [
-            &[5u8, 1, b'a'][..],
-            &[1],
-            &[128, 0],
-            &[255, 255, 255, 255, 1, b'a'],
-        ] {
-            let pairs: Vec<_> = Params(bytes).collect();
-            assert_eq!(pairs, [Err(ProtocolError::LengthOutOfBounds)]);
-        }
-    }
-}
--- a/crates/asterdale-fastcgi/src/record_reader.rs
+++ b/crates/asterdale-fastcgi/src/record_reader.rs
@@ -1,184 +1,95 @@
-//! Records, found in place in the buffer that a peer's bytes were read into.
+//! Input buffer of a connection, from which complete records are parsed in place.
 
-use std::fmt;
+use crate::error::ProtocolError;
 
-const HEADER_BYTES: usize = 8;
-const MIN_BUFFER_BYTES: usize = 4 * 1024;
-
-/// Why what a peer sent can't be read any further.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProtocolError {
-    /// A record of another version of the protocol.
-    UnsupportedVersion(u8),
-    /// A record whose content is too short for its type.
-    TruncatedRecord(u8),
-    /// A parameter that is longer than what holds it.
-    LengthOutOfBounds,
-    /// More requests have begun, and not come whole, than a connection's may take.
-    TooManyPendingBytes,
-    /// A request was opened under the number of one that is open.
-    DuplicateRequestId(u16),
-}
-
-impl fmt::Display for ProtocolError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ProtocolError::UnsupportedVersion(version) => {
-                write!(f, "a record of version {version}")
-            }
-            ProtocolError::TruncatedRecord(kind) => {
-                write!(f, "a record of type {kind} that is too short")
-            }
-            ProtocolError::LengthOutOfBounds => {
-                f.write_str("a parameter longer than what holds it")
-            }
-            ProtocolError::TooManyPendingBytes => {
-                f.write_str("more begun than a connection's requests may take")
-            }
-            ProtocolError::DuplicateRequestId(id) => write!(f, "request {id} opened twice"),
-        }
-    }
-}
-
-impl std::error::Error for ProtocolError {}
+/// Length of a record header, in bytes.
+pub(crate) const HEADER_BYTES: usize = 8;
+/// Size of the buffer while no larger record is expected, in bytes: one read takes many of the platform's requests.
+const DEFAULT_BUFFER_BYTES: usize = 4 * 1024;
+/// The only protocol version of the specification.
+pub(crate) const VERSION: u8 = 1;
 
 /// One record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record<'a> {
-    /// Its type, see [`crate::kind`].
+    /// The record type, see [`crate::record_type`].
     pub record_type: u8,
-    /// The request it belongs to, 0 for none.
+    /// The request that the record belongs to; 0 for a management record.
     pub request_id: u16,
-    /// Its content without padding.
+    /// The content without the padding.
     pub content: &'a [u8],
 }
 
-/// What came in and was not yet taken, in one buffer.
+/// The bytes that were received and not yet parsed, in one buffer.
 #[derive(Default)]
 pub struct RecordReader {
-    bytes: Vec<u8>,
+    buffer: Vec<u8>,
+    /// The unparsed bytes are `buffer[start..end]`.
     start: usize,
     end: usize,
 }
 
 impl RecordReader {
-    /// Room for the next read: never empty, and enough for the record that has begun.
+    /// The buffer space for the next read. It is never empty, and large enough for the rest of the record whose header
+    /// has been received. Call [`RecordReader::commit`] after the read.
     pub fn free_space(&mut self) -> &mut [u8] {
-        self.bytes.copy_within(self.start..self.end, 0);
-        (self.start, self.end) = (0, self.end - self.start);
-        let wanted = self.record_length().unwrap_or(0).max(MIN_BUFFER_BYTES);
-        if self.bytes.len() != wanted && self.end < wanted {
-            self.bytes.resize(wanted, 0);
-            self.bytes.shrink_to(wanted);
+        self.buffer.copy_within(self.start..self.end, 0);
+        self.end -= self.start;
+        self.start = 0;
+        let required_bytes = self.record_length().unwrap_or(0).max(DEFAULT_BUFFER_BYTES);
+        if self.buffer.len() != required_bytes && self.end < required_bytes {
+            self.buffer.resize(required_bytes, 0);
+            self.buffer.shrink_to(required_bytes);
         }
-        &mut self.bytes[self.end..]
+        &mut self.buffer[self.end..]
     }
 
-    /// So many bytes were read into the room.
+    /// Records that `count` bytes were read into [`RecordReader::free_space`].
     pub fn commit(&mut self, count: usize) {
         self.end += count;
     }
 
-    /// The memory that the buffer takes.
+    /// The size of the buffer, in bytes.
     pub fn buffer_bytes(&self) -> usize {
-        self.bytes.len()
+        self.buffer.len()
     }
 
-    /// Nothing of a record lies here.
+    /// Whether every received byte has been parsed.
     pub fn is_empty(&self) -> bool {
         self.start == self.end
     }
 
-    /// The length of the record that begins here, once its header is here.
+    /// The length of the first record with header and padding, in bytes; `None` until its header is complete.
     fn record_length(&self) -> Option<usize> {
-        let head = self.bytes[self.start..self.end].get(..HEADER_BYTES)?;
-        Some(
-            HEADER_BYTES
-                + usize::from(u16::from_be_bytes([head[4], head[5]]))
-                + usize::from(head[6]),
-        )
+        let header = self.buffer[self.start..self.end].get(..HEADER_BYTES)?;
+        Some(HEADER_BYTES + content_length(header) + usize::from(header[6]))
     }
 
-    /// Takes the next whole record, if there is one.
+    /// Parses and removes the next record; `None` until it is complete.
+    ///
+    /// # Errors
+    /// [`ProtocolError::UnsupportedVersion`] as soon as the header is complete. The record is not removed then.
     pub fn next_record(&mut self) -> Result<Option<Record<'_>>, ProtocolError> {
-        let Some(whole) = self.record_length() else {
+        let Some(record_length) = self.record_length() else {
             return Ok(None);
         };
-        let head = &self.bytes[self.start..];
-        if head[0] != 1 {
-            return Err(ProtocolError::UnsupportedVersion(head[0]));
+        let bytes = &self.buffer[self.start..];
+        if bytes[0] != VERSION {
+            return Err(ProtocolError::UnsupportedVersion(bytes[0]));
         }
-        if self.end - self.start < whole {
+        if self.end - self.start < record_length {
             return Ok(None);
         }
-        let content =
-            HEADER_BYTES..HEADER_BYTES + usize::from(u16::from_be_bytes([head[4], head[5]]));
-        self.start += whole;
+        self.start += record_length;
         Ok(Some(Record {
-            record_type: head[1],
-            request_id: u16::from_be_bytes([head[2], head[3]]),
-            content: &head[content],
+            record_type: bytes[1],
+            request_id: u16::from_be_bytes([bytes[2], bytes[3]]),
+            content: &bytes[HEADER_BYTES..HEADER_BYTES + content_length(bytes)],
         }))
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn records_are_found_wherever_the_bytes_are_cut() {
-        // A record of 3 bytes with 5 of padding, then an empty one.
-        let bytes = [
-            1, 4, 0, 7, 0, 3, 5, 0, b'a', b'b', b'c', 9, 9, 9, 9, 9, 1, 5, 1, 2, 0, 0, 0, 0,
-        ];
-        for cut in 1..bytes.len() {
-            let mut incoming = RecordReader::default();
-            let mut got = Vec::new();
-            for part in bytes.chunks(cut) {
-                incoming.free_space()[..part.len()].copy_from_slice(part);
-                incoming.commit(part.len());
-                while let Some(record) = incoming.next_record().unwrap() {
-                    got.push((
-                        record.record_type,
-                        record.request_id,
-                        record.content.to_vec(),
-                    ));
-                }
-            }
-            assert_eq!(
-                got,
-                [(4, 7, b"abc".to_vec()), (5, 258, Vec::new())],
-                "cut at {cut}"
-            );
-            assert!(incoming.is_empty());
-        }
-    }
-
-    #[test]
-    fn a_record_larger_than_the_usual_room_gets_enough() {
-        let mut incoming = RecordReader::default();
-        incoming.free_space()[..8].copy_from_slice(&[1, 5, 0, 1, 255, 255, 255, 0]);
-        incoming.commit(8);
-        assert_eq!(incoming.next_record(), Ok(None));
-        let room = incoming.free_space().len();
-        assert_eq!(room, 65_535 + 255);
-        incoming.commit(room);
-        assert_eq!(
-            incoming.next_record().unwrap().unwrap().content.len(),
-            65_535
-        );
-        assert_eq!(incoming.free_space().len(), MIN_BUFFER_BYTES);
-    }
-
-    #[test]
-    fn another_version_is_malformed_at_its_header() {
-        let mut incoming = RecordReader::default();
-        incoming.free_space()[..8].copy_from_slice(b"GET / HT");
-        incoming.commit(8);
-        assert_eq!(
-            incoming.next_record(),
-            Err(ProtocolError::UnsupportedVersion(b'G'))
-        );
-    }
+/// The length of the content, from the header at the start of `record`.
+fn content_length(record: &[u8]) -> usize {
+    usize::from(u16::from_be_bytes([record[4], record[5]]))
 }
--- a/crates/asterdale-fastcgi/src/request_assembler.rs
+++ b/crates/asterdale-fastcgi/src/request_assembler.rs
@@ -1,338 +1,211 @@
-//! Requests put together from the records of one connection.
+//! State machine that assembles the requests of one connection from its records.
 
 use std::collections::HashMap;
 
-use crate::record_reader::{ProtocolError, Record};
-use crate::record_type;
+use crate::error::ProtocolError;
+use crate::record_reader::Record;
+use crate::{protocol_status, record_type};
 
-/// What the requests of one connection that have begun may take in all: 32 heads and bodies of the platform
-/// take less. So a thousand connections that begin and never end can't fill the memory.
+/// Memory limit for the incomplete requests of one connection, in bytes. The platform's 32 concurrent requests need
+/// less. The limit keeps many connections that open requests and never complete them from exhausting the memory.
 const MAX_PENDING_BYTES: usize = 96 * 1024;
-/// The platform's bound for a body.
+/// The platform's limit for a request body, in bytes.
 const MAX_BODY_BYTES: usize = 2 * 1024;
-/// The role that this side plays.
-const RESPONDER: u16 = 1;
+/// The role FCGI_RESPONDER, the only one that is implemented.
+const ROLE_RESPONDER: u16 = 1;
+/// The flag FCGI_KEEP_CONN of BEGIN_REQUEST.
 const FLAG_KEEP_CONNECTION: u8 = 1;
 
-/// A request that has come whole.
+/// A request whose parameters and body have been received completely.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CompleteRequest {
-    /// Its parameters, see [`crate::Params`].
+    /// The encoded parameters, see [`crate::Params`].
     pub params: Vec<u8>,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
-    /// The connection stays open after the answer.
+    /// Whether the connection stays open after the response.
     pub keep_connection: bool,
 }
 
 struct PendingRequest {
     request: CompleteRequest,
-    params_done: bool,
-    body_done: bool,
+    params_complete: bool,
+    body_complete: bool,
 }
 
-/// What a record comes to.
+/// The result of handling one record.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AssemblyEvent {
-    /// More records are needed, or this one means nothing here.
+    /// Nothing to do: more records are needed, or the record has no meaning in this state.
     Pending,
-    /// This request has come whole.
+    /// The request of this id is complete.
     Complete(u16, CompleteRequest),
-    /// The peer no longer waits for this request, which had come whole before.
+    /// The peer cancels the request of this id, which was complete before.
     Abort(u16),
-    /// Owed at once: an END_REQUEST with this protocol state.
+    /// The caller must send END_REQUEST for this id with this protocol status now.
     EndRequest(u16, u8),
-    /// This request's body is too long, and may never end: the request is over, and what follows is no use.
+    /// The body of this request is too long, and may never end. The request is dropped; the caller should not read on.
     BodyTooLong(u16),
-    /// Owed at once: the values of the variables that are named.
+    /// The caller must answer this GET_VALUES query now.
     GetValues(Vec<u8>),
-    /// Owed at once: this type is not known.
+    /// The caller must answer this unknown management record type now.
     UnknownType(u8),
 }
 
-/// The requests of one connection that have not come whole.
+/// The incomplete requests of one connection.
 #[derive(Default)]
 pub struct RequestAssembler {
     pending: HashMap<u16, PendingRequest>,
-    /// Bytes of their parameters and bodies.
+    /// Bytes of the pending parameters and bodies.
     pending_bytes: usize,
 }
 
 impl RequestAssembler {
-    /// How many have begun and not come whole.
+    /// The number of incomplete requests.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// The memory that they take.
+    /// The memory that the incomplete requests take, in bytes.
     pub fn pending_bytes(&self) -> usize {
         self.pending_bytes
     }
 
-    fn remove(&mut self, id: u16) -> Option<CompleteRequest> {
-        let whole = self.pending.remove(&id)?.request;
-        self.pending_bytes -= whole.params.len() + whole.body.len();
-        Some(whole)
-    }
-
-    /// Takes the next record. `more` says whether another request may be opened.
+    /// Handles the next record. A new request is answered as overloaded unless `accepts_request`.
+    ///
+    /// # Errors
+    /// A violation of the protocol, or of the memory limit. The connection cannot be used any further.
     pub fn handle_record(
         &mut self,
         record: Record<'_>,
-        more: bool,
+        accepts_request: bool,
     ) -> Result<AssemblyEvent, ProtocolError> {
         let Record {
-            record_type: kind,
-            request_id: id,
+            record_type,
+            request_id,
             content,
         } = record;
-        if id == 0 {
-            return Ok(match kind {
-                record_type::GET_VALUES => AssemblyEvent::GetValues(content.to_vec()),
-                record_type::BEGIN_REQUEST..=record_type::STDIN => AssemblyEvent::Pending,
-                other => AssemblyEvent::UnknownType(other),
-            });
+        if request_id == 0 {
+            return Ok(management_event(record_type, content));
         }
-        match kind {
-            record_type::BEGIN_REQUEST => {
-                let body = content
-                    .get(..3)
-                    .ok_or(ProtocolError::TruncatedRecord(kind))?;
-                if u16::from_be_bytes([body[0], body[1]]) != RESPONDER {
-                    return Ok(AssemblyEvent::EndRequest(
-                        id,
-                        crate::protocol_status::UNKNOWN_ROLE,
-                    ));
-                }
-                if self.pending.contains_key(&id) {
-                    return Err(ProtocolError::DuplicateRequestId(id));
-                }
-                if !more {
-                    return Ok(AssemblyEvent::EndRequest(
-                        id,
-                        crate::protocol_status::OVERLOADED,
-                    ));
-                }
-                let whole = CompleteRequest {
-                    keep_connection: body[2] & FLAG_KEEP_CONNECTION != 0,
-                    ..CompleteRequest::default()
-                };
-                self.pending.insert(
-                    id,
-                    PendingRequest {
-                        request: whole,
-                        params_done: false,
-                        body_done: false,
-                    },
-                );
-            }
-            record_type::ABORT_REQUEST => {
-                // One that never came whole was not taken: nothing ran, and it ends here.
-                let known = self.remove(id).is_some();
-                return Ok(if known {
-                    AssemblyEvent::EndRequest(id, crate::protocol_status::COMPLETE)
-                } else {
-                    AssemblyEvent::Abort(id)
-                });
-            }
-            record_type::PARAMS | record_type::STDIN => {
-                let Some(partial) = self.pending.get_mut(&id) else {
-                    return Ok(AssemblyEvent::Pending);
-                };
-                let CompleteRequest { params, body, .. } = &mut partial.request;
-                if kind == record_type::PARAMS && !partial.params_done {
-                    partial.params_done = content.is_empty();
-                    params.extend_from_slice(content);
-                    self.pending_bytes += content.len();
-                } else if kind == record_type::STDIN && !partial.body_done {
-                    partial.body_done = content.is_empty();
-                    if body.len() + content.len() > MAX_BODY_BYTES {
-                        self.remove(id);
-                        return Ok(AssemblyEvent::BodyTooLong(id));
-                    }
-                    body.extend_from_slice(content);
-                    self.pending_bytes += content.len();
-                }
-                // Two streams, which may end in either order.
-                if partial.params_done && partial.body_done {
-                    return Ok(self.remove(id).map_or(AssemblyEvent::Pending, |whole| {
-                        AssemblyEvent::Complete(id, whole)
-                    }));
-                }
-                if self.pending_bytes > MAX_PENDING_BYTES {
-                    return Err(ProtocolError::TooManyPendingBytes);
-                }
-            }
-            _ => {}
+        match record_type {
+            record_type::BEGIN_REQUEST => self.begin(request_id, content, accepts_request),
+            record_type::ABORT_REQUEST => Ok(self.abort(request_id)),
+            record_type::PARAMS => self.append_params(request_id, content),
+            record_type::STDIN => self.append_body(request_id, content),
+            _ => Ok(AssemblyEvent::Pending),
         }
-        Ok(AssemblyEvent::Pending)
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn record(kind: u8, id: u16, content: &[u8]) -> Record<'_> {
-        Record {
-            record_type: kind,
-            request_id: id,
-            content,
+    fn begin(
+        &mut self,
+        request_id: u16,
+        content: &[u8],
+        accepts_request: bool,
+    ) -> Result<AssemblyEvent, ProtocolError> {
+        let &[role_high, role_low, flags, ..] = content else {
+            return Err(ProtocolError::TruncatedRecord(record_type::BEGIN_REQUEST));
+        };
+        if u16::from_be_bytes([role_high, role_low]) != ROLE_RESPONDER {
+            let status = protocol_status::UNKNOWN_ROLE;
+            return Ok(AssemblyEvent::EndRequest(request_id, status));
         }
-    }
-
-    const BEGIN: &[u8] = &[0, 1, 1, 0, 0, 0, 0, 0];
-
-    #[test]
-    fn requests_that_interleave_come_whole_each_by_itself() {
-        let mut requests = RequestAssembler::default();
-        for (kind, id, content) in [
-            (1, 1, BEGIN),
-            (1, 2, &[0, 1, 0, 0, 0, 0, 0, 0]),
-            (4, 2, b"pa"),
-            (4, 1, b"one"),
-            (4, 2, b"rt"),
-            (4, 2, b""),
-            (5, 2, b""),
-        ] {
-            let step = requests
-                .handle_record(record(kind, id, content), true)
-                .unwrap();
-            let whole = CompleteRequest {
-                params: b"part".to_vec(),
-                ..CompleteRequest::default()
-            };
-            assert_eq!(
-                step,
-                if kind == 5 {
-                    AssemblyEvent::Complete(2, whole)
-                } else {
-                    AssemblyEvent::Pending
-                }
-            );
+        if self.pending.contains_key(&request_id) {
+            return Err(ProtocolError::DuplicateRequestId(request_id));
         }
-        assert_eq!(requests.pending_count(), 1);
-        assert_eq!(
-            requests.handle_record(record(4, 1, b""), true),
-            Ok(AssemblyEvent::Pending)
-        );
-        assert_eq!(
-            requests.handle_record(record(5, 1, b"\0\xff"), true),
-            Ok(AssemblyEvent::Pending)
-        );
-        let whole = CompleteRequest {
-            params: b"one".to_vec(),
-            body: b"\0\xff".to_vec(),
-            keep_connection: true,
+        if !accepts_request {
+            let status = protocol_status::OVERLOADED;
+            return Ok(AssemblyEvent::EndRequest(request_id, status));
+        }
+        let request = CompleteRequest {
+            keep_connection: flags & FLAG_KEEP_CONNECTION != 0,
+            ..CompleteRequest::default()
+        };
+        let pending = PendingRequest {
+            request,
+            params_complete: false,
+            body_complete: false,
         };
-        assert_eq!(
-            requests.handle_record(record(5, 1, b""), true),
-            Ok(AssemblyEvent::Complete(1, whole))
-        );
+        self.pending.insert(request_id, pending);
+        Ok(AssemblyEvent::Pending)
     }
 
-    #[test]
-    fn the_two_streams_may_end_in_either_order() {
-        let mut requests = RequestAssembler::default();
-        for (kind, content) in [(1, BEGIN), (5, &b"body"[..]), (5, b""), (4, b"head")] {
-            assert_eq!(
-                requests.handle_record(record(kind, 1, content), true),
-                Ok(AssemblyEvent::Pending)
-            );
+    /// An incomplete request was never passed on, so nothing ran and its END_REQUEST is due at once. A complete one is
+    /// the caller's.
+    fn abort(&mut self, request_id: u16) -> AssemblyEvent {
+        match self.remove(request_id) {
+            Some(_) => AssemblyEvent::EndRequest(request_id, protocol_status::COMPLETE),
+            None => AssemblyEvent::Abort(request_id),
         }
-        let whole = CompleteRequest {
-            params: b"head".to_vec(),
-            body: b"body".to_vec(),
-            keep_connection: true,
+    }
+
+    fn append_params(
+        &mut self,
+        request_id: u16,
+        content: &[u8],
+    ) -> Result<AssemblyEvent, ProtocolError> {
+        let Some(pending) = self.pending.get_mut(&request_id) else {
+            return Ok(AssemblyEvent::Pending);
         };
-        assert_eq!(
-            requests.handle_record(record(4, 1, b""), true),
-            Ok(AssemblyEvent::Complete(1, whole))
-        );
-        assert_eq!((requests.pending_count(), requests.pending_bytes()), (0, 0));
+        if !pending.params_complete {
+            pending.params_complete = content.is_empty();
+            pending.request.params.extend_from_slice(content);
+            self.pending_bytes += content.len();
+        }
+        self.complete_or_check_limit(request_id)
     }
 
-    #[test]
-    fn a_body_that_is_too_long_is_known_before_its_end() {
-        let mut requests = RequestAssembler::default();
-        requests.handle_record(record(1, 1, BEGIN), true).unwrap();
-        assert_eq!(
-            requests.handle_record(record(5, 1, &[7; 2048]), true),
-            Ok(AssemblyEvent::Pending)
-        );
-        assert_eq!(
-            requests.handle_record(record(5, 1, &[7]), true),
-            Ok(AssemblyEvent::BodyTooLong(1))
-        );
-        assert_eq!((requests.pending_count(), requests.pending_bytes()), (0, 0));
+    fn append_body(
+        &mut self,
+        request_id: u16,
+        content: &[u8],
+    ) -> Result<AssemblyEvent, ProtocolError> {
+        let Some(pending) = self.pending.get_mut(&request_id) else {
+            return Ok(AssemblyEvent::Pending);
+        };
+        if !pending.body_complete {
+            pending.body_complete = content.is_empty();
+            if pending.request.body.len() + content.len() > MAX_BODY_BYTES {
+                self.remove(request_id);
+                return Ok(AssemblyEvent::BodyTooLong(request_id));
+            }
+            pending.request.body.extend_from_slice(content);
+            self.pending_bytes += content.len();
+        }
+        self.complete_or_check_limit(request_id)
     }
 
-    #[test]
-    fn requests_that_begin_and_never_end_have_a_bound() {
-        let mut requests = RequestAssembler::default();
-        for round in 0..4 {
-            requests.handle_record(record(1, 1, BEGIN), true).unwrap();
-            assert_eq!(
-                requests.handle_record(record(4, 1, &[0; 60_000]), true),
-                Ok(AssemblyEvent::Pending),
-                "{round}"
-            );
-            requests.handle_record(record(2, 1, b""), true).unwrap();
+    /// Returns the request once both of its streams have ended, which they may in either order.
+    fn complete_or_check_limit(&mut self, request_id: u16) -> Result<AssemblyEvent, ProtocolError> {
+        let is_complete = self
+            .pending
+            .get(&request_id)
+            .is_some_and(|pending| pending.params_complete && pending.body_complete);
+        if is_complete {
+            return Ok(self
+                .remove(request_id)
+                .map_or(AssemblyEvent::Pending, |request| {
+                    AssemblyEvent::Complete(request_id, request)
+                }));
+        }
+        if self.pending_bytes > MAX_PENDING_BYTES {
+            return Err(ProtocolError::TooManyPendingBytes);
         }
-        requests.handle_record(record(1, 1, BEGIN), true).unwrap();
-        requests.handle_record(record(1, 2, BEGIN), true).unwrap();
-        assert_eq!(
-            requests.handle_record(record(4, 1, &[0; 60_000]), true),
-            Ok(AssemblyEvent::Pending)
-        );
-        assert_eq!(
-            requests.handle_record(record(4, 2, &[0; 60_000]), true),
-            Err(ProtocolError::TooManyPendingBytes)
-        );
+        Ok(AssemblyEvent::Pending)
+    }
+
+    fn remove(&mut self, request_id: u16) -> Option<CompleteRequest> {
+        let request = self.pending.remove(&request_id)?.request;
+        self.pending_bytes -= request.params.len() + request.body.len();
+        Some(request)
     }
+}
 
-    #[test]
-    fn what_can_not_be_taken_is_refused_or_malformed() {
-        let mut requests = RequestAssembler::default();
-        assert_eq!(
-            requests.handle_record(record(1, 1, &[0, 2, 1]), true),
-            Ok(AssemblyEvent::EndRequest(1, 3))
-        );
-        assert_eq!(
-            requests.handle_record(record(1, 1, BEGIN), false),
-            Ok(AssemblyEvent::EndRequest(1, 2))
-        );
-        assert_eq!(
-            requests.handle_record(record(1, 1, &[0]), true),
-            Err(ProtocolError::TruncatedRecord(1))
-        );
-        assert_eq!(
-            requests.handle_record(record(1, 1, BEGIN), true),
-            Ok(AssemblyEvent::Pending)
-        );
-        assert_eq!(
-            requests.handle_record(record(1, 1, BEGIN), true),
-            Err(ProtocolError::DuplicateRequestId(1))
-        );
-        assert_eq!(
-            requests.handle_record(record(2, 1, b""), true),
-            Ok(AssemblyEvent::EndRequest(1, 0))
-        );
-        assert_eq!(
-            requests.handle_record(record(2, 1, b""), true),
-            Ok(AssemblyEvent::Abort(1))
-        );
-        assert_eq!(
-            requests.handle_record(record(4, 9, b"x"), true),
-            Ok(AssemblyEvent::Pending)
-        );
-        assert_eq!(
-            requests.handle_record(record(77, 0, b"x"), true),
-            Ok(AssemblyEvent::UnknownType(77))
-        );
-        assert_eq!(
-            requests.handle_record(record(9, 0, b"x"), true),
-            Ok(AssemblyEvent::GetValues(b"x".to_vec()))
-        );
+/// The event for a record of request id 0. Record types that belong to a request are ignored there.
+fn management_event(record_type: u8, content: &[u8]) -> AssemblyEvent {
+    match record_type {
+        record_type::GET_VALUES => AssemblyEvent::GetValues(content.to_vec()),
+        record_type::BEGIN_REQUEST..=record_type::STDIN => AssemblyEvent::Pending,
+        unknown => AssemblyEvent::UnknownType(unknown),
     }
 }
--- a/crates/asterdale-fastcgi/src/response.rs
+++ b/crates/asterdale-fastcgi/src/response.rs
@@ -1,24 +1,19 @@
-//! Answers, laid out for gathered writes.
+//! Encoded responses, in up to three pieces for a vectored write.
 
 use std::io::IoSlice;
 use std::sync::Arc;
 
-use crate::params::Params;
-use crate::record_type;
+use crate::record_reader::{HEADER_BYTES, VERSION};
+use crate::{protocol_status, record_type, Params};
 
-fn header(kind: u8, id: u16, length: usize, padding: u8) -> [u8; 8] {
-    let (id, length) = (id.to_be_bytes(), (length as u16).to_be_bytes());
-    [1, kind, id[0], id[1], length[0], length[1], padding, 0]
-}
-
-fn end_request(id: u16, state: u8) -> [u8; 16] {
-    let mut out = [0; 16];
-    out[..8].copy_from_slice(&header(record_type::END_REQUEST, id, 8, 0));
-    out[12] = state;
-    out
-}
+/// The content of a record is no longer, in bytes: its length is a `u16`.
+const MAX_CONTENT_BYTES: usize = u16::MAX as usize;
+/// Records are padded to a multiple of this many bytes, as the specification recommends.
+const ALIGNMENT_BYTES: usize = 8;
+/// Length of the content of END_REQUEST and of UNKNOWN_TYPE, in bytes.
+const FIXED_CONTENT_BYTES: usize = 8;
 
-/// Bytes that go to the peer: a front, a body that may be shared, and an end.
+/// Encoded records for one peer. The body is shared, not copied.
 #[derive(Clone, Debug)]
 pub struct Response {
     prefix: Vec<u8>,
@@ -27,30 +22,38 @@
 }
 
 impl Response {
-    /// A whole answer: one STDOUT record with head and body, the end of that stream, and END_REQUEST. Head
-    /// and body together must be under 64 KiB; the body is cut there.
-    pub fn new(id: u16, head: &str, body: Arc<[u8]>) -> Response {
-        let body = if head.len() + body.len() > 65_535 {
-            body[..65_535 - head.len()].into()
+    /// A complete response: one STDOUT record with `head` and `body`, the end of that stream, and END_REQUEST. A body
+    /// that does not fit into the record beside `head` (64 KiB - 1 in all) is cut.
+    ///
+    /// # Panics
+    /// If `head` alone is longer than that.
+    pub fn new(request_id: u16, head: &str, body: Arc<[u8]>) -> Response {
+        let body = if head.len() + body.len() > MAX_CONTENT_BYTES {
+            body[..MAX_CONTENT_BYTES - head.len()].into()
         } else {
             body
         };
-        let length = head.len() + body.len();
-        let padding = (8 - length % 8) % 8;
-        let mut front = Vec::with_capacity(8 + head.len());
-        front.extend(header(record_type::STDOUT, id, length, padding as u8));
-        front.extend_from_slice(head.as_bytes());
-        let mut end = vec![0; padding];
-        end.extend(header(record_type::STDOUT, id, 0, 0));
-        end.extend(end_request(id, crate::protocol_status::COMPLETE));
+        let content_bytes = head.len() + body.len();
+        let padding_bytes = content_bytes.next_multiple_of(ALIGNMENT_BYTES) - content_bytes;
+        let mut prefix = Vec::with_capacity(HEADER_BYTES + head.len());
+        prefix.extend(header(
+            record_type::STDOUT,
+            request_id,
+            content_bytes,
+            padding_bytes as u8,
+        ));
+        prefix.extend_from_slice(head.as_bytes());
+        let mut suffix = vec![0; padding_bytes];
+        suffix.extend(header(record_type::STDOUT, request_id, 0, 0));
+        suffix.extend(end_request(request_id, protocol_status::COMPLETE));
         Response {
-            prefix: front,
+            prefix,
             body,
-            suffix: end,
+            suffix,
         }
     }
 
-    /// The pieces to be written, in order.
+    /// The pieces to write, in order.
     pub fn slices(&self) -> [IoSlice<'_>; 3] {
         [
             IoSlice::new(&self.prefix),
@@ -59,101 +62,89 @@
         ]
     }
 
-    fn single_record(front: Vec<u8>) -> Response {
+    fn single_record(record: Vec<u8>) -> Response {
         Response {
-            prefix: front,
+            prefix: record,
             body: Arc::new([]),
             suffix: Vec::new(),
         }
     }
 }
 
-/// An END_REQUEST alone, with a protocol state.
-pub fn end_request_response(id: u16, state: u8) -> Response {
-    Response::single_record(end_request(id, state).to_vec())
+/// An END_REQUEST alone, with a status of [`crate::protocol_status`].
+pub fn end_request_response(request_id: u16, status: u8) -> Response {
+    Response::single_record(end_request(request_id, status).to_vec())
 }
 
-/// The answer to a management record of an unknown type.
-pub fn unknown_type_response(unknown: u8) -> Response {
-    let mut front = header(record_type::UNKNOWN_TYPE, 0, 8, 0).to_vec();
-    front.extend([unknown, 0, 0, 0, 0, 0, 0, 0]);
-    Response::single_record(front)
+/// The response to a management record of a type that is not supported.
+pub fn unknown_type_response(unknown_type: u8) -> Response {
+    let mut record = header(record_type::UNKNOWN_TYPE, 0, FIXED_CONTENT_BYTES, 0).to_vec();
+    record.push(unknown_type);
+    record.extend([0; FIXED_CONTENT_BYTES - 1]);
+    Response::single_record(record)
 }
 
-/// The answer to GET_VALUES: those of the variables that are asked for and known here.
-pub fn values_response(asked: &[u8], connections: usize, a_connection: usize) -> Response {
-    let known = [
-        ("FCGI_MAX_CONNS", connections.to_string()),
-        ("FCGI_MAX_REQS", (connections * a_connection).to_string()),
+/// The response to GET_VALUES with content `query`: the requested variables, as far as they are defined here.
+pub fn values_response(
+    query: &[u8],
+    max_connections: usize,
+    max_requests_per_connection: usize,
+) -> Response {
+    let variables = [
+        ("FCGI_MAX_CONNS", max_connections.to_string()),
+        (
+            "FCGI_MAX_REQS",
+            (max_connections * max_requests_per_connection).to_string(),
+        ),
         ("FCGI_MPXS_CONNS", "1".to_owned()),
     ];
     let mut content = Vec::new();
-    for (name, value) in &known {
-        if Params(asked)
+    for (name, value) in &variables {
+        let is_requested = Params(query)
             .flatten()
-            .any(|(wanted, _)| wanted == name.as_bytes())
-        {
+            .any(|(requested, _)| requested == name.as_bytes());
+        if is_requested {
             content.extend([name.len() as u8, value.len() as u8]);
             content.extend_from_slice(name.as_bytes());
             content.extend_from_slice(value.as_bytes());
         }
     }
-    let mut front = header(record_type::GET_VALUES_RESULT, 0, content.len(), 0).to_vec();
-    front.extend(content);
-    Response::single_record(front)
+    let mut record = header(record_type::GET_VALUES_RESULT, 0, content.len(), 0).to_vec();
+    record.extend(content);
+    Response::single_record(record)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::RecordReader;
-
-    fn read(answer: &Response) -> Vec<(u8, u16, Vec<u8>)> {
-        let bytes = answer
-            .slices()
-            .iter()
-            .flat_map(|part| part.to_vec())
-            .collect::<Vec<u8>>();
-        let (mut incoming, mut got) = (RecordReader::default(), Vec::new());
-        for part in bytes.chunks(4096) {
-            incoming.free_space()[..part.len()].copy_from_slice(part);
-            incoming.commit(part.len());
-            while let Some(record) = incoming.next_record().unwrap() {
-                got.push((
-                    record.record_type,
-                    record.request_id,
-                    record.content.to_vec(),
-                ));
-            }
-        }
-        got
-    }
-
-    #[test]
-    fn an_answer_is_its_stream_the_end_of_it_and_an_end_request() {
-        for length in 0..9 {
-            let answer = Response::new(300, "Status: 200\r\n\r\n", vec![9; length].into());
-            let mut content = b"Status: 200\r\n\r\n".to_vec();
-            content.extend(vec![9; length]);
-            let end = vec![0; 8];
-            assert_eq!(
-                read(&answer),
-                [(6, 300, content), (6, 300, Vec::new()), (3, 300, end)]
-            );
-        }
-    }
+fn header(
+    record_type: u8,
+    request_id: u16,
+    content_bytes: usize,
+    padding_bytes: u8,
+) -> [u8; HEADER_BYTES] {
+    let [id_high, id_low] = request_id.to_be_bytes();
+    let [length_high, length_low] = (content_bytes as u16).to_be_bytes();
+    let reserved = 0;
+    [
+        VERSION,
+        record_type,
+        id_high,
+        id_low,
+        length_high,
+        length_low,
+        padding_bytes,
+        reserved,
+    ]
+}
 
-    #[test]
-    fn values_that_are_asked_for_are_told_and_others_are_not() {
-        let got = read(&values_response(b"\x0f\0FCGI_MPXS_CONNS\x03\0ABC", 5, 32));
-        assert_eq!(got, [(10, 0, b"\x0f\x01FCGI_MPXS_CONNS1".to_vec())]);
-        assert_eq!(
-            read(&unknown_type_response(99)),
-            [(11, 0, vec![99, 0, 0, 0, 0, 0, 0, 0])]
-        );
-        assert_eq!(
-            read(&end_request_response(2, 3)),
-            [(3, 2, vec![0, 0, 0, 0, 3, 0, 0, 0])]
-        );
-    }
+/// An encoded END_REQUEST: the header, four bytes of application status (0), the protocol status, three reserved bytes.
+fn end_request(request_id: u16, status: u8) -> [u8; HEADER_BYTES + FIXED_CONTENT_BYTES] {
+    const STATUS_OFFSET: usize = HEADER_BYTES + 4;
+    let mut record = [0; HEADER_BYTES + FIXED_CONTENT_BYTES];
+    record[..HEADER_BYTES].copy_from_slice(&header(
+        record_type::END_REQUEST,
+        request_id,
+        FIXED_CONTENT_BYTES,
+        0,
+    ));
+    record[STATUS_OFFSET] = status;
+    record
 }
--- /dev/null
+++ b/crates/asterdale-fastcgi/tests/request_assembler.rs
@@ -0,0 +1,172 @@
+//! Assembly of requests from records.
+
+use asterdale_fastcgi::{AssemblyEvent, CompleteRequest, ProtocolError, Record, RequestAssembler};
+
+fn record(record_type: u8, request_id: u16, content: &[u8]) -> Record<'_> {
+    Record {
+        record_type,
+        request_id,
+        content,
+    }
+}
+
+const BEGIN: &[u8] = &[0, 1, 1, 0, 0, 0, 0, 0];
+
+#[test]
+fn interleaved_requests_are_assembled_separately() {
+    let mut assembler = RequestAssembler::default();
+    for (record_type, request_id, content) in [
+        (1, 1, BEGIN),
+        (1, 2, &[0, 1, 0, 0, 0, 0, 0, 0]),
+        (4, 2, b"pa"),
+        (4, 1, b"one"),
+        (4, 2, b"rt"),
+        (4, 2, b""),
+        (5, 2, b""),
+    ] {
+        let event = assembler
+            .handle_record(record(record_type, request_id, content), true)
+            .unwrap();
+        let request = CompleteRequest {
+            params: b"part".to_vec(),
+            ..CompleteRequest::default()
+        };
+        assert_eq!(
+            event,
+            if record_type == 5 {
+                AssemblyEvent::Complete(2, request)
+            } else {
+                AssemblyEvent::Pending
+            }
+        );
+    }
+    assert_eq!(assembler.pending_count(), 1);
+    assert_eq!(
+        assembler.handle_record(record(4, 1, b""), true),
+        Ok(AssemblyEvent::Pending)
+    );
+    assert_eq!(
+        assembler.handle_record(record(5, 1, b"\0\xff"), true),
+        Ok(AssemblyEvent::Pending)
+    );
+    let request = CompleteRequest {
+        params: b"one".to_vec(),
+        body: b"\0\xff".to_vec(),
+        keep_connection: true,
+    };
+    assert_eq!(
+        assembler.handle_record(record(5, 1, b""), true),
+        Ok(AssemblyEvent::Complete(1, request))
+    );
+}
+
+#[test]
+fn the_streams_of_a_request_may_end_in_either_order() {
+    let mut assembler = RequestAssembler::default();
+    for (record_type, content) in [(1, BEGIN), (5, &b"body"[..]), (5, b""), (4, b"head")] {
+        assert_eq!(
+            assembler.handle_record(record(record_type, 1, content), true),
+            Ok(AssemblyEvent::Pending)
+        );
+    }
+    let request = CompleteRequest {
+        params: b"head".to_vec(),
+        body: b"body".to_vec(),
+        keep_connection: true,
+    };
+    assert_eq!(
+        assembler.handle_record(record(4, 1, b""), true),
+        Ok(AssemblyEvent::Complete(1, request))
+    );
+    assert_eq!(
+        (assembler.pending_count(), assembler.pending_bytes()),
+        (0, 0)
+    );
+}
+
+#[test]
+fn a_body_that_is_too_long_is_rejected_before_its_end() {
+    let mut assembler = RequestAssembler::default();
+    assembler.handle_record(record(1, 1, BEGIN), true).unwrap();
+    assert_eq!(
+        assembler.handle_record(record(5, 1, &[7; 2048]), true),
+        Ok(AssemblyEvent::Pending)
+    );
+    assert_eq!(
+        assembler.handle_record(record(5, 1, &[7]), true),
+        Ok(AssemblyEvent::BodyTooLong(1))
+    );
+    assert_eq!(
+        (assembler.pending_count(), assembler.pending_bytes()),
+        (0, 0)
+    );
+}
+
+#[test]
+fn incomplete_requests_have_a_memory_limit() {
+    let mut assembler = RequestAssembler::default();
+    for round in 0..4 {
+        assembler.handle_record(record(1, 1, BEGIN), true).unwrap();
+        assert_eq!(
+            assembler.handle_record(record(4, 1, &[0; 60_000]), true),
+            Ok(AssemblyEvent::Pending),
+            "{round}"
+        );
+        assembler.handle_record(record(2, 1, b""), true).unwrap();
+    }
+    assembler.handle_record(record(1, 1, BEGIN), true).unwrap();
+    assembler.handle_record(record(1, 2, BEGIN), true).unwrap();
+    assert_eq!(
+        assembler.handle_record(record(4, 1, &[0; 60_000]), true),
+        Ok(AssemblyEvent::Pending)
+    );
+    assert_eq!(
+        assembler.handle_record(record(4, 2, &[0; 60_000]), true),
+        Err(ProtocolError::TooManyPendingBytes)
+    );
+}
+
+#[test]
+fn invalid_records_are_answered_or_are_protocol_errors() {
+    let mut assembler = RequestAssembler::default();
+    assert_eq!(
+        assembler.handle_record(record(1, 1, &[0, 2, 1]), true),
+        Ok(AssemblyEvent::EndRequest(1, 3))
+    );
+    assert_eq!(
+        assembler.handle_record(record(1, 1, BEGIN), false),
+        Ok(AssemblyEvent::EndRequest(1, 2))
+    );
+    assert_eq!(
+        assembler.handle_record(record(1, 1, &[0]), true),
+        Err(ProtocolError::TruncatedRecord(1))
+    );
+    assert_eq!(
+        assembler.handle_record(record(1, 1, BEGIN), true),
+        Ok(AssemblyEvent::Pending)
+    );
+    assert_eq!(
+        assembler.handle_record(record(1, 1, BEGIN), true),
+        Err(ProtocolError::DuplicateRequestId(1))
+    );
+    assert_eq!(
+        assembler.handle_record(record(2, 1, b""), true),
+        Ok(AssemblyEvent::EndRequest(1, 0))
+    );
+    assert_eq!(
+        assembler.handle_record(record(2, 1, b""), true),
+        Ok(AssemblyEvent::Abort(1))
+    );
+    assert_eq!(
+        assembler.handle_record(record(4, 9, b"x"), true),
+        Ok(AssemblyEvent::Pending)
+    );
+    assert_eq!(
+        assembler.handle_record(record(77, 0, b"x"), true),
+        Ok(AssemblyEvent::UnknownType(77))
+    );
+    assert_eq!(
+        assembler.handle_record(record(9, 0, b"x"), true),
+        Ok(AssemblyEvent::GetValues(b"x".to_vec()))
+    );
+}
