--- a/crates/asterdale-daemon/src/upgrade/stored.rs
+++ b/crates/asterdale-daemon/src/upgrade/stored.rs
@@ -7,7 +7,7 @@
 use asterdale_engine::state_transfer::MirroredEvent;
 use asterdale_hot_restart::frame::{encode, Incoming};
 use asterdale_hot_restart::message::{Left, Mirror, Reply as ReplyFrame, Task};
-use asterdale_identity::Kind;
+use asterdale_identity::DenialStatus;
 
 use super::port::{from_after, from_before, hello, mirror_frame};
 use super::wire::{open, reply, reply_frame, way_frame};
@@ -51,10 +51,10 @@
         (5, Reply::CallerGone),
         (6, Reply::HealthChecked(true)),
         (6, Reply::HealthChecked(false)),
-        (7, denied(Kind::Unknown)),
-        (8, denied(Kind::Forbidden)),
-        (9, denied(Kind::Over)),
-        (10, denied(Kind::Unable)),
+        (7, denied(DenialStatus::Unauthenticated)),
+        (8, denied(DenialStatus::Forbidden)),
+        (9, denied(DenialStatus::QuotaExceeded)),
+        (10, denied(DenialStatus::Unavailable)),
     ]
 }
 
--- a/crates/asterdale-engine/src/state_transfer/tests.rs
+++ b/crates/asterdale-engine/src/state_transfer/tests.rs
@@ -3,8 +3,8 @@
 //! as well, so that a change is seen even where reading and writing change together.
 //! `tests/fixtures/hot_restart/README.md` says how the file was made.
 
-use asterdale_identity::mint::Secret;
-use asterdale_identity::rights::{Role, Tenant};
+use asterdale_identity::authorization::{Role, Tenant};
+use asterdale_identity::mint::SecretKey;
 use asterdale_identity::Identity;
 use asterdale_parameters::Settings;
 use crossbeam_channel::unbounded;
@@ -72,29 +72,29 @@
     let text = |text: &str| text.to_owned();
     let role = Role {
         name: text("clerk"),
-        stages: vec![0, 1],
-        open: 99,
-        per_s: 1000.0,
+        request_classes: vec![0, 1],
+        max_concurrent: 99,
+        requests_per_s: 1000.0,
         burst: 1000.0,
-        hint_ms: f64::INFINITY,
+        max_cost_ms: f64::INFINITY,
     };
-    let facts = asterdale_identity::Facts {
+    let facts = asterdale_identity::IdentitySettings {
         seed: 5,
         issuer: text("issuer"),
         audience: text("asterdale"),
-        roots: vec![Secret::from_seed([99; 32], "root").public()],
-        most_age_ms: f64::INFINITY,
-        skew_ms: 500.0,
-        cache: 64,
-        per_edge: 1000.0,
-        in_all: 1000.0,
+        root_keys: vec![SecretKey::from_seed([99; 32], "root").public_key()],
+        max_key_set_age_ms: f64::INFINITY,
+        clock_skew_ms: 500.0,
+        cached_tokens: 64,
+        signatures_per_edge_per_s: 1000.0,
+        signatures_per_s: 1000.0,
         roles: vec![role],
         tenants: vec![Tenant {
             name: text("house"),
-            customer: 0,
+            scheduling_tenant: 0,
             roles: vec![text("clerk")],
         }],
-        certificates: Vec::new(),
+        certificate_mappings: Vec::new(),
     };
     Identity::new(START_MS, facts).unwrap()
 }
@@ -284,14 +284,14 @@
 fn the_keys_of_a_stored_state_judge_tokens() {
     use asterdale_identity::keyring::Phase;
     let host = gone_on(STATE);
-    let ring = host.tasks.callers.identity.as_ref().unwrap().ring();
+    let keyring = host.tasks.callers.identity.as_ref().unwrap().keyring();
     assert_eq!(
-        (ring.seq(), ring.phase("k2", START_MS + 1.0)),
+        (keyring.sequence(), keyring.phase("k2", START_MS + 1.0)),
         (Some(1), Some(Phase::Active))
     );
     assert_eq!(
-        ring.key("k2"),
-        Some(&Secret::from_seed([2; 32], "k2").public())
+        keyring.verifying_key("k2"),
+        Some(&SecretKey::from_seed([2; 32], "k2").public_key())
     );
 }
 
--- a/crates/asterdale-identity/tests/stored_keys.rs
+++ b/crates/asterdale-identity/tests/stored_keys.rs
@@ -2,13 +2,14 @@
 //! names, judge callers as before, and are written again byte for byte. Times are passed in. `fixtures/keys/README.md`
 //! says how the files were made.
 
+use asterdale_identity::authorization::{Role, Tenant};
 use asterdale_identity::keyring::{
-    public_key, Keyring, Offered, Phase, PublicKey, Published, Refused, Revoked, TYPE,
+    parse_public_key, KeySet, KeySetError, KeySetOutcome, Keyring, Phase, PublicJwk, Revocations,
+    KEY_SET_TYPE,
 };
-use asterdale_identity::mint::Secret;
-use asterdale_identity::rights::{Role, Tenant};
-use asterdale_identity::token::{self, Audience, Claims, Head};
-use asterdale_identity::{Ask, Facts, Identity, Why};
+use asterdale_identity::mint::SecretKey;
+use asterdale_identity::token::{self, Audience, Claims, JwsHeader};
+use asterdale_identity::{Credentials, DenialReason, Identity, IdentitySettings};
 
 const ROOT: &str = include_str!("fixtures/keys/root-1.jwk");
 const SIGN: &str = include_str!("fixtures/keys/sign-2.jwk");
@@ -26,10 +27,10 @@
     text.to_owned()
 }
 
-fn published() -> Published {
+fn published() -> KeySet {
     let key = |kid: &str, x: &str, from_ms, until_ms| {
         let (kty, crv) = (text("OKP"), text("Ed25519"));
-        PublicKey {
+        PublicJwk {
             kty,
             crv,
             kid: text(kid),
@@ -41,7 +42,7 @@
     let first = "ZNoCqxLC0cFNUGx1qdOJ1HGxpqrgcCCKY681SccGcGY";
     let third = "IRVzrJTzobHZ_JaTBQR4mApogu_JwV_HuihGS6crLZc";
     let until_ms = Some(1_796_224_225_415.276_6);
-    Published {
+    KeySet {
         seq: 2,
         issued_ms: SIGNED_MS,
         keys: vec![
@@ -49,7 +50,7 @@
             key("sign-2", SIGN_PUBLIC, 1_796_220_625_415.276_6, None),
             key("sign-3", third, 1_796_307_025_423.817, None),
         ],
-        revoked: Revoked {
+        revoked: Revocations {
             tokens: [text("token-0")].into(),
             subjects: [text("house/gone")].into(),
             tenants: [text("former")].into(),
@@ -75,30 +76,30 @@
 fn identity() -> Identity {
     let role = Role {
         name: text("clerk"),
-        stages: vec![0],
-        open: 9,
-        per_s: 100.0,
+        request_classes: vec![0],
+        max_concurrent: 9,
+        requests_per_s: 100.0,
         burst: 100.0,
-        hint_ms: f64::INFINITY,
+        max_cost_ms: f64::INFINITY,
     };
     let tenant = |name: &str| Tenant {
         name: text(name),
-        customer: 1,
+        scheduling_tenant: 1,
         roles: vec![text("clerk")],
     };
-    let facts = Facts {
+    let facts = IdentitySettings {
         seed: 5,
         issuer: text("issuer"),
         audience: text("asterdale"),
-        roots: vec![public_key(ROOT_PUBLIC).unwrap()],
-        most_age_ms: 86_400_000.0,
-        skew_ms: 500.0,
-        cache: 64,
-        per_edge: 10.0,
-        in_all: 100.0,
+        root_keys: vec![parse_public_key(ROOT_PUBLIC).unwrap()],
+        max_key_set_age_ms: 86_400_000.0,
+        clock_skew_ms: 500.0,
+        cached_tokens: 64,
+        signatures_per_edge_per_s: 10.0,
+        signatures_per_s: 100.0,
         roles: vec![role],
         tenants: vec![tenant("other"), tenant("house"), tenant("former")],
-        certificates: Vec::new(),
+        certificate_mappings: Vec::new(),
     };
     Identity::new(SIGNED_MS, facts).unwrap()
 }
@@ -106,34 +107,40 @@
 #[test]
 fn stored_key_files_are_read_and_written_again() {
     for (file, id, public) in [(ROOT, "root-1", ROOT_PUBLIC), (SIGN, "sign-2", SIGN_PUBLIC)] {
-        let secret = Secret::from_jwk(file).unwrap();
-        assert_eq!((secret.id(), &secret.public_text()[..]), (id, public));
+        let secret = SecretKey::from_jwk(file).unwrap();
+        assert_eq!((secret.id(), &secret.public_key_text()[..]), (id, public));
         assert!(&secret.to_jwk()[..] == file, "the bytes of {id} differ");
     }
 }
 
 #[test]
 fn a_stored_set_is_read_and_written_again() {
-    let set: Published = serde_json::from_str(SET).unwrap();
+    let set: KeySet = serde_json::from_str(SET).unwrap();
     assert_eq!(set, published());
     assert_eq!(serde_json::to_string_pretty(&set).unwrap(), SET);
     // Signatures of this kind are the same each time.
-    assert_eq!(Secret::from_jwk(ROOT).unwrap().set(&set), SIGNED_SET);
+    assert_eq!(
+        SecretKey::from_jwk(ROOT).unwrap().sign_key_set(&set),
+        SIGNED_SET
+    );
 }
 
 #[test]
 fn a_stored_signed_set_moves_a_ring_through_the_same_phases() {
-    assert_eq!(TYPE, "asterdale-keys+jws");
-    let mut ring = Keyring::new(vec![public_key(ROOT_PUBLIC).unwrap()], 86_400_000.0);
+    assert_eq!(KEY_SET_TYPE, "asterdale-keys+jws");
+    let mut ring = Keyring::new(vec![parse_public_key(ROOT_PUBLIC).unwrap()], 86_400_000.0);
+    assert_eq!(
+        ring.offer_key_set(SIGNED_MS, SIGNED_SET.as_bytes()),
+        Ok(KeySetOutcome::Adopted)
+    );
     assert_eq!(
-        ring.offer(SIGNED_MS, SIGNED_SET.as_bytes()),
-        Ok(Offered::Adopted)
+        ring.offer_key_set(SIGNED_MS, SIGNED_SET.as_bytes()),
+        Ok(KeySetOutcome::Unchanged)
     );
     assert_eq!(
-        ring.offer(SIGNED_MS, SIGNED_SET.as_bytes()),
-        Ok(Offered::Same)
+        (ring.sequence(), ring.age_ms(SIGNED_MS + 7.0)),
+        (Some(2), 7.0)
     );
-    assert_eq!((ring.seq(), ring.age_ms(SIGNED_MS + 7.0)), (Some(2), 7.0));
     let phases =
         |at: f64| ["sign-0", "sign-1", "sign-2", "sign-3", "sign-4"].map(|id| ring.phase(id, at));
     use Phase::*;
@@ -150,75 +157,80 @@
         phases(1_796_307_025_424.0),
         [revoked, Some(Retired), active, active, None]
     );
-    let mut other = Keyring::new(vec![public_key(SIGN_PUBLIC).unwrap()], 86_400_000.0);
+    let mut other = Keyring::new(vec![parse_public_key(SIGN_PUBLIC).unwrap()], 86_400_000.0);
     assert_eq!(
-        other.offer(SIGNED_MS, SIGNED_SET.as_bytes()),
-        Err(Refused::NotByRoot)
+        other.offer_key_set(SIGNED_MS, SIGNED_SET.as_bytes()),
+        Err(KeySetError::UntrustedSigner)
     );
 }
 
 #[test]
 fn a_stored_token_is_read_and_written_again() {
     let line = TOKEN.strip_suffix('\n').unwrap();
-    let read = token::read(line.as_bytes()).unwrap();
+    let read = token::parse(line.as_bytes()).unwrap();
     let typ = Some(text("JWT"));
     assert_eq!(
-        read.head,
-        Head {
+        read.header,
+        JwsHeader {
             alg: text("EdDSA"),
             kid: text("sign-2"),
             typ
         }
     );
     assert_eq!(read.claims, claims());
-    assert!(read.signed_by(&public_key(SIGN_PUBLIC).unwrap()));
-    assert_eq!(Secret::from_jwk(SIGN).unwrap().token(&claims()), line);
+    assert!(read.is_signed_by(&parse_public_key(SIGN_PUBLIC).unwrap()));
+    assert_eq!(
+        SecretKey::from_jwk(SIGN).unwrap().sign_token(&claims()),
+        line
+    );
 }
 
 #[test]
 fn a_stored_token_passes_with_the_stored_set_until_it_expires_and_what_is_revoked_does_not() {
     let mut identity = identity();
-    identity.offer(SIGNED_MS, SIGNED_SET.as_bytes()).unwrap();
+    identity
+        .offer_key_set(SIGNED_MS, SIGNED_SET.as_bytes())
+        .unwrap();
     let mut ask = |now: f64, token: &str| {
-        let ask = Ask {
+        let ask = Credentials {
             token: Some(token.as_bytes()),
             certificate: None,
-            edge: 4,
-            arrived_ms: now,
+            edge_node: 4,
+            received_ms: now,
         };
         identity
-            .identify(now, ask)
+            .authenticate(now, ask)
             .map(|caller| (caller.tenant, caller.key.clone()))
-            .map_err(|denied| denied.why)
+            .map_err(|denied| denied.reason)
     };
     let (line, end) = (TOKEN.trim_end(), (ISSUED_S + 600.0) * 1000.0);
     assert_eq!(ask(SIGNED_MS, line), Ok((1, Some(text("sign-2")))));
     assert_eq!(ask(end + 499.0, line), Ok((1, Some(text("sign-2")))));
-    assert_eq!(ask(end + 500.0, line), Err(Why::Expired));
-    let sign = Secret::from_jwk(SIGN).unwrap();
+    assert_eq!(ask(end + 500.0, line), Err(DenialReason::Expired));
+    let sign = SecretKey::from_jwk(SIGN).unwrap();
     for (claims, why) in [
         (
             Claims {
                 jti: text("token-0"),
                 ..claims()
             },
-            Why::TokenRevoked,
+            DenialReason::TokenRevoked,
         ),
         (
             Claims {
                 sub: text("gone"),
                 ..claims()
             },
-            Why::SubjectRevoked,
+            DenialReason::SubjectRevoked,
         ),
         (
             Claims {
                 tenant: text("former"),
                 ..claims()
             },
-            Why::TenantRevoked,
+            DenialReason::TenantRevoked,
         ),
     ] {
-        assert_eq!(ask(SIGNED_MS, &sign.token(&claims)), Err(why));
+        assert_eq!(ask(SIGNED_MS, &sign.sign_token(&claims)), Err(why));
     }
 }
