--- a/crates/asterdale-parameters/src/lib.rs
+++ b/crates/asterdale-parameters/src/lib.rs
@@ -1,5 +1,7 @@
-//! What a server is told at its start: a JSON object, of which unknown keys are passed over and absent ones
-//! are zero. The simulator's first message and a real backend's start file hold the same object.
+//! Reads the settings of a server from a JSON object: the first message of the simulator, or a part of the start file.
+//!
+//! Unknown keys are ignored and absent ones are zero, so that either side can be newer. The keys are a wire format and
+//! keep the names of the simulator.
 
 use asterdale::parameters::{
     CapacityHint, ClassParameters, Dependency, Idempotency, Parameters, Preemption,
@@ -7,19 +9,10 @@
 };
 use serde_json::Value;
 
-fn number(value: &Value) -> f64 {
-    value.as_f64().unwrap_or(0.0)
-}
-
-fn ms(value: &Value) -> f64 {
-    number(value) / 1e6
-}
+/// Text that is not JSON.
+pub use serde_json::Error as JsonError;
 
-fn list(value: &Value) -> &[Value] {
-    value.as_array().map_or(&[], Vec::as_slice)
-}
-
-/// What the object holds.
+/// Everything that the object holds.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// For the decisions.
@@ -33,123 +26,151 @@
 }
 
 /// Reads the object from its text.
-pub fn read(seed: u64, text: &[u8]) -> Result<Settings, serde_json::Error> {
+///
+/// # Errors
+/// The text is not JSON.
+pub fn read(seed: u64, text: &[u8]) -> Result<Settings, JsonError> {
     Ok(from_json(seed, &serde_json::from_slice(text)?))
 }
 
 /// Reads the object.
-pub fn from_json(seed: u64, all: &Value) -> Settings {
-    let (extra, rules, limits) = (&all["extra"], &all["guarantees"], &all["limits"]);
-    let (without, calls) = (list(&extra["worthWithout"]), list(&extra["classCalls"]));
-    let stages = list(&all["lanes"])
-        .iter()
-        .enumerate()
-        .map(|(n, lane)| ClassParameters {
-            objective_ms: ms(&lane["objectiveNs"]),
-            deadline_ms: ms(&lane["deadlineNs"]),
-            weight: number(&lane["worth"]),
-            late_weight_share: number(&lane["lateShare"]),
-            degraded_weight_share: without.get(n).map_or(0.0, number),
-            makes_calls: calls.get(n).and_then(Value::as_bool).unwrap_or(false),
-            idempotency: match lane["repeat"].as_str() {
-                Some("repeatable") => Idempotency::Idempotent,
-                Some("by_key") => Idempotency::Keyed,
-                _ => Idempotency::NonIdempotent,
-            },
-            retry_window_ms: ms(&lane["memorySpanNs"]),
-        });
-    let customers = list(&all["tenants"]).iter().map(|tenant| TenantParameters {
-        quota_per_s: number(&tenant["allowancePerS"]),
-    });
-    let told = Parameters {
+pub fn from_json(seed: u64, object: &Value) -> Settings {
+    Settings {
+        decisions: parameters(seed, object),
+        class_names: names(&object["lanes"]),
+        tenant_names: names(&object["tenants"]),
+        gauge_names: list(&object["extra"]["ownStats"])
+            .iter()
+            .map(text)
+            .collect(),
+    }
+}
+
+fn parameters(seed: u64, object: &Value) -> Parameters {
+    let (extra, guarantees) = (&object["extra"], &object["guarantees"]);
+    Parameters {
         seed,
         cores: number(&extra["cores"]),
         memory_kb: number(&extra["memoryKb"]),
         running_memory_factor: number(&extra["blowup"]),
         idempotency_entry_kb: number(&extra["entryKb"]),
         slow_start: extra["cold"].as_bool().unwrap_or(false),
-        slow_start_share: number(&rules["startCapacity"]),
-        slow_start_ms: ms(&rules["coldNs"]),
-        overload_factor: number(&rules["overloadFactor"]),
-        tick_ms: ms(&all["tickNs"]),
-        drain_grace_ms: ms(&rules["drainGraceNs"]),
-        servers: number(&all["servers"]),
+        slow_start_share: number(&guarantees["startCapacity"]),
+        slow_start_ms: milliseconds(&guarantees["coldNs"]),
+        overload_factor: number(&guarantees["overloadFactor"]),
+        tick_ms: milliseconds(&object["tickNs"]),
+        drain_grace_ms: milliseconds(&guarantees["drainGraceNs"]),
+        servers: number(&object["servers"]),
         callers: number(&extra["upstreams"]),
-        dependency: match extra["below"].as_str() {
-            Some("shared") => Dependency::Shared,
-            Some("tier") => Dependency::Tier,
-            _ => Dependency::Absent,
-        },
+        dependency: dependency(&extra["below"]),
         dependency_quota: number(&extra["callsOut"]),
-        dependency_window_ms: ms(&extra["depWindowNs"]),
-        call_linger_ms: ms(&extra["lingersNs"]),
-        idle_timeout_ms: ms(&extra["idleNs"]),
-        response_reuse_ms: ms(&extra["freshForNs"]),
-        preemption: match extra["halt"].as_str() {
-            Some("drop") => Preemption::Abort,
-            Some("pause") => Preemption::Pause,
-            _ => Preemption::Unsupported,
-        },
-        capacity_hint: match extra["say"].as_str() {
-            Some("level") => CapacityHint::Level,
-            Some("credit") => CapacityHint::Credit,
-            Some("weight") => CapacityHint::Weight,
-            _ => CapacityHint::Unused,
-        },
-        max_retry_after_ms: if limits["retryAfter"].as_bool() == Some(true) {
-            ms(&limits["maxRetryAfterNs"])
-        } else {
-            0.0
-        },
-        over_quota_weight_share: all["overShareWorth"].as_f64().unwrap_or(1.0),
-        weight_per_work: all["worthBy"].as_str() == Some("work"),
-        classes: stages.collect(),
-        tenants: customers.collect(),
+        dependency_window_ms: milliseconds(&extra["depWindowNs"]),
+        call_linger_ms: milliseconds(&extra["lingersNs"]),
+        idle_timeout_ms: milliseconds(&extra["idleNs"]),
+        response_reuse_ms: milliseconds(&extra["freshForNs"]),
+        preemption: preemption(&extra["halt"]),
+        capacity_hint: capacity_hint(&extra["say"]),
+        max_retry_after_ms: max_retry_after_ms(&object["limits"]),
+        over_quota_weight_share: object["overShareWorth"].as_f64().unwrap_or(1.0),
+        weight_per_work: object["worthBy"].as_str() == Some("work"),
+        classes: classes(object),
+        tenants: tenants(&object["tenants"]),
+    }
+}
+
+/// The request classes; what a class earns without its call, and whether it calls, is in lists of the same order.
+fn classes(object: &Value) -> Vec<ClassParameters> {
+    let degraded_weight_shares = list(&object["extra"]["worthWithout"]);
+    let makes_calls = list(&object["extra"]["classCalls"]);
+    let class = |(index, class): (usize, &Value)| ClassParameters {
+        objective_ms: milliseconds(&class["objectiveNs"]),
+        deadline_ms: milliseconds(&class["deadlineNs"]),
+        weight: number(&class["worth"]),
+        late_weight_share: number(&class["lateShare"]),
+        degraded_weight_share: degraded_weight_shares.get(index).map_or(0.0, number),
+        makes_calls: makes_calls
+            .get(index)
+            .and_then(Value::as_bool)
+            .unwrap_or(false),
+        idempotency: idempotency(&class["repeat"]),
+        retry_window_ms: milliseconds(&class["memorySpanNs"]),
     };
-    let text = |value: &Value| value.as_str().unwrap_or("").to_owned();
-    Settings {
-        decisions: told,
-        class_names: list(&all["lanes"])
-            .iter()
-            .map(|lane| text(&lane["name"]))
-            .collect(),
-        tenant_names: list(&all["tenants"])
-            .iter()
-            .map(|tenant| text(&tenant["name"]))
-            .collect(),
-        gauge_names: list(&extra["ownStats"]).iter().map(text).collect(),
+    list(&object["lanes"])
+        .iter()
+        .enumerate()
+        .map(class)
+        .collect()
+}
+
+fn tenants(value: &Value) -> Vec<TenantParameters> {
+    let tenant = |tenant: &Value| TenantParameters {
+        quota_per_s: number(&tenant["allowancePerS"]),
+    };
+    list(value).iter().map(tenant).collect()
+}
+
+/// An unknown value counts as the strictest: such a request is never run twice.
+fn idempotency(value: &Value) -> Idempotency {
+    match value.as_str() {
+        Some("repeatable") => Idempotency::Idempotent,
+        Some("by_key") => Idempotency::Keyed,
+        _ => Idempotency::NonIdempotent,
+    }
+}
+
+fn dependency(value: &Value) -> Dependency {
+    match value.as_str() {
+        Some("shared") => Dependency::Shared,
+        Some("tier") => Dependency::Tier,
+        _ => Dependency::Absent,
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn unknown_keys_are_passed_over_and_absent_ones_are_zero() {
-        let text =
-            br#"{"new": [1, {"a": null}], "extra": {"cores": 6, "below": "shared", "ownStats": ["core_use"]},
-            "lanes": [{"name": "bid", "repeat": "by_key", "objectiveNs": 2500000, "worth": 3.0}]}"#;
-        let Settings {
-            decisions: told,
-            class_names: stages,
-            tenant_names: tenants,
-            gauge_names: gauges,
-        } = read(7, text).unwrap();
-        assert!(tenants.is_empty());
-        assert_eq!((told.seed, told.cores, told.memory_kb), (7, 6.0, 0.0));
-        assert_eq!(
-            (told.dependency, told.preemption),
-            (Dependency::Shared, Preemption::Unsupported)
-        );
-        assert_eq!(
-            (told.classes[0].objective_ms, told.classes[0].idempotency),
-            (2.5, Idempotency::Keyed)
-        );
-        assert_eq!(
-            (gauges, stages),
-            (vec!["core_use".to_owned()], vec!["bid".to_owned()])
-        );
-        assert!(read(7, b"{").is_err());
+fn preemption(value: &Value) -> Preemption {
+    match value.as_str() {
+        Some("drop") => Preemption::Abort,
+        Some("pause") => Preemption::Pause,
+        _ => Preemption::Unsupported,
     }
 }
+
+fn capacity_hint(value: &Value) -> CapacityHint {
+    match value.as_str() {
+        Some("level") => CapacityHint::Level,
+        Some("credit") => CapacityHint::Credit,
+        Some("weight") => CapacityHint::Weight,
+        _ => CapacityHint::Unused,
+    }
+}
+
+fn max_retry_after_ms(limits: &Value) -> f64 {
+    if limits["retryAfter"].as_bool() == Some(true) {
+        milliseconds(&limits["maxRetryAfterNs"])
+    } else {
+        0.0
+    }
+}
+
+fn number(value: &Value) -> f64 {
+    value.as_f64().unwrap_or(0.0)
+}
+
+/// Nanoseconds as milliseconds.
+fn milliseconds(value: &Value) -> f64 {
+    number(value) / 1e6
+}
+
+fn text(value: &Value) -> String {
+    value.as_str().unwrap_or("").to_owned()
+}
+
+fn list(value: &Value) -> &[Value] {
+    value.as_array().map_or(&[], Vec::as_slice)
+}
+
+fn names(objects: &Value) -> Vec<String> {
+    list(objects)
+        .iter()
+        .map(|object| text(&object["name"]))
+        .collect()
+}
