--- a/crates/asterdale-daemon/src/cli.rs
+++ b/crates/asterdale-daemon/src/cli.rs
@@ -125,7 +125,7 @@
 
 /// The schema of the start file, as text.
 pub fn schema() -> String {
-    let schema = schemars::schema_for!(start::file::File);
+    let schema = schemars::schema_for!(start::file::StartFile);
     serde_json::to_string_pretty(&schema).unwrap_or_default()
 }
 
@@ -140,11 +140,11 @@
             println!(
                 "{}: good: {} stages, {callers}",
                 file.display(),
-                start.facts.class_names.len()
+                start.settings.class_names.len()
             );
             ExitCode::SUCCESS
         }
-        Err(faults) => tell(&faults),
+        Err(error) => tell(&error),
     }
 }
 
@@ -165,7 +165,7 @@
             let binary = binary
                 .map(|path| path.display().to_string())
                 .unwrap_or_default();
-            crate::upgrade::ask(&control, &binary, |phase| println!("{phase}"))
+            crate::upgrade::request_upgrade(&control, &binary, |phase| println!("{phase}"))
                 .map(|process| println!("done: process {process} serves"))
         }
         #[cfg(feature = "fleet")]
--- a/crates/asterdale-daemon/src/fleet.rs
+++ b/crates/asterdale-daemon/src/fleet.rs
@@ -7,14 +7,14 @@
 use asterdale_engine::engine::unix_ms;
 use asterdale_engine::log::Log;
 use asterdale_engine::message::{EngineMessage, FleetView, LocalStatus, OwnershipClient};
-use asterdale_membership::{Event, Notes, Phase, Start as Told, Terms};
-use asterdale_ownership::{Told as Word, Want};
+use asterdale_membership::{Event, MembershipConfig as Told, Metadata, Phase, Settings};
+use asterdale_ownership::{OwnershipEvent as Word, OwnershipRequest};
 use asterdale_transport::custody::Heard;
 use asterdale_transport::{Place, Talk};
 use crossbeam_channel::Sender;
 use siphasher::sip::SipHasher13;
 
-use crate::start::{Start, Takeover};
+use crate::start::{OwnershipSettings, Start};
 
 /// A probe's answer may take this part of the interval, as by default.
 const TIMEOUT: f64 = 0.3;
@@ -42,17 +42,17 @@
             load,
         } = doing;
         let phase = match (leaves, cold, takes) {
-            (true, ..) => Phase::Leaving,
-            (_, true, _) => Phase::Cold,
-            (.., false) => Phase::Full,
+            (true, ..) => Phase::Draining,
+            (_, true, _) => Phase::WarmingUp,
+            (.., false) => Phase::AtCapacity,
             _ => Phase::Ready,
         };
         // In steps, so that a load that wavers is no news.
         let load = load.saturating_add(5) / 10 * 10;
-        self.0.note(Notes {
+        self.0.note(Metadata {
             phase,
-            load,
-            warm: if cold { 0 } else { 100 },
+            load_percent: load,
+            warm_percent: if cold { 0 } else { 100 },
         });
     }
 }
@@ -66,7 +66,11 @@
 }
 
 impl Keepers {
-    fn new(custody: asterdale_transport::custody::Custody, told: &Takeover, key: &[u8]) -> Keepers {
+    fn new(
+        custody: asterdale_transport::custody::Custody,
+        told: &OwnershipSettings,
+        key: &[u8],
+    ) -> Keepers {
         use std::hash::Hasher as _;
         let half = |n: u64| {
             let mut hasher = SipHasher13::new_with_keys(n, !n);
@@ -75,7 +79,7 @@
         };
         Keepers {
             custody,
-            stages: told.stages.clone(),
+            stages: told.replicated_classes.clone(),
             secret: (half(1), half(2)),
         }
     }
@@ -93,7 +97,7 @@
         hasher.finish()
     }
 
-    fn request(&self, number: u64, want: Want) {
+    fn request(&self, number: u64, want: OwnershipRequest) {
         self.custody.want(number, want);
     }
 
@@ -141,40 +145,40 @@
     let generation = 0;
     let mut nonce = [0; 8];
     getrandom::fill(&mut nonce).map_err(|e| format!("fleet: no random bytes: {e}"))?;
-    let interval_ms = fleet.interval_ms;
+    let interval_ms = fleet.protocol_period_ms;
     let told = Told {
         name: start.name.clone(),
-        at: fleet.advertise,
-        generation,
+        address: fleet.advertise,
+        last_generation: generation,
         nonce: u64::from_be_bytes(nonce),
         seeds: fleet.seeds.clone(),
         key: fleet.key.clone(),
-        terms: Terms {
-            interval_ms,
-            timeout_ms: TIMEOUT * interval_ms,
-            ..Terms::default()
+        settings: Settings {
+            probe_interval_ms: interval_ms,
+            probe_timeout_ms: TIMEOUT * interval_ms,
+            ..Settings::default()
         },
-        seed: start.facts.decisions.seed,
+        random_seed: start.settings.decisions.seed,
     };
-    let control = fleet.control.as_ref().map(PathBuf::from);
+    let control = fleet.control_socket.as_ref().map(PathBuf::from);
     #[cfg(feature = "journal")]
     let disk = crate::journal::disk(start, log)?;
     #[cfg(not(feature = "journal"))]
     let disk = None;
     let custody = start
-        .takeover
+        .ownership
         .as_ref()
         .map(|told| asterdale_transport::custody::Place {
             disk,
-            keepers: told.keepers.clone(),
-            terms: asterdale_ownership::Terms {
+            keepers: told.replicas.clone(),
+            terms: asterdale_ownership::OwnershipSettings {
                 lease_ms: told.lease_ms,
-                margin_ms: told.lease_ms / 4.0,
+                lease_margin_ms: told.lease_ms / 4.0,
                 // An election takes ten to twenty ticks: half a lease to one.
                 tick_ms: (told.lease_ms / 20.0).clamp(20.0, 200.0),
-                most_bytes: told.bytes,
-                window_ms: told.window_ms,
-                ..asterdale_ownership::Terms::default()
+                max_bytes: told.max_bytes,
+                max_retry_window_ms: told.retry_window_ms,
+                ..asterdale_ownership::OwnershipSettings::default()
             },
             unix_s: (unix_ms() / 1e3) as u64,
         });
@@ -207,7 +211,7 @@
     };
     let talk = asterdale_transport::begin(place, told, kept);
     let talk = talk.map_err(|e| format!("fleet: {}: {e}", fleet.listen))?;
-    let keepers = talk.custody.clone().zip(start.takeover.as_ref());
+    let keepers = talk.custody.clone().zip(start.ownership.as_ref());
     let keepers = keepers.map(|(custody, told)| Keepers::new(custody, told, &fleet.key));
     let keepers = keepers.map(|keepers| Arc::new(keepers) as Arc<dyn OwnershipClient>);
     Ok((Some(Arc::new(Others(talk))), keepers))
@@ -216,64 +220,68 @@
 /// A line for each word of custody.
 fn told_of(lines: &slog::Logger, word: &Word) {
     match word {
-        Word::Formed(group, quiet_ms) => {
+        Word::GroupFormed(group, quiet_ms) => {
             slog::warn!(lines, "takeover: a group of keepers is formed, nothing is claimed before windows have passed";
                 "group" => group, "quiet_ms" => quiet_ms);
         }
-        Word::Joined(group) => {
+        Word::GroupJoined(group) => {
             slog::info!(lines, "takeover: this keeper is in a group"; "group" => group)
         }
-        Word::Restored(group) => {
+        Word::RestoredFromDisk(group) => {
             slog::info!(lines, "takeover: this keeper is the one that it was, by its disk"; "group" => group);
         }
-        Word::Leads(group) => slog::info!(lines, "takeover: this keeper leads"; "group" => group),
-        Word::Follows(group) => {
+        Word::BecameLeader(group) => {
+            slog::info!(lines, "takeover: this keeper leads"; "group" => group)
+        }
+        Word::LostLeadership(group) => {
             slog::warn!(lines, "takeover: this keeper leads no more"; "group" => group)
         }
-        Word::Abandoned(group) => {
+        Word::GroupAbandoned(group) => {
             slog::error!(lines, "takeover: most keepers lost their memory, the group is given up"; "group" => group);
         }
-        Word::Replaced(name) => {
+        Word::ReplicaReplaced(name) => {
             slog::info!(lines, "takeover: a keeper that came back takes its place"; "name" => name);
         }
-        Word::Epoch(epoch) => {
+        Word::EpochGranted(epoch) => {
             slog::info!(lines, "takeover: this process may claim work"; "epoch" => epoch)
         }
-        Word::Over(epoch) => {
+        Word::EpochEnded(epoch) => {
             slog::error!(lines, "takeover: what this process had claimed may be another's"; "epoch" => epoch);
         }
-        Word::Lapsed(epoch) => {
+        Word::LeaseLapsed(epoch) => {
             slog::warn!(lines, "takeover: the lease lapsed, nothing that is kept is started"; "epoch" => epoch);
         }
-        Word::Renewed(epoch) => slog::info!(lines, "takeover: the lease holds"; "epoch" => epoch),
+        Word::LeaseRestored(epoch) => {
+            slog::info!(lines, "takeover: the lease holds"; "epoch" => epoch)
+        }
     }
 }
 
 /// A line for each event.
 fn tell(lines: &slog::Logger, event: &Event) {
     match event {
-        Event::Remembered(0) => {}
-        Event::Remembered(generation) => {
+        Event::PriorGeneration(0) => {}
+        Event::PriorGeneration(generation) => {
             slog::info!(lines, "fleet: others remember this name"; "generation" => generation);
         }
         Event::Joined(generation) => {
             slog::info!(lines, "fleet: a member"; "generation" => generation)
         }
-        Event::Changed {
+        Event::MemberChanged {
             name,
             generation,
-            what,
-            by,
+            change: what,
+            reported_by: by,
         } => {
             slog::info!(lines, "fleet: a change"; "name" => name, "generation" => generation, "what" => ?what, "by" => by);
         }
-        Event::Fallen { by } => {
+        Event::DeclaredDead { reported_by: by } => {
             slog::warn!(lines, "fleet: the others hold this process for dead, it begins anew"; "by" => by);
         }
-        Event::Renewed(generation) => {
+        Event::Rejoined(generation) => {
             slog::info!(lines, "fleet: a member again"; "generation" => generation);
         }
-        Event::Doubled(at) => {
+        Event::NameConflict(at) => {
             slog::error!(lines, "fleet: another process may have this name"; "at" => %at);
         }
         Event::Superseded(at) => {
@@ -282,9 +290,12 @@
         Event::Paused(ms) => {
             slog::warn!(lines, "fleet: this process stood still"; "ms" => ms.round())
         }
-        Event::Certain(true) => slog::info!(lines, "fleet: most of it is heard"),
-        Event::Certain(false) => slog::warn!(lines, "fleet: not sure to hear most of it"),
-        Event::Refused(least, most) => {
+        Event::MajorityChanged(true) => slog::info!(lines, "fleet: most of it is heard"),
+        Event::MajorityChanged(false) => slog::warn!(lines, "fleet: not sure to hear most of it"),
+        Event::VersionRejected {
+            min_version: least,
+            max_version: most,
+        } => {
             slog::error!(lines, "fleet: another speaks other versions"; "least" => least, "most" => most);
         }
     }
--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -11,7 +11,7 @@
 use asterdale_journal::ledger::Bounds;
 use asterdale_journal::writer::Word;
 use asterdale_journal::{Heard, Journal, Known, Order, Place, Standing};
-use asterdale_ownership::{Answer, Verdict, Want};
+use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
 use crossbeam_channel::Sender;
 use siphasher::sip::SipHasher13;
 
@@ -48,20 +48,22 @@
         hasher.finish()
     }
 
-    fn request(&self, number: u64, want: Want) {
+    fn request(&self, number: u64, want: OwnershipRequest) {
         self.journal.order(match want {
-            Want::Look(key, sign) => Order::Look(number, key, sign),
-            Want::Claim(work) => Order::Claim {
+            OwnershipRequest::Lookup(key, sign) => Order::Look(number, key, sign),
+            OwnershipRequest::Claim(work) => Order::Claim {
                 number,
                 key: work.key,
-                sign: work.sign,
-                id: work.id,
+                sign: work.body_digest,
+                id: work.execution_id,
                 // A repeat that came before the window's end may be read that much later.
-                window_ms: work.window_ms + self.unread_ms,
+                window_ms: work.retry_window_ms + self.unread_ms,
             },
-            Want::End(key, claim, result) => Order::End(number, key, claim, result),
+            OwnershipRequest::Complete(key, claim, result) => {
+                Order::End(number, key, claim, result)
+            }
             // Nobody else has this folder: it is rejected as it would have been.
-            Want::Pass(work) => Order::Look(number, work.key, work.sign),
+            OwnershipRequest::HandOver(work) => Order::Look(number, work.key, work.body_digest),
         });
     }
 
@@ -99,24 +101,24 @@
     let verdict = match word {
         Word::Yours(claim) => {
             answer.number = claim;
-            Verdict::Yours
+            Verdict::Granted
         }
-        Word::Kept => Verdict::Kept,
-        Word::Known(Known::Nothing) => Verdict::Nothing,
-        Word::Known(Known::Open) => Verdict::Open,
+        Word::Kept => Verdict::Recorded,
+        Word::Known(Known::Nothing) => Verdict::NotFound,
+        Word::Known(Known::Open) => Verdict::InProgress,
         Word::Known(Known::Failed) => Verdict::Failed,
-        Word::Known(Known::Differs) => Verdict::Differs,
+        Word::Known(Known::Differs) => Verdict::DigestMismatch,
         Word::Known(Known::Passed(result)) => {
             answer.result = result;
-            Verdict::Passed
+            Verdict::Completed
         }
         Word::Known(Known::Unknown(ms)) => {
             answer.ms = ms;
-            Verdict::Unknown
+            Verdict::OutcomeUnknown
         }
         Word::Known(Known::Full) => {
             answer.ms = AGAIN_MS;
-            Verdict::Full
+            Verdict::RetryLater
         }
     };
     answer.set_verdict(verdict);
@@ -136,12 +138,12 @@
     let place = Place {
         folder: told.folder.clone().into(),
         name: start.name.clone(),
-        most_bytes: told.disk,
+        most_bytes: told.max_disk_bytes,
         bounds: Bounds {
-            entries: told.memory / ENTRY,
-            bytes: told.memory,
+            entries: told.max_memory_bytes / ENTRY,
+            bytes: told.max_memory_bytes,
         },
-        window_ms: told.window_ms,
+        window_ms: told.retention_ms,
         random: u64::from_be_bytes(random),
     };
     let (host, lines) = (mail.clone(), log.lines.clone());
@@ -170,11 +172,11 @@
     if start.fleet.is_none() {
         journal.order(Order::Alone);
     }
-    if start.takeover.is_some() {
+    if start.ownership.is_some() {
         return Ok((Some(journal), None));
     }
     let stages = start
-        .facts
+        .settings
         .decisions
         .classes
         .iter()
@@ -183,7 +185,7 @@
     let on_disk = OnDisk {
         journal: journal.clone(),
         stages,
-        unread_ms: told.unread_ms,
+        unread_ms: told.max_unread_ms,
     };
     Ok((Some(journal), Some(Arc::new(on_disk))))
 }
@@ -194,19 +196,25 @@
 
 #[cfg(feature = "fleet")]
 impl asterdale_transport::custody::Shelf for OnShelf {
-    fn save(&mut self, saves: Vec<asterdale_ownership::Save>) -> Result<(), String> {
+    fn save(&mut self, saves: Vec<asterdale_ownership::StorageWrite>) -> Result<(), String> {
         use asterdale_journal::shelf::Change;
-        use asterdale_ownership::Save;
+        use asterdale_ownership::StorageWrite;
         let mut changes = Vec::with_capacity(saves.len());
         for save in saves {
             match save {
-                Save::Face(face) => changes.push(Change::Fact(FACE, face)),
-                Save::Hard(hard) => changes.push(Change::Fact(HARD, hard)),
-                Save::Whole(index, whole, alone) => {
+                StorageWrite::Identity(face) => changes.push(Change::Fact(FACE, face)),
+                StorageWrite::HardState(hard) => changes.push(Change::Fact(HARD, hard)),
+                StorageWrite::Snapshot {
+                    last_index: index,
+                    bytes: whole,
+                    delete_all_entries: alone,
+                } => {
                     changes.push(Change::Fact(WHOLE, whole));
                     changes.push(Change::Cut((!alone).then_some(index)));
                 }
-                Save::Entries(first, entries) => changes.push(Change::Entries(first, entries)),
+                StorageWrite::Entries(first, entries) => {
+                    changes.push(Change::Entries(first, entries))
+                }
             }
         }
         self.0.change(&changes).map_err(|e| e.to_string())
@@ -228,15 +236,19 @@
     log: &Log,
 ) -> Result<Option<asterdale_transport::custody::Disk>, String> {
     use asterdale_journal::shelf::Shelf;
-    let (Some(told), Some(takeover)) = (&start.journal, &start.takeover) else {
+    let (Some(told), Some(takeover)) = (&start.journal, &start.ownership) else {
         return Ok(None);
     };
-    if !takeover.keepers.iter().any(|(name, _)| *name == start.name) {
+    if !takeover
+        .replicas
+        .iter()
+        .any(|(name, _)| *name == start.name)
+    {
         return Ok(None);
     }
     let folder = std::path::Path::new(&told.folder);
-    let (shelf, found) =
-        Shelf::open(folder, &start.name, told.disk).map_err(|e| format!("journal: {e}"))?;
+    let (shelf, found) = Shelf::open(folder, &start.name, told.max_disk_bytes)
+        .map_err(|e| format!("journal: {e}"))?;
     slog::info!(log.lines, "journal: a keeper's part of the log is open"; "entries" => found.entries.len());
     let fact = |name: &str| {
         found
@@ -245,10 +257,10 @@
             .find(|(known, _)| known == name)
             .map(|(_, value)| value.clone())
     };
-    let saved = asterdale_ownership::Saved {
-        face: fact(FACE).unwrap_or_default(),
-        hard: fact(HARD).unwrap_or_default(),
-        whole: fact(WHOLE).unwrap_or_default(),
+    let saved = asterdale_ownership::StoredState {
+        identity: fact(FACE).unwrap_or_default(),
+        hard_state: fact(HARD).unwrap_or_default(),
+        snapshot: fact(WHOLE).unwrap_or_default(),
         entries: found.entries.clone(),
     };
     let shelf = Arc::new(std::sync::Mutex::new(OnShelf(shelf)));
@@ -278,7 +290,7 @@
 
         use asterdale_membership::Event;
         match event {
-            Event::Remembered(generation) => self.remembered.store(*generation, Relaxed),
+            Event::PriorGeneration(generation) => self.remembered.store(*generation, Relaxed),
             Event::Joined(generation) => {
                 let (generation, remembered) = (*generation, self.remembered.load(Relaxed));
                 self.journal.order(Order::Joined {
@@ -286,7 +298,7 @@
                     remembered,
                 });
             }
-            Event::Renewed(generation) => self.journal.order(Order::Renewed(*generation)),
+            Event::Rejoined(generation) => self.journal.order(Order::Renewed(*generation)),
             Event::Superseded(_) => self.journal.order(Order::Superseded),
             _ => {}
         }
