--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -421,3 +421,6 @@
         })
     }
 }
+
+#[cfg(all(test, feature = "fleet"))]
+mod stored;
