--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -8,10 +8,9 @@
 use asterdale::parameters::Idempotency;
 use asterdale_engine::log::Log;
 use asterdale_engine::message::{EngineMessage, OwnershipClient};
-use asterdale_journal::actor::JournalAnswer;
-use asterdale_journal::index::IndexLimits;
 use asterdale_journal::{
-    Journal, JournalCommand, JournalEvent, JournalSettings, KeyStatus, RecoveryVerdict,
+    IndexLimits, Journal, JournalAnswer, JournalCommand, JournalEvent, JournalSettings, KeyStatus,
+    RecoveryVerdict,
 };
 use asterdale_ownership::{Answer, Verdict, Want};
 use crossbeam_channel::Sender;
@@ -53,7 +52,11 @@
 
     fn request(&self, number: u64, want: Want) {
         self.journal.send(match want {
-            Want::Look(key, sign) => JournalCommand::Lookup(number, key, sign),
+            Want::Look(key, sign) => JournalCommand::Lookup {
+                request: number,
+                key,
+                body_digest: sign,
+            },
             Want::Claim(work) => JournalCommand::Claim {
                 request: number,
                 key: work.key,
@@ -62,11 +65,18 @@
                 // A repeat that came before the window's end may be read that much later.
                 window_ms: work.window_ms + self.unread_ms,
             },
-            Want::End(key, claim, result) => {
-                JournalCommand::RecordOutcome(number, key, claim, result)
-            }
+            Want::End(key, claim, result) => JournalCommand::RecordOutcome {
+                request: number,
+                key,
+                claim,
+                result,
+            },
             // Nobody else has this folder: it is rejected as it would have been.
-            Want::Pass(work) => JournalCommand::Lookup(number, work.key, work.sign),
+            Want::Pass(work) => JournalCommand::Lookup {
+                request: number,
+                key: work.key,
+                body_digest: work.sign,
+            },
         });
     }
 
@@ -75,7 +85,8 @@
     }
 
     fn claim_unused(&self, key: Vec<u8>, claim: u64) {
-        self.journal.send(JournalCommand::CancelClaim(key, claim));
+        self.journal
+            .send(JournalCommand::CancelClaim { key, claim });
     }
 
     fn set_takeover_capacity(&self, _: u32) {}
@@ -94,7 +105,7 @@
     }
 
     fn leave(&self) {
-        self.journal.shutdown();
+        self.journal.flush();
     }
 }
 
@@ -115,8 +126,8 @@
             answer.result = result;
             Verdict::Passed
         }
-        JournalAnswer::Status(KeyStatus::Unknown(ms)) => {
-            answer.ms = ms;
+        JournalAnswer::Status(KeyStatus::Unknown { retry_after_ms }) => {
+            answer.ms = retry_after_ms;
             Verdict::Unknown
         }
         JournalAnswer::Status(KeyStatus::Unavailable) => {
@@ -154,20 +165,23 @@
         JournalEvent::Answered(number, word) => {
             drop(host.send(EngineMessage::OwnershipAnswer(number, answer(word))))
         }
-        JournalEvent::RecoveryChecked(RecoveryVerdict::Current, _) => {
+        JournalEvent::RecoveryChecked {
+            verdict: RecoveryVerdict::Current,
+            ..
+        } => {
             slog::info!(lines, "journal: the folder is what the last run left");
         }
-        JournalEvent::RecoveryChecked(standing, quiet_ms) => {
+        JournalEvent::RecoveryChecked { verdict, quiet_ms } => {
             slog::warn!(lines, "journal: what ran before may not be known here, nothing with a key starts meanwhile";
-                "folder" => ?standing, "quiet_ms" => quiet_ms.round());
+                "folder" => ?verdict, "quiet_ms" => quiet_ms.round());
         }
-        JournalEvent::Failed(why) => {
-            slog::error!(lines, "journal: nothing lasts any more, nothing with a key is started"; "why" => why);
+        JournalEvent::Failed(error) => {
+            slog::error!(lines, "journal: nothing lasts any more, nothing with a key is started"; "why" => %error);
         }
         JournalEvent::Recovered => slog::warn!(lines, "journal: it lasts again"),
-        JournalEvent::DamagedFileMoved(path, why) => {
+        JournalEvent::DamagedFileMoved { path, error } => {
             slog::error!(lines, "journal: what was there can't be read, and is laid aside";
-                "path" => %path.display(), "why" => why);
+                "path" => %path.display(), "why" => %error);
         }
     };
     let journal = asterdale_journal::start(place, heard).map_err(|e| format!("journal: {e}"))?;
@@ -209,11 +223,16 @@
                 Save::Hard(hard) => changes.push(ReplicaChange::SetMetadata(HARD, hard)),
                 Save::Whole(index, whole, alone) => {
                     changes.push(ReplicaChange::SetMetadata(WHOLE, whole));
-                    changes.push(ReplicaChange::Cut((!alone).then_some(index)));
-                }
-                Save::Entries(first, entries) => {
-                    changes.push(ReplicaChange::ReplaceFrom(first, entries))
+                    changes.push(if alone {
+                        ReplicaChange::DeleteAll
+                    } else {
+                        ReplicaChange::DeleteThrough(index)
+                    });
                 }
+                Save::Entries(first_index, entries) => changes.push(ReplicaChange::ReplaceFrom {
+                    first_index,
+                    entries,
+                }),
             }
         }
         self.0.commit(&changes).map_err(|e| e.to_string())
--- a/crates/asterdale-journal/src/entry.rs
+++ b/crates/asterdale-journal/src/entry.rs
@@ -1,22 +1,25 @@
-//! What lasts, as bytes. What can't be read, or makes no sense, is told as damaged and never guessed at.
+//! The stored records and their encoding: a version byte and a protobuf message. Bytes that can't be decoded are reported as
+//! damaged. Field tags and enumeration values are stored; names are not.
+
+use std::fmt;
 
 use prost::Message;
 
-/// How far a task had come when this was written.
+/// How far a request's execution had come when its entry was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum ExecutionState {
     /// It was about to start: it may have run.
     Intent = 0,
-    /// It ended with a result.
+    /// It ended with a result that is stored.
     Succeeded = 1,
-    /// It ended without one that could be given.
+    /// It ended without a result that could be stored.
     Failed = 2,
 }
 
-/// The word that `asterdale journal dump` prints for a state.
-impl std::fmt::Display for ExecutionState {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+/// The word that `asterdale journal dump` prints.
+impl fmt::Display for ExecutionState {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             ExecutionState::Intent => "intent",
             ExecutionState::Succeeded => "passed",
@@ -25,110 +28,88 @@
     }
 }
 
-/// What is known of a key.
+/// The stored state of an idempotency key.
 #[derive(Clone, PartialEq, Message)]
 pub struct Entry {
-    /// How far it had come.
+    /// An [`ExecutionState`].
     #[prost(enumeration = "ExecutionState", tag = "1")]
     pub state: i32,
-    /// What tells its body from others.
+    /// The digest of the request's body, to detect another body under the same key.
     #[prost(fixed64, tag = "2")]
     pub body_digest: u64,
-    /// The id of the try that ran.
+    /// The 16 bytes of the id of the attempt that ran.
     #[prost(bytes = "vec", tag = "3")]
     pub attempt_id: Vec<u8>,
-    /// Its window ends then, in the folder's time.
+    /// When the idempotency window ends, in folder time, in milliseconds.
     #[prost(double, tag = "4")]
     pub expires_at_ms: f64,
-    /// Its result, where it has one.
+    /// The result of an execution that succeeded.
     #[prost(bytes = "vec", tag = "5")]
     pub result: Vec<u8>,
-    /// The run of the program that wrote it.
+    /// The number of the run (see [`FolderHeader::run`]) that wrote the entry.
     #[prost(uint64, tag = "6")]
     pub run: u64,
 }
 
-/// What a folder says of itself.
+/// The stored description of a folder.
 #[derive(Clone, PartialEq, Message)]
 pub struct FolderHeader {
-    /// The process's name.
+    /// The name of the process that owns the folder.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Drawn when the folder was made.
+    /// A random id, drawn when the folder was created.
     #[prost(fixed64, tag = "2")]
     pub folder_id: u64,
-    /// Counts the runs of the program over it.
+    /// Counts the processes that have opened the folder.
     #[prost(uint64, tag = "3")]
     pub run: u64,
-    /// The generation of the process in the view of its fleet; 0 for none.
+    /// The generation of the owner in its fleet; 0 for none.
     #[prost(uint64, tag = "4")]
     pub generation: u64,
-    /// The folder's time: goes on while a process has it open, and never steps.
+    /// Folder time at the last commit, in milliseconds. It advances only while a process has the folder open, and never steps.
     #[prost(double, tag = "5")]
     pub folder_time_ms: f64,
-    /// The Unix time of the same moment, by a clock that may step.
+    /// Unix time at the last commit, in milliseconds. This clock may step.
     #[prost(double, tag = "6")]
     pub unix_time_ms: f64,
-    /// Of the signs of bodies.
+    /// The secret key of body digests.
     #[prost(fixed64, tag = "7")]
     pub digest_secret: u64,
-    /// Nothing that is not known is run before then, in the folder's time: what ran before may have been lost.
+    /// The end of the quiet period, in folder time, in milliseconds: until then no key without an entry may be executed,
+    /// since entries of earlier runs may have been lost.
     #[prost(double, tag = "8")]
     pub quiet_until_ms: f64,
 }
 
-/// The version of the bytes: another is not read.
+/// The version of the encoding. Other versions are not decoded.
 const VERSION: u8 = 1;
+/// The length of an attempt id, in bytes.
+const ATTEMPT_ID_BYTES: usize = 16;
 
-/// As bytes: a version, and the message.
+/// Encodes a message behind the version byte.
 pub fn encode(message: &impl Message) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(1 + message.encoded_len());
     bytes.push(VERSION);
-    // Into memory that grows: that can't fail.
+    // Encoding fails only for want of space, and a vector grows.
     let _ = message.encode(&mut bytes);
     bytes
 }
 
-/// From bytes; `None` if they are damaged, or of another version.
+/// Decodes a message; `None` if the bytes are damaged or of another version.
 pub fn decode<M: Message + Default>(bytes: &[u8]) -> Option<M> {
-    let (&version, rest) = bytes.split_first()?;
-    (version == VERSION).then(|| M::decode(rest).ok()).flatten()
+    let (&version, message) = bytes.split_first()?;
+    if version != VERSION {
+        return None;
+    }
+    M::decode(message).ok()
 }
 
-/// Whether an entry makes sense.
+/// Whether all fields of a decoded entry have valid values.
 pub fn is_well_formed(entry: &Entry) -> bool {
-    let known = ExecutionState::try_from(entry.state).is_ok();
-    known && entry.expires_at_ms.is_finite() && entry.attempt_id.len() == 16
+    ExecutionState::try_from(entry.state).is_ok()
+        && entry.expires_at_ms.is_finite()
+        && entry.attempt_id.len() == ATTEMPT_ID_BYTES
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_was_written_is_read_and_other_bytes_are_not() {
-        let entry = Entry {
-            state: 1,
-            body_digest: 7,
-            attempt_id: vec![b'a'; 16],
-            expires_at_ms: 5.0,
-            result: vec![1, 2],
-            run: 3,
-        };
-        let bytes = encode(&entry);
-        assert_eq!(decode::<Entry>(&bytes), Some(entry.clone()));
-        assert!(
-            is_well_formed(&entry)
-                && !is_well_formed(&Entry {
-                    state: 9,
-                    ..entry.clone()
-                })
-        );
-        assert!(!is_well_formed(&Entry {
-            expires_at_ms: f64::NAN,
-            ..entry
-        }));
-        assert_eq!(decode::<Entry>(&[]), None);
-        assert_eq!(decode::<Entry>(&[&[2], &bytes[1..]].concat()), None);
-    }
-}
+mod tests;
--- a/crates/asterdale-journal/src/failpoint.rs
+++ b/crates/asterdale-journal/src/failpoint.rs
@@ -1,14 +1,14 @@
-//! Failpoints of this package, each of which a proof must find.
+//! Failpoints of this package: faults that tests and proofs inject and must detect.
 
 asterdale_failpoints::failpoints! {
-    /// A task may start before its intent is on disk.
-    Early = "early",
-    /// A commit that failed counts as done.
-    Sync = "sync",
-    /// A folder that is older than what others remember is believed.
-    Rollback = "rollback",
-    /// A folder is not locked.
-    Unlocked = "unlocked",
-    /// An empty folder is taken for that of a first start, at which nothing can have run.
-    Lost = "lost",
+    /// A request may start before its intent is on disk.
+    StartBeforeIntent = "early",
+    /// A commit that failed is reported as made.
+    IgnoredSyncError = "sync",
+    /// A folder that is older than what others remember, or that cannot be verified, is trusted.
+    TrustedRollback = "rollback",
+    /// The folder's lock is ignored.
+    UnlockedFolder = "unlocked",
+    /// An empty folder is trusted as if nothing could have run before.
+    TrustedEmptyFolder = "lost",
 }
--- a/crates/asterdale-journal/src/index.rs
+++ b/crates/asterdale-journal/src/index.rs
@@ -1,206 +1,244 @@
-//! What is known of each key, and what may be done: a state machine, without I/O and clock. It says what has to be on disk
-//! before a word may leave. Times are the folder's, in milliseconds.
+//! The index of idempotency keys: what is known of each key, and whether it may be executed. A state machine without I/O and
+//! clock: it returns the writes that must be on disk before an answer is sent. Times are folder time in milliseconds.
 
-use std::collections::BTreeMap;
-use std::collections::HashMap;
+use std::collections::{BTreeSet, HashMap};
 
 use crate::entry::{Entry, ExecutionState};
 
-/// While nobody has said yet whether the folder is to be believed, whoever asks comes again after so long.
-const SOON_MS: f64 = 100.0;
+/// The suggested wait of a lookup before the recovery check is done, which takes some gossip intervals.
+const RECOVERY_PENDING_RETRY_MS: f64 = 100.0;
+/// How much longer an entry is kept whose request still runs when its window ends.
+const RUNNING_EXTENSION_MS: f64 = 1000.0;
+/// What an entry takes besides its key and result, in bytes.
+const ENTRY_OVERHEAD_BYTES: usize = 128;
 
 /// What is known of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyStatus {
-    /// Nothing, and that is sure: it may run.
+    /// It was never executed, and may be.
     Absent,
-    /// It is this run's: it is about to start, or runs.
+    /// It was claimed in this run and has not ended.
     InFlight,
     /// It ended with this result.
     Succeeded(Vec<u8>),
-    /// It ended without one.
+    /// It ended without a result.
     Failed,
-    /// It may have run in an earlier life of this process; nobody knows for so many milliseconds.
-    Unknown(f64),
-    /// Another body has this key.
+    /// It may have been executed in an earlier run. Nothing more will be known for `retry_after_ms`.
+    Unknown {
+        /// Until its window ends, or the quiet period.
+        retry_after_ms: f64,
+    },
+    /// The key belongs to a request with another body.
     BodyMismatch,
-    /// No place: nothing was run.
+    /// Nothing was executed, since the index is full or the disk has failed.
     Unavailable,
 }
 
-/// What has to be on disk.
+/// A change that has to be written to disk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyWrite {
-    /// This of a key.
+    /// Store this entry under this key.
     Put(Vec<u8>, Entry),
-    /// Nothing of it.
+    /// Delete the entry of this key.
     Delete(Vec<u8>),
 }
 
-/// What the ledger may hold.
+/// How much the index may hold.
 #[derive(Clone, Copy, Debug)]
 pub struct IndexLimits {
-    /// Keys.
+    /// The maximal number of keys.
     pub max_entries: usize,
-    /// Bytes of keys and results.
+    /// The maximal size of keys and results, in bytes.
     pub max_bytes: usize,
 }
 
+/// A request that is about to be executed.
+#[derive(Clone, Copy, Debug)]
+pub struct ClaimRequest<'a> {
+    /// The idempotency key.
+    pub key: &'a [u8],
+    /// The digest of the request's body.
+    pub body_digest: u64,
+    /// The id of the attempt.
+    pub attempt_id: &'a [u8],
+    /// How long the key is remembered, in milliseconds.
+    pub window_ms: f64,
+}
+
 #[derive(Clone, Debug)]
-struct Held {
+struct IndexedEntry {
     entry: Entry,
-    /// By which it was claimed in this run; 0 where an earlier one wrote it.
+    /// The number of the claim in this run; 0 for an entry of an earlier run.
     claim: u64,
 }
 
-/// The ledger.
+impl IndexedEntry {
+    /// Whether it was claimed in this run and has not ended.
+    fn is_in_flight(&self) -> bool {
+        self.claim > 0 && self.entry.state() == ExecutionState::Intent
+    }
+
+    fn size_bytes(&self, key: &[u8]) -> usize {
+        key.len() + self.entry.result.len() + ENTRY_OVERHEAD_BYTES
+    }
+}
+
+/// The index of keys.
 #[derive(Clone, Debug)]
 pub struct KeyIndex {
-    held: HashMap<Vec<u8>, Held>,
-    /// Keys by the end of their windows, in whole milliseconds.
-    ends: BTreeMap<(u64, Vec<u8>), ()>,
-    bytes: usize,
-    bounds: IndexLimits,
+    entries: HashMap<Vec<u8>, IndexedEntry>,
+    /// Keys in the order in which their windows end, in whole milliseconds.
+    expirations: BTreeSet<(u64, Vec<u8>)>,
+    size_bytes: usize,
+    limits: IndexLimits,
     run: u64,
-    claims: u64,
-    /// Until then nothing that is not known may run.
-    quiet_until: f64,
-}
-
-/// The end of a window, to be ordered.
-fn end_of(until_ms: f64) -> u64 {
-    until_ms.max(0.0).ceil() as u64
+    last_claim: u64,
+    quiet_until_ms: f64,
 }
 
-fn size(key: &[u8], entry: &Entry) -> usize {
-    key.len() + entry.result.len() + 128
+/// The end of a window as a number with a total order.
+fn expiration(expires_at_ms: f64) -> u64 {
+    expires_at_ms.max(0.0).ceil() as u64
 }
 
 impl KeyIndex {
-    /// One that knows what earlier runs wrote. Nothing is run before [`Ledger::quiet_until`] is told.
+    /// An index of the entries that earlier runs wrote. No other key may be executed until [`KeyIndex::set_quiet_until`] is
+    /// called.
     pub fn new(
         run: u64,
-        bounds: IndexLimits,
-        found: impl IntoIterator<Item = (Vec<u8>, Entry)>,
+        limits: IndexLimits,
+        stored: impl IntoIterator<Item = (Vec<u8>, Entry)>,
     ) -> KeyIndex {
-        let mut ledger = KeyIndex {
-            held: HashMap::new(),
-            ends: BTreeMap::new(),
-            bytes: 0,
-            bounds,
+        let mut index = KeyIndex {
+            entries: HashMap::new(),
+            expirations: BTreeSet::new(),
+            size_bytes: 0,
+            limits,
             run,
-            claims: 0,
-            quiet_until: f64::INFINITY,
+            last_claim: 0,
+            quiet_until_ms: f64::INFINITY,
         };
-        found
-            .into_iter()
-            .for_each(|(key, entry)| ledger.put(key, Held { entry, claim: 0 }));
-        ledger
+        for (key, entry) in stored {
+            index.insert(key, IndexedEntry { entry, claim: 0 });
+        }
+        index
     }
 
-    /// What is not known here may have run, until then: an earlier moment lifts that.
-    pub fn set_quiet_until(&mut self, until: f64) {
-        self.quiet_until = until;
+    /// Sets the end of the quiet period: before it, a key without an entry may have been executed by an earlier run, and is
+    /// not executed.
+    pub fn set_quiet_until(&mut self, quiet_until_ms: f64) {
+        self.quiet_until_ms = quiet_until_ms;
     }
 
-    /// How many keys it holds, and their bytes.
+    /// The number of keys, and their size in bytes.
     pub fn size(&self) -> (usize, usize) {
-        (self.held.len(), self.bytes)
+        (self.entries.len(), self.size_bytes)
     }
 
-    fn put(&mut self, key: Vec<u8>, held: Held) {
+    fn insert(&mut self, key: Vec<u8>, indexed: IndexedEntry) {
         self.remove(&key);
-        self.bytes += size(&key, &held.entry);
-        self.ends
-            .insert((end_of(held.entry.expires_at_ms), key.clone()), ());
-        self.held.insert(key, held);
+        self.size_bytes += indexed.size_bytes(&key);
+        self.expirations
+            .insert((expiration(indexed.entry.expires_at_ms), key.clone()));
+        self.entries.insert(key, indexed);
     }
 
-    fn remove(&mut self, key: &[u8]) -> Option<Held> {
-        let held = self.held.remove(key)?;
-        self.bytes -= size(key, &held.entry);
-        self.ends
-            .remove(&(end_of(held.entry.expires_at_ms), key.to_vec()));
-        Some(held)
+    fn remove(&mut self, key: &[u8]) -> Option<IndexedEntry> {
+        let indexed = self.entries.remove(key)?;
+        self.size_bytes -= indexed.size_bytes(key);
+        self.expirations
+            .remove(&(expiration(indexed.entry.expires_at_ms), key.to_vec()));
+        Some(indexed)
     }
 
     /// What is known of a key with this body.
-    pub fn lookup(&self, now: f64, key: &[u8], sign: u64) -> KeyStatus {
-        let Some(held) = self.held.get(key) else {
-            return if now < self.quiet_until {
-                // Where that is not known yet, whoever asks comes again soon: the fleet answers within some intervals.
-                KeyStatus::Unknown(if self.quiet_until.is_finite() {
-                    self.quiet_until - now
-                } else {
-                    SOON_MS
-                })
-            } else {
-                KeyStatus::Absent
-            };
+    pub fn lookup(&self, now_ms: f64, key: &[u8], body_digest: u64) -> KeyStatus {
+        let Some(indexed) = self.entries.get(key) else {
+            return self.status_of_absent_key(now_ms);
         };
-        let entry = &held.entry;
-        if entry.body_digest != sign {
+        let entry = &indexed.entry;
+        if entry.body_digest != body_digest {
             return KeyStatus::BodyMismatch;
         }
         match entry.state() {
             ExecutionState::Succeeded => KeyStatus::Succeeded(entry.result.clone()),
             ExecutionState::Failed => KeyStatus::Failed,
-            ExecutionState::Intent if held.claim > 0 => KeyStatus::InFlight,
-            ExecutionState::Intent => KeyStatus::Unknown((entry.expires_at_ms - now).max(0.0)),
+            ExecutionState::Intent if indexed.is_in_flight() => KeyStatus::InFlight,
+            ExecutionState::Intent => KeyStatus::Unknown {
+                retry_after_ms: (entry.expires_at_ms - now_ms).max(0.0),
+            },
+        }
+    }
+
+    fn status_of_absent_key(&self, now_ms: f64) -> KeyStatus {
+        if now_ms >= self.quiet_until_ms {
+            return KeyStatus::Absent;
         }
+        let retry_after_ms = if self.quiet_until_ms.is_finite() {
+            self.quiet_until_ms - now_ms
+        } else {
+            RECOVERY_PENDING_RETRY_MS
+        };
+        KeyStatus::Unknown { retry_after_ms }
     }
 
-    /// A task is about to start: what is known of it, or its claim and what has to be on disk before it starts.
+    /// Claims a key for execution. Returns the claim's number and the intent, which must be on disk before the execution
+    /// starts.
+    ///
+    /// # Errors
+    /// The key's status if it may not be executed.
     pub fn claim(
         &mut self,
-        now: f64,
-        (key, sign): (&[u8], u64),
-        id: &[u8],
-        window_ms: f64,
+        now_ms: f64,
+        request: ClaimRequest<'_>,
     ) -> Result<(u64, KeyWrite), KeyStatus> {
-        match self.lookup(now, key, sign) {
+        match self.lookup(now_ms, request.key, request.body_digest) {
             KeyStatus::Absent => {}
-            known => return Err(known),
+            status => return Err(status),
         }
-        if self.held.len() >= self.bounds.max_entries || self.bytes >= self.bounds.max_bytes {
+        if self.is_full() {
             return Err(KeyStatus::Unavailable);
         }
-        self.claims += 1;
+        self.last_claim += 1;
+        let claim = self.last_claim;
         let entry = Entry {
             state: ExecutionState::Intent.into(),
-            body_digest: sign,
-            attempt_id: id.to_vec(),
-            expires_at_ms: now + window_ms,
+            body_digest: request.body_digest,
+            attempt_id: request.attempt_id.to_vec(),
+            expires_at_ms: now_ms + request.window_ms,
             result: Vec::new(),
             run: self.run,
         };
-        self.put(
-            key.to_vec(),
-            Held {
-                entry: entry.clone(),
-                claim: self.claims,
-            },
-        );
-        Ok((self.claims, KeyWrite::Put(key.to_vec(), entry)))
+        Ok((claim, self.put(request.key, entry, claim)))
+    }
+
+    fn is_full(&self) -> bool {
+        self.entries.len() >= self.limits.max_entries || self.size_bytes >= self.limits.max_bytes
     }
 
-    /// A task that was claimed has ended: what has to be on disk before anybody hears so. `None` if it is not this claim's.
+    fn put(&mut self, key: &[u8], entry: Entry, claim: u64) -> KeyWrite {
+        let write = KeyWrite::Put(key.to_vec(), entry.clone());
+        self.insert(key.to_vec(), IndexedEntry { entry, claim });
+        write
+    }
+
+    /// The entry of a claim that has not ended.
+    fn claimed(&self, key: &[u8], claim: u64) -> Option<&Entry> {
+        let indexed = self.entries.get(key)?;
+        (indexed.claim == claim && indexed.is_in_flight()).then_some(&indexed.entry)
+    }
+
+    /// Records how a claimed execution ended. Returns the outcome, which must be on disk before it is reported; `None` if the
+    /// claim is not in flight.
     pub fn record_outcome(
         &mut self,
         key: &[u8],
         claim: u64,
         result: Option<Vec<u8>>,
     ) -> Option<KeyWrite> {
-        let held = self
-            .held
-            .get(key)
-            .filter(|held| held.claim == claim && claim > 0)?;
-        if held.entry.state() != ExecutionState::Intent {
-            return None;
-        }
-        let mut entry = held.entry.clone();
-        // A result that finds no place is not kept; its repeats fail, and never run.
-        let fits = |result: &Vec<u8>| self.bytes + result.len() <= self.bounds.max_bytes;
+        let mut entry = self.claimed(key, claim)?.clone();
+        // A result that does not fit is not stored: repeats of the request fail, and are not executed.
+        let fits = |result: &Vec<u8>| self.size_bytes + result.len() <= self.limits.max_bytes;
         match result.filter(fits) {
             Some(result) => {
                 entry.state = ExecutionState::Succeeded.into();
@@ -208,171 +246,39 @@
             }
             None => entry.state = ExecutionState::Failed.into(),
         }
-        self.put(
-            key.to_vec(),
-            Held {
-                entry: entry.clone(),
-                claim,
-            },
-        );
-        Some(KeyWrite::Put(key.to_vec(), entry))
+        Some(self.put(key, entry, claim))
     }
 
-    /// What was claimed never started.
+    /// Removes a claim whose execution never started; `None` if the claim is not in flight.
     pub fn cancel_claim(&mut self, key: &[u8], claim: u64) -> Option<KeyWrite> {
-        let held = self
-            .held
-            .get(key)
-            .filter(|held| held.claim == claim && claim > 0)?;
-        if held.entry.state() != ExecutionState::Intent {
-            return None;
-        }
+        self.claimed(key, claim)?;
         self.remove(key);
         Some(KeyWrite::Delete(key.to_vec()))
     }
 
-    /// Forgets what no repeat can reach any more, at most so many at once. What still runs stays.
-    pub fn remove_expired(&mut self, now: f64, most: usize) -> Vec<KeyWrite> {
-        let over = self
-            .ends
-            .range(..(end_of(now), Vec::new()))
-            .map(|((_, key), ())| key.clone());
-        let over: Vec<Vec<u8>> = over.take(most).collect();
-        let mut gone = Vec::new();
-        for key in over {
-            let runs = |held: &Held| held.claim > 0 && held.entry.state() == ExecutionState::Intent;
-            if self.held.get(&key).is_some_and(runs) {
-                if let Some(mut held) = self.remove(&key) {
-                    held.entry.expires_at_ms = now + 1000.0;
-                    self.put(key, held);
-                }
+    /// Removes up to `max_count` entries whose windows have ended. Entries in flight are kept.
+    pub fn remove_expired(&mut self, now_ms: f64, max_count: usize) -> Vec<KeyWrite> {
+        let expired: Vec<Vec<u8>> = self
+            .expirations
+            .range(..(expiration(now_ms), Vec::new()))
+            .take(max_count)
+            .map(|(_, key)| key.clone())
+            .collect();
+        let mut writes = Vec::new();
+        for key in expired {
+            let Some(mut indexed) = self.remove(&key) else {
                 continue;
+            };
+            if indexed.is_in_flight() {
+                indexed.entry.expires_at_ms = now_ms + RUNNING_EXTENSION_MS;
+                self.insert(key, indexed);
+            } else {
+                writes.push(KeyWrite::Delete(key));
             }
-            self.remove(&key);
-            gone.push(KeyWrite::Delete(key));
         }
-        gone
+        writes
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const BOUNDS: IndexLimits = IndexLimits {
-        max_entries: 3,
-        max_bytes: 1000,
-    };
-    const ID: &[u8] = b"0123456789abcdef";
-
-    fn open() -> KeyIndex {
-        let mut ledger = KeyIndex::new(1, BOUNDS, []);
-        ledger.set_quiet_until(0.0);
-        ledger
-    }
-
-    #[test]
-    fn a_key_runs_once_and_its_result_is_given_until_its_window_ends() {
-        let mut ledger = open();
-        let (claim, write) = ledger.claim(0.0, (b"k", 7), ID, 100.0).unwrap();
-        assert!(
-            matches!(write, KeyWrite::Put(_, entry) if entry.state() == ExecutionState::Intent)
-        );
-        assert_eq!(ledger.lookup(1.0, b"k", 7), KeyStatus::InFlight);
-        assert_eq!(
-            ledger.claim(1.0, (b"k", 7), ID, 100.0),
-            Err(KeyStatus::InFlight)
-        );
-        assert_eq!(ledger.lookup(1.0, b"k", 8), KeyStatus::BodyMismatch);
-        assert_eq!(
-            ledger.record_outcome(b"k", claim + 1, Some(vec![1])),
-            None,
-            "not its claim"
-        );
-        assert!(ledger.record_outcome(b"k", claim, Some(vec![1])).is_some());
-        assert_eq!(
-            ledger.record_outcome(b"k", claim, None),
-            None,
-            "it ends once"
-        );
-        assert_eq!(ledger.lookup(99.0, b"k", 7), KeyStatus::Succeeded(vec![1]));
-        assert_eq!(ledger.remove_expired(99.0, 10), []);
-        assert_eq!(
-            ledger.remove_expired(101.0, 10),
-            [KeyWrite::Delete(b"k".to_vec())]
-        );
-        assert_eq!(
-            (ledger.lookup(101.0, b"k", 7), ledger.size()),
-            (KeyStatus::Absent, (0, 0))
-        );
-    }
-
-    #[test]
-    fn what_an_earlier_run_began_and_did_not_end_is_unknown_and_never_run() {
-        let mut before = open();
-        let (_, KeyWrite::Put(key, entry)) = before.claim(0.0, (b"k", 7), ID, 100.0).unwrap()
-        else {
-            panic!()
-        };
-        let mut ledger = KeyIndex::new(2, BOUNDS, [(key, entry)]);
-        assert_eq!(
-            ledger.lookup(10.0, b"other", 7),
-            KeyStatus::Unknown(SOON_MS),
-            "nobody has said yet what to believe"
-        );
-        ledger.set_quiet_until(0.0);
-        assert_eq!(
-            ledger.claim(10.0, (b"k", 7), ID, 100.0),
-            Err(KeyStatus::Unknown(90.0))
-        );
-        assert_eq!(
-            ledger.record_outcome(b"k", 1, Some(vec![1])),
-            None,
-            "an earlier run's claim is nobody's"
-        );
-        ledger.remove_expired(101.0, 10);
-        assert!(ledger.claim(101.0, (b"k", 7), ID, 100.0).is_ok());
-    }
-
-    #[test]
-    fn while_it_is_quiet_nothing_that_is_not_known_runs() {
-        let mut ledger = KeyIndex::new(2, BOUNDS, []);
-        ledger.set_quiet_until(500.0);
-        assert_eq!(
-            ledger.claim(100.0, (b"k", 7), ID, 100.0),
-            Err(KeyStatus::Unknown(400.0))
-        );
-        assert!(ledger.claim(500.0, (b"k", 7), ID, 100.0).is_ok());
-    }
-
-    #[test]
-    fn at_its_bounds_it_takes_no_more_and_what_never_started_leaves_no_trace() {
-        let mut ledger = open();
-        let claims: Vec<u64> = (0..3u8)
-            .map(|n| ledger.claim(0.0, (&[n], 7), ID, 100.0).unwrap().0)
-            .collect();
-        assert_eq!(
-            ledger.claim(0.0, (b"k", 7), ID, 100.0),
-            Err(KeyStatus::Unavailable)
-        );
-        assert_eq!(
-            ledger.cancel_claim(&[1], claims[1]),
-            Some(KeyWrite::Delete(vec![1]))
-        );
-        assert_eq!(ledger.cancel_claim(&[1], claims[1]), None);
-        assert!(ledger.claim(0.0, (&[1], 7), ID, 100.0).is_ok());
-        // Its result has no place: its repeats fail.
-        ledger.record_outcome(&[0], claims[0], Some(vec![0; 2000]));
-        assert_eq!(ledger.lookup(1.0, &[0], 7), KeyStatus::Failed);
-    }
-
-    #[test]
-    fn what_runs_is_kept_beyond_its_window() {
-        let mut ledger = open();
-        let (claim, _) = ledger.claim(0.0, (b"k", 7), ID, 100.0).unwrap();
-        assert_eq!(ledger.remove_expired(5000.0, 10), []);
-        assert_eq!(ledger.lookup(5000.0, b"k", 7), KeyStatus::InFlight);
-        assert!(ledger.record_outcome(b"k", claim, None).is_some());
-        assert_eq!(ledger.remove_expired(6001.0, 10).len(), 1);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/asterdale-journal/src/journal.rs
@@ -0,0 +1,112 @@
+//! Starting the journal: opens and checks the folder, starts the actor's thread, and returns the handle to it.
+
+use std::thread;
+use std::time::Duration;
+
+use crossbeam_channel::{bounded, unbounded, Sender};
+
+use crate::actor::{Actor, FolderState};
+use crate::clock::unix_time_ms;
+use crate::command::{JournalCommand, JournalEvent, JournalSettings};
+use crate::error::StartError;
+use crate::folder::{self, OpenFolder};
+use crate::index::KeyIndex;
+use crate::store::StoredState;
+
+/// How long [`Journal::flush`] waits for the disk.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
+/// The stack of the journal's thread: its buffers are on the heap.
+const STACK_BYTES: usize = 512 * 1024;
+
+/// A handle to the journal. Its thread ends when the last handle is dropped.
+#[derive(Clone, Debug)]
+pub struct Journal {
+    commands: Sender<JournalCommand>,
+    /// The generation of this process that the folder remembers; 0 for none.
+    pub generation: u64,
+    /// How many keys were stored when the folder was opened.
+    pub stored_keys: usize,
+    /// The secret key of body digests. It is the same in all runs over this folder.
+    pub digest_secret: u64,
+}
+
+impl Journal {
+    /// Sends a command. Never waits.
+    pub fn send(&self, command: JournalCommand) {
+        // Fails only if the thread has ended, which a panic alone causes: that ends the program.
+        let _ = self.commands.send(command);
+    }
+
+    /// Returns once all commands so far are on disk, or cannot be, or after two seconds.
+    pub fn flush(&self) {
+        let (reply, flushed) = bounded(1);
+        self.send(JournalCommand::Flush(reply));
+        // After the timeout the caller goes on, with the same result as for a disk that failed.
+        let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
+    }
+}
+
+/// Opens the folder and starts the journal's thread. That thread calls `on_event` for each event; it must not block for long.
+/// A damaged file is renamed, and the journal starts with an empty one.
+///
+/// The thread is named but not joined: `on_event` may wait for a thread that drops the last handle, which must not wait for
+/// the journal's thread then. Callers that need the last commit call [`Journal::flush`].
+///
+/// # Errors
+/// If another process has the folder, if it is another process's, or if the disk fails.
+pub fn start(
+    settings: JournalSettings,
+    on_event: impl Fn(JournalEvent) + Send + 'static,
+) -> Result<Journal, StartError> {
+    let OpenFolder {
+        store,
+        stored,
+        damaged_file,
+    } = folder::open_or_replace(&settings)?;
+    let previous_run = folder::previous_run(&stored);
+    let StoredState {
+        header, entries, ..
+    } = stored;
+    let mut header = header.unwrap_or_else(|| folder::new_header(&settings));
+    if header.name != settings.name {
+        return Err(StartError::WrongOwner {
+            folder: settings.folder,
+            owner: header.name,
+        });
+    }
+    header.run += 1;
+    let (started_at_ms, previous_quiet_until_ms) = (header.folder_time_ms, header.quiet_until_ms);
+    // Should this run end before its recovery check, the next run knows no more than this one.
+    header.quiet_until_ms = header
+        .quiet_until_ms
+        .max(started_at_ms + settings.max_window_ms);
+    header.unix_time_ms = unix_time_ms();
+    store
+        .commit(&[], &header)
+        .map_err(|source| folder::start_error(&settings, source))?;
+    let (commands, received) = unbounded();
+    let journal = Journal {
+        commands,
+        generation: header.generation,
+        stored_keys: entries.len(),
+        digest_secret: header.digest_secret,
+    };
+    let folder_state = FolderState {
+        index: KeyIndex::new(header.run, settings.index_limits, entries),
+        store,
+        header,
+        previous_run,
+        started_at_ms,
+        previous_quiet_until_ms,
+    };
+    if let Some((path, error)) = damaged_file {
+        on_event(JournalEvent::DamagedFileMoved { path, error });
+    }
+    let actor = Actor::new(settings, folder_state, on_event);
+    thread::Builder::new()
+        .name("journal".to_owned())
+        .stack_size(STACK_BYTES)
+        .spawn(move || actor.run(&received))
+        .map_err(StartError::Thread)?;
+    Ok(journal)
+}
--- a/crates/asterdale-journal/src/lib.rs
+++ b/crates/asterdale-journal/src/lib.rs
@@ -1,19 +1,31 @@
-//! State that lasts: what a process is about to run, and what came of it, on disk before anybody hears of it; so that
-//! one that comes back knows what it may run, what it must not, and what it can't know. `docs/durable.md` weighs the ways.
+//! The write-ahead journal of keyed requests. The intent of an execution is on disk before it starts, and its outcome before
+//! it is reported. After a crash the next run of the process knows which requests it may execute, which it must not, and
+//! which may have been executed. `docs/durable.md` has the design and its alternatives.
 //!
-//! Floors, from below: [`entry`] (what lasts, as bytes), [`store`] (the files, by the `redb` crate, over a small trait that a
-//! faulty disk can stand in for), [`ledger`] (what is known of each key, and what may be done; without I/O and clock),
-//! [`trust`] (whether what a folder says may be believed; likewise), [`writer`] (the actor: many orders share a commit). Beside them [`shelf`]: a keeper's part of an agreed log.
+//! Modules, lowest first:
+//! - [`entry`]: the stored records and their encoding.
+//! - [`store`]: the database file, over a trait for disks that tests implement with faults.
+//! - [`index`]: what is known of each key and what may be executed, without I/O and clock.
+//! - [`recovery`]: whether the folder holds everything that the last run wrote, without I/O and clock.
+//! - [`command`] and [`journal`]: the actor's messages, and the handle to it. The actor writes many commands in one commit.
+//! - [`replica_store`]: the log storage of an ownership replica, in a file of its own.
 
-pub mod actor;
+mod actor;
+mod clock;
+pub mod command;
 pub mod entry;
+pub mod error;
 pub mod failpoint;
+mod folder;
 pub mod index;
+pub mod journal;
 pub mod recovery;
 pub mod replica_store;
 pub mod store;
 
-pub use actor::{start, Journal, JournalCommand, JournalEvent, JournalSettings};
-pub use index::{KeyIndex, KeyStatus};
+pub use command::{JournalAnswer, JournalCommand, JournalEvent, JournalSettings};
+pub use error::{Damage, StartError, StoreError};
+pub use index::{IndexLimits, KeyIndex, KeyStatus};
+pub use journal::{start, Journal};
 pub use recovery::{PreviousRun, RecoveryVerdict};
-pub use store::{Store, StoreError};
+pub use store::Store;
--- a/crates/asterdale-journal/src/replica_store.rs
+++ b/crates/asterdale-journal/src/replica_store.rs
@@ -1,256 +1,239 @@
-//! A keeper's part of an agreed log, on disk: numbered entries and a few facts, each change of several of them one commit.
-//! What they mean is the keeper's.
+//! The log storage of an ownership replica: numbered log entries and named metadata values (hard state, snapshot) in a
+//! database file. Several changes are written in one commit. Only the replica knows what the bytes mean.
 
 use std::path::Path;
-use std::time::{SystemTime, UNIX_EPOCH};
 
-use redb::{ReadableDatabase, ReadableTable, TableDefinition};
+use redb::{ReadTransaction, ReadableTable, Table, TableDefinition, TableError};
 
+use crate::clock::unix_time_ms;
+use crate::error::{Damage, StoreError};
 use crate::recovery::{self, PreviousRun};
-use crate::store::{catch_library_panic, Store, StoreError};
-
-const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
-/// When it was last marked, by the Unix clock.
-const MARK: &str = "mark";
-/// Whose it is.
-const NAME: &str = "name";
-/// The file, in its folder.
+use crate::store::{catch_library_panic, Store};
+
+// The names of the tables and of the two metadata keys are stored.
+const LOG_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+const METADATA_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
+/// The key of the time of the last commit: Unix milliseconds, a big-endian double.
+const TIMESTAMP_KEY: &str = "mark";
+/// The key of the replica's name.
+const NAME_KEY: &str = "name";
+/// The name of the file in its folder.
 pub const REPLICA_FILE: &str = "keeper.redb";
 
-/// A change.
+/// A change of the stored state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaChange {
-    /// This fact takes the place of the one before.
+    /// Set a metadata value.
     SetMetadata(&'static str, Vec<u8>),
-    /// Entries from this number on; whatever was there from it on is gone.
-    ReplaceFrom(u64, Vec<Vec<u8>>),
-    /// Entries up to this number are gone, or all.
-    Cut(Option<u64>),
+    /// Delete all log entries from `first_index` on, then append these.
+    ReplaceFrom {
+        /// The index of the first new entry.
+        first_index: u64,
+        /// The new entries.
+        entries: Vec<Vec<u8>>,
+    },
+    /// Delete the log entries up to and including this index.
+    DeleteThrough(u64),
+    /// Delete all log entries.
+    DeleteAll,
 }
 
-/// What was found.
+/// Metadata values by name.
+pub type Metadata = Vec<(String, Vec<u8>)>;
+
+/// The stored state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplicaContents {
-    /// Facts by name.
-    pub metadata: Vec<(String, Vec<u8>)>,
-    /// Entries by number.
+    /// Metadata values by name.
+    pub metadata: Metadata,
+    /// Log entries by index.
     pub entries: Vec<(u64, Vec<u8>)>,
 }
 
-/// The file, open.
-#[derive(Debug)]
-pub struct ReplicaStore {
-    store: Store,
-}
+impl ReplicaContents {
+    fn metadata_value(&self, name: &str) -> Option<&[u8]> {
+        let (_, value) = self.metadata.iter().find(|(key, _)| key == name)?;
+        Some(value)
+    }
 
-fn unix_ms() -> f64 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .map_or(0.0, |since| since.as_secs_f64() * 1e3)
+    /// The run that wrote this, if a timestamp can be read.
+    fn previous_run(&self) -> Option<PreviousRun> {
+        let timestamp = self.metadata_value(TIMESTAMP_KEY)?.try_into().ok()?;
+        Some(PreviousRun {
+            generation: 0,
+            age_ms: unix_time_ms() - f64::from_be_bytes(timestamp),
+        })
+    }
 }
 
-fn failed(e: impl Into<redb::Error>) -> StoreError {
-    StoreError::Failed(e.into().to_string())
+/// An open replica file.
+#[derive(Debug)]
+pub struct ReplicaStore {
+    store: Store,
 }
 
 impl ReplicaStore {
-    /// Opens it, and tells what was found: nothing where it is not fresh, as an older one would have this process vote
-    /// against what it has voted. What can't be read is laid aside.
+    /// Opens the file and reads it. The contents are empty (and deleted) if they belong to another replica or fail the
+    /// recovery check: a replica with an older state could vote again in a term in which it has voted. A damaged file is
+    /// renamed, and the replica starts with an empty one.
+    ///
+    /// # Errors
+    /// [`StoreError::Locked`] if another process has the file; otherwise if the disk fails.
     pub fn open(
         folder: &Path,
         name: &str,
-        most: u64,
+        max_file_bytes: u64,
     ) -> Result<(ReplicaStore, ReplicaContents), StoreError> {
-        match catch_library_panic(|| ReplicaStore::open_once(folder, name, most)) {
-            Err(StoreError::Damaged(why)) => {
-                let file = folder.join(REPLICA_FILE);
-                let to = folder.join(format!(
-                    "{REPLICA_FILE}.damaged-{}",
-                    (unix_ms() / 1e3) as u64
-                ));
-                std::fs::rename(file, to).map_err(|e| StoreError::Failed(format!("{why}; {e}")))?;
-                ReplicaStore::open_once(folder, name, most)
+        let open = || ReplicaStore::open_and_read(folder, name, max_file_bytes);
+        match catch_library_panic(open) {
+            Err(StoreError::Damaged(_)) => {
+                let path = folder.join(REPLICA_FILE);
+                let unix_s = (unix_time_ms() / 1e3) as u64;
+                let moved_to = folder.join(format!("{REPLICA_FILE}.damaged-{unix_s}"));
+                std::fs::rename(&path, moved_to)
+                    .map_err(|source| StoreError::Io { path, source })?;
+                open()
             }
-            opened => opened,
+            outcome => outcome,
         }
     }
 
-    fn open_once(
+    fn open_and_read(
         folder: &Path,
         name: &str,
-        most: u64,
+        max_file_bytes: u64,
     ) -> Result<(ReplicaStore, ReplicaContents), StoreError> {
-        let mut shelf = ReplicaStore {
-            store: Store::file(folder, REPLICA_FILE, most)?,
-        };
-        if !shelf.store.check_integrity()? {
-            return Err(StoreError::Damaged(
-                "pages that do not fit together".to_owned(),
-            ));
+        let mut store = Store::open_file(folder, REPLICA_FILE, max_file_bytes)?;
+        if !store.check_integrity()? {
+            return Err(StoreError::Damaged(Damage::Integrity));
         }
-        let contents = shelf.load()?;
-        let fact = |name: &str| {
-            contents
-                .metadata
-                .iter()
-                .find(|(known, _)| known == name)
-                .map(|(_, value)| value)
-        };
-        let mark = fact(MARK).and_then(|mark| Some(f64::from_be_bytes(mark[..].try_into().ok()?)));
-        let own = fact(NAME).is_some_and(|known| known == name.as_bytes());
-        let folder = mark.map(|mark| PreviousRun {
-            generation: 0,
-            age_ms: unix_ms() - mark,
-        });
-        if own && recovery::assess(folder, 0).is_trusted() {
-            shelf.commit(&[])?;
-            return Ok((shelf, contents));
+        let replica = ReplicaStore { store };
+        let contents = replica.load()?;
+        let is_own = contents.metadata_value(NAME_KEY) == Some(name.as_bytes());
+        if is_own && recovery::assess(contents.previous_run(), 0).is_trusted() {
+            replica.commit(&[])?;
+            return Ok((replica, contents));
         }
-        // Whatever it says is of another time: it is not to be found again.
-        let forget = contents
-            .metadata
-            .iter()
-            .filter(|(known, _)| ![MARK, NAME].contains(&known.as_str()));
-        let forget: Vec<String> = forget.map(|(known, _)| known.clone()).collect();
-        shelf.reset(name, &forget)?;
-        Ok((shelf, ReplicaContents::default()))
+        replica.reset(name, &contents)?;
+        Ok((replica, ReplicaContents::default()))
     }
 
     fn load(&self) -> Result<ReplicaContents, StoreError> {
-        let damaged = |e: redb::StorageError| StoreError::Damaged(e.to_string());
-        let mut contents = ReplicaContents::default();
-        let read = self.store.database().begin_read().map_err(failed)?;
-        match read.open_table(FACTS) {
-            Ok(facts) => {
-                for one in facts.iter().map_err(damaged)? {
-                    let (name, value) = one.map_err(damaged)?;
-                    contents
-                        .metadata
-                        .push((name.value().to_owned(), value.value().to_vec()));
-                }
-            }
-            Err(redb::TableError::TableDoesNotExist(_)) => return Ok(contents),
-            Err(e) => return Err(StoreError::Damaged(e.to_string())),
-        }
-        if let Ok(log) = read.open_table(LOG) {
-            for one in log.iter().map_err(damaged)? {
-                let (number, value) = one.map_err(damaged)?;
-                contents
-                    .entries
-                    .push((number.value(), value.value().to_vec()));
-            }
-        }
-        Ok(contents)
+        let transaction = self.store.begin_read()?;
+        let Some(metadata) = load_metadata(&transaction)? else {
+            return Ok(ReplicaContents::default());
+        };
+        let entries = load_log(&transaction)?;
+        Ok(ReplicaContents { metadata, entries })
     }
 
-    fn reset(&self, name: &str, forget: &[String]) -> Result<(), StoreError> {
-        let commit = self.store.begin()?;
+    /// Deletes the log and all metadata but for the name and the timestamp, which are written anew.
+    fn reset(&self, name: &str, contents: &ReplicaContents) -> Result<(), StoreError> {
+        let transaction = self.store.begin_write()?;
         {
-            let mut facts = commit.open_table(FACTS).map_err(failed)?;
-            for known in forget {
-                facts.remove(known.as_str()).map_err(failed)?;
+            let mut metadata = transaction
+                .open_table(METADATA_TABLE)
+                .map_err(StoreError::database)?;
+            for (key, _) in &contents.metadata {
+                if ![TIMESTAMP_KEY, NAME_KEY].contains(&key.as_str()) {
+                    metadata
+                        .remove(key.as_str())
+                        .map_err(StoreError::database)?;
+                }
             }
-            facts.insert(NAME, name.as_bytes()).map_err(failed)?;
-            facts
-                .insert(MARK, &unix_ms().to_be_bytes()[..])
-                .map_err(failed)?;
-            let mut log = commit.open_table(LOG).map_err(failed)?;
-            log.retain(|_, _| false).map_err(failed)?;
+            metadata
+                .insert(NAME_KEY, name.as_bytes())
+                .map_err(StoreError::database)?;
+            write_timestamp(&mut metadata)?;
+            transaction
+                .open_table(LOG_TABLE)
+                .map_err(StoreError::database)?
+                .retain(|_, _| false)
+                .map_err(StoreError::database)?;
         }
-        commit.commit().map_err(failed)
+        transaction.commit().map_err(StoreError::database)
     }
 
-    /// Has all of this on disk, in order, or none of it; comes back once that is so. Without changes it is a mark that it is
-    /// open. After a failure it takes no more.
+    /// Writes all changes, in order, in one commit with a new timestamp, and returns once that is synced to disk. Without
+    /// changes it writes the timestamp alone.
+    ///
+    /// # Errors
+    /// [`StoreError::Database`] if the disk fails. Later commits fail too then.
     pub fn commit(&self, changes: &[ReplicaChange]) -> Result<(), StoreError> {
-        let commit = self.store.begin()?;
+        let transaction = self.store.begin_write()?;
         {
-            let mut facts = commit.open_table(FACTS).map_err(failed)?;
-            let mut log = commit.open_table(LOG).map_err(failed)?;
+            let mut metadata = transaction
+                .open_table(METADATA_TABLE)
+                .map_err(StoreError::database)?;
+            let mut log = transaction
+                .open_table(LOG_TABLE)
+                .map_err(StoreError::database)?;
             for change in changes {
-                match change {
-                    ReplicaChange::SetMetadata(name, value) => {
-                        drop(facts.insert(*name, &value[..]).map_err(failed)?)
-                    }
-                    ReplicaChange::ReplaceFrom(first, entries) => {
-                        log.retain_in::<u64, _>(*first.., |_, _| false)
-                            .map_err(failed)?;
-                        for (number, entry) in (*first..).zip(entries) {
-                            log.insert(number, &entry[..]).map_err(failed)?;
-                        }
-                    }
-                    ReplicaChange::Cut(Some(number)) => {
-                        log.retain_in::<u64, _>(..=*number, |_, _| false)
-                            .map_err(failed)?;
-                    }
-                    ReplicaChange::Cut(None) => log.retain(|_, _| false).map_err(failed)?,
-                }
+                apply(change, &mut metadata, &mut log).map_err(StoreError::database)?;
             }
-            facts
-                .insert(MARK, &unix_ms().to_be_bytes()[..])
-                .map_err(failed)?;
+            write_timestamp(&mut metadata)?;
         }
-        commit.commit().map_err(failed)
+        transaction.commit().map_err(StoreError::database)
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+/// `None` if the table does not exist, as in a new file.
+fn load_metadata(transaction: &ReadTransaction) -> Result<Option<Metadata>, StoreError> {
+    let table = match transaction.open_table(METADATA_TABLE) {
+        Ok(table) => table,
+        Err(TableError::TableDoesNotExist(_)) => return Ok(None),
+        Err(e) => return Err(StoreError::damaged(e)),
+    };
+    let mut metadata = Vec::new();
+    for row in table.iter().map_err(StoreError::damaged)? {
+        let (name, value) = row.map_err(StoreError::damaged)?;
+        metadata.push((name.value().to_owned(), value.value().to_vec()));
+    }
+    Ok(Some(metadata))
+}
 
-    #[test]
-    fn what_was_changed_is_found_again_while_it_is_fresh_and_its_owners() {
-        let folder = std::env::temp_dir().join(format!("asterdale-shelf-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder);
-        let open = |name: &str| ReplicaStore::open(&folder, name, 64 << 20).unwrap();
-        let (shelf, found) = open("a");
-        assert_eq!(found, ReplicaContents::default());
-        assert_eq!(
-            ReplicaStore::open(&folder, "a", 64 << 20).unwrap_err(),
-            StoreError::Locked
-        );
-        let entries = |from: u64, to: u64| (from..to).map(|n| vec![n as u8]).collect::<Vec<_>>();
-        shelf
-            .commit(&[
-                ReplicaChange::ReplaceFrom(1, entries(1, 9)),
-                ReplicaChange::SetMetadata("hard", vec![7]),
-            ])
-            .unwrap();
-        // A later leader's entries take the place of an earlier one's; the book has the first ones.
-        shelf
-            .commit(&[
-                ReplicaChange::ReplaceFrom(5, vec![vec![50]]),
-                ReplicaChange::Cut(Some(2)),
-            ])
-            .unwrap();
-        drop(shelf);
-        let (shelf, found) = open("a");
-        assert_eq!(found.entries, [(3, vec![3]), (4, vec![4]), (5, vec![50])]);
-        assert!(found.metadata.contains(&("hard".to_owned(), vec![7])));
-        // Marked long ago, as a copy of yesterday is.
-        let old = (unix_ms() - 10.0 * recovery::FRESH_AGE_MAX_MS)
-            .to_be_bytes()
-            .to_vec();
-        let commit = shelf.store.begin().unwrap();
-        commit
-            .open_table(FACTS)
-            .unwrap()
-            .insert(MARK, &old[..])
-            .unwrap();
-        commit.commit().unwrap();
-        drop(shelf);
-        let (shelf, found) = open("a");
-        assert_eq!(found, ReplicaContents::default());
-        shelf
-            .commit(&[ReplicaChange::SetMetadata("hard", vec![8])])
-            .unwrap();
-        drop(shelf);
-        assert_eq!(open("b").1, ReplicaContents::default(), "another's");
-        assert_eq!(open("a").1, ReplicaContents::default(), "and gone since");
-        std::fs::remove_dir_all(folder).unwrap();
+fn load_log(transaction: &ReadTransaction) -> Result<Vec<(u64, Vec<u8>)>, StoreError> {
+    let Ok(table) = transaction.open_table(LOG_TABLE) else {
+        return Ok(Vec::new());
+    };
+    let mut entries = Vec::new();
+    for row in table.iter().map_err(StoreError::damaged)? {
+        let (index, entry) = row.map_err(StoreError::damaged)?;
+        entries.push((index.value(), entry.value().to_vec()));
+    }
+    Ok(entries)
+}
+
+fn write_timestamp(metadata: &mut Table<'_, &str, &[u8]>) -> Result<(), StoreError> {
+    metadata
+        .insert(TIMESTAMP_KEY, &unix_time_ms().to_be_bytes()[..])
+        .map(drop)
+        .map_err(StoreError::database)
+}
+
+fn apply(
+    change: &ReplicaChange,
+    metadata: &mut Table<'_, &str, &[u8]>,
+    log: &mut Table<'_, u64, &[u8]>,
+) -> Result<(), redb::StorageError> {
+    match change {
+        ReplicaChange::SetMetadata(name, value) => metadata.insert(*name, &value[..]).map(drop),
+        ReplicaChange::ReplaceFrom {
+            first_index,
+            entries,
+        } => {
+            log.retain_in::<u64, _>(*first_index.., |_, _| false)?;
+            for (index, entry) in (*first_index..).zip(entries) {
+                log.insert(index, &entry[..])?;
+            }
+            Ok(())
+        }
+        ReplicaChange::DeleteThrough(index) => log.retain_in::<u64, _>(..=*index, |_, _| false),
+        ReplicaChange::DeleteAll => log.retain(|_, _| false),
     }
 }
 
 #[cfg(test)]
 mod stored;
+#[cfg(test)]
+mod tests;
--- a/crates/asterdale-journal/src/store.rs
+++ b/crates/asterdale-journal/src/store.rs
@@ -1,366 +1,260 @@
-//! The files: a table of keys and what the folder says of itself, by the `redb` crate: copy on write, a checksum on each
-//! page, a commit is there whole or not at all. What it asks of a disk is a small trait, so that a faulty one can stand in.
+//! The journal's file: a table of keys and the folder's header, in a `redb` database (copy on write, a checksum on each page,
+//! atomic commits). The disk is reached through the library's `StorageBackend` trait, so that tests can put a faulty disk
+//! there.
 
-use std::cell::Cell;
-use std::panic::{catch_unwind, AssertUnwindSafe};
+mod backend;
+mod panics;
+
+use std::fs::{File, OpenOptions};
+use std::io;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
 use redb::backends::FileBackend;
 use redb::{
-    Database, DatabaseError, ReadableDatabase, ReadableTable, ReadableTableMetadata,
-    StorageBackend, TableDefinition,
+    Database, DatabaseError, ReadTransaction, ReadableDatabase, ReadableTable,
+    ReadableTableMetadata, StorageBackend, StorageError, TableDefinition, TableError,
 };
+use rustix::fs::{flock, FlockOperation};
+use rustix::io::Errno;
 
 use crate::entry::{self, Entry, FolderHeader};
+use crate::error::{Damage, StoreError};
 use crate::failpoint::{self, Failpoint};
 use crate::index::KeyWrite;
+use backend::{GuardedBackend, MemoryBackend};
 
-const ENTRIES: TableDefinition<&[u8], &[u8]> = TableDefinition::new("entries");
-const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
-const FACE: &str = "face";
-/// Pages that are kept in memory, in bytes: what aged out in seconds is read once, at the start.
-const CACHE: usize = 4 << 20;
-/// The file, in its folder.
-pub const STATE_FILE: &str = "state.redb";
-
-/// Why nothing lasts any more.
-#[derive(Clone, Debug, PartialEq)]
-pub enum StoreError {
-    /// Another process has the folder.
-    Locked,
-    /// What is there can't be read: damaged, or of another program.
-    Damaged(String),
-    /// The disk failed, or is full, while something was written. What the last commit held may be there or not.
-    Failed(String),
-}
-
-impl std::fmt::Display for StoreError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            StoreError::Locked => f.write_str("another process has this folder"),
-            StoreError::Damaged(why) => write!(f, "what is there can't be read: {why}"),
-            StoreError::Failed(why) => write!(f, "the disk: {why}"),
-        }
-    }
-}
-
-thread_local! {
-    static SPARED: Cell<bool> = const { Cell::new(false) };
-}
-
-/// Whether a panic of this thread is caught, and says no more than that a file can't be read. A program that ends with any
-/// other panic asks here first.
-pub fn is_catching_panics() -> bool {
-    SPARED.get()
-}
-
-/// Looks at a file that may be damaged: of some damage (1 to 2 of 100 flipped bits) the library knows no error, and
-/// panics.
-pub fn catch_library_panic<T>(
-    look: impl FnOnce() -> Result<T, StoreError>,
-) -> Result<T, StoreError> {
-    let before = SPARED.replace(true);
-    let looked = catch_unwind(AssertUnwindSafe(look));
-    SPARED.set(before);
-    looked.unwrap_or_else(|_| {
-        Err(StoreError::Damaged(
-            "the library could make nothing of it".to_owned(),
-        ))
-    })
-}
-
-/// A disk with a bound on its length, which remembers whether a sync has failed: what was written before that may be
-/// lost, whatever later syncs say.
-///
-/// A file grows on disk before anything is written that speaks of its new length, and never shrinks: a crash may keep the
-/// library's head and lose the length, or the other way round, and it refuses to open a file that is shorter than its head
-/// says (found by `tests/crashes.rs`).
-#[derive(Debug)]
-struct Guarded<B> {
-    disk: B,
-    most: u64,
-    sync_failed: Arc<AtomicBool>,
-}
-
-impl<B: StorageBackend> StorageBackend for Guarded<B> {
-    fn len(&self) -> std::io::Result<u64> {
-        self.disk.len()
-    }
-
-    fn read(&self, offset: u64, out: &mut [u8]) -> std::io::Result<()> {
-        self.disk.read(offset, out)
-    }
-
-    fn set_len(&self, len: u64) -> std::io::Result<()> {
-        if len <= self.disk.len()? {
-            return Ok(());
-        }
-        if len > self.most {
-            return Err(std::io::Error::new(
-                std::io::ErrorKind::StorageFull,
-                "the bound of this folder",
-            ));
-        }
-        self.disk.set_len(len)?;
-        self.sync_data()
-    }
-
-    fn sync_data(&self) -> std::io::Result<()> {
-        if self.sync_failed.load(Ordering::SeqCst) {
-            return Err(std::io::Error::other("an earlier sync failed"));
-        }
-        let synced = self.disk.sync_data();
-        if synced.is_err() {
-            self.sync_failed.store(true, Ordering::SeqCst);
-        }
-        synced
-    }
-
-    fn write(&self, offset: u64, data: &[u8]) -> std::io::Result<()> {
-        self.disk.write(offset, data)
-    }
-}
-
-/// A file's bytes, in memory.
-#[derive(Debug)]
-struct Image(std::sync::Mutex<Vec<u8>>);
-
-impl Image {
-    fn bytes(&self) -> std::sync::MutexGuard<'_, Vec<u8>> {
-        self.0
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner)
-    }
-}
-
-impl StorageBackend for Image {
-    fn len(&self) -> std::io::Result<u64> {
-        Ok(self.bytes().len() as u64)
-    }
-
-    fn read(&self, offset: u64, out: &mut [u8]) -> std::io::Result<()> {
-        let bytes = self.bytes();
-        let there = bytes
-            .get(offset as usize..)
-            .and_then(|rest| rest.get(..out.len()));
-        out.copy_from_slice(there.ok_or(std::io::ErrorKind::UnexpectedEof)?);
-        Ok(())
-    }
-
-    fn set_len(&self, len: u64) -> std::io::Result<()> {
-        self.bytes().resize(len as usize, 0);
-        Ok(())
-    }
+pub use panics::{catch_library_panic, is_catching_panics};
 
-    fn sync_data(&self) -> std::io::Result<()> {
-        Ok(())
-    }
-
-    fn write(&self, offset: u64, data: &[u8]) -> std::io::Result<()> {
-        let mut bytes = self.bytes();
-        let place = bytes
-            .get_mut(offset as usize..)
-            .and_then(|rest| rest.get_mut(..data.len()));
-        place
-            .ok_or(std::io::ErrorKind::UnexpectedEof)?
-            .copy_from_slice(data);
-        Ok(())
-    }
-}
+// The names of the tables and of the header's key are stored.
+const ENTRIES_TABLE: TableDefinition<&[u8], &[u8]> = TableDefinition::new("entries");
+const METADATA_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
+const HEADER_KEY: &str = "face";
+/// Bytes of database pages that are cached. Small, because all entries are read once, at the start.
+const CACHE_BYTES: usize = 4 << 20;
+/// The name of the file in its folder.
+pub const STATE_FILE: &str = "state.redb";
 
-/// What was found.
+/// What a file holds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
-    /// What the folder says of itself; nothing where it is new.
+    /// The folder's header; `None` for a new folder.
     pub header: Option<FolderHeader>,
-    /// What it holds.
+    /// Entries by key.
     pub entries: Vec<(Vec<u8>, Entry)>,
-    /// Keys whose entries make no sense.
+    /// How many entries could not be decoded.
     pub damaged_entries: usize,
 }
 
-/// The files of one folder, open.
+/// An open database file.
 #[derive(Debug)]
 pub struct Store {
     database: Database,
     sync_failed: Arc<AtomicBool>,
 }
 
-fn failed(e: impl Into<redb::Error>) -> StoreError {
-    StoreError::Failed(e.into().to_string())
-}
-
 impl Store {
-    /// Opens the file of this folder, and makes it where there is none. It may grow to so many bytes.
-    pub fn open(folder: &Path, most: u64) -> Result<Store, StoreError> {
-        Store::file(folder, STATE_FILE, most)
+    /// Opens the file [`STATE_FILE`] of this folder, or creates it. It may grow to `max_file_bytes`.
+    ///
+    /// # Errors
+    /// [`StoreError::Locked`] if another process has it open, [`StoreError::Damaged`] if it can't be read.
+    pub fn open(folder: &Path, max_file_bytes: u64) -> Result<Store, StoreError> {
+        Store::open_file(folder, STATE_FILE, max_file_bytes)
     }
 
-    /// The same, of a file of this name.
-    pub(crate) fn file(folder: &Path, name: &str, most: u64) -> Result<Store, StoreError> {
-        let told = |e: std::io::Error| StoreError::Failed(format!("{}: {e}", folder.display()));
-        std::fs::create_dir_all(folder).map_err(told)?;
-        let mut options = std::fs::OpenOptions::new();
-        let file = options
+    /// Like [`Store::open`], for a file of another name.
+    pub(crate) fn open_file(
+        folder: &Path,
+        name: &str,
+        max_file_bytes: u64,
+    ) -> Result<Store, StoreError> {
+        let folder_error = |source| StoreError::Io {
+            path: folder.to_owned(),
+            source,
+        };
+        std::fs::create_dir_all(folder).map_err(folder_error)?;
+        let file = OpenOptions::new()
             .read(true)
             .write(true)
             .create(true)
             .truncate(false)
-            .open(folder.join(name));
-        let file = file.map_err(told)?;
-        // The library locks a file that it opens by its path, and not one that it is handed. The lock is the open file's: it
-        // ends with the process, however that ends, and holds while the process stands still.
-        let lock = rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive);
-        if !failpoint::is_active(Failpoint::Unlocked) {
-            lock.map_err(|e| match e {
-                rustix::io::Errno::WOULDBLOCK => StoreError::Locked,
-                e => told(e.into()),
-            })?;
-        }
+            .open(folder.join(name))
+            .map_err(folder_error)?;
+        lock(&file).map_err(|e| match e {
+            Errno::WOULDBLOCK => StoreError::Locked,
+            e => folder_error(e.into()),
+        })?;
         let backend = FileBackend::new(file).map_err(|e| match e {
             DatabaseError::DatabaseAlreadyOpen => StoreError::Locked,
-            e => failed(e),
+            e => StoreError::database(e),
         })?;
-        let store = Store::from_backend(backend, most)?;
-        // A file that was just made is there after a crash once its folder says so.
-        std::fs::File::open(folder)
+        let store = Store::from_backend(backend, max_file_bytes)?;
+        // A new file survives a crash only after its folder is synced.
+        File::open(folder)
             .and_then(|folder| folder.sync_all())
-            .map_err(told)?;
+            .map_err(folder_error)?;
         Ok(store)
     }
 
-    pub(crate) fn database(&self) -> &Database {
-        &self.database
-    }
-
-    /// A commit that is synced.
-    pub(crate) fn begin(&self) -> Result<redb::WriteTransaction, StoreError> {
-        let mut commit = self.database.begin_write().map_err(failed)?;
-        commit
-            .set_durability(redb::Durability::Immediate)
-            .map_err(failed)?;
-        Ok(commit)
-    }
-
-    /// Opens what is on this disk.
-    pub fn from_backend(disk: impl StorageBackend, most: u64) -> Result<Store, StoreError> {
+    /// Opens the database on this disk. It may grow to `max_bytes`.
+    ///
+    /// # Errors
+    /// [`StoreError::Database`] if the disk fails, [`StoreError::Damaged`] if the contents can't be read.
+    pub fn from_backend(disk: impl StorageBackend, max_bytes: u64) -> Result<Store, StoreError> {
         let sync_failed = Arc::new(AtomicBool::new(false));
-        let disk = Guarded {
+        let guarded = GuardedBackend {
             disk,
-            most,
+            max_bytes,
             sync_failed: sync_failed.clone(),
         };
-        let opened = Database::builder()
-            .set_cache_size(CACHE)
-            .create_with_backend(disk);
-        let database = opened.map_err(|e| match e {
-            DatabaseError::DatabaseAlreadyOpen => StoreError::Locked,
-            DatabaseError::Storage(redb::StorageError::Io(e))
-                if e.kind() != std::io::ErrorKind::InvalidData =>
-            {
-                StoreError::Failed(e.to_string())
-            }
-            e => StoreError::Damaged(e.to_string()),
-        })?;
+        let database = Database::builder()
+            .set_cache_size(CACHE_BYTES)
+            .create_with_backend(guarded)
+            .map_err(|e| match e {
+                DatabaseError::DatabaseAlreadyOpen => StoreError::Locked,
+                DatabaseError::Storage(StorageError::Io(e))
+                    if e.kind() != io::ErrorKind::InvalidData =>
+                {
+                    StoreError::database(StorageError::Io(e))
+                }
+                e => StoreError::damaged(e),
+            })?;
         Ok(Store {
             database,
             sync_failed,
         })
     }
 
-    /// All that is there.
+    /// Opens a copy of a file's bytes in memory. The file itself may be in use by another process.
+    ///
+    /// # Errors
+    /// As [`Store::from_backend`].
+    pub fn from_image(bytes: Vec<u8>) -> Result<Store, StoreError> {
+        Store::from_backend(MemoryBackend::new(bytes), u64::MAX)
+    }
+
+    /// Starts a read transaction.
+    pub(crate) fn begin_read(&self) -> Result<ReadTransaction, StoreError> {
+        self.database.begin_read().map_err(StoreError::database)
+    }
+
+    /// Starts a write transaction whose commit is synced to disk.
+    pub(crate) fn begin_write(&self) -> Result<redb::WriteTransaction, StoreError> {
+        let mut transaction = self.database.begin_write().map_err(StoreError::database)?;
+        transaction
+            .set_durability(redb::Durability::Immediate)
+            .map_err(StoreError::database)?;
+        Ok(transaction)
+    }
+
+    /// Reads everything that is stored. Entries that can't be decoded are counted.
+    ///
+    /// # Errors
+    /// [`StoreError::Damaged`] if a table or the header can't be read.
     pub fn load(&self) -> Result<StoredState, StoreError> {
-        let mut found = StoredState::default();
-        let read = self.database.begin_read().map_err(failed)?;
-        let facts = match read.open_table(FACTS) {
-            Ok(facts) => facts,
-            Err(redb::TableError::TableDoesNotExist(_)) => return Ok(found),
-            Err(e) => return Err(StoreError::Damaged(e.to_string())),
+        let mut state = StoredState::default();
+        let transaction = self.begin_read()?;
+        let metadata = match transaction.open_table(METADATA_TABLE) {
+            Ok(metadata) => metadata,
+            Err(TableError::TableDoesNotExist(_)) => return Ok(state),
+            Err(e) => return Err(StoreError::damaged(e)),
         };
-        let damaged = |e: redb::StorageError| StoreError::Damaged(e.to_string());
-        if let Some(bytes) = facts.get(FACE).map_err(damaged)? {
-            let face = entry::decode(bytes.value());
-            found.header =
-                Some(face.ok_or_else(|| StoreError::Damaged("what it says of itself".to_owned()))?);
+        if let Some(bytes) = metadata.get(HEADER_KEY).map_err(StoreError::damaged)? {
+            let header = entry::decode(bytes.value());
+            state.header = Some(header.ok_or(StoreError::Damaged(Damage::Header))?);
         }
-        let entries = match read.open_table(ENTRIES) {
+        let entries = match transaction.open_table(ENTRIES_TABLE) {
             Ok(entries) => entries,
-            Err(redb::TableError::TableDoesNotExist(_)) => return Ok(found),
-            Err(e) => return Err(StoreError::Damaged(e.to_string())),
+            Err(TableError::TableDoesNotExist(_)) => return Ok(state),
+            Err(e) => return Err(StoreError::damaged(e)),
         };
-        for one in entries.iter().map_err(damaged)? {
-            let (key, value) = one.map_err(damaged)?;
+        for row in entries.iter().map_err(StoreError::damaged)? {
+            let (key, value) = row.map_err(StoreError::damaged)?;
             match entry::decode(value.value()).filter(entry::is_well_formed) {
-                Some(entry) => found.entries.push((key.value().to_vec(), entry)),
-                None => found.damaged_entries += 1,
+                Some(entry) => state.entries.push((key.value().to_vec(), entry)),
+                None => state.damaged_entries += 1,
             }
         }
-        Ok(found)
+        Ok(state)
     }
 
-    /// Has all of this on disk, or none of it; comes back once that is so. After a failure nobody knows which.
-    pub fn commit(&self, writes: &[KeyWrite], face: &FolderHeader) -> Result<(), StoreError> {
-        let done = self.write(writes, face);
-        if failpoint::is_active(Failpoint::Sync) {
+    /// Writes the header and all of `writes` in one commit, and returns once that is synced to disk.
+    ///
+    /// # Errors
+    /// [`StoreError::Database`] if the disk fails. Then either all of it is on disk or none.
+    pub fn commit(&self, writes: &[KeyWrite], header: &FolderHeader) -> Result<(), StoreError> {
+        let outcome = self.write(writes, header);
+        if failpoint::is_active(Failpoint::IgnoredSyncError) {
             return Ok(());
         }
-        done
+        outcome
     }
 
-    fn write(&self, writes: &[KeyWrite], face: &FolderHeader) -> Result<(), StoreError> {
-        let commit = self.begin()?;
+    fn write(&self, writes: &[KeyWrite], header: &FolderHeader) -> Result<(), StoreError> {
+        let transaction = self.begin_write()?;
         {
-            let mut entries = commit.open_table(ENTRIES).map_err(failed)?;
+            let mut entries = transaction
+                .open_table(ENTRIES_TABLE)
+                .map_err(StoreError::database)?;
             for write in writes {
                 match write {
-                    KeyWrite::Put(key, entry) => {
-                        entries
-                            .insert(&key[..], &entry::encode(entry)[..])
-                            .map_err(failed)?;
-                    }
-                    KeyWrite::Delete(key) => {
-                        entries.remove(&key[..]).map_err(failed)?;
-                    }
+                    KeyWrite::Put(key, entry) => entries
+                        .insert(&key[..], &entry::encode(entry)[..])
+                        .map(drop),
+                    KeyWrite::Delete(key) => entries.remove(&key[..]).map(drop),
                 }
+                .map_err(StoreError::database)?;
             }
-            let mut facts = commit.open_table(FACTS).map_err(failed)?;
-            facts
-                .insert(FACE, &entry::encode(face)[..])
-                .map_err(failed)?;
+            let mut metadata = transaction
+                .open_table(METADATA_TABLE)
+                .map_err(StoreError::database)?;
+            metadata
+                .insert(HEADER_KEY, &entry::encode(header)[..])
+                .map_err(StoreError::database)?;
         }
-        commit.commit().map_err(failed)
-    }
-
-    /// Opens what a file held when it was read, in memory: also while a process writes to it.
-    pub fn from_image(bytes: Vec<u8>) -> Result<Store, StoreError> {
-        Store::from_backend(Image(std::sync::Mutex::new(bytes)), u64::MAX)
+        transaction.commit().map_err(StoreError::database)
     }
 
-    /// Whether a sync has failed: this file is not to be opened again by this process.
+    /// Whether a sync has failed. The process must not open this file again then.
     pub fn sync_failed(&self) -> bool {
         self.sync_failed.load(Ordering::SeqCst)
     }
 
-    /// Checks every page; `false` if something had to be put right.
+    /// Checks the checksums of all pages; `false` if something had to be repaired.
+    ///
+    /// # Errors
+    /// [`StoreError::Damaged`] if the file can't be read.
     pub fn check_integrity(&mut self) -> Result<bool, StoreError> {
-        self.database
-            .check_integrity()
-            .map_err(|e| StoreError::Damaged(e.to_string()))
+        self.database.check_integrity().map_err(StoreError::damaged)
     }
 
-    /// How many keys it holds.
+    /// How many keys are stored.
+    ///
+    /// # Errors
+    /// [`StoreError::Database`] if the disk fails.
     pub fn len(&self) -> Result<u64, StoreError> {
-        let read = self.database.begin_read().map_err(failed)?;
-        match read.open_table(ENTRIES) {
-            Ok(entries) => entries.len().map_err(failed),
+        match self.begin_read()?.open_table(ENTRIES_TABLE) {
+            Ok(entries) => entries.len().map_err(StoreError::database),
             Err(_) => Ok(0),
         }
     }
 
-    /// Whether it holds none.
+    /// Whether no key is stored.
+    ///
+    /// # Errors
+    /// As [`Store::len`].
     pub fn is_empty(&self) -> Result<bool, StoreError> {
         Ok(self.len()? == 0)
     }
 }
+
+/// Takes the lock of an open file. The library locks files that it opens by path, but not those that it is given. The lock
+/// belongs to the open file: it is released when the process ends, however it ends, and kept while the process is stopped.
+fn lock(file: &File) -> Result<(), Errno> {
+    let locked = flock(file, FlockOperation::NonBlockingLockExclusive);
+    if failpoint::is_active(Failpoint::UnlockedFolder) {
+        return Ok(());
+    }
+    locked
+}
--- a/crates/asterdale-journal/tests/disk/mod.rs
+++ b/crates/asterdale-journal/tests/disk/mod.rs
@@ -1,5 +1,5 @@
-//! A disk in memory that keeps its word no better than disks do: between two syncs any of what was written may be there
-//! after a crash, or a part of it, in any order; syncs and writes fail, room runs out, bits flip.
+//! A disk in memory with injected faults. After a crash, any subset of the writes since the last sync may be there, in any
+//! order, and writes may be torn. Syncs can fail and the disk can be full.
 
 use std::io::{Error, ErrorKind, Result};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,50 +7,50 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The part of a write that is there whole or not at all.
-const SECTOR: usize = 512;
+/// Bytes that are written atomically.
+const SECTOR_BYTES: usize = 512;
 
 #[derive(Clone, Debug)]
-enum Op {
+enum Operation {
     Write(u64, Vec<u8>),
-    Length(u64),
+    SetLength(u64),
 }
 
-/// What goes wrong.
+/// The injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// The power goes at the operation of this number.
+    /// The power fails at the operation of this number.
     Power(u64),
-    /// The sync of this number fails, and what it was for is lost.
+    /// The sync of this number fails, and the writes before it are lost.
     Sync(u64),
-    /// From this operation on there is no room.
+    /// The disk is full from the operation of this number on.
     Full(u64),
 }
 
 #[derive(Debug)]
 struct State {
-    /// What is there after a crash, whatever happens.
+    /// The bytes of the last sync.
     durable: Vec<u8>,
-    /// What a reader sees.
-    seen: Vec<u8>,
-    /// What came since the last sync.
-    pending: Vec<Op>,
-    ops: u64,
+    /// The bytes that a reader sees.
+    current: Vec<u8>,
+    /// Operations since the last sync.
+    pending: Vec<Operation>,
+    operations: u64,
     syncs: u64,
     fault: Fault,
-    off: bool,
+    is_power_off: bool,
 }
 
-/// The disk.
+/// A disk; clones share their contents.
 #[derive(Clone, Debug)]
 pub struct Disk(Arc<Mutex<State>>);
 
-fn apply(bytes: &mut Vec<u8>, op: &Op) {
-    match op {
-        Op::Length(length) => bytes.resize(*length as usize, 0),
-        Op::Write(offset, data) => {
+fn apply(bytes: &mut Vec<u8>, operation: &Operation) {
+    match operation {
+        Operation::SetLength(length) => bytes.resize(*length as usize, 0),
+        Operation::Write(offset, data) => {
             let end = *offset as usize + data.len();
             if bytes.len() < end {
                 bytes.resize(end, 0);
@@ -61,18 +61,18 @@
 }
 
 impl Disk {
-    /// One with this on it.
+    /// A disk with these contents.
     pub fn new(bytes: Vec<u8>, fault: Fault) -> Disk {
-        let seen = bytes.clone();
-        let (pending, ops, syncs, off) = (Vec::new(), 0, 0, false);
+        let current = bytes.clone();
+        let (pending, operations, syncs, is_power_off) = (Vec::new(), 0, 0, false);
         Disk(Arc::new(Mutex::new(State {
             durable: bytes,
-            seen,
+            current,
             pending,
-            ops,
+            operations,
             syncs,
             fault,
-            off,
+            is_power_off,
         })))
     }
 
@@ -80,12 +80,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many operations it has seen.
-    pub fn ops(&self) -> u64 {
-        self.state().ops
+    /// How many operations that change the disk were attempted.
+    pub fn operations(&self) -> u64 {
+        self.state().operations
     }
 
-    /// What is there after a crash at this moment: of what was not synced some, in any order, some of it torn.
+    /// The bytes after a crash at this moment: a random part of the operations since the last sync, in random order, some torn.
     pub fn crashed(&self, seed: u64) -> Vec<u8> {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let state = self.state();
@@ -94,45 +94,45 @@
         for n in (1..pending.len()).rev() {
             pending.swap(n, (random.next_u64() % (n as u64 + 1)) as usize);
         }
-        for op in pending {
-            match (random.next_u32() % 4, op) {
+        for operation in pending {
+            match (random.next_u32() % 4, operation) {
                 (0, _) => {}
-                (1, Op::Write(offset, data)) => {
-                    let sectors = data.len().div_ceil(SECTOR);
-                    let from = random.next_u32() as usize % (sectors + 1) * SECTOR;
+                (1, Operation::Write(offset, data)) => {
+                    let sectors = data.len().div_ceil(SECTOR_BYTES);
+                    let from = random.next_u32() as usize % (sectors + 1) * SECTOR_BYTES;
                     if from < data.len() {
                         let to = data
                             .len()
-                            .min(from + (1 + random.next_u32() as usize % sectors) * SECTOR);
+                            .min(from + (1 + random.next_u32() as usize % sectors) * SECTOR_BYTES);
                         apply(
                             &mut bytes,
-                            &Op::Write(offset + from as u64, data[from..to].to_vec()),
+                            &Operation::Write(offset + from as u64, data[from..to].to_vec()),
                         );
                     }
                 }
-                (_, op) => apply(&mut bytes, &op),
+                (_, operation) => apply(&mut bytes, &operation),
             }
         }
         bytes
     }
 
-    /// What is there now.
+    /// The current bytes.
     pub fn bytes(&self) -> Vec<u8> {
-        self.state().seen.clone()
+        self.state().current.clone()
     }
 }
 
 impl State {
-    fn begin(&mut self) -> Result<()> {
-        self.ops += 1;
+    fn begin_operation(&mut self) -> Result<()> {
+        self.operations += 1;
         match self.fault {
-            Fault::Power(at) if self.ops >= at => self.off = true,
-            Fault::Full(at) if self.ops >= at => {
-                return Err(Error::new(ErrorKind::StorageFull, "no room"));
+            Fault::Power(number) if self.operations >= number => self.is_power_off = true,
+            Fault::Full(number) if self.operations >= number => {
+                return Err(Error::new(ErrorKind::StorageFull, "the disk is full"));
             }
             _ => {}
         }
-        if self.off {
+        if self.is_power_off {
             return Err(Error::other("the power is off"));
         }
         Ok(())
@@ -141,48 +141,48 @@
 
 impl redb::StorageBackend for Disk {
     fn len(&self) -> Result<u64> {
-        Ok(self.state().seen.len() as u64)
+        Ok(self.state().current.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<()> {
         let state = self.state();
         let from = offset as usize;
-        let there = state.seen.get(from..from + out.len());
+        let range = state.current.get(from..from + out.len());
         out.copy_from_slice(
-            there.ok_or_else(|| Error::new(ErrorKind::UnexpectedEof, "past the end"))?,
+            range.ok_or_else(|| Error::new(ErrorKind::UnexpectedEof, "past the end"))?,
         );
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> Result<()> {
         let mut state = self.state();
-        state.begin()?;
-        let op = Op::Length(len);
-        apply(&mut state.seen, &op);
-        state.pending.push(op);
+        state.begin_operation()?;
+        let operation = Operation::SetLength(len);
+        apply(&mut state.current, &operation);
+        state.pending.push(operation);
         Ok(())
     }
 
     fn sync_data(&self) -> Result<()> {
         let mut state = self.state();
-        state.begin()?;
+        state.begin_operation()?;
         state.syncs += 1;
-        if matches!(state.fault, Fault::Sync(at) if state.syncs == at) {
-            // As kernels do: the pages count as written from now on, and are not.
+        if matches!(state.fault, Fault::Sync(number) if state.syncs == number) {
+            // As kernels do: the pages count as written, but are not on disk.
             state.pending.clear();
             return Err(Error::other("the sync failed"));
         }
-        state.durable = state.seen.clone();
+        state.durable = state.current.clone();
         state.pending.clear();
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<()> {
         let mut state = self.state();
-        state.begin()?;
-        let op = Op::Write(offset, data.to_vec());
-        apply(&mut state.seen, &op);
-        state.pending.push(op);
+        state.begin_operation()?;
+        let operation = Operation::Write(offset, data.to_vec());
+        apply(&mut state.current, &operation);
+        state.pending.push(operation);
         Ok(())
     }
 }
--- a/crates/asterdale-journal/tests/stored_folder.rs
+++ b/crates/asterdale-journal/tests/stored_folder.rs
@@ -1,63 +1,69 @@
 //! A journal folder that an earlier release left is read to the same intents, outcomes and results, and a process that
-//! opens it goes on with its name, secret, generation and run. The tables are looked at without the store's code as well,
-//! so that a change of a stored name is seen even where reading and writing change together.
+//! opens it continues with its name, secret, generation and run. The tables are also read without the store's code, so that
+//! a change of a stored name is seen even if reading and writing change together.
 //! `fixtures/folder/README.md` says how the file was made.
 
 use std::path::{Path, PathBuf};
 
-use asterdale_journal::entry::{self, Entry, Face, Stage};
-use asterdale_journal::ledger::{Bounds, Known, Ledger};
-use asterdale_journal::store::FILE;
-use asterdale_journal::{begin, Place, Store};
+use asterdale_journal::entry::{self, Entry, ExecutionState, FolderHeader};
+use asterdale_journal::index::ClaimRequest;
+use asterdale_journal::store::STATE_FILE;
+use asterdale_journal::{
+    start, IndexLimits, JournalSettings, KeyIndex, KeyStatus, StartError, Store,
+};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
-const STATE: &[u8] = include_bytes!("fixtures/folder/state.redb");
-const BOUNDS: Bounds = Bounds {
-    entries: 100,
-    bytes: 100_000,
+const STORED_FILE: &[u8] = include_bytes!("fixtures/folder/state.redb");
+const LIMITS: IndexLimits = IndexLimits {
+    max_entries: 100,
+    max_bytes: 100_000,
 };
-/// The folder's time when it was left.
-const LEFT_MS: f64 = 52.619985;
+/// Folder time at the last commit.
+const FOLDER_TIME_MS: f64 = 52.619985;
 
 fn key(n: u8) -> Vec<u8> {
     format!("bid\0house\0key-{n}").into_bytes()
 }
 
-fn stored_entry(n: u8, stage: Stage, until_ms: f64, result: &[u8]) -> (Vec<u8>, Entry) {
-    let (id, sign) = (
-        format!("000000000000000{n}").into_bytes(),
-        0xfeed_0000 + u64::from(n),
-    );
-    (
-        key(n),
-        Entry {
-            stage: stage.into(),
-            sign,
-            id,
-            until_ms,
-            result: result.to_vec(),
-            run: 2,
-        },
-    )
+fn stored_entry(
+    n: u8,
+    state: ExecutionState,
+    expires_at_ms: f64,
+    result: &[u8],
+) -> (Vec<u8>, Entry) {
+    let entry = Entry {
+        state: state.into(),
+        body_digest: 0xfeed_0000 + u64::from(n),
+        attempt_id: format!("000000000000000{n}").into_bytes(),
+        expires_at_ms,
+        result: result.to_vec(),
+        run: 2,
+    };
+    (key(n), entry)
 }
 
 fn entries() -> Vec<(Vec<u8>, Entry)> {
     vec![
-        stored_entry(1, Stage::Passed, 3_600_050.649011, b"sold for 7"),
-        stored_entry(2, Stage::Failed, 7_200_051.559332, b""),
-        stored_entry(3, Stage::Intent, 10_800_051.975784, b""),
+        stored_entry(
+            1,
+            ExecutionState::Succeeded,
+            3_600_050.649011,
+            b"sold for 7",
+        ),
+        stored_entry(2, ExecutionState::Failed, 7_200_051.559332, b""),
+        stored_entry(3, ExecutionState::Intent, 10_800_051.975784, b""),
     ]
 }
 
-fn face() -> Face {
-    Face {
+fn header() -> FolderHeader {
+    FolderHeader {
         name: "alpha".to_owned(),
-        folder: 0x0123_4567_89ab_cdef,
+        folder_id: 0x0123_4567_89ab_cdef,
         run: 3,
         generation: 6,
-        now_ms: LEFT_MS,
-        unix_ms: 1_796_220_492_490.640_4,
-        secret: 1_701_433_042_820_217_202,
+        folder_time_ms: FOLDER_TIME_MS,
+        unix_time_ms: 1_796_220_492_490.640_4,
+        digest_secret: 1_701_433_042_820_217_202,
         quiet_until_ms: 60_052.619985,
     }
 }
@@ -66,122 +72,145 @@
 fn folder(name: &str) -> PathBuf {
     let folder =
         std::env::temp_dir().join(format!("asterdale-stored-{name}-{}", std::process::id()));
+    // A folder of an earlier test run; there is usually none.
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
-    std::fs::write(folder.join(FILE), STATE).unwrap();
+    std::fs::write(folder.join(STATE_FILE), STORED_FILE).unwrap();
     folder
 }
 
-fn place(folder: &Path, name: &str) -> Place {
-    let (folder, name) = (folder.to_owned(), name.to_owned());
-    Place {
-        folder,
-        name,
-        most_bytes: 64 << 20,
-        bounds: BOUNDS,
-        window_ms: 60_000.0,
-        random: 1,
+fn settings(folder: &Path, name: &str) -> JournalSettings {
+    JournalSettings {
+        folder: folder.to_owned(),
+        name: name.to_owned(),
+        max_file_bytes: 64 << 20,
+        index_limits: LIMITS,
+        max_window_ms: 60_000.0,
+        random_id: 1,
+    }
+}
+
+/// A claim with a window of one second.
+fn request(key: &[u8], body_digest: u64) -> ClaimRequest<'_> {
+    ClaimRequest {
+        key,
+        body_digest,
+        attempt_id: &[b'9'; 16],
+        window_ms: 1000.0,
     }
 }
 
 #[test]
-fn a_stored_folder_is_read_to_the_same_entries() {
-    let mut store = Store::image(STATE.to_vec()).unwrap();
-    assert_eq!((store.check(), store.len()), (Ok(true), Ok(3)));
-    let found = store.load().unwrap();
+fn stored_folder_is_read_to_the_same_entries() {
+    let mut store = Store::from_image(STORED_FILE.to_vec()).unwrap();
+    assert!(store.check_integrity().unwrap());
+    assert_eq!(store.len().unwrap(), 3);
+    let state = store.load().unwrap();
     assert_eq!(
-        (found.face, found.entries, found.damaged),
-        (Some(face()), entries(), 0)
+        (state.header, state.entries, state.damaged_entries),
+        (Some(header()), entries(), 0)
     );
 }
 
 #[test]
-fn what_is_known_of_stored_keys_decides_as_before() {
-    let found = Store::image(STATE.to_vec()).unwrap().load().unwrap();
-    let mut ledger = Ledger::new(4, BOUNDS, found.entries);
-    ledger.quiet_until(0.0);
+fn stored_entries_decide_about_repeats_as_before() {
+    let state = Store::from_image(STORED_FILE.to_vec())
+        .unwrap()
+        .load()
+        .unwrap();
+    let mut index = KeyIndex::new(4, LIMITS, state.entries);
+    index.set_quiet_until(0.0);
+    assert_eq!(
+        index.lookup(FOLDER_TIME_MS, &key(1), 0xfeed_0001),
+        KeyStatus::Succeeded(b"sold for 7".to_vec())
+    );
     assert_eq!(
-        ledger.look(LEFT_MS, &key(1), 0xfeed_0001),
-        Known::Passed(b"sold for 7".to_vec())
+        index.lookup(FOLDER_TIME_MS, &key(2), 0xfeed_0002),
+        KeyStatus::Failed
     );
-    assert_eq!(ledger.look(LEFT_MS, &key(2), 0xfeed_0002), Known::Failed);
-    let left_ms = 10_800_051.975784 - LEFT_MS;
+    let unknown = KeyStatus::Unknown {
+        retry_after_ms: 10_800_051.975784 - FOLDER_TIME_MS,
+    };
+    assert_eq!(index.lookup(FOLDER_TIME_MS, &key(3), 0xfeed_0003), unknown);
+    let repeat = index.claim(FOLDER_TIME_MS, request(&key(3), 0xfeed_0003));
+    assert_eq!(repeat, Err(unknown), "it may have run");
     assert_eq!(
-        ledger.look(LEFT_MS, &key(3), 0xfeed_0003),
-        Known::Unknown(left_ms)
+        index.lookup(FOLDER_TIME_MS, &key(1), 0xfeed_0002),
+        KeyStatus::BodyMismatch
     );
-    let repeat = ledger.claim(LEFT_MS, (&key(3), 0xfeed_0003), &[b'9'; 16], 1000.0);
-    assert_eq!(repeat, Err(Known::Unknown(left_ms)), "it may have run");
-    assert_eq!(ledger.look(LEFT_MS, &key(1), 0xfeed_0002), Known::Differs);
     assert_eq!(
-        ledger.look(LEFT_MS, &key(4), 0xfeed_0004),
-        Known::Nothing,
-        "it was claimed and never started"
+        index.lookup(FOLDER_TIME_MS, &key(4), 0xfeed_0004),
+        KeyStatus::Absent,
+        "its claim was cancelled"
     );
-    assert!(ledger
-        .claim(10_800_052.0, (&key(4), 0xfeed_0004), &[b'9'; 16], 1000.0)
+    assert!(index
+        .claim(10_800_052.0, request(&key(4), 0xfeed_0004))
         .is_ok());
-    assert_eq!(ledger.sweep(3_600_052.0, 10).len(), 1);
+    assert_eq!(index.remove_expired(3_600_052.0, 10).len(), 1);
     assert_eq!(
-        ledger.look(3_600_052.0, &key(1), 0xfeed_0001),
-        Known::Nothing
+        index.lookup(3_600_052.0, &key(1), 0xfeed_0001),
+        KeyStatus::Absent
     );
 }
 
 #[test]
-fn a_process_that_opens_a_stored_folder_goes_on_with_it() {
+fn process_continues_with_a_stored_folder() {
     let folder = folder("opened");
-    let Err(refused) = begin(place(&folder, "beta"), |_| ()) else {
-        panic!("another's folder was taken")
+    let Err(error) = start(settings(&folder, "beta"), |_| ()) else {
+        panic!("the folder of another process was opened")
     };
-    assert!(refused.ends_with("it is the folder of alpha"), "{refused}");
-    let journal = begin(place(&folder, "alpha"), |_| ()).unwrap();
-    assert_eq!((journal.found, journal.generation), (3, 6));
-    assert_eq!(journal.secret, 1_701_433_042_820_217_202);
-    journal.leave();
-    let bytes = std::fs::read(folder.join(FILE)).unwrap();
-    let now = Store::image(bytes).unwrap().load().unwrap();
-    assert_eq!(now.entries, entries());
-    let after = now.face.unwrap();
+    assert!(matches!(error, StartError::WrongOwner { .. }));
+    assert!(
+        error.to_string().ends_with("it is the folder of alpha"),
+        "{error}"
+    );
+    let journal = start(settings(&folder, "alpha"), |_| ()).unwrap();
+    assert_eq!((journal.stored_keys, journal.generation), (3, 6));
+    assert_eq!(journal.digest_secret, 1_701_433_042_820_217_202);
+    journal.flush();
+    let bytes = std::fs::read(folder.join(STATE_FILE)).unwrap();
+    let state = Store::from_image(bytes).unwrap().load().unwrap();
+    assert_eq!(state.entries, entries());
+    let after = state.header.unwrap();
     assert_eq!(
-        (after.run, after.folder, after.generation),
-        (4, face().folder, 6)
+        (after.run, after.folder_id, after.generation),
+        (4, header().folder_id, 6)
     );
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
-fn the_stored_tables_have_these_names_and_bytes() {
+fn stored_tables_have_these_names_and_bytes() {
     let folder = folder("tables");
-    let database = Database::open(folder.join(FILE)).unwrap();
+    let database = Database::open(folder.join(STATE_FILE)).unwrap();
     let read = database.begin_read().unwrap();
-    let facts = read
+    let metadata = read
         .open_table(TableDefinition::<&str, &[u8]>::new("facts"))
         .unwrap();
-    let names: Vec<String> = facts
+    let names: Vec<String> = metadata
         .iter()
         .unwrap()
-        .map(|fact| fact.unwrap().0.value().to_owned())
+        .map(|row| row.unwrap().0.value().to_owned())
         .collect();
     assert_eq!(names, ["face"]);
     assert_eq!(
-        facts.get("face").unwrap().unwrap().value(),
-        entry::write(&face())
+        metadata.get("face").unwrap().unwrap().value(),
+        entry::encode(&header())
     );
     let table = read
         .open_table(TableDefinition::<&[u8], &[u8]>::new("entries"))
         .unwrap();
     for (key, expected) in entries() {
         let stored = table.get(&key[..]).unwrap().unwrap();
-        assert_eq!(stored.value(), entry::write(&expected), "{key:?}");
-        // The version, and the field of the stage with its stored number.
-        let stage: &[u8] = match expected.stage() {
-            Stage::Intent => &[1, 0x11],
-            Stage::Passed => &[1, 0x08, 1],
-            Stage::Failed => &[1, 0x08, 2],
+        assert_eq!(stored.value(), entry::encode(&expected), "{key:?}");
+        // The version, and the field of the state with its stored number.
+        let prefix: &[u8] = match expected.state() {
+            ExecutionState::Intent => &[1, 0x11],
+            ExecutionState::Succeeded => &[1, 0x08, 1],
+            ExecutionState::Failed => &[1, 0x08, 2],
         };
-        assert!(stored.value().starts_with(stage), "{key:?}");
+        assert!(stored.value().starts_with(prefix), "{key:?}");
     }
-    drop((facts, table, read, database));
+    drop((metadata, table, read, database));
     std::fs::remove_dir_all(folder).unwrap();
 }
