--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -307,7 +307,7 @@
 
         use asterdale_membership::Event;
         match event {
-            Event::Remembered(generation) => self.remembered.store(*generation, Relaxed),
+            Event::PriorGeneration(generation) => self.remembered.store(*generation, Relaxed),
             Event::Joined(generation) => {
                 let (generation, remembered) = (*generation, self.remembered.load(Relaxed));
                 self.journal.send(JournalCommand::Joined {
@@ -315,7 +315,7 @@
                     remembered,
                 });
             }
-            Event::Renewed(generation) => self
+            Event::Rejoined(generation) => self
                 .journal
                 .send(JournalCommand::GenerationChanged(*generation)),
             Event::Superseded(_) => self.journal.send(JournalCommand::Superseded),
--- a/crates/asterdale-transport/src/lib.rs
+++ b/crates/asterdale-transport/src/lib.rs
@@ -22,8 +22,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use asterdale_membership::seal::Seal;
-use asterdale_membership::{Event, Fleet, Notes, Start};
+use asterdale_membership::authentication::MessageAuthenticator;
+use asterdale_membership::{Event, Membership, MembershipConfig, Metadata};
 use crossbeam_channel::{bounded, Sender};
 
 use actor::{Actor, Mail};
@@ -44,7 +44,7 @@
     /// Path of its control socket, if it has one.
     pub control_socket: Option<PathBuf>,
     /// What it tells the others of itself; its address there is the one that they reach it at.
-    pub membership: Start,
+    pub membership: MembershipConfig,
     /// Where work in hand is kept, if it is.
     pub ownership: Option<ownership::OwnershipSettings>,
 }
@@ -102,7 +102,7 @@
 
 impl Transport {
     /// What this process says of itself from now on.
-    pub fn publish_status(&self, notes: Notes) {
+    pub fn publish_status(&self, notes: Metadata) {
         let _ = self.mail.try_send(Mail::Note(notes));
     }
 
@@ -145,10 +145,15 @@
     let (mut streams, mut ownership) = (None, None);
     if let Some(told) = place.ownership {
         let start = &place.membership;
-        let seal = Seal::new(&start.key);
+        let seal = MessageAuthenticator::new(&start.key);
         let (letters, read) = bounded(ownership::WAITING);
         let links = links::begin(seal.clone(), letters)?;
-        let (name, node, at, seed) = (start.name.clone(), start.nonce | 1, start.at, start.seed);
+        let (name, node, at, seed) = (
+            start.name.clone(),
+            start.nonce | 1,
+            start.address,
+            start.random_seed,
+        );
         let me = ownership::Me {
             name,
             node,
@@ -171,7 +176,7 @@
         ownership,
     };
     let actor = Actor {
-        fleet: Fleet::new(0.0, place.membership),
+        fleet: Membership::new(0.0, place.membership),
         began,
         socket: socket.clone(),
         exchanges,
