--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -152,12 +152,12 @@
     let place = JournalSettings {
         folder: told.folder.clone().into(),
         name: start.name.clone(),
-        max_file_bytes: told.disk,
+        max_file_bytes: told.max_disk_bytes,
         index_limits: IndexLimits {
-            max_entries: told.memory / ENTRY,
-            max_bytes: told.memory,
+            max_entries: told.max_memory_bytes / ENTRY,
+            max_bytes: told.max_memory_bytes,
         },
-        max_window_ms: told.window_ms,
+        max_window_ms: told.retention_ms,
         random_id: u64::from_be_bytes(random),
     };
     let (host, lines) = (mail.clone(), log.lines.clone());
@@ -189,11 +189,11 @@
     if start.fleet.is_none() {
         journal.send(JournalCommand::NoFleet);
     }
-    if start.takeover.is_some() {
+    if start.ownership.is_some() {
         return Ok((Some(journal), None));
     }
     let stages = start
-        .facts
+        .settings
         .decisions
         .classes
         .iter()
@@ -202,7 +202,7 @@
     let on_disk = OnDisk {
         journal: journal.clone(),
         stages,
-        unread_ms: told.unread_ms,
+        unread_ms: told.max_unread_ms,
     };
     Ok((Some(journal), Some(Arc::new(on_disk))))
 }
@@ -254,15 +254,19 @@
     log: &Log,
 ) -> Result<Option<asterdale_transport::ownership::ReplicaDisk>, String> {
     use asterdale_journal::replica_store::ReplicaStore;
-    let (Some(told), Some(takeover)) = (&start.journal, &start.takeover) else {
+    let (Some(told), Some(takeover)) = (&start.journal, &start.ownership) else {
         return Ok(None);
     };
-    if !takeover.keepers.iter().any(|(name, _)| *name == start.name) {
+    if !takeover
+        .replicas
+        .iter()
+        .any(|(name, _)| *name == start.name)
+    {
         return Ok(None);
     }
     let folder = std::path::Path::new(&told.folder);
-    let (shelf, found) =
-        ReplicaStore::open(folder, &start.name, told.disk).map_err(|e| format!("journal: {e}"))?;
+    let (shelf, found) = ReplicaStore::open(folder, &start.name, told.max_disk_bytes)
+        .map_err(|e| format!("journal: {e}"))?;
     slog::info!(log.lines, "journal: a keeper's part of the log is open"; "entries" => found.entries.len());
     let fact = |name: &str| {
         found
