--- a/crates/asterdale-daemon/src/fleet.rs
+++ b/crates/asterdale-daemon/src/fleet.rs
@@ -8,8 +8,8 @@
 use asterdale_engine::log::Log;
 use asterdale_engine::message::{EngineMessage, FleetView, LocalStatus, OwnershipClient};
 use asterdale_membership::{Event, MembershipConfig as Told, Metadata, Phase, Settings};
-use asterdale_ownership::{Told as Word, Want};
-use asterdale_transport::ownership::OwnershipEvent;
+use asterdale_ownership::{OwnershipEvent as Word, OwnershipRequest};
+use asterdale_transport::ownership::OwnershipNotification;
 use asterdale_transport::{Transport, TransportSettings};
 use crossbeam_channel::Sender;
 use siphasher::sip::SipHasher13;
@@ -97,7 +97,7 @@
         hasher.finish()
     }
 
-    fn request(&self, number: u64, want: Want) {
+    fn request(&self, number: u64, want: OwnershipRequest) {
         self.custody.request(number, want);
     }
 
@@ -165,24 +165,22 @@
     let disk = crate::journal::disk(start, log)?;
     #[cfg(not(feature = "journal"))]
     let disk = None;
-    let custody =
-        start
-            .ownership
-            .as_ref()
-            .map(|told| asterdale_transport::ownership::OwnershipSettings {
-                disk,
-                replicas: told.replicas.clone(),
-                parameters: asterdale_ownership::Terms {
-                    lease_ms: told.lease_ms,
-                    margin_ms: told.lease_ms / 4.0,
-                    // An election takes ten to twenty ticks: half a lease to one.
-                    tick_ms: (told.lease_ms / 20.0).clamp(20.0, 200.0),
-                    most_bytes: told.max_bytes,
-                    window_ms: told.retry_window_ms,
-                    ..asterdale_ownership::Terms::default()
-                },
-                unix_time_s: (unix_ms() / 1e3) as u64,
-            });
+    let custody = start.ownership.as_ref().map(|told| {
+        asterdale_transport::ownership::OwnershipActorSettings {
+            disk,
+            replicas: told.replicas.clone(),
+            parameters: asterdale_ownership::OwnershipSettings {
+                lease_ms: told.lease_ms,
+                lease_margin_ms: told.lease_ms / 4.0,
+                // An election takes ten to twenty ticks: half a lease to one.
+                tick_ms: (told.lease_ms / 20.0).clamp(20.0, 200.0),
+                max_bytes: told.max_bytes,
+                max_retry_window_ms: told.retry_window_ms,
+                ..asterdale_ownership::OwnershipSettings::default()
+            },
+            unix_time_s: (unix_ms() / 1e3) as u64,
+        }
+    });
     let place = TransportSettings {
         listen: fleet.listen,
         control_socket: control,
@@ -193,12 +191,12 @@
     let host = mail.clone();
     let kept = move |heard| {
         let mail = match heard {
-            OwnershipEvent::Answered(number, answer) => {
+            OwnershipNotification::Answered(number, answer) => {
                 EngineMessage::OwnershipAnswer(number, answer)
             }
-            OwnershipEvent::OwnerlessRequests(all) => EngineMessage::OwnerlessRequests(all),
-            OwnershipEvent::Log(word) => return told_of(&words, &word),
-            OwnershipEvent::StorageFailed(why) => {
+            OwnershipNotification::OwnerlessRequests(all) => EngineMessage::OwnerlessRequests(all),
+            OwnershipNotification::Log(word) => return told_of(&words, &word),
+            OwnershipNotification::StorageFailed(why) => {
                 return slog::error!(words, "takeover: this process is no keeper any more, its disk failed"; "why" => why);
             }
         };
@@ -223,36 +221,40 @@
 /// A line for each word of custody.
 fn told_of(lines: &slog::Logger, word: &Word) {
     match word {
-        Word::Formed(group, quiet_ms) => {
+        Word::GroupFormed(group, quiet_ms) => {
             slog::warn!(lines, "takeover: a group of keepers is formed, nothing is claimed before windows have passed";
                 "group" => group, "quiet_ms" => quiet_ms);
         }
-        Word::Joined(group) => {
+        Word::GroupJoined(group) => {
             slog::info!(lines, "takeover: this keeper is in a group"; "group" => group)
         }
-        Word::Restored(group) => {
+        Word::RestoredFromDisk(group) => {
             slog::info!(lines, "takeover: this keeper is the one that it was, by its disk"; "group" => group);
         }
-        Word::Leads(group) => slog::info!(lines, "takeover: this keeper leads"; "group" => group),
-        Word::Follows(group) => {
+        Word::BecameLeader(group) => {
+            slog::info!(lines, "takeover: this keeper leads"; "group" => group)
+        }
+        Word::LostLeadership(group) => {
             slog::warn!(lines, "takeover: this keeper leads no more"; "group" => group)
         }
-        Word::Abandoned(group) => {
+        Word::GroupAbandoned(group) => {
             slog::error!(lines, "takeover: most keepers lost their memory, the group is given up"; "group" => group);
         }
-        Word::Replaced(name) => {
+        Word::ReplicaReplaced(name) => {
             slog::info!(lines, "takeover: a keeper that came back takes its place"; "name" => name);
         }
-        Word::Epoch(epoch) => {
+        Word::EpochGranted(epoch) => {
             slog::info!(lines, "takeover: this process may claim work"; "epoch" => epoch)
         }
-        Word::Over(epoch) => {
+        Word::EpochEnded(epoch) => {
             slog::error!(lines, "takeover: what this process had claimed may be another's"; "epoch" => epoch);
         }
-        Word::Lapsed(epoch) => {
+        Word::LeaseLapsed(epoch) => {
             slog::warn!(lines, "takeover: the lease lapsed, nothing that is kept is started"; "epoch" => epoch);
         }
-        Word::Renewed(epoch) => slog::info!(lines, "takeover: the lease holds"; "epoch" => epoch),
+        Word::LeaseRestored(epoch) => {
+            slog::info!(lines, "takeover: the lease holds"; "epoch" => epoch)
+        }
     }
 }
 
--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -12,7 +12,7 @@
     IndexLimits, Journal, JournalAnswer, JournalCommand, JournalEvent, JournalSettings, KeyStatus,
     RecoveryVerdict,
 };
-use asterdale_ownership::{Answer, Verdict, Want};
+use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
 use crossbeam_channel::Sender;
 use siphasher::sip::SipHasher13;
 
@@ -50,32 +50,32 @@
         hasher.finish()
     }
 
-    fn request(&self, number: u64, want: Want) {
+    fn request(&self, number: u64, want: OwnershipRequest) {
         self.journal.send(match want {
-            Want::Look(key, sign) => JournalCommand::Lookup {
+            OwnershipRequest::Lookup(key, sign) => JournalCommand::Lookup {
                 request: number,
                 key,
                 body_digest: sign,
             },
-            Want::Claim(work) => JournalCommand::Claim {
+            OwnershipRequest::Claim(work) => JournalCommand::Claim {
                 request: number,
                 key: work.key,
-                body_digest: work.sign,
-                attempt_id: work.id,
+                body_digest: work.body_digest,
+                attempt_id: work.execution_id,
                 // A repeat that came before the window's end may be read that much later.
-                window_ms: work.window_ms + self.unread_ms,
+                window_ms: work.retry_window_ms + self.unread_ms,
             },
-            Want::End(key, claim, result) => JournalCommand::RecordOutcome {
+            OwnershipRequest::Complete(key, claim, result) => JournalCommand::RecordOutcome {
                 request: number,
                 key,
                 claim,
                 result,
             },
             // Nobody else has this folder: it is rejected as it would have been.
-            Want::Pass(work) => JournalCommand::Lookup {
+            OwnershipRequest::HandOver(work) => JournalCommand::Lookup {
                 request: number,
                 key: work.key,
-                body_digest: work.sign,
+                body_digest: work.body_digest,
             },
         });
     }
@@ -115,24 +115,24 @@
     let verdict = match word {
         JournalAnswer::Claimed(claim) => {
             answer.number = claim;
-            Verdict::Yours
+            Verdict::Granted
         }
-        JournalAnswer::OutcomeRecorded => Verdict::Kept,
-        JournalAnswer::Status(KeyStatus::Absent) => Verdict::Nothing,
-        JournalAnswer::Status(KeyStatus::InFlight) => Verdict::Open,
+        JournalAnswer::OutcomeRecorded => Verdict::Recorded,
+        JournalAnswer::Status(KeyStatus::Absent) => Verdict::NotFound,
+        JournalAnswer::Status(KeyStatus::InFlight) => Verdict::InProgress,
         JournalAnswer::Status(KeyStatus::Failed) => Verdict::Failed,
-        JournalAnswer::Status(KeyStatus::BodyMismatch) => Verdict::Differs,
+        JournalAnswer::Status(KeyStatus::BodyMismatch) => Verdict::DigestMismatch,
         JournalAnswer::Status(KeyStatus::Succeeded(result)) => {
             answer.result = result;
-            Verdict::Passed
+            Verdict::Completed
         }
         JournalAnswer::Status(KeyStatus::Unknown { retry_after_ms }) => {
             answer.ms = retry_after_ms;
-            Verdict::Unknown
+            Verdict::OutcomeUnknown
         }
         JournalAnswer::Status(KeyStatus::Unavailable) => {
             answer.ms = AGAIN_MS;
-            Verdict::Full
+            Verdict::RetryLater
         }
     };
     answer.set_verdict(verdict);
@@ -213,15 +213,23 @@
 
 #[cfg(feature = "fleet")]
 impl asterdale_transport::ownership::ReplicaStorage for OnShelf {
-    fn save(&mut self, saves: Vec<asterdale_ownership::Save>) -> Result<(), String> {
+    fn save(&mut self, saves: Vec<asterdale_ownership::StorageWrite>) -> Result<(), String> {
         use asterdale_journal::replica_store::ReplicaChange;
-        use asterdale_ownership::Save;
+        use asterdale_ownership::StorageWrite;
         let mut changes = Vec::with_capacity(saves.len());
         for save in saves {
             match save {
-                Save::Face(face) => changes.push(ReplicaChange::SetMetadata(FACE, face)),
-                Save::Hard(hard) => changes.push(ReplicaChange::SetMetadata(HARD, hard)),
-                Save::Whole(index, whole, alone) => {
+                StorageWrite::Identity(face) => {
+                    changes.push(ReplicaChange::SetMetadata(FACE, face))
+                }
+                StorageWrite::HardState(hard) => {
+                    changes.push(ReplicaChange::SetMetadata(HARD, hard))
+                }
+                StorageWrite::Snapshot {
+                    last_index: index,
+                    bytes: whole,
+                    delete_all_entries: alone,
+                } => {
                     changes.push(ReplicaChange::SetMetadata(WHOLE, whole));
                     changes.push(if alone {
                         ReplicaChange::DeleteAll
@@ -229,8 +237,8 @@
                         ReplicaChange::DeleteThrough(index)
                     });
                 }
-                Save::Entries(first_index, entries) => changes.push(ReplicaChange::ReplaceFrom {
-                    first_index,
+                StorageWrite::Entries(first, entries) => changes.push(ReplicaChange::ReplaceFrom {
+                    first_index: first,
                     entries,
                 }),
             }
@@ -275,10 +283,10 @@
             .find(|(known, _)| known == name)
             .map(|(_, value)| value.clone())
     };
-    let saved = asterdale_ownership::Saved {
-        face: fact(FACE).unwrap_or_default(),
-        hard: fact(HARD).unwrap_or_default(),
-        whole: fact(WHOLE).unwrap_or_default(),
+    let saved = asterdale_ownership::StoredState {
+        identity: fact(FACE).unwrap_or_default(),
+        hard_state: fact(HARD).unwrap_or_default(),
+        snapshot: fact(WHOLE).unwrap_or_default(),
         entries: found.entries.clone(),
     };
     let shelf = Arc::new(std::sync::Mutex::new(OnShelf(shelf)));
--- a/crates/asterdale-transport/src/lib.rs
+++ b/crates/asterdale-transport/src/lib.rs
@@ -46,7 +46,7 @@
     /// What it tells the others of itself; its address there is the one that they reach it at.
     pub membership: MembershipConfig,
     /// Where work in hand is kept, if it is.
-    pub ownership: Option<ownership::OwnershipSettings>,
+    pub ownership: Option<ownership::OwnershipActorSettings>,
 }
 
 /// What is known of the fleet at any moment, for whoever decides with it. A hint: it may be old or wrong.
@@ -134,7 +134,7 @@
 pub fn start(
     place: TransportSettings,
     heard: impl Fn(&Event) + Send + 'static,
-    kept: impl Fn(ownership::OwnershipEvent) + Send + 'static,
+    kept: impl Fn(ownership::OwnershipNotification) + Send + 'static,
 ) -> io::Result<Transport> {
     let socket = Arc::new(UdpSocket::bind(place.listen)?);
     let listener = TcpListener::bind(place.listen)?;
