--- a/crates/asterdale-simhost/src/instance.rs
+++ b/crates/asterdale-simhost/src/instance.rs
@@ -198,8 +198,8 @@
         self.task_action(action_code::STOP, task, &[]);
     }
 
-    fn start_call(&mut self, task: Handle, patience_ms: f64) {
-        let fields: &[&[u8]] = &[&nanoseconds(patience_ms)];
+    fn start_call(&mut self, task: Handle, timeout_ms: f64) {
+        let fields: &[&[u8]] = &[&nanoseconds(timeout_ms)];
         self.task_action(action_code::START_CALL, task, fields);
     }
 
@@ -220,8 +220,8 @@
         self.task_action(action_code::DROP_ENTRY, task, &[]);
     }
 
-    fn reject(&mut self, task: Handle, last: bool, stay_away_ms: f64) {
-        let fields: &[&[u8]] = &[&[u8::from(last)], &nanoseconds(stay_away_ms)];
+    fn reject(&mut self, task: Handle, last_attempt: bool, retry_after_ms: f64) {
+        let fields: &[&[u8]] = &[&[u8::from(last_attempt)], &nanoseconds(retry_after_ms)];
         self.task_action(action_code::REJECT, task, fields);
     }
 
@@ -234,8 +234,8 @@
         self.action(action_code::CAPACITY_HINT, &[&value]);
     }
 
-    fn set_health(&mut self, good: bool, stored: bool) {
-        let flags = [u8::from(good), u8::from(stored)];
+    fn set_health(&mut self, healthy: bool, recorded: bool) {
+        let flags = [u8::from(healthy), u8::from(recorded)];
         self.action(action_code::SET_HEALTH, &[&flags]);
     }
 
--- a/crates/asterdale/src/actions.rs
+++ b/crates/asterdale/src/actions.rs
@@ -14,8 +14,8 @@
     fn start(&mut self, task: Handle);
     /// Abort a running task; its work is lost.
     fn stop(&mut self, task: Handle);
-    /// Make the call to the dependency that a task waits for, and give it up after `patience_ms`.
-    fn start_call(&mut self, task: Handle, patience_ms: f64);
+    /// Make the call to the dependency that a task waits for, and give it up after `timeout_ms`.
+    fn start_call(&mut self, task: Handle, timeout_ms: f64);
     /// Let a task that waits for a call continue without it.
     fn skip_call(&mut self, task: Handle);
     /// Answer a queued task with the result of the earlier attempt that it repeats.
@@ -24,15 +24,15 @@
     fn retain_idempotency_entry(&mut self, task: Handle, for_ms: f64);
     /// Drop the task's idempotency key before it expires.
     fn drop_idempotency_entry(&mut self, task: Handle);
-    /// Final answer: rejected, this attempt never ran. `last` asks the caller not to retry on another server; a
-    /// `stay_away_ms` above 0 is the Retry-After for this server.
-    fn reject(&mut self, task: Handle, last: bool, stay_away_ms: f64);
+    /// Final answer: rejected, this attempt never ran. `last_attempt` asks the caller not to retry on another
+    /// server; a `retry_after_ms` above 0 asks it to send nothing to this server for that long.
+    fn reject(&mut self, task: Handle, last_attempt: bool, retry_after_ms: f64);
     /// Final answer: failed; it may have run.
     fn fail(&mut self, task: Handle);
     /// The capacity hint that goes out with every answer from now on.
     fn publish_capacity_hint(&mut self, value: f64);
-    /// What health checks get from now on. With `stored` they are answered without real work.
-    fn set_health(&mut self, good: bool, stored: bool);
+    /// What health checks get from now on. With `recorded` they are answered without real work.
+    fn set_health(&mut self, healthy: bool, recorded: bool);
     /// Close connections that are idle for `after_ms`.
     fn set_idle_timeout(&mut self, after_ms: f64);
     /// Call `Server::tick` at this time or soon after.
--- a/crates/asterdale/src/policy/calls.rs
+++ b/crates/asterdale/src/policy/calls.rs
@@ -12,11 +12,12 @@
 const FIRST_BACKOFF_MS: f64 = 20.0;
 /// Failures after which the backoff grows no further: 32 times the first.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// A call that takes this many times the usual is not coming, and keeps its place from others.
-const MAX_CALL_FACTOR: f64 = 16.0;
-/// The longest time that such a call gets at the least.
-const MIN_MAX_CALL_MS: f64 = 4.0 * TICK_MS;
-/// A call goes out only if this many times the usual is left for it, or all that its task has.
+/// The time limit of a call, in multiples of the mean duration: one that takes longer is not coming, and keeps its place
+/// from others.
+const CALL_LIMIT_FACTOR: f64 = 16.0;
+/// The shortest such limit, for calls whose mean is a few milliseconds.
+const MIN_CALL_LIMIT_MS: f64 = 4.0 * TICK_MS;
+/// A call starts only if it gets this many times the mean duration, or all the time that its task has left.
 const MIN_CALL_FACTOR: f64 = 4.0;
 
 impl Server {
@@ -41,7 +42,7 @@
                 self.resume_run(handle, now_ms);
                 actions.skip_call(handle);
             } else if spare_ms <= 0.0 {
-                // It earns nothing more: it would hold memory and a place, and take a call from others.
+                // It earns nothing any more, and would keep memory, a place and a call from others.
                 self.give_up(handle, actions);
             } else if now_ms >= task.retry_not_before_ms
                 && self.dependency.credit_ms >= 0.0
@@ -90,7 +91,7 @@
         actions: &mut dyn Actions,
     ) -> bool {
         let mean_ms = self.dependency.mean_call_ms;
-        let spare_ms = spare_ms.min((MAX_CALL_FACTOR * mean_ms).max(MIN_MAX_CALL_MS));
+        let spare_ms = spare_ms.min((CALL_LIMIT_FACTOR * mean_ms).max(MIN_CALL_LIMIT_MS));
         let linger_ms = self.parameters.call_linger_ms;
         let timeout_ms = spare_ms.min(self.available_call_ms(now_ms) - linger_ms);
         let fits = timeout_ms >= spare_ms.min(MIN_CALL_FACTOR * mean_ms).max(TICK_MS);
@@ -200,7 +201,7 @@
             server.dependency.lingering_until_ms.push(until_ms);
         }
         if !task.answered && matches!(outcome, Outcome::Cancelled | Outcome::Stale) {
-            actions.fail(self); // no decision stops a task without an answer; if it happened, the caller gets one
+            actions.fail(self); // decisions answer a task before they abort it; one that the runtime aborted is answered here
         }
         server.release(self, actions);
         server.start_queued_calls(now_ms, actions);
--- a/crates/asterdale/src/policy/tests/support.rs
+++ b/crates/asterdale/src/policy/tests/support.rs
@@ -139,11 +139,11 @@
     fn drop_idempotency_entry(&mut self, task: Handle) {
         self.record("drop", task);
     }
-    fn reject(&mut self, task: Handle, last: bool, _: f64) {
+    fn reject(&mut self, task: Handle, last_attempt: bool, _: f64) {
         self.0.push(format!(
             "reject {}{}",
             task.0,
-            if last { " last" } else { "" }
+            if last_attempt { " last" } else { "" }
         ));
     }
     fn fail(&mut self, task: Handle) {
@@ -152,8 +152,8 @@
     fn publish_capacity_hint(&mut self, value: f64) {
         self.0.push(format!("hint {value}"));
     }
-    fn set_health(&mut self, good: bool, _: bool) {
-        self.0.push(format!("health {good}"));
+    fn set_health(&mut self, healthy: bool, _: bool) {
+        self.0.push(format!("health {healthy}"));
     }
     fn set_idle_timeout(&mut self, after_ms: f64) {
         self.0.push(format!("idle_timeout {after_ms}"));
--- a/crates/asterdale/src/snapshot.rs
+++ b/crates/asterdale/src/snapshot.rs
@@ -39,11 +39,13 @@
     /// The concurrency limit.
     pub limit: f64,
     /// The base latency of each request class; 0 where there is none yet.
-    pub bases: Vec<f64>,
+    #[serde(rename = "bases")]
+    pub base_latencies: Vec<f64>,
     /// How many calls to the dependency may be in flight.
     pub call_window: f64,
     /// The median of recent ratios of run time over base latency.
-    pub pace: f64,
+    #[serde(rename = "pace")]
+    pub median_ratio: f64,
     /// Tasks that have not been released.
     pub tasks: usize,
 }
@@ -73,13 +75,13 @@
     pub fn summary(&self) -> Summary {
         Summary {
             limit: self.limiter.limit,
-            bases: self
+            base_latencies: self
                 .classes
                 .iter()
                 .map(|class| class.base_latency)
                 .collect(),
             call_window: self.dependency.window,
-            pace: self.limiter.median_ratio,
+            median_ratio: self.limiter.median_ratio,
             tasks: self.active.len(),
         }
     }
--- a/crates/asterdale/src/snapshot/tests.rs
+++ b/crates/asterdale/src/snapshot/tests.rs
@@ -38,9 +38,9 @@
     fn stop(&mut self, task: Handle) {
         self.record("stop", task);
     }
-    fn start_call(&mut self, task: Handle, patience_ms: f64) {
+    fn start_call(&mut self, task: Handle, timeout_ms: f64) {
         self.actions
-            .push(format!("call {} {patience_ms}", task.index()));
+            .push(format!("call {} {timeout_ms}", task.index()));
     }
     fn skip_call(&mut self, task: Handle) {
         self.record("skip", task);
@@ -55,9 +55,11 @@
     fn drop_idempotency_entry(&mut self, task: Handle) {
         self.record("drop", task);
     }
-    fn reject(&mut self, task: Handle, last: bool, stay_away_ms: f64) {
-        self.actions
-            .push(format!("reject {} {last} {stay_away_ms}", task.index()));
+    fn reject(&mut self, task: Handle, last_attempt: bool, retry_after_ms: f64) {
+        self.actions.push(format!(
+            "reject {} {last_attempt} {retry_after_ms}",
+            task.index()
+        ));
     }
     fn fail(&mut self, task: Handle) {
         self.record("fail", task);
@@ -65,8 +67,8 @@
     fn publish_capacity_hint(&mut self, value: f64) {
         self.actions.push(format!("hint {value}"));
     }
-    fn set_health(&mut self, good: bool, stored: bool) {
-        self.actions.push(format!("health {good} {stored}"));
+    fn set_health(&mut self, healthy: bool, recorded: bool) {
+        self.actions.push(format!("health {healthy} {recorded}"));
     }
     fn set_idle_timeout(&mut self, after_ms: f64) {
         self.actions.push(format!("idle_timeout {after_ms}"));
--- a/crates/asterdale/tests/stored_snapshot.rs
+++ b/crates/asterdale/tests/stored_snapshot.rs
@@ -1,6 +1,6 @@
-//! A snapshot that an earlier release wrote is restored to the same figures, and is written again byte for byte. The
-//! fields are read here by structures of this file as well, so that a change of a stored name or value is seen even
-//! where reading and writing change together. `fixtures/snapshot/README.md` says how the file was made.
+//! A snapshot that an earlier release wrote is restored, and is written again byte for byte. Structures of this file read
+//! its fields too, so that a change of a stored name or value is noticed even where reading and writing change together.
+//! `fixtures/snapshot/README.md` says how the snapshot was made.
 #![cfg(feature = "snapshot")]
 
 use asterdale::snapshot::{Summary, FORMAT_VERSION};
@@ -11,25 +11,34 @@
 
 #[derive(Deserialize)]
 struct StoredServer {
-    told: StoredTold,
-    stages: Vec<StoredStage>,
-    customers: Vec<StoredCustomer>,
+    #[serde(rename = "told")]
+    parameters: StoredParameters,
+    #[serde(rename = "stages")]
+    classes: Vec<StoredClass>,
+    #[serde(rename = "customers")]
+    tenants: Vec<StoredTenant>,
     tasks: Vec<StoredTask>,
-    free: Vec<u32>,
-    live: Vec<u32>,
-    chance: u64,
-    born: f64,
-    leaving: Option<(f64, f64)>,
+    #[serde(rename = "free")]
+    free_slots: Vec<u32>,
+    #[serde(rename = "live")]
+    active: Vec<u32>,
+    #[serde(rename = "chance")]
+    rng: u64,
+    #[serde(rename = "born")]
+    runtime_started_ms: f64,
+    #[serde(rename = "leaving")]
+    drain_notice: Option<(f64, f64)>,
     limit: f64,
     next_update: f64,
     next_pin: f64,
     cores_full: bool,
-    windows: Vec<StoredSpread>,
+    windows: Vec<StoredHistogram>,
     window: usize,
     busiest: [f64; 2],
-    count: [usize; 6],
+    #[serde(rename = "count")]
+    tasks_by_state: [usize; 6],
     memory: f64,
-    entries: StoredRing,
+    entries: StoredTimeBuckets,
     call_window: f64,
     call_credit: f64,
     call_fails: f64,
@@ -39,73 +48,96 @@
     again: f64,
     cpu: f64,
     idle: f64,
-    rejected: StoredRing,
+    rejected: StoredTimeBuckets,
     turned_away: u32,
 }
 
 #[derive(Deserialize)]
-struct StoredTold {
+struct StoredParameters {
     seed: u64,
     cores: f64,
-    below: String,
-    halt: String,
-    free_value: String,
-    over_share_worth: f64,
+    #[serde(rename = "below")]
+    dependency: String,
+    #[serde(rename = "halt")]
+    preemption: String,
+    #[serde(rename = "free_value")]
+    capacity_hint: String,
+    #[serde(rename = "over_share_worth")]
+    over_quota_weight_share: f64,
 }
 
 #[derive(Deserialize)]
-struct StoredStage {
-    facts: StoredStageFacts,
-    calm: StoredSpread,
-    base: f64,
+struct StoredClass {
+    #[serde(rename = "facts")]
+    parameters: StoredClassParameters,
+    #[serde(rename = "calm")]
+    uncontended_runs: StoredHistogram,
+    #[serde(rename = "base")]
+    base_latency: f64,
 }
 
 #[derive(Deserialize)]
-struct StoredStageFacts {
-    repeat: String,
-    utility: f64,
-    memory_ms: f64,
+struct StoredClassParameters {
+    #[serde(rename = "repeat")]
+    idempotency: String,
+    #[serde(rename = "utility")]
+    weight: f64,
+    #[serde(rename = "memory_ms")]
+    retry_window_ms: f64,
 }
 
 #[derive(Deserialize)]
-struct StoredCustomer {
-    facts: StoredCustomerFacts,
-    read: StoredRing,
-    held: usize,
+struct StoredTenant {
+    #[serde(rename = "facts")]
+    parameters: StoredTenantParameters,
+    #[serde(rename = "read")]
+    recent_arrivals: StoredTimeBuckets,
+    #[serde(rename = "held")]
+    queued: usize,
 }
 
 #[derive(Deserialize)]
-struct StoredCustomerFacts {
-    allowance_per_s: f64,
+struct StoredTenantParameters {
+    #[serde(rename = "allowance_per_s")]
+    quota_per_s: f64,
 }
 
 #[derive(Deserialize)]
 struct StoredTask {
     state: String,
-    asked: StoredArrival,
-    arrived: f64,
-    due: f64,
-    tries: u32,
-    entry: Option<u64>,
+    #[serde(rename = "asked")]
+    arrival: StoredArrival,
+    #[serde(rename = "arrived")]
+    arrived_ms: f64,
+    #[serde(rename = "due")]
+    deadline_ms: f64,
+    #[serde(rename = "tries")]
+    failed_calls: u32,
+    #[serde(rename = "entry")]
+    entry_bucket: Option<u64>,
 }
 
 #[derive(Deserialize)]
 struct StoredArrival {
-    stage: usize,
-    customer: usize,
+    #[serde(rename = "stage")]
+    class: usize,
+    #[serde(rename = "customer")]
+    tenant: usize,
     caller: usize,
-    hint_ms: Option<f64>,
-    repeat: bool,
+    #[serde(rename = "hint_ms")]
+    cost_hint_ms: Option<f64>,
+    #[serde(rename = "repeat")]
+    is_repeat: bool,
 }
 
 #[derive(Deserialize)]
-struct StoredSpread {
+struct StoredHistogram {
     counts: Vec<u32>,
     total: u32,
 }
 
 #[derive(Deserialize)]
-struct StoredRing {
+struct StoredTimeBuckets {
     width: f64,
     clock: u64,
     cells: Vec<f64>,
@@ -116,18 +148,18 @@
 }
 
 #[test]
-fn a_stored_snapshot_is_restored_to_the_same_figures() {
+fn stored_snapshot_is_restored_to_the_same_summary() {
     assert_eq!(FORMAT_VERSION, 1);
     let server = Server::restore(SNAPSHOT).unwrap();
-    let bases = vec![14.406049195261197, 7.2066112303743965];
-    let pace = 0.8353451212508434;
+    let base_latencies = vec![14.406049195261197, 7.2066112303743965];
+    let median_ratio = 0.8353451212508434;
     assert_eq!(
         server.summary(),
         Summary {
             limit: 3.0,
-            bases,
+            base_latencies,
             call_window: 2.0,
-            pace,
+            median_ratio,
             tasks: 9
         }
     );
@@ -135,7 +167,7 @@
 }
 
 #[test]
-fn a_restored_snapshot_is_written_again_byte_for_byte() {
+fn restored_snapshot_is_written_again_byte_for_byte() {
     assert!(
         Server::restore(SNAPSHOT).unwrap().snapshot() == SNAPSHOT,
         "the bytes differ"
@@ -143,15 +175,23 @@
 }
 
 #[test]
-fn the_stored_fields_have_these_names_and_values() {
+fn stored_fields_have_these_names_and_values() {
     let server = stored();
-    let told = &server.told;
+    let parameters = &server.parameters;
     assert_eq!(
-        (told.seed, told.cores, told.over_share_worth),
+        (
+            parameters.seed,
+            parameters.cores,
+            parameters.over_quota_weight_share
+        ),
         (3, 2.0, 0.1)
     );
     assert_eq!(
-        [&told.below[..], &told.halt, &told.free_value],
+        [
+            &parameters.dependency[..],
+            &parameters.preemption,
+            &parameters.capacity_hint
+        ],
         ["Shared", "Drop", "Level"]
     );
     assert_eq!((server.limit, server.call_window), (3.0, 2.0));
@@ -160,11 +200,11 @@
         (8.0, 450.0, 0.25271789637027264)
     );
     assert_eq!(
-        (server.chance, server.born),
+        (server.rng, server.runtime_started_ms),
         (13_955_619_279_316_412_217, 1e12)
     );
     assert_eq!(
-        server.leaving,
+        server.drain_notice,
         Some((1_000_000_003_234.0, 1_000_000_008_214.0))
     );
     assert_eq!(
@@ -175,6 +215,11 @@
         (server.cores_full, server.cpu, server.idle),
         (true, 0.98, 30_000.0)
     );
+}
+
+#[test]
+fn stored_measurements_have_these_names_and_values() {
+    let server = stored();
     assert_eq!(
         (server.memory, server.busiest, server.window),
         (1145.0, [13.0, 0.0], 6)
@@ -208,49 +253,49 @@
 }
 
 #[test]
-fn the_stored_rows_of_stages_and_customers_have_these_values() {
+fn stored_classes_and_tenants_have_these_values() {
     let server = stored();
-    let stage = |n: usize| {
-        let stage: &StoredStage = &server.stages[n];
-        let facts = &stage.facts;
+    let class = |n: usize| {
+        let class: &StoredClass = &server.classes[n];
+        let parameters = &class.parameters;
         (
-            &facts.repeat[..],
-            facts.utility,
-            facts.memory_ms,
-            stage.base,
-            stage.calm.total,
+            &parameters.idempotency[..],
+            parameters.weight,
+            parameters.retry_window_ms,
+            class.base_latency,
+            class.uncontended_runs.total,
         )
     };
     assert_eq!(
-        stage(0),
+        class(0),
         ("Restartable", 1.0, 5000.0, 14.406049195261197, 52)
     );
     assert_eq!(
-        stage(1),
+        class(1),
         ("Fingerprinted", 3.0, 5000.0, 7.2066112303743965, 60)
     );
-    let counts = &server.stages[0].calm.counts;
+    let counts = &server.classes[0].uncontended_runs.counts;
     assert_eq!((counts.len(), counts[89], counts[94]), (212, 10, 11));
-    let customer = |n: usize| {
-        let customer: &StoredCustomer = &server.customers[n];
+    let tenant = |n: usize| {
+        let tenant: &StoredTenant = &server.tenants[n];
         (
-            customer.facts.allowance_per_s,
-            customer.held,
-            customer.read.cells[6],
+            tenant.parameters.quota_per_s,
+            tenant.queued,
+            tenant.recent_arrivals.cells[6],
         )
     };
-    assert_eq!([customer(0), customer(1)], [(5.0, 1, 7.0), (50.0, 1, 7.0)]);
+    assert_eq!([tenant(0), tenant(1)], [(5.0, 1, 7.0), (50.0, 1, 7.0)]);
 }
 
 #[test]
-fn the_stored_tasks_are_in_every_state() {
+fn stored_tasks_are_in_every_state() {
     let server = stored();
-    // Free, held, joined, running, parked, calling.
-    assert_eq!(server.count, [5, 2, 1, 3, 1, 2]);
-    assert_eq!(server.live, [0, 1, 2, 3, 4, 5, 7, 9, 13]);
-    assert_eq!(server.free, [12, 10, 8, 6, 11]);
+    // Free, queued, joined, running, waiting for a call, calling.
+    assert_eq!(server.tasks_by_state, [5, 2, 1, 3, 1, 2]);
+    assert_eq!(server.active, [0, 1, 2, 3, 4, 5, 7, 9, 13]);
+    assert_eq!(server.free_slots, [12, 10, 8, 6, 11]);
     let states: Vec<&str> = server
-        .live
+        .active
         .iter()
         .map(|&n| &server.tasks[n as usize].state[..])
         .collect();
@@ -261,24 +306,28 @@
     assert_eq!(server.tasks[6].state, "Free");
     let task = &server.tasks[3];
     assert_eq!(
-        (task.asked.stage, task.asked.customer, task.asked.caller),
+        (task.arrival.class, task.arrival.tenant, task.arrival.caller),
         (1, 1, 0)
     );
     assert_eq!(
-        (task.asked.hint_ms, task.asked.repeat, task.tries),
+        (
+            task.arrival.cost_hint_ms,
+            task.arrival.is_repeat,
+            task.failed_calls
+        ),
         (Some(2.0), false, 0)
     );
     assert_eq!(
-        (task.arrived, task.due),
+        (task.arrived_ms, task.deadline_ms),
         (1_000_000_003_210.0, 1_000_000_004_713.0)
     );
-    assert_eq!(task.entry, Some(11_636_363_733));
-    assert!(server.tasks[13].asked.repeat);
+    assert_eq!(task.entry_bucket, Some(11_636_363_733));
+    assert!(server.tasks[13].arrival.is_repeat);
 }
 
-/// A start may be told any of these; the snapshot above holds one of each kind.
+/// The snapshot above has one variant of each enum; settings may have any of them.
 #[test]
-fn every_stored_name_of_a_choice_is_read() {
+fn every_stored_variant_name_is_read() {
     fn reads<T: serde::de::DeserializeOwned + PartialEq + std::fmt::Debug>(choices: &[(&str, T)]) {
         for (name, choice) in choices {
             let read: T = rmp_serde::from_slice(&rmp_serde::to_vec(name).unwrap()).unwrap();
