--- a/crates/asterdale-transport/src/custody.rs
+++ b/crates/asterdale-transport/src/ownership.rs
@@ -32,21 +32,21 @@
 const WAY_OUT: Duration = Duration::from_millis(50);
 
 /// A keeper's disk.
-pub trait Shelf: Send {
+pub trait ReplicaStorage: Send {
     /// Has all of this there, in order; comes back once that is so, or can't be.
     fn save(&mut self, saves: Vec<StorageWrite>) -> Result<(), String>;
 }
 
 /// A keeper's disk, and what was found on it.
 #[derive(Clone)]
-pub struct Disk {
+pub struct ReplicaDisk {
     /// What was found: nothing that may not be believed.
     pub saved: StoredState,
     /// Where the rest goes.
-    pub shelf: Arc<Mutex<dyn Shelf>>,
+    pub storage: Arc<Mutex<dyn ReplicaStorage>>,
 }
 
-impl std::fmt::Debug for Disk {
+impl std::fmt::Debug for ReplicaDisk {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Disk")
     }
@@ -54,15 +54,15 @@
 
 /// Where work in hand is kept, and how.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct OwnershipActorSettings {
     /// This process's disk, should it be a keeper and have one.
-    pub disk: Option<Disk>,
+    pub disk: Option<ReplicaDisk>,
     /// The keepers, by name and where they are reached; the same list in all processes.
-    pub keepers: Vec<(String, SocketAddr)>,
+    pub replicas: Vec<(String, SocketAddr)>,
     /// What the fleet agrees on.
-    pub terms: OwnershipSettings,
+    pub parameters: OwnershipSettings,
     /// The Unix time, in seconds.
-    pub unix_s: u64,
+    pub unix_time_s: u64,
 }
 
 /// Which process this is, and the fleet's key.
@@ -76,15 +76,15 @@
 }
 
 /// What the program hears.
-pub enum Heard {
+pub enum OwnershipNotification {
     /// What came of something that it wanted.
-    Verdict(u64, Answer),
+    Answered(u64, Answer),
     /// Orphans that it may take.
-    Offered(Vec<KeyedRequest>),
+    OwnerlessRequests(Vec<KeyedRequest>),
     /// A line for the log.
-    Told(OwnershipEvent),
+    Log(OwnershipEvent),
     /// A keeper's disk failed: it is none any more.
-    Unsaved(String),
+    StorageFailed(String),
 }
 
 enum Order {
@@ -98,7 +98,7 @@
 
 /// Custody, as others hold it.
 #[derive(Clone)]
-pub struct Custody {
+pub struct OwnershipHandle {
     orders: Sender<Order>,
     began: Instant,
     /// Until when the lease holds, in microseconds since the start.
@@ -106,29 +106,29 @@
     lease_ms: f64,
 }
 
-impl Custody {
+impl OwnershipHandle {
     /// Wants something of the keepers, under this number.
-    pub fn want(&self, number: u64, want: OwnershipRequest) {
+    pub fn request(&self, number: u64, want: OwnershipRequest) {
         let _ = self.orders.send(Order::Want(number, want));
     }
 
     /// Nobody waits for it any more.
-    pub fn forget(&self, number: u64) {
+    pub fn cancel(&self, number: u64) {
         let _ = self.orders.send(Order::Forget(number));
     }
 
     /// What was claimed by this fence was never started.
-    pub fn dropped(&self, key: Vec<u8>, fence: u64) {
+    pub fn drop_claim(&self, key: Vec<u8>, fence: u64) {
         let _ = self.orders.send(Order::Dropped(key, fence));
     }
 
     /// Orphans that would be taken now.
-    pub fn room(&self, room: u32) {
+    pub fn set_takeover_capacity(&self, room: u32) {
         let _ = self.orders.send(Order::Room(room));
     }
 
     /// Whether the lease holds at this moment, by a clock that goes on while the process stands still.
-    pub fn may_act(&self) -> bool {
+    pub fn is_lease_valid(&self) -> bool {
         (self.began.elapsed().as_micros() as u64) < self.until.load(Ordering::SeqCst)
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// What this process holds as a keeper.
-    pub fn shown(&self) -> Option<ReplicaStatus> {
+    pub fn replica_status(&self) -> Option<ReplicaStatus> {
         let (to, shown) = bounded(1);
         self.orders.send(Order::Show(to)).ok()?;
         shown.recv_timeout(PATIENCE).ok()
@@ -162,27 +162,27 @@
     seal: MessageAuthenticator,
     links: Links,
     until: Arc<AtomicU64>,
-    shelf: Option<Arc<Mutex<dyn Shelf>>>,
+    shelf: Option<Arc<Mutex<dyn ReplicaStorage>>>,
     saved_at: Instant,
 }
 
 /// Begins. `heard` is called with each word, in order, by the thread of the state machines: it must not wait.
 pub(crate) fn begin(
-    place: Place,
+    place: OwnershipActorSettings,
     me: Me,
     links: Links,
     letters: Receiver<Vec<u8>>,
-    heard: impl Fn(Heard) + Send + 'static,
-) -> std::io::Result<Custody> {
+    heard: impl Fn(OwnershipNotification) + Send + 'static,
+) -> std::io::Result<OwnershipHandle> {
     // Orders come from one thread, which owes an answer for each: their number is bounded there.
     let (orders, ordered) = crossbeam_channel::unbounded();
     let began = Instant::now();
     let until = Arc::new(AtomicU64::new(0));
-    let Place {
+    let OwnershipActorSettings {
         disk,
-        keepers,
-        terms,
-        unix_s,
+        replicas: keepers,
+        parameters: terms,
+        unix_time_s: unix_s,
     } = place;
     let myself = member(&me.name, me.node, me.at);
     let owner = Owner::new(
@@ -198,7 +198,9 @@
     let (until_told, at, seed) = (until.clone(), me.at, me.seed);
     crate::spawn("custody", move || {
         // The library's memory is this thread's alone.
-        let (saved, shelf) = disk.map(|Disk { saved, shelf }| (saved, shelf)).unzip();
+        let (saved, shelf) = disk
+            .map(|ReplicaDisk { saved, storage }| (saved, storage))
+            .unzip();
         let start = ReplicaConfig {
             member: myself,
             replicas: keepers,
@@ -222,7 +224,7 @@
         };
         actor.serve(&letters, &ordered, heard);
     })?;
-    Ok(Custody {
+    Ok(OwnershipHandle {
         orders,
         began,
         until,
@@ -239,7 +241,7 @@
         mut self,
         letters: &Receiver<Vec<u8>>,
         orders: &Receiver<Order>,
-        heard: impl Fn(Heard),
+        heard: impl Fn(OwnershipNotification),
     ) {
         loop {
             let next = self
@@ -320,7 +322,7 @@
         }
     }
 
-    fn act(&mut self, actions: Vec<Action>, heard: &impl Fn(Heard)) {
+    fn act(&mut self, actions: Vec<Action>, heard: &impl Fn(OwnershipNotification)) {
         let mut all: VecDeque<Action> = actions.into();
         while let Some(action) = all.pop_front() {
             match action {
@@ -348,12 +350,16 @@
                         all.retain(|action| {
                             !matches!(action, Action::Send(..) | Action::Persist(_))
                         });
-                        heard(Heard::Unsaved(why));
+                        heard(OwnershipNotification::StorageFailed(why));
                     }
                 }
-                Action::Report(told) => heard(Heard::Told(told)),
-                Action::Answer(number, answer) => heard(Heard::Verdict(number, answer)),
-                Action::OfferOwnerless(works) => heard(Heard::Offered(works)),
+                Action::Report(told) => heard(OwnershipNotification::Log(told)),
+                Action::Answer(number, answer) => {
+                    heard(OwnershipNotification::Answered(number, answer))
+                }
+                Action::OfferOwnerless(works) => {
+                    heard(OwnershipNotification::OwnerlessRequests(works))
+                }
             }
         }
         let until = self.owner.lease_until_ms().max(0.0);
