--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -52,7 +52,10 @@
 
     fn request(&self, number: u64, want: OwnershipRequest) {
         self.journal.send(match want {
-            OwnershipRequest::Lookup(key, sign) => JournalCommand::Lookup {
+            OwnershipRequest::Lookup {
+                key,
+                body_digest: sign,
+            } => JournalCommand::Lookup {
                 request: number,
                 key,
                 body_digest: sign,
@@ -65,7 +68,11 @@
                 // A repeat that came before the window's end may be read that much later.
                 window_ms: work.retry_window_ms + self.unread_ms,
             },
-            OwnershipRequest::Complete(key, claim, result) => JournalCommand::RecordOutcome {
+            OwnershipRequest::Complete {
+                key,
+                fence: claim,
+                result,
+            } => JournalCommand::RecordOutcome {
                 request: number,
                 key,
                 claim,
--- a/crates/asterdale-engine/src/ownership.rs
+++ b/crates/asterdale-engine/src/ownership.rs
@@ -305,7 +305,10 @@
             return;
         };
         let (key, sign, since) = (kept.key.clone(), kept.sign, self.now);
-        let want = OwnershipRequest::Lookup(key.clone(), sign);
+        let want = OwnershipRequest::Lookup {
+            key: key.clone(),
+            body_digest: sign,
+        };
         let awaited = Awaited::Look {
             request: Box::new(request),
             mark,
@@ -435,7 +438,11 @@
         }
         self.desk.taken -= usize::from(kept.orphan);
         let Kept { key, sign, by, .. } = kept;
-        let want = OwnershipRequest::Complete(key.clone(), fence, Some(result.to_vec()));
+        let want = OwnershipRequest::Complete {
+            key: key.clone(),
+            fence,
+            result: Some(result.to_vec()),
+        };
         let ended = Ended {
             mark,
             who,
@@ -462,7 +469,11 @@
             }
         } else {
             self.desk.want(
-                OwnershipRequest::Complete(kept.key, fence, None),
+                OwnershipRequest::Complete {
+                    key: kept.key,
+                    fence,
+                    result: None,
+                },
                 Awaited::Told,
             );
         }
@@ -477,7 +488,11 @@
         self.desk.taken -= usize::from(kept.orphan);
         if let (Some(fence), None) = (kept.held(), self.desk.leaves) {
             self.desk.want(
-                OwnershipRequest::Complete(kept.key, fence, None),
+                OwnershipRequest::Complete {
+                    key: kept.key,
+                    fence,
+                    result: None,
+                },
                 Awaited::Told,
             );
         }
@@ -1126,9 +1141,13 @@
             }
         }
         for (mark, key, sign) in looks {
-            self.tasks
-                .desk
-                .want(OwnershipRequest::Lookup(key, sign), Awaited::Poll(mark));
+            self.tasks.desk.want(
+                OwnershipRequest::Lookup {
+                    key,
+                    body_digest: sign,
+                },
+                Awaited::Poll(mark),
+            );
         }
         for mark in over {
             self.tasks.known(&mark, &Reply::Unknown { wait_ms: 0 });
--- a/crates/asterdale-ownership/src/owner/mod.rs
+++ b/crates/asterdale-ownership/src/owner/mod.rs
@@ -24,11 +24,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnershipRequest {
     /// Asks what is known of a key, for a body with this digest.
-    Lookup(Vec<u8>, u64),
+    Lookup {
+        /// The key.
+        key: Vec<u8>,
+        /// Digest of the body.
+        body_digest: u64,
+    },
     /// Claims a request before it is started.
     Claim(KeyedRequest),
-    /// Records the outcome of a claim: its key, its fencing token, and the result if there is one that can be returned.
-    Complete(Vec<u8>, u64, Option<Vec<u8>>),
+    /// Records the outcome of a claim.
+    Complete {
+        /// The key.
+        key: Vec<u8>,
+        /// The fencing token of the claim.
+        fence: u64,
+        /// The result, if there is one that can be returned.
+        result: Option<Vec<u8>>,
+    },
     /// Hands over a request that was queued here and is not going to be started.
     HandOver(KeyedRequest),
 }
--- a/crates/asterdale-ownership/src/owner/requests.rs
+++ b/crates/asterdale-ownership/src/owner/requests.rs
@@ -50,7 +50,7 @@
             if pending.number == Some(number) {
                 pending.number = None;
             }
-            pending.number.is_some() || !matches!(pending.request, OwnershipRequest::Lookup(..))
+            pending.number.is_some() || !matches!(pending.request, OwnershipRequest::Lookup { .. })
         });
     }
 
@@ -167,11 +167,11 @@
             epoch: epoch?,
             request: Some(request.clone()),
         }),
-        OwnershipRequest::Lookup(key, body_digest) => CommandKind::Lookup(Lookup {
+        OwnershipRequest::Lookup { key, body_digest } => CommandKind::Lookup(Lookup {
             key: key.clone(),
             body_digest: *body_digest,
         }),
-        OwnershipRequest::Complete(key, fence, result) => CommandKind::Complete(Complete {
+        OwnershipRequest::Complete { key, fence, result } => CommandKind::Complete(Complete {
             key: key.clone(),
             fence: *fence,
             result: result.clone(),
--- a/crates/asterdale-ownership/src/table/tests.rs
+++ b/crates/asterdale-ownership/src/table/tests.rs
@@ -80,25 +80,25 @@
 #[test]
 fn only_one_owner_gets_a_claim_and_its_outcome_is_answered_to_others() {
     let mut harness = Harness::new();
-    let (a, b) = (harness.join(1), harness.join(2));
+    let (first, second) = (harness.join(1), harness.join(2));
     assert!(
-        a > 3 * NUMBERS_PER_GROUP && b > a && harness.join(1) == a,
+        first > 3 * NUMBERS_PER_GROUP && second > first && harness.join(1) == first,
         "a duplicated join ends no epoch"
     );
-    let (verdict, fence) = harness.claim(1, a, request(b"k", 1, true));
+    let (verdict, fence) = harness.claim(1, first, request(b"k", 1, true));
     assert_eq!(
-        (verdict, harness.claim(1, a, request(b"k", 1, true))),
+        (verdict, harness.claim(1, first, request(b"k", 1, true))),
         (Verdict::Granted, (Verdict::Granted, fence))
     );
     assert_eq!(
-        harness.claim(2, b, request(b"k", 2, true)).0,
+        harness.claim(2, second, request(b"k", 2, true)).0,
         Verdict::InProgress
     );
     assert_eq!(
         harness
             .claim(
                 2,
-                b,
+                second,
                 KeyedRequest {
                     body_digest: 9,
                     ..request(b"k", 2, true)
@@ -117,7 +117,7 @@
     assert_eq!(harness.execute(1, end(fence - 1)).0, Verdict::Fenced);
     assert_eq!(harness.execute(1, end(fence)).0, Verdict::Recorded);
     assert_eq!(
-        harness.claim(2, b, request(b"k", 2, true)).0,
+        harness.claim(2, second, request(b"k", 2, true)).0,
         Verdict::Completed
     );
     harness.advance(20_001.0);
@@ -131,29 +131,29 @@
 #[test]
 fn after_lease_expiry_only_fenced_requests_can_be_claimed_again() {
     let mut harness = Harness::new();
-    let a = harness.join(1);
-    let (_, fence) = harness.claim(1, a, request(b"fenced", 1, true));
-    let (_, other) = harness.claim(1, a, request(b"not", 2, false));
+    let first = harness.join(1);
+    let (_, fence) = harness.claim(1, first, request(b"fenced", 1, true));
+    let (_, other) = harness.claim(1, first, request(b"not", 2, false));
     harness.advance(2001.0);
     assert_eq!(
         harness
             .execute(
                 1,
                 CommandKind::Renew(Renew {
-                    epoch: a,
+                    epoch: first,
                     capacity: 0
                 })
             )
             .0,
         Verdict::EpochEnded
     );
-    let b = harness.join(2);
+    let second = harness.join(2);
     assert_eq!(harness.0.claimable().count(), 1);
     assert_eq!(
-        harness.claim(2, b, request(b"not", 3, false)).0,
+        harness.claim(2, second, request(b"not", 3, false)).0,
         Verdict::OutcomeUnknown
     );
-    let (verdict, newer) = harness.claim(2, b, request(b"fenced", 3, true));
+    let (verdict, newer) = harness.claim(2, second, request(b"fenced", 3, true));
     assert!(verdict == Verdict::Granted && newer > fence);
     // The first owner returns with both outcomes: too late for the fenced request, in time for the other.
     let end = |key: &[u8], fence| {
@@ -166,7 +166,7 @@
     assert_eq!(harness.execute(1, end(b"fenced", fence)).0, Verdict::Fenced);
     assert_eq!(harness.execute(1, end(b"not", other)).0, Verdict::Recorded);
     assert_eq!(
-        harness.claim(2, b, request(b"not", 4, false)).0,
+        harness.claim(2, second, request(b"not", 4, false)).0,
         Verdict::Completed
     );
 }
@@ -174,8 +174,8 @@
 #[test]
 fn restarted_process_ends_the_epoch_of_its_predecessor() {
     let mut harness = Harness::new();
-    let a = harness.join(1);
-    harness.claim(1, a, request(b"k", 1, true));
+    let first = harness.join(1);
+    harness.claim(1, first, request(b"k", 1, true));
     let mut again = process(8);
     again.name = "n1".to_owned();
     let command = Some(Command {
@@ -191,7 +191,7 @@
     });
     assert!(harness.0.claimable().count() == 1 && harness.0.leases().len() == 1);
     assert_eq!(
-        harness.claim(1, a, request(b"other", 2, true)).0,
+        harness.claim(1, first, request(b"other", 2, true)).0,
         Verdict::EpochEnded
     );
     let epoch = *harness.0.leases().keys().next().unwrap();
@@ -225,24 +225,24 @@
         ..OwnershipSettings::default()
     };
     let mut harness = Harness(OwnershipTable::new(1, &[], settings));
-    let a = harness.join(1);
+    let first = harness.join(1);
     assert_eq!(
-        harness.claim(1, a, request(b"k", 1, true)).0,
+        harness.claim(1, first, request(b"k", 1, true)).0,
         Verdict::RetryLater
     );
     harness.advance(500.0);
     for n in 0..3 {
         assert_eq!(
-            harness.claim(1, a, request(&[n], n, true)).0,
+            harness.claim(1, first, request(&[n], n, true)).0,
             Verdict::Granted
         );
     }
     assert_eq!(
-        harness.claim(1, a, request(b"one more", 9, true)).0,
+        harness.claim(1, first, request(b"one more", 9, true)).0,
         Verdict::RetryLater
     );
     assert_eq!(
-        harness.claim(1, a, request(&[0], 0, true)).0,
+        harness.claim(1, first, request(&[0], 0, true)).0,
         Verdict::Granted,
         "a repeated claim needs no capacity"
     );
@@ -261,7 +261,7 @@
 #[test]
 fn handed_over_request_is_claimed_once_and_unused_claim_is_released() {
     let mut harness = Harness::new();
-    let (a, b) = (harness.join(1), harness.join(2));
+    let (first, second) = (harness.join(1), harness.join(2));
     assert_eq!(
         harness
             .execute(1, CommandKind::HandOver(request(b"held", 1, false)))
@@ -269,9 +269,12 @@
         Verdict::Recorded
     );
     assert_eq!(harness.0.claimable().count(), 1);
-    let (verdict, fence) = harness.claim(2, b, request(b"held", 2, false));
+    let (verdict, fence) = harness.claim(2, second, request(b"held", 2, false));
     assert_eq!(
-        (verdict, harness.claim(1, a, request(b"held", 3, false)).0),
+        (
+            verdict,
+            harness.claim(1, first, request(b"held", 3, false)).0
+        ),
         (Verdict::Granted, Verdict::InProgress)
     );
     let drop = |fence| {
@@ -284,7 +287,7 @@
     assert_eq!(harness.0.requests().len(), 1);
     harness.execute(2, drop(fence));
     assert_eq!(
-        harness.claim(1, a, request(b"held", 4, false)).0,
+        harness.claim(1, first, request(b"held", 4, false)).0,
         Verdict::Granted
     );
 }
--- /dev/null
+++ b/crates/asterdale-ownership/tests/cluster/main.rs
@@ -0,0 +1,6 @@
+//! Several replicas and owners together on a simulated network.
+
+mod durable_replicas;
+mod failures;
+mod network;
+mod random_faults;
--- a/crates/asterdale-ownership/tests/explore.rs
+++ b/crates/asterdale-ownership/tests/explore.rs
@@ -351,7 +351,11 @@
                 let (now, host) = (self.now, &mut self.hosts[n]);
                 let result = format!("{n} {}", host.tries).into_bytes();
                 host.ending = Some((100 + host.tries, result.clone()));
-                let want = OwnershipRequest::Complete(b"key".to_vec(), fence, Some(result));
+                let want = OwnershipRequest::Complete {
+                    key: b"key".to_vec(),
+                    fence,
+                    result: Some(result),
+                };
                 let number = 100 + host.tries;
                 if let Some(owner) = &mut self.owners[n] {
                     owner.submit(number, want);
