--- a/crates/asterdale-daemon/src/keys.rs
+++ b/crates/asterdale-daemon/src/keys.rs
@@ -147,12 +147,12 @@
     })
 }
 
-fn change(
+fn change<E: ToString>(
     path: &Path,
-    change: impl FnOnce(&mut KeySet) -> Result<(), String>,
+    change: impl FnOnce(&mut KeySet) -> Result<(), E>,
 ) -> Result<(), String> {
     let mut set = read(path)?;
-    change(&mut set)?;
+    change(&mut set).map_err(|error| error.to_string())?;
     keep(path, &set)
 }
 
@@ -164,7 +164,7 @@
 }
 
 fn new(id: &str, out: &Path) -> Result<(), String> {
-    let secret = SecretKey::generate(id)?;
+    let secret = SecretKey::generate(id).map_err(|error| error.to_string())?;
     // A file that is there already may hold a key that is in use.
     let mut file = OpenOptions::new()
         .write(true)
@@ -236,12 +236,13 @@
                 KeySet::empty()
             };
             let now = now();
-            all.announce(now, secret.id(), &secret.public_key_text(), now + after)?;
+            all.announce(now, secret.id(), &secret.public_key_text(), now + after)
+                .map_err(|error| error.to_string())?;
             // A file is made only by the first key, whose public half alone it tells.
             debug_assert!(all
                 .keys
                 .iter()
-                .all(|key| parse_public_key(&key.x).is_some()));
+                .all(|key| parse_public_key(&key.public_key).is_some()));
             keep(&set, &all)
         }
         Command::Activate { set, id, overlap } => {
--- a/crates/asterdale-daemon/src/start/identity/callers.rs
+++ b/crates/asterdale-daemon/src/start/identity/callers.rs
@@ -1,7 +1,6 @@
 //! The lists of section `identity`: roles, tenants and client certificates, and how they refer to each other.
 
-use asterdale_identity::authorization::{Role, Tenant, MAX_ROLES, MAX_TENANTS};
-use asterdale_identity::CertificateMapping;
+use asterdale_identity::{CertificateMapping, Role, Tenant, MAX_ROLES, MAX_TENANTS};
 use asterdale_parameters::Settings;
 
 use super::section::{CertificateSection, RoleSection, TenantSection};
--- a/crates/asterdale-daemon/src/token.rs
+++ b/crates/asterdale-daemon/src/token.rs
@@ -4,7 +4,7 @@
 
 use asterdale_identity::mint::SecretKey;
 use asterdale_identity::token::{self, Audience, Claims};
-use asterdale_identity::{Credentials, Identity};
+use asterdale_identity::{AccessRequest, Credentials, Identity};
 use clap::{Args, Subcommand};
 
 use crate::keys;
@@ -68,10 +68,12 @@
 fn mint(mint: Mint) -> Result<(), String> {
     let (secret, now) = (keys::secret(&mint.key)?, keys::now());
     // The public half of a key that was just made up: no two are alike.
-    let jti = mint.id.map_or_else(
-        || SecretKey::generate("id").map(|made| made.public_key_text()),
-        Ok,
-    )?;
+    let jti = match mint.id {
+        Some(id) => id,
+        None => SecretKey::generate("id")
+            .map_err(|error| error.to_string())?
+            .public_key_text(),
+    };
     let claims = Claims {
         iss: mint.issuer,
         aud: Audience::One(mint.audience),
@@ -134,7 +136,7 @@
         .ok_or("--set: the start file names an issuer, and no file")?
         .map_err(|e| e.to_string())?;
     let now = keys::now();
-    let mut identity = Identity::new(now, callers.parameters)?;
+    let mut identity = Identity::new(now, callers.parameters).map_err(|error| error.to_string())?;
     identity
         .offer_key_set(now, &set)
         .map_err(|why| format!("the set of keys is refused: {why:?}"))?;
@@ -160,8 +162,13 @@
             .iter()
             .position(|name| *name == stage);
         let at = at.ok_or(format!("--stage {stage}: no name in settings.lanes"))?;
+        let request = AccessRequest {
+            request_class: at,
+            declared_cost_ms: None,
+            is_repeat: false,
+        };
         identity
-            .authorize(now, &caller, at, None, false)
+            .authorize(now, &caller, &request)
             .map_err(|denied| format!("turned away: {:?}", denied.reason))?;
         println!("may ask for {stage}");
     }
--- a/crates/asterdale-engine/src/access.rs
+++ b/crates/asterdale-engine/src/access.rs
@@ -5,7 +5,7 @@
 
 use asterdale_identity::failpoint::{self, Failpoint};
 use asterdale_identity::{
-    Caller, ConcurrencyPermit, Credentials, DenialReason, DenialStatus as Said,
+    AccessRequest, Caller, ConcurrencyPermit, Credentials, DenialReason, DenialStatus as Said,
 };
 
 use crate::log::{Kind, Log};
@@ -97,8 +97,13 @@
         let (Some(identity), Some(caller)) = (&mut self.callers.identity, caller) else {
             return Ok(None);
         };
+        let request = AccessRequest {
+            request_class: stage,
+            declared_cost_ms: hint_ms,
+            is_repeat: repeat,
+        };
         identity
-            .authorize(self.now, caller, stage, hint_ms, repeat)
+            .authorize(self.now, caller, &request)
             .map_err(|denied| {
                 let tenant = &caller.claims.tenant;
                 turned_away(
--- a/crates/asterdale-engine/src/identity_gate.rs
+++ b/crates/asterdale-engine/src/identity_gate.rs
@@ -3,10 +3,10 @@
 
 use std::sync::Arc;
 
-use asterdale_identity::authorization::Denial;
 use asterdale_identity::keyring::KeySetOutcome;
 use asterdale_identity::{
-    Caller, ConcurrencyPermit, DenialReason, DenialStatus as Said, Identity, IdentitySettings,
+    Caller, ConcurrencyPermit, Denial, DenialReason, DenialStatus as Said, Identity,
+    IdentitySettings,
 };
 use crossbeam_channel::Sender;
 
@@ -45,7 +45,7 @@
         let why = match (&mut self.identity, facts) {
             (Some(identity), Some(facts)) => match identity.reconfigure(*facts) {
                 Ok(()) => return,
-                Err(why) => why,
+                Err(error) => error.to_string(),
             },
             (None, None) => return,
             _ => "identity is turned on or off by a start only".to_owned(),
@@ -92,7 +92,9 @@
         passed: asterdale_identity::IdentityState,
     ) -> Result<(), String> {
         match &mut self.identity {
-            Some(identity) => identity.restore_state(now, passed),
+            Some(identity) => identity
+                .restore_state(now, passed)
+                .map_err(|error| error.to_string()),
             None => Err("identity is on in the state, and off in the start file".to_owned()),
         }
     }
@@ -130,9 +132,9 @@
     /// Counts what is kept.
     pub fn count(&self) {
         if let Some(identity) = &self.identity {
-            let (checked, kept) = identity.cost();
-            self.counters.signatures.set(checked as usize);
-            self.counters.tokens_kept.set(kept);
+            let signatures = identity.signatures_checked() as usize;
+            self.counters.signatures.set(signatures);
+            self.counters.tokens_kept.set(identity.cached_token_count());
         }
     }
 
--- a/crates/asterdale-engine/src/state_transfer/tests.rs
+++ b/crates/asterdale-engine/src/state_transfer/tests.rs
@@ -3,9 +3,8 @@
 //! as well, so that a change is seen even where reading and writing change together.
 //! `tests/fixtures/hot_restart/README.md` says how the file was made.
 
-use asterdale_identity::authorization::{Role, Tenant};
 use asterdale_identity::mint::SecretKey;
-use asterdale_identity::Identity;
+use asterdale_identity::{Identity, Role, Tenant};
 use asterdale_parameters::Settings;
 use crossbeam_channel::unbounded;
 use serde_json::{json, Value};
--- a/crates/asterdale-identity/benches/verdict.rs
+++ b/crates/asterdale-identity/benches/verdict.rs
@@ -1,14 +1,15 @@
-//! What a verdict costs: a token that is new, one that is known, one that is refused. Not part of CI:
+//! Cost of authenticating new, cached and denied tokens, and of authorizing a request. Not part of CI:
 //! `cargo bench -p asterdale-identity`.
 
-use asterdale_identity::authorization::{Role, Tenant};
+use std::cell::{Cell, RefCell};
+
 use asterdale_identity::keyring::KeySet;
 use asterdale_identity::mint::SecretKey;
 use asterdale_identity::token::{Audience, Claims};
-use asterdale_identity::{Credentials, Identity, IdentitySettings};
+use asterdale_identity::{AccessRequest, Credentials, Identity, IdentitySettings, Role, Tenant};
 use divan::{black_box, Bencher};
 
-const NOW: f64 = 1e12;
+const NOW_MS: f64 = 1e12;
 
 fn identity() -> (Identity, SecretKey) {
     let (root, key) = (
@@ -23,7 +24,7 @@
         burst: f64::INFINITY,
         max_cost_ms: f64::INFINITY,
     };
-    let facts = IdentitySettings {
+    let settings = IdentitySettings {
         seed: 1,
         issuer: "i".into(),
         audience: "a".into(),
@@ -41,13 +42,14 @@
         }],
         certificate_mappings: Vec::new(),
     };
-    let mut identity = Identity::new(NOW, facts).unwrap();
+    let mut identity = Identity::new(NOW_MS, settings).unwrap();
     let mut set = KeySet::empty();
-    set.announce(NOW, "k", &key.public_key_text(), 0.0).unwrap();
+    set.announce(NOW_MS, "k", &key.public_key_text(), 0.0)
+        .unwrap();
     set.revoked.tokens.insert("gone".into());
-    set.advance_sequence(NOW);
+    set.advance_sequence(NOW_MS);
     identity
-        .offer_key_set(NOW, root.sign_key_set(&set).as_bytes())
+        .offer_key_set(NOW_MS, root.sign_key_set(&set).as_bytes())
         .unwrap();
     (identity, key)
 }
@@ -59,93 +61,94 @@
         sub: "s".into(),
         tenant: "t".into(),
         roles: vec!["r".into()],
-        exp: NOW,
+        exp: NOW_MS,
         nbf: None,
         iat: None,
         jti: jti.into(),
     })
 }
 
-fn ask(identity: &mut Identity, token: &str) -> bool {
+fn is_authenticated(identity: &mut Identity, token: &str) -> bool {
     identity
         .authenticate(
-            NOW,
+            NOW_MS,
             Credentials {
                 token: Some(token.as_bytes()),
                 certificate: None,
                 edge_node: 1,
-                received_ms: NOW,
+                received_ms: NOW_MS,
             },
         )
         .is_ok()
 }
 
-/// One signature each.
+/// A token that is not cached: one signature.
 #[divan::bench(sample_count = 200)]
 fn new_token(bencher: Bencher<'_, '_>) {
     let (identity, key) = identity();
-    let (identity, n) = (
-        std::cell::RefCell::new(identity),
-        std::cell::Cell::new(0u64),
-    );
+    let identity = RefCell::new(identity);
+    let token_number = Cell::new(0u64);
     bencher
         .with_inputs(|| {
-            n.set(n.get() + 1);
-            token(&key, &n.get().to_string())
+            token_number.set(token_number.get() + 1);
+            token(&key, &token_number.get().to_string())
         })
-        .bench_local_values(|token| assert!(ask(&mut identity.borrow_mut(), &token)));
+        .bench_local_values(|token| assert!(is_authenticated(&mut identity.borrow_mut(), &token)));
 }
 
-/// A digest, a look-up, and a look at what it rests on.
+/// A cached token: a digest, a look-up, and the checks of its claims.
 #[divan::bench]
 fn known_token(bencher: Bencher<'_, '_>) {
     let (mut identity, key) = identity();
     let token = token(&key, "1");
-    bencher.bench_local(|| assert!(ask(&mut identity, black_box(&token))));
+    bencher.bench_local(|| assert!(is_authenticated(&mut identity, black_box(&token))));
 }
 
-/// A digest and a look-up.
+/// A token that was denied before: a digest and a look-up.
 #[divan::bench]
 fn revoked_token_again(bencher: Bencher<'_, '_>) {
     let (mut identity, key) = identity();
     let token = token(&key, "gone");
-    bencher.bench_local(|| assert!(!ask(&mut identity, black_box(&token))));
+    bencher.bench_local(|| assert!(!is_authenticated(&mut identity, black_box(&token))));
 }
 
-/// Read, looked up, and refused without a signature.
+/// An expired token: parsed, its key looked up, and denied without a signature.
 #[divan::bench(sample_count = 200)]
 fn expired_token(bencher: Bencher<'_, '_>) {
     let (mut identity, key) = identity();
     let token = token(&key, "1");
     bencher.bench_local(|| {
-        let late = NOW * 1e3 + 1e6;
-        let ask = Credentials {
+        let late_ms = NOW_MS * 1e3 + 1e6;
+        let credentials = Credentials {
             token: Some(black_box(token.as_bytes())),
             certificate: None,
             edge_node: 1,
-            received_ms: late,
+            received_ms: late_ms,
         };
-        assert!(identity.authenticate(late, ask).is_err());
+        assert!(identity.authenticate(late_ms, credentials).is_err());
     });
 }
 
-/// Rights alone, for a caller that is known.
+/// Authorization alone.
 #[divan::bench]
 fn permit(bencher: Bencher<'_, '_>) {
     let (mut identity, key) = identity();
     let token = token(&key, "1");
-    let ask = Credentials {
+    let credentials = Credentials {
         token: Some(token.as_bytes()),
         certificate: None,
         edge_node: 1,
-        received_ms: NOW,
+        received_ms: NOW_MS,
+    };
+    let caller = identity.authenticate(NOW_MS, credentials).unwrap();
+    let request = AccessRequest {
+        request_class: 0,
+        declared_cost_ms: Some(1.0),
+        is_repeat: false,
     };
-    let caller = identity.authenticate(NOW, ask).unwrap();
     bencher.bench_local(|| {
-        let seat = identity
-            .authorize(NOW, &caller, 0, Some(1.0), false)
-            .unwrap();
-        identity.release(seat.unwrap());
+        let permit = identity.authorize(NOW_MS, &caller, &request).unwrap();
+        identity.release(permit.unwrap());
     });
 }
 
--- a/crates/asterdale-identity/src/denial.rs
+++ b/crates/asterdale-identity/src/denial.rs
@@ -1,77 +1,118 @@
-//! Who is calling, and why a caller was turned away: the words that all parts of this package share.
+//! Reasons for which a caller is denied, and the status that it is told.
 
-use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-use crate::token::Claims;
-
-/// Why a caller was turned away. In the words of the log and the counters.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a caller was denied. Logs carry the variant's name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DenialReason {
     /// There is neither a token nor a certificate.
+    #[error("the request carries neither a token nor a certificate")]
     MissingCredentials,
-    /// It can't be read, or has more or less than a token may have.
+    /// The token cannot be parsed, or breaks a limit.
+    #[error("the token is malformed")]
     Malformed,
-    /// Its algorithm is not the one that is taken.
+    /// The token's algorithm is not [`crate::token::ALGORITHM`].
+    #[error("the token's algorithm is not supported")]
     UnsupportedAlgorithm,
-    /// No set has held its key.
+    /// No key set so far contained the token's key.
+    #[error("the token's key is unknown")]
     KeyUnknown,
-    /// Its key does not sign yet.
+    /// The token's key is announced, and not active yet.
+    #[error("the token's key is not active yet")]
     KeyNotYetActive,
-    /// Its key's overlap has ended.
+    /// The token's key is retired.
+    #[error("the token's key is retired")]
     KeyRetired,
-    /// Its key is revoked.
+    /// The token's key is revoked.
+    #[error("the token's key is revoked")]
     KeyRevoked,
-    /// Its signature is not by its key.
+    /// The signature is not one of the token's key.
+    #[error("the token's signature is invalid")]
     BadSignature,
-    /// It is not valid yet.
+    /// The token or certificate is not valid yet.
+    #[error("the credentials are not valid yet")]
     NotYetValid,
-    /// It is not valid any more.
+    /// The token or certificate has expired.
+    #[error("the credentials have expired")]
     Expired,
-    /// Another issuer made it.
+    /// The token is of another issuer.
+    #[error("the token is of another issuer")]
     WrongIssuer,
-    /// It is meant for others.
+    /// The token is meant for another audience.
+    #[error("the token is meant for another audience")]
     WrongAudience,
-    /// Nobody is known by any name of the certificate.
+    /// No certificate mapping contains any of the certificate's names.
+    #[error("no name of the certificate is known")]
     UnknownCertificate,
-    /// It is revoked itself.
+    /// The token or certificate itself is revoked.
+    #[error("the credentials are revoked")]
     TokenRevoked,
-    /// Its subject is.
+    /// The subject is revoked.
+    #[error("the subject is revoked")]
     SubjectRevoked,
-    /// Its tenant is.
+    /// The tenant is revoked.
+    #[error("the tenant is revoked")]
     TenantRevoked,
-    /// No tenant of this name is known here.
+    /// The settings contain no tenant of this name.
+    #[error("the tenant is unknown")]
     UnknownTenant,
-    /// None of its roles is one that the tenant's people may have.
+    /// The tenant is granted none of the caller's roles.
+    #[error("the tenant is granted none of the caller's roles")]
     RoleNotGranted,
-    /// None of its roles may ask for this stage.
+    /// None of the caller's roles permits the request class.
+    #[error("no role of the caller permits the request class")]
     RequestClassNotAllowed,
-    /// It claims a larger cost than its role may.
+    /// The declared cost exceeds the role's limit.
+    #[error("the declared cost exceeds the role's limit")]
     CostNotAllowed,
-    /// The tenant has as many tasks open in this role as it may.
+    /// The tenant has reached the role's limit of concurrent requests.
+    #[error("the tenant has reached the role's concurrency limit")]
     ConcurrencyQuota,
-    /// The tenant's tasks in this role come faster than they may.
+    /// The tenant has exceeded the role's request rate.
+    #[error("the tenant has exceeded the role's request rate")]
     RateQuota,
-    /// There is no set of keys, or it is too old.
+    /// There is no key set, or it is too old.
+    #[error("there is no usable key set")]
     NoUsableKeySet,
-    /// Its edge node has used up the signatures that may be checked for it now.
+    /// The signature budget of the edge node, or of all, is used up.
+    #[error("the signature budget is used up")]
     SignatureBudget,
 }
 
-/// What is said to a caller that is turned away.
+/// The status that a denied caller is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DenialStatus {
-    /// 401: not known. Of the kind 'abandoned': nothing is said of whether anything ran.
+    /// 401: not authenticated. Says nothing about whether an earlier attempt ran.
     Unauthenticated,
-    /// 403: known, and not allowed. Likewise.
+    /// 403: authenticated and not permitted. Says nothing about whether an earlier attempt ran.
     Forbidden,
-    /// 429: allowed, and too much for now. This try never ran.
+    /// 429: permitted, and over its quota. This attempt did not run.
     QuotaExceeded,
-    /// 503: can't be told now. This try never ran.
+    /// 503: cannot be decided now. This attempt did not run.
     Unavailable,
 }
 
+/// A denial, with the time after which a retry may succeed.
+#[derive(Clone, Copy, Debug, PartialEq, Error)]
+#[error("{reason}")]
+pub struct Denial {
+    /// The reason.
+    pub reason: DenialReason,
+    /// When to retry, in milliseconds from now; 0 for no advice.
+    pub retry_after_ms: f64,
+}
+
+impl From<DenialReason> for Denial {
+    fn from(reason: DenialReason) -> Denial {
+        Denial {
+            reason,
+            retry_after_ms: 0.0,
+        }
+    }
+}
+
 impl DenialReason {
-    /// What is said.
+    /// The status that the caller is told.
     pub fn status(self) -> DenialStatus {
         use DenialReason::*;
         match self {
@@ -84,9 +125,9 @@
         }
     }
 
-    /// Whether the same bytes will be refused for it until the next set of keys comes, whenever they arrived.
-    /// What is over by time is not among it: a task that is read late may have come before that.
-    pub(crate) fn lasts_until_next_key_set(self) -> bool {
+    /// Whether the denial of a token may be cached until the next key set: it holds whenever the token was received. Reasons that
+    /// depend on the time do not count: a request that is read late may have been received before the expiry.
+    pub(crate) fn is_cacheable(self) -> bool {
         use DenialReason::*;
         matches!(
             self,
@@ -102,39 +143,3 @@
         )
     }
 }
-
-/// Who is calling: a token that was proven.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Caller {
-    /// The tenant's number, which no other tenant has in the life of this process.
-    pub tenant: u32,
-    /// The key that signed; a certificate's caller has none.
-    pub key: Option<String>,
-    /// What the token says, or what the start file says of the certificate.
-    pub claims: Claims,
-}
-
-impl Caller {
-    #[cfg(test)]
-    pub(crate) fn for_tests(tenant: u32, jti: &str) -> Caller {
-        let text = |text: &str| text.to_owned();
-        let aud = crate::token::Audience::One(text("asterdale"));
-        let (iss, sub, name, jti) = (text("i"), text("s"), tenant.to_string(), text(jti));
-        let claims = Claims {
-            iss,
-            aud,
-            sub,
-            tenant: name,
-            roles: vec![],
-            exp: 1e9,
-            nbf: None,
-            iat: None,
-            jti,
-        };
-        Caller {
-            tenant,
-            key: Some(text("k")),
-            claims,
-        }
-    }
-}
--- a/crates/asterdale-identity/src/failpoint.rs
+++ b/crates/asterdale-identity/src/failpoint.rs
@@ -1,4 +1,4 @@
-//! Failpoints of identity, idempotency and hot restart, each of which a proof must find.
+//! Failpoints of identity, idempotency and hot restart. Each injects a fault that a proof must detect.
 
 asterdale_failpoints::failpoints! {
     /// The overlap of an outgoing key never ends.
--- a/crates/asterdale-identity/src/lib.rs
+++ b/crates/asterdale-identity/src/lib.rs
@@ -1,29 +1,34 @@
-//! Who is calling, and what the caller may ask for. Bytes and times come in, verdicts go out: there is no I/O
-//! and no clock here. Times are Unix milliseconds, as `f64`, by whatever clock the host keeps.
+//! Authentication and authorization of callers. It has no I/O and no clock: bytes and times are passed in, decisions are
+//! returned. Times are Unix milliseconds as `f64`, by the caller's clock.
 //!
-//! A task passes two gates. [`Identity::identify`] says who asks: a token is read, its key looked up in the
-//! [`keyring`], its signature checked (or remembered, see [`cache`]), all within what [`budget`] lets its edge
-//! node cost. [`Identity::permit`] says whether that caller may have this task now, by its [`rights`].
+//! A request passes two checks. [`Identity::authenticate`] finds out who sends it: it parses the token, looks its key up
+//! in the [`keyring`] and verifies the signature, within a budget for each edge node, or finds the token in the cache of
+//! verified tokens. [`Identity::authorize`] then decides by the caller's tenant and roles whether the request may run now.
 //!
-//! `docs/identity.md` weighs the ways and holds the table of answers.
+//! `docs/identity.md` compares the alternatives to this design and lists the responses.
 
-pub mod authorization;
-pub mod budget;
-pub mod cache;
+mod authorization;
+mod caller;
+mod credentials;
 mod denial;
+mod error;
 pub mod failpoint;
-mod gates;
+mod identity;
+mod json_depth;
+mod jws;
 pub mod keyring;
 pub mod mint;
 pub mod refresh;
-pub mod rotation;
+mod settings;
+mod signature_budget;
 pub mod token;
+mod token_bucket;
+mod token_cache;
 
-pub use denial::{Caller, DenialReason, DenialStatus};
-pub use gates::{
-    Certificate, CertificateMapping, ConcurrencyPermit, Credentials, Identity, IdentitySettings,
-    IdentityState,
-};
-
-#[cfg(test)]
-mod tests;
+pub use authorization::{AccessRequest, Authorizer, ConcurrencyPermit, MAX_ROLES, MAX_TENANTS};
+pub use caller::Caller;
+pub use credentials::{Certificate, Credentials};
+pub use denial::{Denial, DenialReason, DenialStatus};
+pub use error::IdentityError;
+pub use identity::{Identity, IdentityState};
+pub use settings::{CertificateMapping, IdentitySettings, Role, Tenant};
--- a/crates/asterdale-identity/src/mint.rs
+++ b/crates/asterdale-identity/src/mint.rs
@@ -1,14 +1,15 @@
-//! The issuer's side: secret keys, tokens and signed sets of keys. For the command line and for stand-ins; a
-//! serving process has no secret.
+//! The issuer's side: secret keys, tokens and signed key sets. It serves the command line and test stand-ins; a serving
+//! process has no secret key.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use ed25519_dalek::{Signer, SigningKey, VerifyingKey};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
+use thiserror::Error;
 use zeroize::{Zeroize, ZeroizeOnDrop, Zeroizing};
 
-use crate::keyring::{KeySet, KEY_SET_TYPE};
+use crate::keyring::{KeySet, CURVE, KEY_SET_TYPE, KEY_TYPE};
 use crate::token::{Claims, ALGORITHM};
 
 /// A key that signs. Its secret half is wiped when it is dropped, and never printed.
@@ -17,24 +18,49 @@
     key: SigningKey,
 }
 
-/// A secret key as a file holds it: a JWK of RFC 8037.
+/// Why a secret key could not be made or parsed. It names the field, never its content.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum SecretKeyError {
+    /// The system's random number generator failed.
+    #[error("the system gives no random bytes: {0}")]
+    Random(#[from] getrandom::Error),
+    /// The text is no private JWK.
+    #[error("this is no private JWK")]
+    NotPrivateJwk,
+    /// The key is of another type or curve.
+    #[error("kty, crv: only OKP and Ed25519 are supported")]
+    UnsupportedKeyType,
+    /// The secret is not encoded in base64url.
+    #[error("d: this is not base64url")]
+    InvalidEncoding,
+    /// The secret is not 32 bytes long.
+    #[error("d: this is not 32 bytes long")]
+    InvalidLength,
+    /// The public key does not belong to the secret.
+    #[error("x: this is not the public key of d")]
+    PublicKeyMismatch,
+}
+
+/// A secret key as a file contains it: a JWK of RFC 8037.
 #[derive(Serialize, Deserialize, Zeroize, ZeroizeOnDrop)]
 struct SecretJwk {
     kty: String,
     crv: String,
     kid: String,
-    x: String,
-    d: String,
+    #[serde(rename = "x")]
+    public_key: String,
+    #[serde(rename = "d")]
+    secret_key: String,
 }
 
 impl std::fmt::Debug for SecretKey {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Secret({})", self.id)
+        write!(f, "SecretKey({})", self.id)
     }
 }
 
 impl SecretKey {
-    /// The key that these bytes make.
+    /// The key with these secret bytes.
     pub fn from_seed(seed: [u8; 32], id: &str) -> SecretKey {
         let seed = Zeroizing::new(seed);
         SecretKey {
@@ -43,116 +69,98 @@
         }
     }
 
-    /// A new key, from the system's source of chance.
-    pub fn generate(id: &str) -> Result<SecretKey, String> {
+    /// A new key, from the system's random number generator.
+    ///
+    /// # Errors
+    /// [`SecretKeyError::Random`].
+    pub fn generate(id: &str) -> Result<SecretKey, SecretKeyError> {
         let mut seed = Zeroizing::new([0; 32]);
-        getrandom::fill(seed.as_mut()).map_err(|e| format!("no random bytes: {e}"))?;
+        getrandom::fill(seed.as_mut())?;
         Ok(SecretKey {
             id: id.to_owned(),
             key: SigningKey::from_bytes(&seed),
         })
     }
 
-    /// Its id.
+    /// The key id.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Its public half.
+    /// The public key.
     pub fn public_key(&self) -> VerifyingKey {
         self.key.verifying_key()
     }
 
-    /// Its public half as start files and sets of keys hold it.
+    /// The public key in base64url, as start files and key sets contain it.
     pub fn public_key_text(&self) -> String {
         URL_SAFE_NO_PAD.encode(self.public_key().as_bytes())
     }
 
-    /// The text of its file, which tells the secret.
+    /// The text of the key file, which contains the secret.
     pub fn to_jwk(&self) -> Zeroizing<String> {
         let secret = Zeroizing::new(self.key.to_bytes());
         let jwk = SecretJwk {
-            kty: "OKP".to_owned(),
-            crv: "Ed25519".to_owned(),
+            kty: KEY_TYPE.to_owned(),
+            crv: CURVE.to_owned(),
             kid: self.id.clone(),
-            x: self.public_key_text(),
-            d: URL_SAFE_NO_PAD.encode(secret.as_ref()),
+            public_key: self.public_key_text(),
+            secret_key: URL_SAFE_NO_PAD.encode(secret.as_ref()),
         };
         Zeroizing::new(serde_json::to_string_pretty(&jwk).unwrap_or_default())
     }
 
-    /// Reads such a text. An error names the field, never its content.
-    pub fn from_jwk(text: &str) -> Result<SecretKey, String> {
+    /// Parses the text of a key file.
+    ///
+    /// # Errors
+    /// [`SecretKeyError`], without any content of the file.
+    pub fn from_jwk(text: &str) -> Result<SecretKey, SecretKeyError> {
         let jwk: SecretJwk =
-            serde_json::from_str(text).map_err(|_| "this is no private JWK".to_owned())?;
-        if jwk.kty != "OKP" || jwk.crv != "Ed25519" {
-            return Err("kty, crv: OKP and Ed25519 are wanted".to_owned());
+            serde_json::from_str(text).map_err(|_| SecretKeyError::NotPrivateJwk)?;
+        if jwk.kty != KEY_TYPE || jwk.crv != CURVE {
+            return Err(SecretKeyError::UnsupportedKeyType);
         }
-        let bytes = Zeroizing::new(
-            URL_SAFE_NO_PAD
-                .decode(&jwk.d)
-                .map_err(|_| "d: base64url is wanted")?,
-        );
-        let seed = <[u8; 32]>::try_from(bytes.as_slice()).map_err(|_| "d: 32 bytes are wanted")?;
+        let decoded = URL_SAFE_NO_PAD
+            .decode(&jwk.secret_key)
+            .map_err(|_| SecretKeyError::InvalidEncoding)?;
+        let bytes = Zeroizing::new(decoded);
+        let seed =
+            <[u8; 32]>::try_from(bytes.as_slice()).map_err(|_| SecretKeyError::InvalidLength)?;
         let secret = SecretKey::from_seed(seed, &jwk.kid);
-        if secret.public_key_text() != jwk.x {
-            return Err("x: this is not the public half of d".to_owned());
+        if secret.public_key_text() != jwk.public_key {
+            return Err(SecretKeyError::PublicKeyMismatch);
         }
         Ok(secret)
     }
 
-    /// A token with these claims.
+    /// Signs a token with these claims.
     pub fn sign_token(&self, claims: &Claims) -> String {
-        sign_jws(
-            self,
-            &json!({"alg": ALGORITHM, "kid": self.id, "typ": "JWT"}),
-            &json!(claims),
-        )
+        self.sign_typed("JWT", &json!(claims))
     }
 
-    /// A set of keys, signed. The key is a root.
+    /// Signs a key set. Servers accept it if this key is a root key.
     pub fn sign_key_set(&self, set: &KeySet) -> String {
-        sign_jws(
-            self,
-            &json!({"alg": ALGORITHM, "kid": self.id, "typ": KEY_SET_TYPE}),
-            &json!(set),
-        )
+        self.sign_typed(KEY_SET_TYPE, &json!(set))
+    }
+
+    fn sign_typed(&self, media_type: &str, payload: &Value) -> String {
+        let header = json!({"alg": ALGORITHM, "kid": self.id, "typ": media_type});
+        sign_jws(self, &header, payload)
     }
 }
 
-/// A JWS in compact form, whatever its head says.
-pub fn sign_jws(secret: &SecretKey, head: &Value, body: &Value) -> String {
-    sign_jws_bytes(secret, head, body.to_string().as_bytes())
+/// Signs a JWS in compact serialization, whatever its header says.
+pub fn sign_jws(key: &SecretKey, header: &Value, payload: &Value) -> String {
+    sign_jws_bytes(key, header, payload.to_string().as_bytes())
 }
 
-/// The same with a body that need not be JSON.
-pub fn sign_jws_bytes(secret: &SecretKey, head: &Value, body: &[u8]) -> String {
-    let mut text = URL_SAFE_NO_PAD.encode(head.to_string());
+/// As [`sign_jws`], with a payload that need not be JSON.
+pub fn sign_jws_bytes(key: &SecretKey, header: &Value, payload: &[u8]) -> String {
+    let mut text = URL_SAFE_NO_PAD.encode(header.to_string());
     text.push('.');
-    URL_SAFE_NO_PAD.encode_string(body, &mut text);
-    let signature = secret.key.sign(text.as_bytes());
+    URL_SAFE_NO_PAD.encode_string(payload, &mut text);
+    let signature = key.key.sign(text.as_bytes());
     text.push('.');
     URL_SAFE_NO_PAD.encode_string(signature.to_bytes(), &mut text);
     text
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_secret_comes_back_from_its_file_and_is_never_shown() {
-        let secret = SecretKey::generate("k1").unwrap();
-        let text = secret.to_jwk();
-        let again = SecretKey::from_jwk(&text).unwrap();
-        assert_eq!(
-            (again.id(), again.public_key()),
-            ("k1", secret.public_key())
-        );
-        assert_eq!(format!("{secret:?}"), "Secret(k1)");
-        let other = SecretKey::generate("k1").unwrap();
-        let wrong = text.replace(&secret.public_key_text(), &other.public_key_text());
-        assert!(SecretKey::from_jwk(&wrong).unwrap_err().starts_with("x: "));
-        assert!(SecretKey::from_jwk("{}").is_err());
-    }
-}
--- a/crates/asterdale-identity/tests/stored_keys.rs
+++ b/crates/asterdale-identity/tests/stored_keys.rs
@@ -2,14 +2,13 @@
 //! names, judge callers as before, and are written again byte for byte. Times are passed in. `fixtures/keys/README.md`
 //! says how the files were made.
 
-use asterdale_identity::authorization::{Role, Tenant};
 use asterdale_identity::keyring::{
     parse_public_key, KeySet, KeySetError, KeySetOutcome, Keyring, Phase, PublicJwk, Revocations,
     KEY_SET_TYPE,
 };
 use asterdale_identity::mint::SecretKey;
 use asterdale_identity::token::{self, Audience, Claims, JwsHeader};
-use asterdale_identity::{Credentials, DenialReason, Identity, IdentitySettings};
+use asterdale_identity::{Credentials, DenialReason, Identity, IdentitySettings, Role, Tenant};
 
 const ROOT: &str = include_str!("fixtures/keys/root-1.jwk");
 const SIGN: &str = include_str!("fixtures/keys/sign-2.jwk");
@@ -34,7 +33,7 @@
             kty,
             crv,
             kid: text(kid),
-            x: text(x),
+            public_key: text(x),
             from_ms,
             until_ms,
         }
--- a/crates/asterdale-testkit/src/flood.rs
+++ b/crates/asterdale-testkit/src/flood.rs
@@ -110,11 +110,15 @@
     (good.load(Relaxed), other.load(Relaxed), times)
 }
 
+fn generate_key(id: &str) -> Result<SecretKey, String> {
+    SecretKey::generate(id).map_err(|error| error.to_string())
+}
+
 /// Measures; the figures.
 pub fn measure(order: &Order) -> Result<Value, String> {
     let told = |e: std::io::Error| e.to_string();
     let (worker, now) = (Worker::start(4, (1, 3)).map_err(told)?, unix_ms());
-    let (root, key) = (SecretKey::generate("root")?, SecretKey::generate("k")?);
+    let (root, key) = (generate_key("root")?, generate_key("k")?);
     let set = json!({"seq": 1, "issued_ms": now, "keys": [{"kty": "OKP", "crv": "Ed25519", "kid": "k",
         "x": key.public_key_text(), "from_ms": 0}], "revoked": {"tokens": ["bad"]}});
     let head =
--- a/crates/asterdale-testkit/src/proofs/rotation.rs
+++ b/crates/asterdale-testkit/src/proofs/rotation.rs
@@ -175,7 +175,7 @@
         kty: "OKP".to_owned(),
         crv: "Ed25519".to_owned(),
         kid: key.id.clone(),
-        x: SecretKey::from_seed(key.seed, &key.id).public_key_text(),
+        public_key: SecretKey::from_seed(key.seed, &key.id).public_key_text(),
         from_ms: key.from,
         until_ms: key.until.is_finite().then_some(key.until),
     };
