--- a/crates/asterdale-daemon/src/cli.rs
+++ b/crates/asterdale-daemon/src/cli.rs
@@ -167,6 +167,7 @@
                 .unwrap_or_default();
             crate::upgrade::request_upgrade(&control, &binary, |phase| println!("{phase}"))
                 .map(|process| println!("done: process {process} serves"))
+                .map_err(|e| e.to_string())
         }
         #[cfg(feature = "fleet")]
         Some(Command::Fleet(command)) => return crate::fleet::run(&command),
--- a/crates/asterdale-daemon/src/main.rs
+++ b/crates/asterdale-daemon/src/main.rs
@@ -227,7 +227,8 @@
     #[cfg_attr(not(feature = "upgrade"), expect(unused_mut))]
     let mut doors = doors(&start)?;
     #[cfg(feature = "upgrade")]
-    let mut taken = upgrade::inherit(start.settings.class_names.len(), start.max_descriptors)?;
+    let mut taken = upgrade::inherit(start.settings.class_names.len(), start.max_descriptors)
+        .map_err(|e| e.to_string())?;
     #[cfg(feature = "upgrade")]
     if let Some(taken) = &taken {
         // No two connections of processes that know of each other have the same number.
@@ -411,7 +412,7 @@
     let told = |e: std::io::Error| format!("upgrade: {e}");
     let socket = match taken {
         Some(taken) => taken.control.try_clone().map_err(told)?,
-        None => upgrade::bind_control_socket(&path)?,
+        None => upgrade::bind_control_socket(&path).map_err(|e| e.to_string())?,
     };
     let control = upgrade::ControlServer {
         path,
--- /dev/null
+++ b/crates/asterdale-daemon/src/upgrade/mirror.rs
@@ -0,0 +1,84 @@
+//! Events that the new process mirrors to the old one, as messages. From them the old process knows all that was started,
+//! should it have to take over again.
+
+use asterdale_engine::message::{IdempotencyKey, RequestId, TaskId};
+use asterdale_engine::state_transfer::MirroredEvent;
+use asterdale_hot_restart::message::Mirror;
+
+/// Numbers of the events in messages.
+const KEY_RETAINED: u32 = 0;
+const TASK_STARTED: u32 = 1;
+const TASK_ENDED: u32 = 2;
+const KEY_DROPPED: u32 = 3;
+
+/// The message of an event.
+pub fn mirror_frame(event: MirroredEvent) -> Mirror {
+    let of_key = |key: IdempotencyKey, owner: TaskId, event: u32| Mirror {
+        idempotency_key: key.bytes.to_vec(),
+        request_class: key.class as u32,
+        tenant: key.tenant,
+        owner,
+        event,
+        ..Mirror::default()
+    };
+    match event {
+        MirroredEvent::KeyRetained {
+            mark,
+            owner: (owner, sign),
+            until,
+        } => Mirror {
+            body_digest: sign,
+            expires_ms: until,
+            ..of_key(mark, owner, KEY_RETAINED)
+        },
+        MirroredEvent::TaskStarted {
+            id,
+            mark: Some((mark, owner)),
+        } => Mirror {
+            request_id: id.to_vec(),
+            ..of_key(mark, owner, TASK_STARTED)
+        },
+        MirroredEvent::TaskStarted { id, mark: None } => Mirror {
+            request_id: id.to_vec(),
+            event: TASK_STARTED,
+            ..Mirror::default()
+        },
+        MirroredEvent::TaskEnded {
+            mark,
+            owner,
+            result,
+        } => Mirror {
+            result: result.map(|result| result.to_vec()),
+            ..of_key(mark, owner, TASK_ENDED)
+        },
+        MirroredEvent::KeyDropped { mark, owner } => of_key(mark, owner, KEY_DROPPED),
+    }
+}
+
+/// The event of a message; `None` if it is malformed, or of a kind that this release does not know.
+pub fn mirrored_event(frame: Mirror) -> Option<MirroredEvent> {
+    let owner = frame.owner;
+    let mark = IdempotencyKey {
+        class: frame.request_class as usize,
+        tenant: frame.tenant,
+        bytes: frame.idempotency_key.into(),
+    };
+    Some(match frame.event {
+        KEY_RETAINED => MirroredEvent::KeyRetained {
+            mark,
+            owner: (owner, frame.body_digest),
+            until: frame.expires_ms,
+        },
+        TASK_STARTED => MirroredEvent::TaskStarted {
+            id: RequestId::try_from(frame.request_id.as_slice()).ok()?,
+            mark: (!mark.bytes.is_empty()).then_some((mark, owner)),
+        },
+        TASK_ENDED => MirroredEvent::TaskEnded {
+            mark,
+            owner,
+            result: frame.result.map(Into::into),
+        },
+        KEY_DROPPED => MirroredEvent::KeyDropped { mark, owner },
+        _ => return None,
+    })
+}
--- /dev/null
+++ b/crates/asterdale-daemon/src/upgrade/relay.rs
@@ -0,0 +1,226 @@
+//! What the two processes relay to each other once the new one serves: requests that arrive over connections of the old
+//! process, and their replies.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use asterdale::events::Outcome;
+use asterdale_engine::message::{
+    Connection, EngineMessage, IdempotencyKey, Reply, Request, RequestHead, RequestId,
+    ResponseRoute, TaskId,
+};
+use asterdale_engine::state_transfer::{HotRestartStep, SuccessorLink};
+use asterdale_hot_restart::message::frame::Payload;
+use asterdale_hot_restart::message::{
+    Abort, CallEnded, HealthCheck, Release, Request as RequestFrame,
+};
+
+use super::channel::FrameWriter;
+use super::mirror::mirrored_event;
+use super::reply::{reply, reply_frame, route, route_frame};
+
+/// The longest time unread that a relayed request may claim, in seconds.
+const MAX_UNREAD_SECONDS: f64 = 3600.0;
+
+/// A connection of the old process, as the new process sees it.
+pub struct RemoteConnection {
+    /// The connection's number in the old process.
+    pub connection: u64,
+    /// To the old process.
+    pub writer: FrameWriter,
+}
+
+impl Connection for RemoteConnection {
+    fn connection(&self) -> u64 {
+        self.connection
+    }
+
+    fn answer(self: Arc<Self>, request: u16, reply: Reply) {
+        // If the old process has ended, so have its connections.
+        let _ = self.writer.send(Payload::Reply(reply_frame(
+            (self.connection, request),
+            &reply,
+        )));
+    }
+
+    fn discard_request(&self) {}
+}
+
+/// The new process, as the old process's engine sees it. What can't be sent is lost with the new process, whose end is
+/// an event of its own.
+pub struct NewProcessLink(pub FrameWriter);
+
+/// Outcomes of calls by their number in a message.
+const OUTCOMES: [Outcome; 8] = [
+    Outcome::Ok,
+    Outcome::Failed,
+    Outcome::Rejected,
+    Outcome::TimedOut,
+    Outcome::Unreachable,
+    Outcome::Reset,
+    Outcome::Cancelled,
+    Outcome::Stale,
+];
+/// The number of [`Outcome::Failed`].
+const FAILED_OUTCOME: usize = 1;
+
+impl SuccessorLink for NewProcessLink {
+    fn task(&mut self, route: ResponseRoute, request: &Request) {
+        // Here and below: see the type.
+        let _ = self.0.send(Payload::Request(request_frame(route, request)));
+    }
+
+    fn check(&mut self, route: ResponseRoute, is_deep: bool) {
+        let _ = self.0.send(Payload::HealthCheck(HealthCheck {
+            route: route_frame(route),
+            is_deep,
+        }));
+    }
+
+    fn left(&mut self, connection: u64, request: Option<u16>) {
+        let _ = self.0.send(Payload::Abort(Abort {
+            route: route_frame((connection, request.unwrap_or(0))),
+            entire_connection: request.is_none(),
+        }));
+    }
+
+    fn called(&mut self, task_id: TaskId, outcome: Outcome, took_ms: f64, body: &[u8]) {
+        let outcome = OUTCOMES.iter().position(|known| *known == outcome);
+        let _ = self.0.send(Payload::CallEnded(CallEnded {
+            task_id,
+            outcome: outcome.unwrap_or(FAILED_OUTCOME) as u32,
+            took_ms,
+            body: body.to_vec(),
+        }));
+    }
+
+    fn done(&mut self) {
+        let _ = self.0.send(Payload::Release(Release {}));
+    }
+}
+
+/// The message of a request.
+fn request_frame(route: ResponseRoute, request: &Request) -> RequestFrame {
+    let RequestHead {
+        id,
+        class,
+        tenant,
+        start_ms,
+        edge_node,
+        timeout_ms,
+        cost_hint_ms,
+        memory_kb,
+        idempotency_key,
+    } = &request.head;
+    RequestFrame {
+        route: route_frame(route),
+        id: id.to_vec(),
+        request_class: *class as u32,
+        tenant: *tenant,
+        start_ms: *start_ms,
+        edge_node: *edge_node,
+        timeout_ms: *timeout_ms,
+        cost_hint_ms: *cost_hint_ms,
+        memory_kb: *memory_kb,
+        idempotency_key: idempotency_key.as_ref().map(|key| key.bytes.to_vec()),
+        body: request.body.clone(),
+        token: request.token.as_deref().map(<[u8]>::to_vec),
+        unread_ms: request.received_at.elapsed().as_secs_f64() * 1e3,
+    }
+}
+
+/// The engine message that a message of the old process stands for; `None` for one that is malformed, or of no use in the
+/// new process. `class_count` is the number of request classes.
+pub fn engine_message(
+    payload: Payload,
+    writer: &FrameWriter,
+    class_count: usize,
+) -> Option<EngineMessage> {
+    let client = |connection| -> Arc<dyn Connection> {
+        Arc::new(RemoteConnection {
+            connection,
+            writer: writer.clone(),
+        })
+    };
+    Some(match payload {
+        Payload::Request(frame) => {
+            let (connection, request) = route(frame.route)?;
+            let head = request_head(&frame, class_count)?;
+            EngineMessage::Request(Box::new(Request {
+                head,
+                received_at: received_at(frame.unread_ms),
+                token: frame.token.map(Into::into),
+                certificate: None,
+                body: frame.body,
+                client: client(connection),
+                request,
+            }))
+        }
+        Payload::HealthCheck(check) => {
+            let (connection, request) = route(check.route)?;
+            EngineMessage::HealthCheck {
+                client: client(connection),
+                request,
+                deep: check.is_deep,
+            }
+        }
+        Payload::Abort(abort) => {
+            let route = route(abort.route)?;
+            if abort.entire_connection {
+                EngineMessage::ConnectionClosed(route.0)
+            } else {
+                EngineMessage::Abort(route)
+            }
+        }
+        Payload::CallEnded(call) => EngineMessage::CallEnded {
+            who: call.task_id,
+            outcome: *OUTCOMES.get(call.outcome as usize)?,
+            took_ms: call.took_ms,
+            body: call.body,
+        },
+        _ => return None,
+    })
+}
+
+/// The head of a request; `None` if its id is malformed or its class unknown.
+fn request_head(frame: &RequestFrame, class_count: usize) -> Option<RequestHead> {
+    let class = frame.request_class as usize;
+    let id = RequestId::try_from(frame.id.as_slice())
+        .ok()
+        .filter(|_| class < class_count)?;
+    let idempotency_key = frame.idempotency_key.as_deref().map(|key| IdempotencyKey {
+        class,
+        tenant: frame.tenant,
+        bytes: key.into(),
+    });
+    Some(RequestHead {
+        id,
+        class,
+        tenant: frame.tenant,
+        start_ms: frame.start_ms,
+        edge_node: frame.edge_node,
+        timeout_ms: frame.timeout_ms,
+        cost_hint_ms: frame.cost_hint_ms,
+        memory_kb: frame.memory_kb,
+        idempotency_key,
+    })
+}
+
+/// When a request arrived that has been unread for this long; now if that is before the clock's start.
+fn received_at(unread_ms: f64) -> Instant {
+    let unread = Duration::from_secs_f64((unread_ms / 1e3).clamp(0.0, MAX_UNREAD_SECONDS));
+    let now = Instant::now();
+    now.checked_sub(unread).unwrap_or(now)
+}
+
+/// The step of the old process's engine that a message of the new process stands for; `None` for one that is malformed, or
+/// of no use there.
+pub fn hot_restart_step(payload: Payload) -> Option<HotRestartStep> {
+    match payload {
+        Payload::Reply(frame) => {
+            reply(frame).map(|(route, reply)| HotRestartStep::PeerReply(route, reply))
+        }
+        Payload::Mirror(frame) => mirrored_event(frame).map(HotRestartStep::Mirrored),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/crates/asterdale-daemon/src/upgrade/reply.rs
@@ -0,0 +1,75 @@
+//! Replies and their routes as messages, with a number for each kind of reply.
+
+use asterdale_engine::message::{Reply, ResponseRoute};
+use asterdale_hot_restart::message::{Reply as ReplyFrame, ResponseRoute as RouteFrame};
+use asterdale_identity::Kind;
+
+/// The message of a route.
+pub fn route_frame(route: ResponseRoute) -> Option<RouteFrame> {
+    Some(RouteFrame {
+        connection: route.0,
+        request: route.1.into(),
+    })
+}
+
+/// The route of a message; `None` if it has none, or one that is out of range.
+pub fn route(frame: Option<RouteFrame>) -> Option<ResponseRoute> {
+    let frame = frame?;
+    Some((frame.connection, frame.request.try_into().ok()?))
+}
+
+/// The message of a reply.
+pub fn reply_frame(route: ResponseRoute, reply: &Reply) -> ReplyFrame {
+    let (kind, number, body) = match reply {
+        Reply::Served(body) => (0, 0, body.to_vec()),
+        Reply::Rejected { last, stay_away_ms } => {
+            (1, stay_away_ms << 1 | u64::from(*last), Vec::new())
+        }
+        Reply::Overloaded => (2, 0, Vec::new()),
+        Reply::Failed | Reply::Unknown { .. } => (3, 0, Vec::new()),
+        Reply::Malformed => (4, 0, Vec::new()),
+        Reply::CallerGone => (5, 0, Vec::new()),
+        Reply::HealthChecked(good) => (6, u64::from(*good), Vec::new()),
+        Reply::Denied { kind, wait_ms } => {
+            let kind = match kind {
+                Kind::Unknown => 7,
+                Kind::Forbidden => 8,
+                Kind::Over => 9,
+                Kind::Unable => 10,
+            };
+            (kind, *wait_ms, Vec::new())
+        }
+    };
+    ReplyFrame {
+        route: route_frame(route),
+        kind,
+        body,
+        number,
+    }
+}
+
+/// The reply of a message, and its route. A reply of an unknown kind counts as failed, which promises nothing.
+pub fn reply(frame: ReplyFrame) -> Option<(ResponseRoute, Reply)> {
+    let number = frame.number;
+    let denied = |kind| Reply::Denied {
+        kind,
+        wait_ms: number,
+    };
+    let reply = match frame.kind {
+        0 => Reply::Served(frame.body.into()),
+        1 => Reply::Rejected {
+            last: number & 1 == 1,
+            stay_away_ms: number >> 1,
+        },
+        2 => Reply::Overloaded,
+        4 => Reply::Malformed,
+        5 => Reply::CallerGone,
+        6 => Reply::HealthChecked(number == 1),
+        7 => denied(Kind::Unknown),
+        8 => denied(Kind::Forbidden),
+        9 => denied(Kind::Over),
+        10 => denied(Kind::Unable),
+        _ => Reply::Failed,
+    };
+    Some((route(frame.route)?, reply))
+}
--- a/crates/asterdale-daemon/src/upgrade/stored.rs
+++ b/crates/asterdale-daemon/src/upgrade/stored.rs
@@ -1,20 +1,28 @@
-//! Frames that the side of a hot restart before this release wrote mean the same replies, requests, outcomes and words to
-//! a guardian: the numbers by which frames carry them are theirs. `tests/fixtures/frames/README.md` says how the file was
+//! Frames of a hot restart that an earlier release wrote mean the same replies, requests, outcomes and mirrored events: the
+//! numbers that stand for them have not changed. `tests/fixtures/frames/README.md` says how the file was
 //! made.
 
+use std::os::unix::net::UnixStream;
+
 use asterdale::events::Outcome;
-use asterdale_engine::message::{IdempotencyKey, Reply, ResponseRoute};
-use asterdale_engine::state_transfer::MirroredEvent;
-use asterdale_hot_restart::frame::{encode, Incoming};
-use asterdale_hot_restart::message::{Left, Mirror, Reply as ReplyFrame, Task};
+use asterdale_engine::message::{EngineMessage, IdempotencyKey, Reply, ResponseRoute};
+use asterdale_engine::state_transfer::{HotRestartStep, MirroredEvent};
+use asterdale_hot_restart::frame::{encode, FrameDecoder};
+use asterdale_hot_restart::message::frame::Payload;
+use asterdale_hot_restart::message::{
+    Abort, CallEnded, Mirror, Reply as ReplyFrame, Request as RequestFrame,
+};
 use asterdale_identity::Kind;
 
-use super::port::{from_after, from_before, hello, mirror_frame};
-use super::wire::{open, reply, reply_frame, way_frame};
-use super::*;
+use super::channel::open_channel;
+use super::mirror::mirror_frame;
+use super::new_process::hello;
+use super::relay::{engine_message, hot_restart_step};
+use super::reply::{reply, reply_frame, route_frame};
+use super::{CONTROL_VARIABLE, NONCE_VARIABLE};
 
 const FRAMES: &[u8] = include_bytes!("../../tests/fixtures/frames/meanings.bin");
-const WAY: ResponseRoute = (1 << 40, 513);
+const ROUTE: ResponseRoute = (1 << 40, 513);
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Failed,
@@ -58,8 +66,8 @@
     ]
 }
 
-/// Each word to a guardian, by the number that stands for it.
-fn words() -> Vec<(u32, MirroredEvent)> {
+/// A mirrored event of each kind, by the number that stands for it.
+fn mirrored_events() -> Vec<(u32, MirroredEvent)> {
     let mark = || IdempotencyKey {
         class: 1,
         tenant: 2,
@@ -109,17 +117,17 @@
     ]
 }
 
-fn task() -> Task {
-    Task {
-        way: way_frame(WAY),
+fn request() -> RequestFrame {
+    RequestFrame {
+        route: route_frame(ROUTE),
         id: b"9b1f03aa5c7e2d41".to_vec(),
-        stage: 1,
+        request_class: 1,
         start_ms: 1_700_000_000_123.5,
-        caller: 3,
+        edge_node: 3,
         timeout_ms: Some(900.25),
-        hint_ms: Some(12.5),
-        kb: 6.75,
-        mark: Some(b"key-1".to_vec()),
+        cost_hint_ms: Some(12.5),
+        memory_kb: 6.75,
+        idempotency_key: Some(b"key-1".to_vec()),
         body: b"body".to_vec(),
         token: Some(b"token".to_vec()),
         unread_ms: 4.5,
@@ -128,37 +136,37 @@
 }
 
 /// The frames in the order of the file.
-fn frames() -> Vec<What> {
+fn frames() -> Vec<Payload> {
     let replies = replies()
         .into_iter()
-        .map(|(_, reply)| What::Reply(reply_frame(WAY, &reply)));
-    let words = words()
+        .map(|(_, reply)| Payload::Reply(reply_frame(ROUTE, &reply)));
+    let events = mirrored_events()
         .into_iter()
-        .map(|(_, word)| What::Mirror(mirror_frame(word)));
-    let called = (0..8).map(|outcome| {
-        What::Called(message::Called {
-            who: 77,
+        .map(|(_, event)| Payload::Mirror(mirror_frame(event)));
+    let calls = (0..8).map(|outcome| {
+        Payload::CallEnded(CallEnded {
+            task_id: 77,
             outcome,
             took_ms: 41.5,
             body: b"reply".to_vec(),
         })
     });
-    let left = |all| {
-        What::Left(Left {
-            way: way_frame(WAY),
-            all,
+    let abort = |entire_connection| {
+        Payload::Abort(Abort {
+            route: route_frame(ROUTE),
+            entire_connection,
         })
     };
     let mut all = vec![hello(b"nonce".to_vec())];
-    all.extend(replies.chain(words).chain(called));
-    all.extend([What::Task(task()), left(false), left(true)]);
+    all.extend(replies.chain(events).chain(calls));
+    all.extend([Payload::Request(request()), abort(false), abort(true)]);
     all
 }
 
-fn stored() -> Vec<What> {
-    let mut incoming = Incoming::default();
-    incoming.add(FRAMES);
-    std::iter::from_fn(|| incoming.take().unwrap()).collect()
+fn stored() -> Vec<Payload> {
+    let mut decoder = FrameDecoder::default();
+    decoder.push(FRAMES);
+    std::iter::from_fn(|| decoder.next_message().unwrap()).collect()
 }
 
 #[test]
@@ -168,40 +176,43 @@
 }
 
 #[test]
-fn stored_replies_and_words_to_a_guardian_mean_the_same() {
+fn stored_replies_and_mirrored_events_mean_the_same() {
     let mut stored = stored().into_iter();
-    let Some(What::Hello(hello)) = stored.next() else {
+    let Some(Payload::Hello(hello)) = stored.next() else {
         panic!("no greeting")
     };
     assert_eq!(
-        (hello.version, hello.shape, &hello.nonce[..]),
+        (hello.version, hello.state_format, &hello.nonce[..]),
         (1, 1, &b"nonce"[..])
     );
     for (number, expected) in replies() {
-        let Some(What::Reply(frame)) = stored.next() else {
+        let Some(Payload::Reply(frame)) = stored.next() else {
             panic!("no reply")
         };
-        assert_eq!((frame.kind, reply(frame)), (number, Some((WAY, expected))));
+        assert_eq!(
+            (frame.kind, reply(frame)),
+            (number, Some((ROUTE, expected)))
+        );
     }
-    for (number, expected) in words() {
-        let Some(What::Mirror(frame)) = stored.next() else {
-            panic!("no word")
+    for (number, expected) in mirrored_events() {
+        let Some(Payload::Mirror(frame)) = stored.next() else {
+            panic!("no event")
         };
-        assert_eq!(frame.what, number);
-        let Some(HotRestartStep::Mirrored(word)) = from_after(What::Mirror(frame)) else {
+        assert_eq!(frame.event, number);
+        let Some(HotRestartStep::Mirrored(event)) = hot_restart_step(Payload::Mirror(frame)) else {
             panic!("not understood")
         };
-        assert_eq!(word, expected);
+        assert_eq!(event, expected);
     }
-    // What a later release may say claims nothing, or is passed over.
+    // A kind of a later release promises nothing, or is skipped.
     let unknown = ReplyFrame {
-        way: way_frame(WAY),
+        route: route_frame(ROUTE),
         kind: 99,
         ..ReplyFrame::default()
     };
-    assert_eq!(reply(unknown), Some((WAY, Reply::Failed)));
-    assert!(from_after(What::Mirror(Mirror {
-        what: 99,
+    assert_eq!(reply(unknown), Some((ROUTE, Reply::Failed)));
+    assert!(hot_restart_step(Payload::Mirror(Mirror {
+        event: 99,
         ..Mirror::default()
     }))
     .is_none());
@@ -209,11 +220,11 @@
 
 #[test]
 fn stored_requests_and_outcomes_mean_the_same() {
-    let (line, _) = open(UnixStream::pair().unwrap().0).unwrap();
+    let (writer, _) = open_channel(UnixStream::pair().unwrap().0).unwrap();
     let mut stored = stored()
         .into_iter()
-        .skip(1 + replies().len() + words().len());
-    let mut next = || from_before(stored.next().unwrap(), &line, 2).unwrap();
+        .skip(1 + replies().len() + mirrored_events().len());
+    let mut next = || engine_message(stored.next().unwrap(), &writer, 2).unwrap();
     for expected in OUTCOMES {
         let EngineMessage::CallEnded {
             who,
@@ -229,10 +240,10 @@
             (77, expected, 41.5, &b"reply"[..])
         );
     }
-    let EngineMessage::Request(request) = next() else {
+    let EngineMessage::Request(relayed) = next() else {
         panic!("no request")
     };
-    let (asked, sent) = (&request.head, task());
+    let (asked, sent) = (&relayed.head, request());
     assert_eq!(
         (&asked.id[..], asked.class, asked.edge_node, asked.tenant),
         (&sent.id[..], 1, 3, 2)
@@ -251,20 +262,20 @@
         (6.75, Some(&mark))
     );
     assert_eq!(
-        (&request.body[..], request.token.as_deref()),
+        (&relayed.body[..], relayed.token.as_deref()),
         (&b"body"[..], Some(&b"token"[..]))
     );
-    assert_eq!((request.client.connection(), request.request), WAY);
-    assert!(matches!(next(), EngineMessage::Abort(way) if way == WAY));
-    assert!(matches!(next(), EngineMessage::ConnectionClosed(connection) if connection == WAY.0));
+    assert_eq!((relayed.client.connection(), relayed.request), ROUTE);
+    assert!(matches!(next(), EngineMessage::Abort(route) if route == ROUTE));
+    assert!(matches!(next(), EngineMessage::ConnectionClosed(connection) if connection == ROUTE.0));
 }
 
-/// A process starts its successor with these, and finds it by nothing else: they stay as long as any release that may be
-/// replaced knows them.
+/// The old process starts the new one with these variables: they stay as long as any release that may be replaced knows
+/// them.
 #[test]
-fn the_environment_of_a_successor_has_these_names() {
+fn the_environment_variables_have_these_names() {
     assert_eq!(
-        [CONTROL, NONCE],
+        [CONTROL_VARIABLE, NONCE_VARIABLE],
         ["ASTERDALE_HANDOVER", "ASTERDALE_HANDOVER_NONCE"]
     );
 }
--- a/crates/asterdale-daemon/tests/upgrade.rs
+++ b/crates/asterdale-daemon/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! Upgrades that go wrong, one by one: a test speaks in the place of the new process. What goes well, and what is
-//! killed under load, is shown by the proof `upgrade`.
+//! Hot restarts that fail, one by one: the test plays the new process's part of the protocol. The proof `upgrade` has those
+//! that succeed, and crashes under load.
 #![cfg(feature = "upgrade")]
 
 use std::os::unix::fs::PermissionsExt;
@@ -8,9 +8,11 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use asterdale_hot_restart::frame::{encode, Incoming};
-use asterdale_hot_restart::message::frame::What;
-use asterdale_hot_restart::message::{Adopted, Hello, Loaded, Probed, Refuse};
+use asterdale_hot_restart::frame::{encode, FrameDecoder};
+use asterdale_hot_restart::message::frame::Payload;
+use asterdale_hot_restart::message::{
+    Hello, ListenersAdopted, Refuse, StateLoaded, TrialStateLoaded,
+};
 use asterdale_testkit::scripted::{until, Backend, PATIENCE};
 use serde_json::json;
 use std::io::{Read, Write};
@@ -19,12 +21,12 @@
 const B: &str = "00000000000000bb";
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 
-struct Site {
+struct TestSite {
     folder: PathBuf,
     backend: Backend,
 }
 
-impl Drop for Site {
+impl Drop for TestSite {
     fn drop(&mut self) {
         for process in asterdale_testkit::proofs::upgrade::processes(self.backend.file()) {
             asterdale_testkit::proofs::upgrade::signal(process, "KILL");
@@ -43,8 +45,8 @@
     folder
 }
 
-impl Site {
-    fn new() -> Site {
+impl TestSite {
+    fn new() -> TestSite {
         let folder = folder(0o700);
         let control = folder.join("control");
         let backend =
@@ -52,15 +54,15 @@
         drop(backend.connect());
         backend.runtime.up();
         backend.counters_until(|count| count("links") == 1);
-        Site { folder, backend }
+        TestSite { folder, backend }
     }
 
     fn control(&self) -> PathBuf {
         self.folder.join("control")
     }
 
-    /// A program in whose place the test speaks: it tells its nonce, and sleeps.
-    fn puppet(&self) -> PathBuf {
+    /// A program that writes its nonce to a file and sleeps, while the test plays its part of the protocol.
+    fn scripted_program(&self) -> PathBuf {
         let (path, nonce) = (self.folder.join("puppet"), self.folder.join("nonce"));
         let text = format!(
             "#!/bin/sh\nprintf %s \"$ASTERDALE_HANDOVER_NONCE\" > {0}.new\nmv {0}.new {0}\nexec sleep 60\n",
@@ -71,7 +73,7 @@
         path
     }
 
-    fn ask(&self, binary: &Path) -> Child {
+    fn request_upgrade(&self, binary: &Path) -> Child {
         Command::new(asterdale_testkit::process::program())
             .args(["upgrade", "--control"])
             .arg(self.control())
@@ -83,25 +85,26 @@
             .unwrap()
     }
 
-    /// An upgrade to the puppet, and the puppet's connection, which has not spoken yet.
-    fn begin(&self) -> (Child, Puppet, Vec<u8>) {
-        let asked = self.ask(&self.puppet());
+    /// Starts an upgrade to the scripted program: the requester, the connection of the new process, which has not said hello,
+    /// and the nonce.
+    fn start_upgrade(&self) -> (Child, ScriptedProcess, Vec<u8>) {
+        let asked = self.request_upgrade(&self.scripted_program());
         let nonce = self.folder.join("nonce");
         until("the nonce", || nonce.exists());
         let stream = UnixStream::connect(self.control()).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         (
             asked,
-            Puppet {
+            ScriptedProcess {
                 stream,
-                incoming: Incoming::default(),
+                decoder: FrameDecoder::default(),
             },
             std::fs::read(nonce).unwrap(),
         )
     }
 
-    /// The old process serves while it waits for the new one.
-    fn carries_on_meanwhile(&self) {
+    /// Checks that the old process serves while it waits for the new one.
+    fn assert_serves_meanwhile(&self) {
         let mut edge = self.backend.connect();
         edge.task(1, "page", A, &[]);
         self.backend.runtime.command("start");
@@ -109,8 +112,8 @@
         assert_eq!(edge.answer().unwrap().body, b"meanwhile");
     }
 
-    /// The old process carries on as if nothing had happened: a bid is run, and its repeat is not.
-    fn carries_on(&self, asked: Child, why: &str) {
+    /// Checks that the old process serves as if nothing had happened: a request runs, and its retry does not.
+    fn assert_old_process_serves(&self, asked: Child, why: &str) {
         let output = asked.wait_with_output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(2), "{text}");
@@ -133,49 +136,49 @@
     }
 }
 
-struct Puppet {
+struct ScriptedProcess {
     stream: UnixStream,
-    incoming: Incoming,
+    decoder: FrameDecoder,
 }
 
-impl Puppet {
-    fn say(&mut self, what: What) {
+impl ScriptedProcess {
+    fn send(&mut self, what: Payload) {
         self.stream.write_all(&encode(what)).unwrap();
     }
 
-    fn hello(&mut self, nonce: &[u8], version: u32) {
-        self.say(What::Hello(Hello {
+    fn send_hello(&mut self, nonce: &[u8], version: u32) {
+        self.send(Payload::Hello(Hello {
             version,
-            shape: asterdale::snapshot::FORMAT_VERSION,
+            state_format: asterdale::snapshot::FORMAT_VERSION,
             nonce: nonce.to_vec(),
         }));
     }
 
     /// The next frame; `None` at the end. Descriptors that come with it are dropped.
-    fn hear(&mut self) -> Option<What> {
+    fn receive(&mut self) -> Option<Payload> {
         loop {
-            if let Some(what) = self.incoming.take().unwrap() {
+            if let Some(what) = self.decoder.next_message().unwrap() {
                 return Some(what);
             }
             let mut bytes = [0; 4096];
             match self.stream.read(&mut bytes) {
-                Ok(count) if count > 0 => self.incoming.add(&bytes[..count]),
+                Ok(count) if count > 0 => self.decoder.push(&bytes[..count]),
                 _ => return None,
             }
         }
     }
 
-    /// As far as the last word: it has the state, and is about to say so.
-    fn up_to_the_state(&mut self, nonce: &[u8]) -> u64 {
-        self.hello(nonce, asterdale_hot_restart::VERSION);
-        assert!(matches!(self.hear(), Some(What::Offer(_))));
-        self.say(What::Adopted(Adopted {}));
-        while !matches!(self.hear().unwrap(), What::Trial(part) if part.last) {}
-        self.say(What::Probed(Probed {}));
+    /// Plays the protocol until it has the state, and has yet to confirm it. The epoch of the state.
+    fn receive_state(&mut self, nonce: &[u8]) -> u64 {
+        self.send_hello(nonce, asterdale_hot_restart::VERSION);
+        assert!(matches!(self.receive(), Some(Payload::Listeners(_))));
+        self.send(Payload::ListenersAdopted(ListenersAdopted {}));
+        while !matches!(self.receive().unwrap(), Payload::TrialState(chunk) if chunk.is_last) {}
+        self.send(Payload::TrialStateLoaded(TrialStateLoaded {}));
         loop {
-            if let What::State(part) = self.hear().unwrap() {
-                if part.last {
-                    return part.epoch;
+            if let Payload::State(chunk) = self.receive().unwrap() {
+                if chunk.is_last {
+                    return chunk.epoch;
                 }
             }
         }
@@ -183,58 +186,58 @@
 }
 
 #[test]
-fn another_release_and_a_stranger_are_turned_away() {
-    let site = Site::new();
-    let (asked, mut puppet, nonce) = site.begin();
-    puppet.hello(&nonce, 99);
-    site.carries_on(asked, "version 99");
-    let site = Site::new();
-    let (asked, mut stranger, _) = site.begin();
-    stranger.hello(b"made up", asterdale_hot_restart::VERSION);
-    site.carries_on(asked, "a stranger");
+fn another_release_and_an_invalid_nonce_are_rejected() {
+    let site = TestSite::new();
+    let (asked, mut scripted, nonce) = site.start_upgrade();
+    scripted.send_hello(&nonce, 99);
+    site.assert_old_process_serves(asked, "version 99");
+    let site = TestSite::new();
+    let (asked, mut stranger, _) = site.start_upgrade();
+    stranger.send_hello(b"made up", asterdale_hot_restart::VERSION);
+    site.assert_old_process_serves(asked, "a stranger");
 }
 
 #[test]
-fn one_that_ends_with_the_listener_in_hand_leaves_it_to_the_old_one() {
-    let site = Site::new();
-    let (asked, mut puppet, nonce) = site.begin();
-    puppet.hello(&nonce, asterdale_hot_restart::VERSION);
-    assert!(matches!(puppet.hear(), Some(What::Offer(_))));
-    drop(puppet);
-    site.carries_on(asked, "has ended");
+fn the_old_process_serves_if_the_new_one_ends_with_the_listeners() {
+    let site = TestSite::new();
+    let (asked, mut scripted, nonce) = site.start_upgrade();
+    scripted.send_hello(&nonce, asterdale_hot_restart::VERSION);
+    assert!(matches!(scripted.receive(), Some(Payload::Listeners(_))));
+    drop(scripted);
+    site.assert_old_process_serves(asked, "has ended");
 }
 
 #[test]
-fn one_that_refuses_or_speaks_out_of_turn_is_not_waited_for() {
-    let site = Site::new();
-    let (asked, mut puppet, nonce) = site.begin();
-    puppet.hello(&nonce, asterdale_hot_restart::VERSION);
-    puppet.say(What::Refuse(Refuse {
-        why: "no disk".into(),
+fn a_refusal_or_an_unexpected_message_ends_the_attempt() {
+    let site = TestSite::new();
+    let (asked, mut scripted, nonce) = site.start_upgrade();
+    scripted.send_hello(&nonce, asterdale_hot_restart::VERSION);
+    scripted.send(Payload::Refuse(Refuse {
+        reason: "no disk".into(),
     }));
-    site.carries_on(asked, "no disk");
-    let site = Site::new();
-    let (asked, mut puppet, nonce) = site.begin();
-    puppet.hello(&nonce, asterdale_hot_restart::VERSION);
-    puppet.say(What::Loaded(Loaded { epoch: 2 }));
-    site.carries_on(asked, "out of turn");
+    site.assert_old_process_serves(asked, "no disk");
+    let site = TestSite::new();
+    let (asked, mut scripted, nonce) = site.start_upgrade();
+    scripted.send_hello(&nonce, asterdale_hot_restart::VERSION);
+    scripted.send(Payload::StateLoaded(StateLoaded { epoch: 2 }));
+    site.assert_old_process_serves(asked, "out of turn");
 }
 
 #[test]
-fn one_that_falls_silent_with_the_state_in_hand_is_killed_and_what_came_meanwhile_is_served() {
-    let site = Site::new();
+fn a_new_process_that_hangs_with_the_state_is_killed_and_queued_requests_are_served() {
+    let site = TestSite::new();
     let mut edge = site.backend.connect();
     edge.task(1, "page", A, &[]);
     site.backend.runtime.command("start");
-    let (asked, mut puppet, nonce) = site.begin();
-    assert_eq!(puppet.up_to_the_state(&nonce), 2);
-    // Nothing is started now; what comes waits.
+    let (asked, mut scripted, nonce) = site.start_upgrade();
+    assert_eq!(scripted.receive_state(&nonce), 2);
+    // Nothing is started now; new requests are queued.
     let mut other = site.backend.connect();
     other.task(1, "page", "00000000000000cc", &[]);
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(site.backend.runtime.commanded(), None);
     site.backend.runtime.end(A, "PASS", b"meanwhile");
-    // After a second the old one goes on.
+    // After a second the old process continues.
     assert_eq!(edge.answer().unwrap().body, b"meanwhile");
     until("the start", || {
         site.backend
@@ -246,33 +249,33 @@
         .runtime
         .end("00000000000000cc", "PASS", b"late");
     assert_eq!(other.answer().unwrap().body, b"late");
-    site.carries_on(asked, "too long");
-    // Its word comes too late: nobody hears it.
-    assert_eq!(puppet.hear(), None);
+    site.assert_old_process_serves(asked, "too long");
+    // Its confirmation would come too late: the connection is closed.
+    assert_eq!(scripted.receive(), None);
 }
 
 #[test]
-fn a_second_upgrade_is_turned_away_while_one_is_under_way() {
-    let site = Site::new();
-    let (asked, puppet, _nonce) = site.begin();
+fn a_second_upgrade_is_rejected_while_one_is_under_way() {
+    let site = TestSite::new();
+    let (asked, scripted, _nonce) = site.start_upgrade();
     let second = site
-        .ask(&site.folder.join("nowhere"))
+        .request_upgrade(&site.folder.join("nowhere"))
         .wait_with_output()
         .unwrap();
     assert!(String::from_utf8(second.stderr)
         .unwrap()
         .contains("an upgrade is under way"));
-    drop(puppet);
+    drop(scripted);
     let mut stranger = UnixStream::connect(site.control()).unwrap();
     stranger
-        .write_all(&encode(What::Hello(Hello::default())))
+        .write_all(&encode(Payload::Hello(Hello::default())))
         .unwrap();
-    site.carries_on(asked, "a stranger");
+    site.assert_old_process_serves(asked, "a stranger");
 }
 
 #[test]
-fn the_control_socket_is_bound_only_where_nobody_else_can_come_and_nobody_holds_it() {
-    let site = Site::new();
+fn the_control_socket_needs_a_private_folder_and_no_other_process() {
+    let site = TestSite::new();
     let told = |control: PathBuf| {
         let mut config = asterdale_testkit::scripted::config(
             asterdale_testkit::scripted::address(),
@@ -292,7 +295,7 @@
     assert!(told(open.join("control")).contains("closed to all others"));
     assert!(told(open.join("nowhere/control")).contains("upgrade.control"));
     std::fs::remove_dir_all(open).unwrap();
-    // What a process that was killed left behind is no hindrance.
+    // The socket of a process that was killed is replaced.
     let stale = folder(0o700);
     drop(std::os::unix::net::UnixListener::bind(stale.join("control")).unwrap());
     let backend = Backend::start_before_runtime(|config| {
@@ -304,16 +307,16 @@
 }
 
 #[test]
-fn one_that_hangs_before_it_speaks_is_killed_and_the_old_one_carries_on() {
-    let site = Site::new();
-    let asked = site.ask(&site.puppet());
-    site.carries_on_meanwhile();
-    site.carries_on(asked, "too long: Offered");
+fn a_new_process_that_hangs_before_hello_is_killed() {
+    let site = TestSite::new();
+    let asked = site.request_upgrade(&site.scripted_program());
+    site.assert_serves_meanwhile();
+    site.assert_old_process_serves(asked, "too long: Offered");
 }
 
 #[test]
-fn one_that_has_too_few_descriptors_is_found_out_before_it_has_the_work() {
-    let site = Site::new();
+fn too_few_descriptors_are_detected_before_the_new_process_serves() {
+    let site = TestSite::new();
     let path = site.folder.join("poor");
     for descriptors in [4, 6, 9, 12, 24, 512] {
         let program = asterdale_testkit::process::program();
@@ -324,27 +327,27 @@
         );
         std::fs::write(&path, text).unwrap();
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).unwrap();
-        // Before the commit: after it, it would have the work and accept nothing.
-        let output = site.ask(&path).wait_with_output().unwrap();
+        // Later it would serve and accept no connections.
+        let output = site.request_upgrade(&path).wait_with_output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
         assert!(
             text.contains("the old process carries on"),
             "{descriptors}: {text}"
         );
     }
-    let last = site.ask(&site.folder.join("nowhere"));
-    site.carries_on(last, "nowhere");
+    let last = site.request_upgrade(&site.folder.join("nowhere"));
+    site.assert_old_process_serves(last, "nowhere");
 }
 
 #[test]
-fn told_to_leave_in_the_middle_the_old_one_leaves_in_order_and_the_new_one_ends() {
-    let mut site = Site::new();
+fn draining_during_the_attempt_ends_both_processes_in_order() {
+    let mut site = TestSite::new();
     let mut edge = site.backend.connect();
     edge.task(1, "page", A, &[]);
     site.backend.runtime.command("start");
-    let (asked, mut puppet, nonce) = site.begin();
-    puppet.hello(&nonce, asterdale_hot_restart::VERSION);
-    assert!(matches!(puppet.hear(), Some(What::Offer(_))));
+    let (asked, mut scripted, nonce) = site.start_upgrade();
+    scripted.send_hello(&nonce, asterdale_hot_restart::VERSION);
+    assert!(matches!(scripted.receive(), Some(Payload::Listeners(_))));
     site.backend.signal("-HUP");
     site.backend.signal("-TERM");
     until("the notice", || {
@@ -353,13 +356,13 @@
     site.backend.runtime.end(A, "PASS", b"in time");
     assert_eq!(edge.answer().unwrap().body, b"in time");
     assert!(site.backend.ended().0.success());
-    assert_eq!(puppet.hear(), None);
+    assert_eq!(scripted.receive(), None);
     drop(asked.wait_with_output());
 }
 
 #[test]
-fn a_guardian_that_is_killed_leaves_the_new_process_serving_alone() {
-    let site = Site::new();
+fn the_new_process_serves_alone_if_the_old_one_is_killed() {
+    let site = TestSite::new();
     let mut edge = site.backend.connect();
     edge.task(1, "bid", A, &[KEY]);
     site.backend.runtime.command("start");
@@ -369,9 +372,9 @@
     until("the new process", || {
         site.backend.log().contains("this process goes on")
     });
-    let new = successor(&site.backend.log());
+    let new = new_process_id(&site.backend.log());
     site.backend.signal("-KILL");
-    // The first connections may still have been taken by the one that is killed.
+    // The first connections may still be accepted by the process that is killed.
     until("an answer", || {
         let mut edge = site.backend.connect();
         edge.try_send(&asterdale_testkit::scripted::request(
@@ -390,8 +393,8 @@
     asterdale_testkit::proofs::upgrade::signal(new, "KILL");
 }
 
-/// The process that went on, by its own line.
-fn successor(log: &str) -> u32 {
+/// The id of the process that took over, from its line in the log.
+fn new_process_id(log: &str) -> u32 {
     let line = log
         .lines()
         .rfind(|line| line.contains("this process goes on"))
@@ -400,7 +403,7 @@
     number.split(',').next().unwrap().trim().parse().unwrap()
 }
 
-/// What a line of the log says of the module, after these words.
+/// The summary of the state in the first line of the log with these words.
 fn summary(log: &str, words: &str) -> String {
     let line = log
         .lines()
@@ -411,8 +414,8 @@
 }
 
 #[test]
-fn the_new_process_goes_on_where_the_old_one_stood_and_answers_over_its_connections() {
-    let mut site = Site::new();
+fn the_new_process_continues_from_the_state_and_replies_over_the_old_connections() {
+    let mut site = TestSite::new();
     let mut edge = site.backend.connect();
     for n in 0..40u16 {
         let id = format!("{n:016x}");
@@ -423,18 +426,18 @@
     }
     edge.task(50, "bid", A, &[KEY]);
     site.backend.runtime.command("start");
-    // By the signal: to the program that runs.
+    // The signal upgrades to the program that runs.
     site.backend.signal("-USR2");
     until("the new process", || {
         site.backend.log().contains("this process goes on")
     });
-    let new = successor(&site.backend.log());
+    let new = new_process_id(&site.backend.log());
     let log = site.backend.log();
     assert_eq!(
         summary(&log, "this one guards it"),
         summary(&log, "this process goes on")
     );
-    // What the old one had started ends for the new one, and is answered over the old one's connection.
+    // A request that the old process had started ends in the new one, and its response goes over the old one's connection.
     until("the link", || {
         site.backend.log().matches("runtime: linked").count() == 2
     });
@@ -446,13 +449,12 @@
     other.task(1, "bid", B, &[KEY]);
     assert_eq!(other.answer().unwrap().body, b"sold");
     assert_eq!(site.backend.runtime.commanded(), None);
-    // Killed, its work comes back to the old one, which knows what the dead one had run.
+    // When the new process is killed the old one takes over again, and knows what had run.
     let late = ("HTTP_IDEMPOTENCY_KEY", "late");
     other.task(2, "bid", "00000000000000cc", &[late]);
     site.backend.runtime.command("start");
     asterdale_testkit::proofs::upgrade::signal(new, "KILL");
-    // Its connections break; what came over the old one's (one of which may have been made since) hears that
-    // nothing is claimed.
+    // Its connections break. Over the old process's, one of which this may be, the response promises nothing.
     let end = other.answer();
     assert!(
         end.as_ref().is_none_or(|answer| answer.status() == "500"),
--- a/crates/asterdale-hot-restart/build.rs
+++ b/crates/asterdale-hot-restart/build.rs
@@ -1,8 +1,8 @@
-//! Compiles the messages, without outside programs.
+//! Compiles the protocol buffer messages, without a protoc on the machine.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    println!("cargo::rerun-if-changed=proto/handover.proto");
-    let files = protox::compile(["proto/handover.proto"], ["proto"])?;
+    println!("cargo::rerun-if-changed=proto/hot_restart.proto");
+    let files = protox::compile(["proto/hot_restart.proto"], ["proto"])?;
     prost_build::Config::new().compile_fds(files)?;
     Ok(())
 }
--- a/crates/asterdale-hot-restart/src/frame.rs
+++ b/crates/asterdale-hot-restart/src/frame.rs
@@ -1,64 +1,74 @@
-//! Messages as bytes: each behind its length. What is too long, or can't be read, ends the connection.
+//! Frames: messages as bytes, each after its length in four bytes, big endian.
 
 use prost::Message;
+use thiserror::Error;
 
-use crate::message::frame::What;
+use crate::message::frame::Payload;
 use crate::message::Frame;
 
-/// A frame is no longer, in bytes: a task with its body, a result, or a part of a state.
-pub const MOST: usize = 1024 * 1024;
-/// So much of a state goes into one frame.
-pub const PART: usize = 256 * 1024;
-/// A state is no longer, in bytes.
-pub const MOST_STATE: usize = 128 * 1024 * 1024;
+/// The longest frame, in bytes: a request with its body, a result, or a chunk of a state.
+pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
+/// The bytes of a state that go into one frame: few enough that other frames are not delayed by much.
+pub const STATE_CHUNK_BYTES: usize = 256 * 1024;
+/// The largest state, in bytes, to bound the memory of the process that reads it.
+pub const MAX_STATE_BYTES: usize = 128 * 1024 * 1024;
+/// The bytes of a frame's length.
+const LENGTH_BYTES: usize = 4;
 
-/// Why bytes are no frame.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
-    /// It says that it is longer than any may be.
+/// Bytes that are no frame. The connection can't be read any further.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum FrameError {
+    /// The length is beyond [`MAX_FRAME_BYTES`].
+    #[error("a frame is too long")]
     TooLong,
-    /// It is none.
-    Unreadable,
+    /// The bytes are no message of the protocol.
+    #[error("a frame can't be decoded")]
+    Undecodable,
 }
 
-/// A message as bytes.
-pub fn encode(what: What) -> Vec<u8> {
-    let frame = Frame { what: Some(what) };
+/// Encodes one message as a frame.
+pub fn encode(payload: Payload) -> Vec<u8> {
+    let frame = Frame {
+        payload: Some(payload),
+    };
     let mut bytes = (frame.encoded_len() as u32).to_be_bytes().to_vec();
-    // Into a vector: there is always room.
-    let _ = frame.encode(&mut bytes);
+    bytes.extend(frame.encode_to_vec());
     bytes
 }
 
-/// Bytes that come in, until they are messages.
+/// Decodes frames from bytes that arrive in pieces of any size.
 #[derive(Default)]
-pub struct Incoming {
-    bytes: Vec<u8>,
+pub struct FrameDecoder {
+    buffer: Vec<u8>,
 }
 
-impl Incoming {
-    /// More have come.
-    pub fn add(&mut self, bytes: &[u8]) {
-        self.bytes.extend_from_slice(bytes);
+impl FrameDecoder {
+    /// Adds bytes that have arrived.
+    pub fn push(&mut self, bytes: &[u8]) {
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next message, once it is whole. One of a kind that is not known here is passed over.
-    pub fn take(&mut self) -> Result<Option<What>, Bad> {
+    /// The next message, or `None` until more bytes have arrived. Messages of an unknown kind are skipped.
+    ///
+    /// # Errors
+    /// If the bytes are no frame; the decoder is of no use from then on.
+    pub fn next_message(&mut self) -> Result<Option<Payload>, FrameError> {
         loop {
-            let Some(length) = self.bytes.first_chunk::<4>() else {
+            let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else {
                 return Ok(None);
             };
             let length = u32::from_be_bytes(*length) as usize;
-            if length > MOST {
-                return Err(Bad::TooLong);
+            if length > MAX_FRAME_BYTES {
+                return Err(FrameError::TooLong);
             }
-            let Some(body) = self.bytes.get(4..4 + length) else {
+            let end = LENGTH_BYTES + length;
+            let Some(body) = self.buffer.get(LENGTH_BYTES..end) else {
                 return Ok(None);
             };
-            let frame = Frame::decode(body).map_err(|_| Bad::Unreadable)?;
-            self.bytes.drain(..4 + length);
-            if frame.what.is_some() {
-                return Ok(frame.what);
+            let frame = Frame::decode(body).map_err(|_| FrameError::Undecodable)?;
+            self.buffer.drain(..end);
+            if frame.payload.is_some() {
+                return Ok(frame.payload);
             }
         }
     }
--- a/crates/asterdale-hot-restart/src/lib.rs
+++ b/crates/asterdale-hot-restart/src/lib.rs
@@ -1,22 +1,19 @@
-//! How a serving process hands its work to another on the same machine, without I/O and clock: the messages, and a
-//! state machine for each side. Events and times come in, actions go out; both are explored in every order of
-//! messages, time-outs and deaths (`tests.rs`).
+//! Hot restart: the protocol by which a new process takes over from a serving one on the same machine. Messages, their
+//! frames, and a state machine for each side, without I/O and without a clock: events and times come in, actions go out.
 //!
-//! The rule that all serves: at every instant at most one process may start work, and whoever may knows all that
-//! was ever started. `docs/upgrade.md` weighs the ways and shows why it holds.
+//! Both machines keep two invariants at every instant: at most one process may start requests, and a process that may
+//! start them knows all that were ever started. `tests/exploration.rs` checks them in every order of messages, timeouts
+//! and crashes; `docs/upgrade.md` compares this design with others.
 
 pub mod frame;
-pub mod giver;
-pub mod taker;
+pub mod new_process;
+pub mod old_process;
 
-/// The messages, as `proto/handover.proto` has them.
+/// The messages, generated from `proto/hot_restart.proto`.
 #[allow(missing_docs, clippy::doc_markdown)]
 pub mod message {
-    include!(concat!(env!("OUT_DIR"), "/asterdale.handover.v1.rs"));
+    include!(concat!(env!("OUT_DIR"), "/asterdale.hot_restart.v1.rs"));
 }
 
-#[cfg(test)]
-mod tests;
-
-/// The protocol that this release speaks.
+/// The version of the protocol. Processes of different versions refuse each other.
 pub const VERSION: u32 = 1;
--- /dev/null
+++ b/crates/asterdale-hot-restart/tests/exploration.rs
@@ -0,0 +1,425 @@
+//! Explores both state machines with their channels in every order of messages, timeouts, crashes and requests, and
+//! checks the invariants in each state that is reached; then that the exploration finds injected faults.
+
+use std::collections::{BTreeSet, HashSet, VecDeque};
+
+use asterdale_hot_restart::new_process::{self, NewProcess, UnusableState};
+use asterdale_hot_restart::old_process::{self, OldProcess};
+use asterdale_hot_restart::VERSION;
+
+/// The most requests that are started: enough for some before, some during and some after the hot restart.
+const MAX_REQUESTS: u8 = 3;
+
+/// Requests that a process knows to have been started, by number.
+type Requests = BTreeSet<u8>;
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+enum ToNewProcess {
+    Listeners,
+    TrialState,
+    State(u64, Requests),
+    Go(u64),
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+enum ToOldProcess {
+    Hello,
+    ListenersAdopted,
+    TrialStateLoaded,
+    StateLoaded(u64),
+    Refuse,
+    Mirror(u8),
+}
+
+/// A fault that the exploration must find.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum InjectedFault {
+    None,
+    /// The new process does not mirror what it starts.
+    NoMirror,
+    /// The old process continues without killing the new one.
+    NoKill,
+    /// The new process takes over when the old one ends, whatever it has received.
+    EarlyTakeOver,
+    /// The old process goes on starting requests while its state is being sent.
+    NoFreeze,
+}
+
+#[derive(Clone)]
+struct World {
+    old_process: Option<OldProcess>,
+    new_process: Option<NewProcess>,
+    /// The requests that each knows to have been started.
+    old_process_knows: Requests,
+    new_process_knows: Requests,
+    to_new_process: VecDeque<ToNewProcess>,
+    to_old_process: VecDeque<ToOldProcess>,
+    started: u8,
+    old_process_saw_end: bool,
+    new_process_saw_end: bool,
+}
+
+impl World {
+    fn key(&self) -> String {
+        let old_process = self
+            .old_process
+            .as_ref()
+            .map(|old_process| format!("{old_process:?}"));
+        let new_process = self
+            .new_process
+            .as_ref()
+            .map(|new_process| format!("{new_process:?}"));
+        format!(
+            "{old_process:?}{new_process:?}{:?}{:?}{:?}{:?}{}{}{}",
+            self.old_process_knows,
+            self.new_process_knows,
+            self.to_new_process,
+            self.to_old_process,
+            self.started,
+            self.old_process_saw_end,
+            self.new_process_saw_end
+        )
+    }
+
+    fn step_old_process(&mut self, now: f64, event: old_process::Event, fault: InjectedFault) {
+        let Some(old_process) = &mut self.old_process else {
+            return;
+        };
+        for action in old_process.handle(now, event) {
+            match action {
+                old_process::Action::SendListeners => {
+                    self.to_new_process.push_back(ToNewProcess::Listeners)
+                }
+                old_process::Action::SendTrialState => {
+                    self.to_new_process.push_back(ToNewProcess::TrialState)
+                }
+                old_process::Action::FreezeAndSendState(epoch) => {
+                    self.to_new_process
+                        .push_back(ToNewProcess::State(epoch, self.old_process_knows.clone()));
+                }
+                old_process::Action::SendGo(epoch) => {
+                    self.to_new_process.push_back(ToNewProcess::Go(epoch))
+                }
+                old_process::Action::KillNewProcess if fault != InjectedFault::NoKill => {
+                    self.new_process = None
+                }
+                old_process::Action::Exit => {
+                    self.old_process = None;
+                    return;
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn step_new_process(&mut self, event: new_process::Event, fault: InjectedFault) {
+        let Some(new_process) = &mut self.new_process else {
+            return;
+        };
+        let takes_over_early =
+            fault == InjectedFault::EarlyTakeOver && event == new_process::Event::OldProcessEnded;
+        let actions = if takes_over_early {
+            vec![new_process::Action::TakeOver]
+        } else {
+            new_process.handle(0.0, event)
+        };
+        if takes_over_early {
+            // Bring it to the phase of one that has received everything.
+            let mut owner = NewProcess::new(0.0);
+            owner.handle(0.0, new_process::Event::Listeners);
+            owner.handle(0.0, new_process::Event::TrialState(Ok(())));
+            owner.handle(0.0, new_process::Event::State(9, Ok(())));
+            owner.handle(0.0, new_process::Event::Go(9));
+            *new_process = owner;
+        }
+        for action in actions {
+            match action {
+                new_process::Action::ConfirmListeners => self
+                    .to_old_process
+                    .push_back(ToOldProcess::ListenersAdopted),
+                new_process::Action::ConfirmTrialState => self
+                    .to_old_process
+                    .push_back(ToOldProcess::TrialStateLoaded),
+                new_process::Action::ConfirmState(epoch) => self
+                    .to_old_process
+                    .push_back(ToOldProcess::StateLoaded(epoch)),
+                new_process::Action::Refuse(_) => {
+                    self.to_old_process.push_back(ToOldProcess::Refuse);
+                    self.new_process = None;
+                    return;
+                }
+                new_process::Action::TakeOver | new_process::Action::ServeAlone => {}
+            }
+        }
+    }
+
+    /// Everything that can happen next: a name, and the world after it.
+    fn next(&self, fault: InjectedFault) -> Vec<(&'static str, World)> {
+        let mut all = Vec::new();
+        let mut add = |name, change: &dyn Fn(&mut World)| {
+            let mut world = self.clone();
+            change(&mut world);
+            all.push((name, world));
+        };
+        let owner = |old_process: &OldProcess| {
+            old_process.may_start_requests()
+                || fault == InjectedFault::NoFreeze
+                    && old_process.phase() == old_process::Phase::SendingState
+        };
+        if self.started < MAX_REQUESTS && self.old_process.as_ref().is_some_and(owner) {
+            add("the old process starts a request", &|world| {
+                world.old_process_knows.insert(world.started);
+                world.started += 1;
+            });
+        }
+        if self.started < MAX_REQUESTS
+            && self
+                .new_process
+                .as_ref()
+                .is_some_and(NewProcess::may_start_requests)
+        {
+            add("the new process starts a request", &|world| {
+                if fault != InjectedFault::NoMirror {
+                    world
+                        .to_old_process
+                        .push_back(ToOldProcess::Mirror(world.started));
+                }
+                world.new_process_knows.insert(world.started);
+                world.started += 1;
+            });
+        }
+        if self.new_process.is_some() && !self.to_new_process.is_empty() {
+            add(
+                "the new process receives",
+                &|world| match world.to_new_process.pop_front() {
+                    Some(ToNewProcess::Listeners) => {
+                        world.step_new_process(new_process::Event::Listeners, fault)
+                    }
+                    Some(ToNewProcess::TrialState) => {
+                        world.step_new_process(new_process::Event::TrialState(Ok(())), fault)
+                    }
+                    Some(ToNewProcess::State(epoch, known)) => {
+                        world.new_process_knows = known;
+                        world.step_new_process(new_process::Event::State(epoch, Ok(())), fault);
+                    }
+                    Some(ToNewProcess::Go(epoch)) => {
+                        world.step_new_process(new_process::Event::Go(epoch), fault)
+                    }
+                    None => {}
+                },
+            );
+            if let Some(ToNewProcess::TrialState) = self.to_new_process.front() {
+                add("the trial state is unusable", &|world| {
+                    world.to_new_process.pop_front();
+                    world.step_new_process(
+                        new_process::Event::TrialState(Err(UnusableState("no".into()))),
+                        fault,
+                    );
+                });
+            }
+        }
+        if self.old_process.is_some() && !self.to_old_process.is_empty() {
+            add(
+                "the old process receives",
+                &|world| match world.to_old_process.pop_front() {
+                    Some(ToOldProcess::Hello) => {
+                        let hello = old_process::Event::Hello {
+                            version: VERSION,
+                            state_format: 1,
+                            is_nonce_valid: true,
+                        };
+                        world.step_old_process(0.0, hello, fault);
+                    }
+                    Some(ToOldProcess::ListenersAdopted) => {
+                        world.step_old_process(0.0, old_process::Event::ListenersAdopted, fault)
+                    }
+                    Some(ToOldProcess::TrialStateLoaded) => {
+                        world.step_old_process(0.0, old_process::Event::TrialStateLoaded, fault)
+                    }
+                    Some(ToOldProcess::StateLoaded(epoch)) => {
+                        world.step_old_process(0.0, old_process::Event::StateLoaded(epoch), fault)
+                    }
+                    Some(ToOldProcess::Refuse) => {
+                        world.step_old_process(0.0, old_process::Event::Refused("no".into()), fault)
+                    }
+                    Some(ToOldProcess::Mirror(work)) => {
+                        world.old_process_knows.insert(work);
+                    }
+                    None => {}
+                },
+            );
+            if let Some(ToOldProcess::Hello) = self.to_old_process.front() {
+                add("another release says hello", &|world| {
+                    world.to_old_process.pop_front();
+                    let hello = old_process::Event::Hello {
+                        version: 99,
+                        state_format: 1,
+                        is_nonce_valid: true,
+                    };
+                    world.step_old_process(0.0, hello, fault);
+                });
+            }
+        }
+        if self
+            .old_process
+            .as_ref()
+            .is_some_and(|old_process| old_process.deadline_ms().is_some())
+        {
+            add("the old process times out", &|world| {
+                world.step_old_process(1e9, old_process::Event::Tick, fault)
+            });
+            add("the old process is told to drain", &|world| {
+                world.step_old_process(0.0, old_process::Event::Drain, fault)
+            });
+        }
+        if self.old_process.is_some() {
+            add("the old process is killed", &|world| {
+                world.old_process = None
+            });
+        }
+        if self.new_process.is_some() {
+            add("the new process is killed", &|world| {
+                world.new_process = None
+            });
+        }
+        if self.new_process.is_none()
+            && self.old_process.is_some()
+            && self.to_old_process.is_empty()
+            && !self.old_process_saw_end
+        {
+            add("the old process sees the end", &|world| {
+                world.old_process_saw_end = true;
+                world.step_old_process(0.0, old_process::Event::NewProcessEnded, fault);
+            });
+        }
+        if self.old_process.is_none()
+            && self.new_process.is_some()
+            && self.to_new_process.is_empty()
+            && !self.new_process_saw_end
+        {
+            add("the new process sees the end", &|world| {
+                world.new_process_saw_end = true;
+                world.step_new_process(new_process::Event::OldProcessEnded, fault);
+            });
+        }
+        all
+    }
+
+    /// Checks the invariants.
+    fn check(&self) -> Result<(), &'static str> {
+        let old_process = self
+            .old_process
+            .as_ref()
+            .is_some_and(OldProcess::may_start_requests);
+        let new_process = self
+            .new_process
+            .as_ref()
+            .is_some_and(NewProcess::may_start_requests);
+        if old_process && new_process {
+            return Err("two processes may start requests");
+        }
+        let all: Requests = (0..self.started).collect();
+        if old_process && self.old_process_knows != all
+            || new_process && self.new_process_knows != all
+        {
+            return Err("a process that may start requests does not know all that were started");
+        }
+        Ok(())
+    }
+}
+
+/// Explores every order of events: the count of worlds reached, or the path to the first that breaks an invariant.
+fn explore(fault: InjectedFault) -> Result<usize, String> {
+    let first = World {
+        old_process: Some(OldProcess::new(0.0, 1, 1)),
+        new_process: Some(NewProcess::new(0.0)),
+        old_process_knows: Requests::new(),
+        new_process_knows: Requests::new(),
+        to_new_process: VecDeque::new(),
+        to_old_process: VecDeque::from([ToOldProcess::Hello]),
+        started: 0,
+        old_process_saw_end: false,
+        new_process_saw_end: false,
+    };
+    let mut seen = HashSet::from([first.key()]);
+    let mut open = vec![(first, Vec::new())];
+    while let Some((world, path)) = open.pop() {
+        world.check().map_err(|what| format!("{what}: {path:?}"))?;
+        let next = world.next(fault);
+        // Where nothing but a crash or a request can happen, a process that is left must serve.
+        let is_stuck = next
+            .iter()
+            .all(|(name, _)| name.ends_with("killed") || name.ends_with("starts a request"));
+        let serving = world
+            .old_process
+            .as_ref()
+            .is_some_and(OldProcess::may_start_requests)
+            || world
+                .new_process
+                .as_ref()
+                .is_some_and(NewProcess::may_start_requests);
+        if is_stuck && !serving && (world.old_process.is_some() || world.new_process.is_some()) {
+            return Err(format!(
+                "no process serves, and nothing can happen: {path:?}"
+            ));
+        }
+        for (name, world) in next {
+            if seen.insert(world.key()) {
+                let mut path = path.clone();
+                path.push(name);
+                open.push((world, path));
+            }
+        }
+    }
+    Ok(seen.len())
+}
+
+#[test]
+fn the_invariants_hold_in_every_order_of_events() {
+    let worlds = explore(InjectedFault::None).unwrap();
+    assert_eq!(worlds, 410);
+}
+
+#[test]
+fn the_exploration_finds_each_injected_fault() {
+    for fault in [
+        InjectedFault::NoMirror,
+        InjectedFault::NoKill,
+        InjectedFault::EarlyTakeOver,
+        InjectedFault::NoFreeze,
+    ] {
+        let found = explore(fault);
+        assert!(
+            found.is_err(),
+            "{fault:?} was not found in {found:?} worlds"
+        );
+    }
+}
+
+#[test]
+fn an_invalid_nonce_or_another_release_is_rejected_and_the_old_process_serves() {
+    for (version, state_format, is_nonce_valid) in
+        [(VERSION, 1, false), (99, 1, true), (VERSION, 2, true)]
+    {
+        let mut old_process = OldProcess::new(0.0, 1, 1);
+        let actions = old_process.handle(
+            0.0,
+            old_process::Event::Hello {
+                version,
+                state_format,
+                is_nonce_valid,
+            },
+        );
+        assert!(
+            matches!(
+                actions[..],
+                [
+                    old_process::Action::KillNewProcess,
+                    old_process::Action::Report(Err(_))
+                ]
+            ),
+            "{actions:?}"
+        );
+        assert!(old_process.may_start_requests());
+    }
+}
--- a/crates/asterdale-hot-restart/tests/stored_frames.rs
+++ b/crates/asterdale-hot-restart/tests/stored_frames.rs
@@ -2,138 +2,139 @@
 //! again byte for byte: one or more of every kind, each field with a value of its own. `fixtures/frames/README.md` says
 //! how the file was made.
 
-use asterdale_hot_restart::frame::{encode, Incoming};
-use asterdale_hot_restart::message::frame::What;
+use asterdale_hot_restart::frame::{encode, FrameDecoder};
+use asterdale_hot_restart::message::frame::Payload;
 use asterdale_hot_restart::message::{
-    Adopted, Called, Check, Go, Hello, Left, Loaded, Mirror, Offer, Outcome, Phase, Probed, Refuse,
-    Release, Reply, State, Task, Upgrade, Way,
+    Abort, CallEnded, Go, HealthCheck, Hello, Listeners, ListenersAdopted, Mirror, Outcome,
+    Progress, Refuse, Release, Reply, Request, ResponseRoute, StateChunk, StateLoaded,
+    TrialStateLoaded, Upgrade,
 };
 use asterdale_hot_restart::VERSION;
 
 const FRAMES: &[u8] = include_bytes!("fixtures/frames/every-kind.bin");
 
-fn way(connection: u64, request: u32) -> Option<Way> {
-    Some(Way {
+fn route(connection: u64, request: u32) -> Option<ResponseRoute> {
+    Some(ResponseRoute {
         connection,
         request,
     })
 }
 
 /// The messages in the order of the file.
-fn messages() -> Vec<What> {
+fn messages() -> Vec<Payload> {
     let text = |text: &str| text.to_owned();
     vec![
-        What::Hello(Hello {
+        Payload::Hello(Hello {
             version: 1,
-            shape: 1,
+            state_format: 1,
             nonce: vec![0xa1, 0xb2, 0xc3],
         }),
-        What::Offer(Offer {
+        Payload::Listeners(Listeners {
             epoch: 7,
-            listeners: vec![text("127.0.0.1:8080"), text("[::1]:8443")],
+            addresses: vec![text("127.0.0.1:8080"), text("[::1]:8443")],
         }),
-        What::Adopted(Adopted {}),
-        What::Trial(State {
+        Payload::ListenersAdopted(ListenersAdopted {}),
+        Payload::TrialState(StateChunk {
             epoch: 0,
-            part: vec![1, 2, 3],
-            last: true,
+            bytes: vec![1, 2, 3],
+            is_last: true,
         }),
-        What::Probed(Probed {}),
-        What::State(State {
+        Payload::TrialStateLoaded(TrialStateLoaded {}),
+        Payload::State(StateChunk {
             epoch: 8,
-            part: vec![4, 5],
-            last: false,
+            bytes: vec![4, 5],
+            is_last: false,
         }),
-        What::State(State {
+        Payload::State(StateChunk {
             epoch: 8,
-            part: vec![6],
-            last: true,
+            bytes: vec![6],
+            is_last: true,
         }),
-        What::Loaded(Loaded { epoch: 8 }),
-        What::Go(Go { epoch: 9 }),
-        What::Refuse(Refuse {
-            why: text("other stages"),
+        Payload::StateLoaded(StateLoaded { epoch: 8 }),
+        Payload::Go(Go { epoch: 9 }),
+        Payload::Refuse(Refuse {
+            reason: text("other stages"),
         }),
-        What::Task(Task {
-            way: way(1 << 40, 513),
+        Payload::Request(Request {
+            route: route(1 << 40, 513),
             id: b"9b1f03aa5c7e2d41".to_vec(),
-            stage: 1,
+            request_class: 1,
             start_ms: 1_700_000_000_123.5,
-            caller: 3,
+            edge_node: 3,
             timeout_ms: Some(900.25),
-            hint_ms: Some(12.5),
-            kb: 6.75,
-            mark: Some(b"key-1".to_vec()),
+            cost_hint_ms: Some(12.5),
+            memory_kb: 6.75,
+            idempotency_key: Some(b"key-1".to_vec()),
             body: b"body".to_vec(),
             token: Some(b"token".to_vec()),
             unread_ms: 4.5,
             tenant: 2,
         }),
-        // What is absent is told apart from what is empty.
-        What::Task(Task {
-            way: way(2, 1),
+        // Payload is absent is told apart from what is empty.
+        Payload::Request(Request {
+            route: route(2, 1),
             id: vec![b'0'; 16],
-            kb: 1.0,
-            ..Task::default()
+            memory_kb: 1.0,
+            ..Request::default()
         }),
-        What::Task(Task {
-            way: way(2, 2),
-            mark: Some(Vec::new()),
+        Payload::Request(Request {
+            route: route(2, 2),
+            idempotency_key: Some(Vec::new()),
             token: Some(Vec::new()),
-            ..Task::default()
+            ..Request::default()
         }),
-        What::Left(Left {
-            way: way(5, 6),
-            all: false,
+        Payload::Abort(Abort {
+            route: route(5, 6),
+            entire_connection: false,
         }),
-        What::Left(Left {
-            way: way(5, 0),
-            all: true,
+        Payload::Abort(Abort {
+            route: route(5, 0),
+            entire_connection: true,
         }),
-        What::Called(Called {
-            who: 77,
+        Payload::CallEnded(CallEnded {
+            task_id: 77,
             outcome: 3,
             took_ms: 41.5,
             body: b"reply".to_vec(),
         }),
-        What::Check(Check {
-            way: way(8, 9),
-            deep: true,
+        Payload::HealthCheck(HealthCheck {
+            route: route(8, 9),
+            is_deep: true,
         }),
-        What::Reply(Reply {
-            way: way(10, 11),
+        Payload::Reply(Reply {
+            route: route(10, 11),
             kind: 1,
             body: b"result".to_vec(),
             number: 1801,
         }),
-        What::Mirror(Mirror {
-            mark: b"key-2".to_vec(),
-            stage: 1,
+        Payload::Mirror(Mirror {
+            idempotency_key: b"key-2".to_vec(),
+            request_class: 1,
             tenant: 4,
             owner: 78,
-            id: b"9b1f03aa5c7e2d42".to_vec(),
-            what: 2,
-            sign: 0x0123_4567_89ab_cdef,
-            until_ms: 1_700_000_005_000.25,
+            request_id: b"9b1f03aa5c7e2d42".to_vec(),
+            event: 2,
+            body_digest: 0x0123_4567_89ab_cdef,
+            expires_ms: 1_700_000_005_000.25,
             result: Some(b"sold".to_vec()),
         }),
-        What::Mirror(Mirror {
-            mark: b"key-3".to_vec(),
+        Payload::Mirror(Mirror {
+            idempotency_key: b"key-3".to_vec(),
             owner: 79,
-            what: 2,
+            event: 2,
             ..Mirror::default()
         }),
-        What::Release(Release {}),
-        What::Upgrade(Upgrade {
+        Payload::Release(Release {}),
+        Payload::Upgrade(Upgrade {
             program: text("/usr/local/bin/asterdale"),
         }),
-        What::Phase(Phase {
-            text: text("the state is under way"),
+        Payload::Progress(Progress {
+            phase: text("the state is under way"),
         }),
-        What::Outcome(Outcome {
-            done: true,
-            why: text("done"),
-            process: 4321,
+        Payload::Outcome(Outcome {
+            succeeded: true,
+            reason: text("done"),
+            process_id: 4321,
         }),
     ]
 }
@@ -141,12 +142,12 @@
 #[test]
 fn stored_frames_are_read_to_the_same_messages() {
     assert_eq!(VERSION, 1);
-    let mut incoming = Incoming::default();
-    incoming.add(FRAMES);
+    let mut decoder = FrameDecoder::default();
+    decoder.push(FRAMES);
     for expected in messages() {
-        assert_eq!(incoming.take(), Ok(Some(expected)));
+        assert_eq!(decoder.next_message(), Ok(Some(expected)));
     }
-    assert_eq!(incoming.take(), Ok(None));
+    assert_eq!(decoder.next_message(), Ok(None));
 }
 
 #[test]
