--- a/crates/asterdale-daemon/src/upgrade/reply.rs
+++ b/crates/asterdale-daemon/src/upgrade/reply.rs
@@ -2,7 +2,7 @@
 
 use asterdale_engine::message::{Reply, ResponseRoute};
 use asterdale_hot_restart::message::{Reply as ReplyFrame, ResponseRoute as RouteFrame};
-use asterdale_identity::Kind;
+use asterdale_identity::DenialStatus;
 
 /// The message of a route.
 pub fn route_frame(route: ResponseRoute) -> Option<RouteFrame> {
@@ -32,10 +32,10 @@
         Reply::HealthChecked(good) => (6, u64::from(*good), Vec::new()),
         Reply::Denied { kind, wait_ms } => {
             let kind = match kind {
-                Kind::Unknown => 7,
-                Kind::Forbidden => 8,
-                Kind::Over => 9,
-                Kind::Unable => 10,
+                DenialStatus::Unauthenticated => 7,
+                DenialStatus::Forbidden => 8,
+                DenialStatus::QuotaExceeded => 9,
+                DenialStatus::Unavailable => 10,
             };
             (kind, *wait_ms, Vec::new())
         }
@@ -65,10 +65,10 @@
         4 => Reply::Malformed,
         5 => Reply::CallerGone,
         6 => Reply::HealthChecked(number == 1),
-        7 => denied(Kind::Unknown),
-        8 => denied(Kind::Forbidden),
-        9 => denied(Kind::Over),
-        10 => denied(Kind::Unable),
+        7 => denied(DenialStatus::Unauthenticated),
+        8 => denied(DenialStatus::Forbidden),
+        9 => denied(DenialStatus::QuotaExceeded),
+        10 => denied(DenialStatus::Unavailable),
         _ => Reply::Failed,
     };
     Some((route(frame.route)?, reply))
--- a/crates/asterdale-daemon/src/upgrade/stored.rs
+++ b/crates/asterdale-daemon/src/upgrade/stored.rs
@@ -12,7 +12,7 @@
 use asterdale_hot_restart::message::{
     Abort, CallEnded, Mirror, Reply as ReplyFrame, Request as RequestFrame,
 };
-use asterdale_identity::Kind;
+use asterdale_identity::DenialStatus;
 
 use super::channel::open_channel;
 use super::mirror::mirror_frame;
@@ -59,10 +59,10 @@
         (5, Reply::CallerGone),
         (6, Reply::HealthChecked(true)),
         (6, Reply::HealthChecked(false)),
-        (7, denied(Kind::Unknown)),
-        (8, denied(Kind::Forbidden)),
-        (9, denied(Kind::Over)),
-        (10, denied(Kind::Unable)),
+        (7, denied(DenialStatus::Unauthenticated)),
+        (8, denied(DenialStatus::Forbidden)),
+        (9, denied(DenialStatus::QuotaExceeded)),
+        (10, denied(DenialStatus::Unavailable)),
     ]
 }
 
--- a/crates/asterdale-daemon/src/upgrade/tests.rs
+++ b/crates/asterdale-daemon/src/upgrade/tests.rs
@@ -8,7 +8,7 @@
 use asterdale_hot_restart::frame::STATE_CHUNK_BYTES;
 use asterdale_hot_restart::message::frame::Payload;
 use asterdale_hot_restart::message::{Listeners, ResponseRoute as RouteFrame};
-use asterdale_identity::Kind;
+use asterdale_identity::DenialStatus;
 
 use super::channel::{listener_address, open_channel};
 use super::mirror::{mirror_frame, mirrored_event};
@@ -33,10 +33,10 @@
         Reply::CallerGone,
         Reply::HealthChecked(true),
         Reply::HealthChecked(false),
-        denied(Kind::Unknown),
-        denied(Kind::Forbidden),
-        denied(Kind::Over),
-        denied(Kind::Unable),
+        denied(DenialStatus::Unauthenticated),
+        denied(DenialStatus::Forbidden),
+        denied(DenialStatus::QuotaExceeded),
+        denied(DenialStatus::Unavailable),
     ] {
         assert_eq!(
             reply(reply_frame((1 << 40, 9), &expected)),
--- a/crates/asterdale-engine/src/message.rs
+++ b/crates/asterdale-engine/src/message.rs
@@ -6,7 +6,7 @@
 
 use asterdale::events::Outcome;
 pub use asterdale_identity::Certificate;
-use asterdale_identity::Kind;
+use asterdale_identity::DenialStatus;
 use crossbeam_channel::Sender;
 
 /// An id as edge nodes write it: 16 hexadecimal digits.
@@ -108,7 +108,7 @@
     /// The caller is turned away.
     Denied {
         /// What is said.
-        kind: Kind,
+        kind: DenialStatus,
         /// Come again after so many milliseconds; 0 for no advice.
         wait_ms: u64,
     },
@@ -169,7 +169,7 @@
     /// What tells a body from others, alike in all processes.
     fn body_digest(&self, body: &[u8]) -> u64;
     /// Something is wanted; what comes of it is mail under this number.
-    fn request(&self, number: u64, want: asterdale_ownership::Want);
+    fn request(&self, number: u64, want: asterdale_ownership::OwnershipRequest);
     /// Nobody waits for it any more.
     fn forget(&self, number: u64);
     /// What was claimed by this fence was never started.
@@ -225,16 +225,16 @@
     /// A set of keys, as a file or the issuer has it.
     KeySet(Vec<u8>),
     /// The start file was read again: the peers listen here, and this holds of callers, from now on.
-    Reloaded(Endpoints, Option<Box<asterdale_identity::Facts>>),
+    Reloaded(Endpoints, Option<Box<asterdale_identity::IdentitySettings>>),
     /// A step of a handover.
     #[cfg(feature = "hot-restart")]
     HotRestart(HotRestartStep),
     /// What came of something that was wanted of the keepers.
     #[cfg(feature = "ownership")]
     OwnershipAnswer(u64, asterdale_ownership::Answer),
-    /// Work whose owner is gone, that this process may take.
+    /// KeyedRequest whose owner is gone, that this process may take.
     #[cfg(feature = "ownership")]
-    OwnerlessRequests(Vec<asterdale_ownership::Work>),
+    OwnerlessRequests(Vec<asterdale_ownership::KeyedRequest>),
     /// The notice to leave.
     Drain,
     /// Print the counters.
