--- a/crates/asterdale-membership/src/authentication.rs
+++ b/crates/asterdale-membership/src/authentication.rs
@@ -1,62 +1,70 @@
-//! A check over each message, made with the fleet's key (HMAC-SHA-256, RFC 2104): whoever has the key may speak for
-//! anybody, whoever has not is not heard. A message is a version (1 byte), the check's first 16 bytes, and the rest.
+//! Message authentication with the fleet's shared key: HMAC-SHA-256 (RFC 2104), truncated.
+//!
+//! An authenticated message is the protocol version (1 byte), the first [`MAC_BYTES`] of the MAC over version and body,
+//! and the body. The MAC proves that the sender has the key, not which process it is: a holder of the key can send in
+//! any process's name.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// The version that this release speaks.
+/// The protocol version that this release speaks.
 pub const PROTOCOL_VERSION: u8 = 1;
-/// Of the check: half of it, which the RFC allows, and nobody can guess.
+/// Length of the truncated MAC. RFC 2104 allows half of the hash; 128 bits cannot be guessed.
 const MAC_BYTES: usize = 16;
+/// Bytes before the body: version and MAC.
+pub(crate) const HEADER_BYTES: usize = 1 + MAC_BYTES;
 
-/// Why a message is not heard.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a message was not accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AuthenticationError {
-    /// It is too short, or its check is wrong.
+    /// The message is too short, or its MAC is wrong.
+    #[error("the message's MAC is missing or wrong")]
     WrongMac,
-    /// Its check is right, and it is of this other version.
+    /// The MAC is right, but the message is of this other version.
+    #[error("the message is of protocol version {0}, not {PROTOCOL_VERSION}")]
     UnsupportedVersion(u8),
 }
 
-/// The fleet's key.
+/// Adds and verifies MACs with the fleet's key.
 #[derive(Clone)]
 pub struct MessageAuthenticator(Hmac<Sha256>);
 
 impl MessageAuthenticator {
-    /// From the key's bytes, of any number.
+    /// Takes a key of any length; HMAC hashes long ones.
     pub fn new(key: &[u8]) -> MessageAuthenticator {
-        // A key of any length will do: longer ones are hashed.
-        MessageAuthenticator(
-            Hmac::new_from_slice(key).unwrap_or_else(|_| unreachable!("HMAC takes any key")),
-        )
+        let mac = Hmac::new_from_slice(key);
+        MessageAuthenticator(mac.unwrap_or_else(|_| unreachable!("HMAC takes a key of any length")))
     }
 
     fn mac(&self, version: u8, body: &[u8]) -> Hmac<Sha256> {
-        let mut check = self.0.clone();
-        check.update(&[version]);
-        check.update(body);
-        check
+        let mut mac = self.0.clone();
+        mac.update(&[version]);
+        mac.update(body);
+        mac
     }
 
-    /// A body as a message.
+    /// The message with this body: version, MAC and body.
     pub fn authenticate(&self, body: &[u8]) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(1 + MAC_BYTES + body.len());
-        bytes.push(PROTOCOL_VERSION);
-        bytes.extend_from_slice(
-            &self.mac(PROTOCOL_VERSION, body).finalize().into_bytes()[..MAC_BYTES],
-        );
-        bytes.extend_from_slice(body);
-        bytes
+        let mac = self.mac(PROTOCOL_VERSION, body).finalize().into_bytes();
+        let mut message = Vec::with_capacity(HEADER_BYTES + body.len());
+        message.push(PROTOCOL_VERSION);
+        message.extend_from_slice(&mac[..MAC_BYTES]);
+        message.extend_from_slice(body);
+        message
     }
 
     /// The body of a message.
+    ///
+    /// # Errors
+    ///
+    /// If the MAC is wrong, or right for another version.
     pub fn verify<'a>(&self, message: &'a [u8]) -> Result<&'a [u8], AuthenticationError> {
         let (&version, rest) = message.split_first().ok_or(AuthenticationError::WrongMac)?;
-        let (check, body) = rest
+        let (mac, body) = rest
             .split_at_checked(MAC_BYTES)
             .ok_or(AuthenticationError::WrongMac)?;
         self.mac(version, body)
-            .verify_truncated_left(check)
+            .verify_truncated_left(mac)
             .map_err(|_| AuthenticationError::WrongMac)?;
         if version == PROTOCOL_VERSION {
             Ok(body)
@@ -67,44 +75,11 @@
 }
 
 impl std::fmt::Debug for MessageAuthenticator {
+    /// Leaves the key out.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("Seal")
+        f.write_str("MessageAuthenticator")
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn only_what_was_made_with_the_key_and_not_changed_is_heard() {
-        let (seal, other) = (
-            MessageAuthenticator::new(b"the fleet's"),
-            MessageAuthenticator::new(b"another's"),
-        );
-        let message = seal.authenticate(b"hello");
-        assert_eq!(seal.verify(&message), Ok(&b"hello"[..]));
-        assert_eq!(other.verify(&message), Err(AuthenticationError::WrongMac));
-        for at in 0..message.len() {
-            let mut changed = message.clone();
-            changed[at] ^= 4;
-            assert_eq!(
-                seal.verify(&changed),
-                Err(AuthenticationError::WrongMac),
-                "{at}"
-            );
-            assert_eq!(
-                seal.verify(&message[..at]),
-                Err(AuthenticationError::WrongMac),
-                "{at}"
-            );
-        }
-        let mut newer = vec![9];
-        newer.extend_from_slice(&seal.mac(9, b"x").finalize().into_bytes()[..MAC_BYTES]);
-        newer.push(b'x');
-        assert_eq!(
-            seal.verify(&newer),
-            Err(AuthenticationError::UnsupportedVersion(9))
-        );
-    }
-}
+mod tests;
--- a/crates/asterdale-membership/src/failpoint.rs
+++ b/crates/asterdale-membership/src/failpoint.rs
@@ -1,14 +1,15 @@
-//! Failpoints of this package, each of which a proof must find.
+//! Failpoints: deliberate protocol errors, compiled in by the feature `failpoints` only. CI activates each by its name
+//! and checks that a test detects it.
 
 asterdale_failpoints::failpoints! {
-    /// A suspicion is refuted without a higher incarnation.
+    /// A suspicion is refuted without raising the incarnation.
     Refutation = "refutation",
-    /// The dead are never asked again.
+    /// Dead members are never pinged again, so that partitions do not heal.
     Dead = "dead",
-    /// A process takes generation 1, whatever others remember.
+    /// A process always takes generation 1, whatever the others remember.
     Generation = "generation",
-    /// A datagram of an older generation is believed.
+    /// Records of an older generation replace newer ones.
     Older = "older",
-    /// A suspicion never ends in a death.
+    /// A suspicion never expires into a death.
     Suspicion = "suspicion",
 }
--- a/crates/asterdale-membership/src/gossip_queue.rs
+++ b/crates/asterdale-membership/src/gossip_queue.rs
@@ -1,126 +1,94 @@
-//! News that ride on messages: each a bounded number of times, accusations before all else and those told least first,
-//! newer words in the place of older ones on the same process.
+//! The queue of records to be piggybacked on messages (SWIM, infection-style dissemination).
+//!
+//! As in SWIM, each record is sent a bounded number of times, and those sent least come first. Departing from the paper,
+//! records of members that are suspected, dead or gone precede all others.
 
 use std::collections::BTreeMap;
 
 use crate::record::{MemberRecord, Status};
 
-/// News that wait to be told.
+/// A queued record.
+#[derive(Clone, Debug)]
+struct QueuedRecord {
+    transmissions: u32,
+    record: MemberRecord,
+}
+
+/// A record's place in the queue; the lowest is sent first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Rank {
+    is_alive: bool,
+    transmissions: u32,
+    name: String,
+}
+
+/// The queue. It has one record for each name at most.
 #[derive(Clone, Debug, Default)]
 pub struct GossipQueue {
-    /// By name: how often each was told, and what.
-    pending: BTreeMap<String, (u32, MemberRecord)>,
+    queued: BTreeMap<String, QueuedRecord>,
 }
 
 impl GossipQueue {
-    /// Something to be told: it takes the place of what was to be told of the same process.
+    /// Queues a record, in place of an earlier one of the same name.
     pub fn add(&mut self, record: MemberRecord) {
-        self.pending.insert(record.name.clone(), (0, record));
+        let queued = QueuedRecord {
+            transmissions: 0,
+            record,
+        };
+        self.queued.insert(queued.record.name.clone(), queued);
     }
 
-    /// What rides on the next message: as many as there is room for by this measure of each. That somebody is suspected,
-    /// dead or gone goes first, as a suspect has little time to speak and a dead one is still sent work; then those told
-    /// least: that hundreds came at once must not hold up the loss of one. One that has ridden `rides` times is told no more.
+    /// The records for the next message, as many as fit into `capacity_bytes` by the measure `record_bytes`. A record
+    /// that has been sent `max_transmissions` times leaves the queue.
+    ///
+    /// Suspicions and deaths come first, because a suspect has little time to refute and a dead member still gets
+    /// work. After them come the records sent least, so that hundreds of joins do not delay news of one loss.
     pub fn take_batch(
         &mut self,
-        mut room: usize,
-        rides: u32,
-        size: impl Fn(&MemberRecord) -> usize,
+        mut capacity_bytes: usize,
+        max_transmissions: u32,
+        record_bytes: impl Fn(&MemberRecord) -> usize,
     ) -> Vec<MemberRecord> {
-        let rank = |(name, (told, record)): (&String, &(u32, MemberRecord))| {
-            (record.status == Status::Alive, *told, name.clone())
-        };
-        let mut order: Vec<(bool, u32, String)> = self.pending.iter().map(rank).collect();
-        order.sort_unstable();
-        let mut taken = Vec::new();
-        for (.., name) in order {
-            let Some((told, record)) = self.pending.get_mut(&name) else {
+        let mut batch = Vec::new();
+        for rank in self.ranks() {
+            let Some(queued) = self.queued.get_mut(&rank.name) else {
                 continue;
             };
-            let takes = size(record);
-            if takes > room {
+            let bytes = record_bytes(&queued.record);
+            if bytes > capacity_bytes {
                 break;
             }
-            room -= takes;
-            *told += 1;
-            taken.push(record.clone());
-            if *told >= rides {
-                self.pending.remove(&name);
+            capacity_bytes -= bytes;
+            queued.transmissions += 1;
+            batch.push(queued.record.clone());
+            if queued.transmissions >= max_transmissions {
+                self.queued.remove(&rank.name);
             }
         }
-        taken
+        batch
+    }
+
+    fn ranks(&self) -> Vec<Rank> {
+        let rank = |(name, queued): (&String, &QueuedRecord)| Rank {
+            is_alive: queued.record.status == Status::Alive,
+            transmissions: queued.transmissions,
+            name: name.clone(),
+        };
+        let mut ranks: Vec<Rank> = self.queued.iter().map(rank).collect();
+        ranks.sort_unstable();
+        ranks
     }
 
-    /// How many wait.
+    /// How many records are queued.
     pub fn len(&self) -> usize {
-        self.pending.len()
+        self.queued.len()
     }
 
-    /// Whether there are none.
+    /// Whether no record is queued.
     pub fn is_empty(&self) -> bool {
-        self.pending.is_empty()
+        self.queued.is_empty()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::record::Metadata;
-
-    #[test]
-    fn an_accusation_is_told_before_those_who_came() {
-        let mut news = GossipQueue::default();
-        let record = |n: u16, status| MemberRecord {
-            name: format!("m{n:02}"),
-            address: ([127, 0, 0, 1], n).into(),
-            generation: 1,
-            nonce: 1,
-            incarnation: 0,
-            status,
-            metadata: Metadata::default(),
-            reported_by: String::new(),
-        };
-        (0..10).for_each(|n| news.add(record(n, Status::Alive)));
-        news.add(record(99, Status::Suspect));
-        for _ in 0..5 {
-            assert_eq!(news.take_batch(20, 5, |_| 10)[0].name, "m99");
-        }
-        assert_ne!(
-            news.take_batch(20, 5, |_| 10)[0].name,
-            "m99",
-            "no more than its rides"
-        );
-    }
-
-    #[test]
-    fn each_rides_its_number_of_times_and_none_is_starved() {
-        let mut news = GossipQueue::default();
-        let record = |n: u16| MemberRecord {
-            name: format!("m{n:02}"),
-            address: ([127, 0, 0, 1], n).into(),
-            generation: 1,
-            nonce: 1,
-            incarnation: 0,
-            status: Status::Alive,
-            metadata: Metadata::default(),
-            reported_by: String::new(),
-        };
-        (0..10).for_each(|n| news.add(record(n)));
-        news.add(record(3));
-        let mut told = BTreeMap::new();
-        let mut messages = 0;
-        while !news.is_empty() {
-            let taken = news.take_batch(30, 5, |_| 10);
-            assert!((1..=3).contains(&taken.len()));
-            taken
-                .into_iter()
-                .for_each(|record| *told.entry(record.name).or_insert(0) += 1);
-            messages += 1;
-        }
-        assert!(
-            told.len() == 10 && told.values().all(|&times| times == 5),
-            "{told:?}"
-        );
-        assert_eq!(messages, 17);
-    }
-}
+mod tests;
--- a/crates/asterdale-membership/src/lib.rs
+++ b/crates/asterdale-membership/src/lib.rs
@@ -1,29 +1,53 @@
-//! A view of the fleet, kept by its processes themselves, without I/O and clock: datagrams, exchanges and times come
-//! in; datagrams, exchanges and events go out, and when to be woken next. In the manner of SWIM (Das, Gupta and
-//! Motivala, 2002) with Lifeguard (Dadgar, Phillips and Currey, 2018); `docs/fleet-view.md` weighs the ways, and says
-//! what is added: generations that are learned from those who remember, the dead who are asked again, twins under
-//! one name, and a word on how sure a process may be of its view.
+//! Cluster membership: SWIM with the Lifeguard extensions, as a state machine without I/O and without a clock.
 //!
-//! **A view is a hint and never a lock.** No two processes need have the same one at any moment.
+//! [`Membership`] is one process's part. The caller passes in received datagrams, exchange messages, the current time
+//! and a random seed; the state machine returns datagrams to send, exchanges to start, events for the program, and the
+//! time at which it wants to be woken next. It runs no threads and opens no sockets, so tests and the simulator play
+//! whole fleets deterministically.
 //!
-//! Floors, from below: [`record`] (what is known of a process, and which of two words on it holds), [`message`] and
-//! [`seal`] (bytes), [`health`], [`suspicion`] and [`news`] (one rule each), [`view`] (the table), [`fleet`] (the state
-//! machine).
+//! The protocol follows SWIM (Das, Gupta and Motivala, 2002) and Lifeguard (Dadgar, Phillips and Currey, 2018).
+//! `docs/fleet-view.md` compares the alternatives and lists what is added to the papers: generations that a restarted
+//! process learns from the others, pings to dead members so that partitions heal, detection of two processes under
+//! one name, periodic exchange of full views, and an estimate of whether a process still reaches a majority.
+//!
+//! **A view is a hint, never a lock.** At any moment two processes may have different views.
+//!
+//! # Generation and incarnation
+//!
+//! Two numbers order what is said about a name, and must not be confused:
+//!
+//! - The **generation** numbers the processes that had the name. A process takes a new one when it starts, and when it
+//!   goes on after the others declared it dead. With its random nonce it makes up the run ID
+//!   ([`MemberRecord::run_id`]), which identifies one run of one process.
+//! - The **incarnation** is SWIM's: it starts at 0 in each generation. A process raises it to refute a suspicion, or
+//!   when its metadata changes; a declared death takes the next one.
+//!
+//! # Modules
+//!
+//! [`record`] orders contradictory records; [`message`] and [`authentication`] are the wire format; [`local_health`],
+//! [`suspicion`] and [`gossip_queue`] hold one rule of the papers each; [`view`] is the membership table;
+//! [`state_machine`] is the protocol; [`settings`] and [`config`] are its parameters.
 
 pub mod authentication;
+pub mod config;
 pub mod counters;
+pub mod event;
 pub mod failpoint;
 pub mod gossip_queue;
 pub mod local_health;
 pub mod message;
+mod random;
+mod receive_limiter;
 pub mod record;
 pub mod settings;
 pub mod state_machine;
 pub mod suspicion;
 pub mod view;
 
+pub use config::MembershipConfig;
 pub use counters::Counters;
+pub use event::{Action, Event, MemberChange};
 pub use record::{MemberRecord, Metadata, Phase, Status};
 pub use settings::Settings;
-pub use state_machine::{Action, Event, MemberChange, Membership, MembershipConfig};
+pub use state_machine::Membership;
 pub use view::{MemberEntry, View};
--- a/crates/asterdale-membership/src/local_health.rs
+++ b/crates/asterdale-membership/src/local_health.rs
@@ -1,25 +1,26 @@
-//! How far a process may trust its own ears (Lifeguard's local health multiplier): one that gets few answers, or late
-//! ones, is likely to be slow itself, and asks longer before it accuses others.
+//! Lifeguard's local health multiplier (LHA-Probe): a process that misses answers is probably slow itself, so it waits
+//! longer before it accuses others.
 
-/// The most that it counts, as published.
+/// The highest score, as published.
 const MAX_SCORE: u32 = 8;
 
-/// From 0, well, to [`MAX_SCORE`].
+/// The score, from 0 (healthy) to [`MAX_SCORE`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LocalHealth(u32);
 
 impl LocalHealth {
-    /// A sign that this process is slow: a probe without an answer, a helper without a word, a suspicion of itself.
+    /// Counts a sign that this process is slow: a probe without an ack, a relay without a nack, a suspicion against
+    /// this process, a pause.
     pub fn record_failure(&mut self) {
         self.0 = (self.0 + 1).min(MAX_SCORE);
     }
 
-    /// A sign that it is not: a probe's answer in time.
+    /// Counts a sign that this process is healthy: an ack to its probe.
     pub fn record_success(&mut self) {
         self.0 = self.0.saturating_sub(1);
     }
 
-    /// By how much it asks longer.
+    /// The factor by which the probe interval and the probe timeout are longer than configured.
     pub fn timeout_multiplier(&self) -> f64 {
         f64::from(self.0 + 1)
     }
--- a/crates/asterdale-membership/src/message.rs
+++ b/crates/asterdale-membership/src/message.rs
@@ -1,14 +1,18 @@
-//! Messages as bytes, and what of them is taken. All of it is untrusted: a name too long, an address of no length, an
-//! unknown status make a record nothing, not an error; a message too long is not read at all.
+//! The wire format: encoding and decoding of messages and records.
+//!
+//! Received messages are untrusted. A record that is malformed (an overlong name, an impossible address, an unknown
+//! status) is ignored; a message that is too long is not decoded at all.
 
 use std::net::{IpAddr, SocketAddr};
 
 use prost::Message as _;
 
-use crate::authentication::{AuthenticationError, MessageAuthenticator, PROTOCOL_VERSION};
+use crate::authentication::{
+    AuthenticationError, MessageAuthenticator, HEADER_BYTES, PROTOCOL_VERSION,
+};
 use crate::record::{MemberRecord, Metadata, Phase, Status};
 
-/// The messages, as `proto/members.proto` has them.
+/// The messages as generated from `proto/members.proto`, which documents them.
 #[allow(missing_docs, clippy::doc_markdown)]
 pub mod wire {
     include!(concat!(env!("OUT_DIR"), "/asterdale.members.v1.rs"));
@@ -17,51 +21,67 @@
 pub use wire::message::Payload;
 pub use wire::{Ack, FullView, Message, Nack, Ping, PingRequest, VersionRejection};
 
-/// A datagram is no longer, in bytes: it passes every network whole.
+/// Maximum length of a datagram, so that it fits an Ethernet frame without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// One side of an exchange is no longer: 4,096 members with names of a sensible length.
+/// Maximum length of one direction of an exchange: enough for 4,096 members with names of usual length.
 pub const MAX_EXCHANGE_BYTES: usize = 1024 * 1024;
-/// A name is no longer.
+/// Maximum length of a member's name.
 pub const MAX_NAME_BYTES: usize = 64;
-/// What a datagram has room for beside its news: the check, the sender's own record, and what is asked.
-const RESERVED_BYTES: usize = 400;
+/// Bytes of a datagram that are not for gossip: version and MAC, the sender's record and the payload, at their longest.
+const NON_GOSSIP_BYTES: usize = 400;
+/// Bytes of an encoded record beside its two names, at most: address, numbers and protobuf tags.
+const RECORD_OVERHEAD_BYTES: usize = 64;
 
-/// Why a message is not heard.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a message was not accepted.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It is longer than any may be.
-    TooLong,
+    /// It is longer than allowed.
+    #[error("the message is longer than {max_bytes} bytes")]
+    TooLong {
+        /// The allowed length.
+        max_bytes: usize,
+    },
     /// It was not made with the fleet's key, or was changed.
+    #[error("the message is not authentic")]
     Unauthenticated,
-    /// Of another version. Where to say so, if it tells that as this version does.
-    UnsupportedVersion(u8, Option<SocketAddr>),
-    /// It can't be read, or does not say who speaks.
-    Malformed,
+    /// It is of another protocol version.
+    #[error("the message is of the unsupported protocol version {version}")]
+    UnsupportedVersion {
+        /// Its version.
+        version: u8,
+        /// Where to send a rejection, if the sender's address could be decoded as in this version.
+        sender: Option<SocketAddr>,
+    },
+    /// It cannot be decoded.
+    #[error("the message is malformed")]
+    Malformed(#[source] prost::DecodeError),
+    /// It has no valid record of its sender.
+    #[error("the message has no valid sender")]
+    InvalidSender,
 }
 
-/// An address as a message has it.
-fn encode_address(at: SocketAddr) -> wire::Address {
-    let ip = match at.ip() {
+fn encode_address(address: SocketAddr) -> wire::Address {
+    let ip = match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
         IpAddr::V6(ip) => ip.octets().to_vec(),
     };
     wire::Address {
         ip,
-        port: at.port().into(),
+        port: address.port().into(),
     }
 }
 
-fn decode_address(at: Option<&wire::Address>) -> Option<SocketAddr> {
-    let at = at?;
-    let ip: IpAddr = match at.ip.len() {
-        4 => <[u8; 4]>::try_from(&at.ip[..]).ok()?.into(),
-        _ => <[u8; 16]>::try_from(&at.ip[..]).ok()?.into(),
+fn decode_address(address: Option<&wire::Address>) -> Option<SocketAddr> {
+    let address = address?;
+    let ip: IpAddr = match address.ip.len() {
+        4 => <[u8; 4]>::try_from(&address.ip[..]).ok()?.into(),
+        _ => <[u8; 16]>::try_from(&address.ip[..]).ok()?.into(),
     };
-    let port = u16::try_from(at.port).ok().filter(|&port| port > 0)?;
+    let port = u16::try_from(address.port).ok().filter(|&port| port > 0)?;
     Some(SocketAddr::new(ip, port))
 }
 
-/// A record as a message has it.
+/// The wire form of a record.
 pub fn encode_record(record: &MemberRecord) -> wire::Record {
     wire::Record {
         name: record.name.clone(),
@@ -77,100 +97,118 @@
     }
 }
 
-/// The record that a message has; `None` if it makes no sense.
+fn decode_status(status: u32) -> Option<Status> {
+    match status {
+        0 => Some(Status::Alive),
+        1 => Some(Status::Suspect),
+        2 => Some(Status::Dead),
+        3 => Some(Status::Left),
+        _ => None,
+    }
+}
+
+/// An unknown phase counts as draining: a process of a later release gets no work by mistake.
+fn decode_phase(phase: u32) -> Phase {
+    match phase {
+        0 => Phase::WarmingUp,
+        1 => Phase::Ready,
+        2 => Phase::AtCapacity,
+        _ => Phase::Draining,
+    }
+}
+
+fn decode_percent(percent: u32) -> u8 {
+    u8::try_from(percent.min(100)).unwrap_or(100)
+}
+
+/// The record of a wire form; `None` if it is malformed.
 pub fn decode_record(record: &wire::Record) -> Option<MemberRecord> {
-    let named = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
-    if !named(&record.name) || record.reported_by.len() > MAX_NAME_BYTES {
+    let is_name_valid = !record.name.is_empty() && record.name.len() <= MAX_NAME_BYTES;
+    if !is_name_valid || record.reported_by.len() > MAX_NAME_BYTES {
         return None;
     }
-    let hundredths = |n: u32| u8::try_from(n.min(100)).unwrap_or(100);
     Some(MemberRecord {
         name: record.name.clone(),
         address: decode_address(record.address.as_ref())?,
         generation: record.generation,
         nonce: record.nonce,
         incarnation: record.incarnation,
-        status: match record.status {
-            0 => Status::Alive,
-            1 => Status::Suspect,
-            2 => Status::Dead,
-            3 => Status::Left,
-            _ => return None,
-        },
+        status: decode_status(record.status)?,
         metadata: Metadata {
-            phase: match record.phase {
-                0 => Phase::WarmingUp,
-                1 => Phase::Ready,
-                2 => Phase::AtCapacity,
-                _ => Phase::Draining,
-            },
-            load_percent: hundredths(record.load_percent),
-            warm_percent: hundredths(record.warm_percent),
+            phase: decode_phase(record.phase),
+            load_percent: decode_percent(record.load_percent),
+            warm_percent: decode_percent(record.warm_percent),
         },
         reported_by: record.reported_by.clone(),
     })
 }
 
-/// A question to another for a third.
-pub fn ping_request(seq: u32, record: &MemberRecord) -> Payload {
+/// A request to a relay to ping the target (SWIM's ping-req).
+pub fn ping_request(seq: u32, target: &MemberRecord) -> Payload {
     Payload::PingRequest(PingRequest {
         seq,
-        name: record.name.clone(),
-        address: Some(encode_address(record.address)),
+        name: target.name.clone(),
+        address: Some(encode_address(target.address)),
     })
 }
 
-/// Whom a question is about.
+/// The address of a ping request's target; `None` if it is malformed.
 pub fn ping_request_address(request: &PingRequest) -> Option<SocketAddr> {
     decode_address(request.address.as_ref())
 }
 
-/// About how many bytes of a datagram a record takes.
+/// An upper estimate of the bytes that a record takes in a datagram.
 pub fn record_bytes(record: &MemberRecord) -> usize {
-    // Two addresses' worth of numbers, their tags, and the two names.
-    64 + record.name.len() + record.reported_by.len()
+    RECORD_OVERHEAD_BYTES + record.name.len() + record.reported_by.len()
 }
 
-/// Bytes that a datagram has for news.
+/// The bytes of a datagram that gossip may take.
 pub fn gossip_capacity_bytes() -> usize {
-    MAX_DATAGRAM_BYTES - RESERVED_BYTES
+    MAX_DATAGRAM_BYTES - NON_GOSSIP_BYTES
 }
 
-/// A message as bytes.
-pub fn encode(seal: &MessageAuthenticator, message: &Message) -> Vec<u8> {
-    seal.authenticate(&message.encode_to_vec())
+/// The message as authenticated bytes.
+pub fn encode(authenticator: &MessageAuthenticator, message: &Message) -> Vec<u8> {
+    authenticator.authenticate(&message.encode_to_vec())
 }
 
-/// The message of these bytes, and the sender's record.
+/// The message of these bytes, and its sender's record.
+///
+/// # Errors
+///
+/// If the message is too long, not authentic, of another version or malformed.
 pub fn decode(
-    seal: &MessageAuthenticator,
+    authenticator: &MessageAuthenticator,
     bytes: &[u8],
-    most: usize,
+    max_bytes: usize,
 ) -> Result<(Message, MemberRecord), DecodeError> {
-    if bytes.len() > most {
-        return Err(DecodeError::TooLong);
+    if bytes.len() > max_bytes {
+        return Err(DecodeError::TooLong { max_bytes });
     }
-    let body = match seal.verify(bytes) {
-        Ok(body) => body,
-        Err(AuthenticationError::WrongMac) => return Err(DecodeError::Unauthenticated),
-        Err(AuthenticationError::UnsupportedVersion(version)) => {
-            // Behind the version and the check, as here, if that has not changed.
-            let body = bytes.get(17..).and_then(|body| Message::decode(body).ok());
-            let at =
-                body.and_then(|message| decode_address(message.sender.as_ref()?.address.as_ref()));
-            return Err(DecodeError::UnsupportedVersion(version, at));
-        }
-    };
-    let message = Message::decode(body).map_err(|_| DecodeError::Malformed)?;
-    let from = message
+    let body = authenticator.verify(bytes).map_err(|error| match error {
+        AuthenticationError::WrongMac => DecodeError::Unauthenticated,
+        AuthenticationError::UnsupportedVersion(version) => DecodeError::UnsupportedVersion {
+            version,
+            sender: sender_of_other_version(bytes),
+        },
+    })?;
+    let message = Message::decode(body).map_err(DecodeError::Malformed)?;
+    let sender = message
         .sender
         .as_ref()
         .and_then(decode_record)
-        .ok_or(DecodeError::Malformed)?;
-    Ok((message, from))
+        .ok_or(DecodeError::InvalidSender)?;
+    Ok((message, sender))
+}
+
+/// The sender's address in a message of another version, on the assumption that the header and the address have the
+/// same form there.
+fn sender_of_other_version(bytes: &[u8]) -> Option<SocketAddr> {
+    let message = Message::decode(bytes.get(HEADER_BYTES..)?).ok()?;
+    decode_address(message.sender?.address.as_ref())
 }
 
-/// What is said to a message of another version.
+/// The answer to a message of another version.
 pub fn version_rejection() -> Payload {
     Payload::VersionRejection(VersionRejection {
         min_version: PROTOCOL_VERSION.into(),
--- /dev/null
+++ b/crates/asterdale-membership/src/receive_limiter.rs
@@ -0,0 +1,35 @@
+//! A token bucket for received messages, so that a flood costs a bounded amount of work.
+
+/// Messages read in a second, whatever the fleet's size. A healthy fleet sends about a tenth of the whole limit.
+const BASE_PER_SECOND: f64 = 400.0;
+/// Messages read in a second in addition, for each member in the view.
+const PER_MEMBER_PER_SECOND: f64 = 40.0;
+
+/// The bucket. It holds the messages of one second at most.
+#[derive(Clone, Debug)]
+pub(crate) struct ReceiveLimiter {
+    tokens: f64,
+    refilled_ms: f64,
+}
+
+impl ReceiveLimiter {
+    pub(crate) fn new(now_ms: f64) -> ReceiveLimiter {
+        ReceiveLimiter {
+            tokens: BASE_PER_SECOND,
+            refilled_ms: now_ms,
+        }
+    }
+
+    /// Takes the token for one message; `false` if there is none and the message is to be dropped.
+    pub(crate) fn try_take(&mut self, now_ms: f64, member_count: usize) -> bool {
+        let per_second = BASE_PER_SECOND + PER_MEMBER_PER_SECOND * member_count as f64;
+        let elapsed_ms = (now_ms - self.refilled_ms).max(0.0);
+        self.tokens = (self.tokens + elapsed_ms / 1000.0 * per_second).min(per_second);
+        self.refilled_ms = now_ms;
+        let is_allowed = self.tokens >= 1.0;
+        if is_allowed {
+            self.tokens -= 1.0;
+        }
+        is_allowed
+    }
+}
--- a/crates/asterdale-membership/src/record.rs
+++ b/crates/asterdale-membership/src/record.rs
@@ -1,125 +1,95 @@
-//! What is known of a process, and which of two words on it holds.
+//! What is known about a process, and which of two contradictory records wins.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
 
-/// Whether a process is there, in the order in which words on the same incarnation beat each other.
+/// SWIM's member states. For the same incarnation the later one in this order wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Status {
-    /// It is.
+    /// The process answers.
     Alive,
-    /// Somebody got no answer from it.
+    /// A probe of the process failed.
     Suspect,
-    /// Nobody refuted that in time.
+    /// The suspicion was not refuted in time.
     Dead,
-    /// It said that it leaves. Nothing of its generation comes after that.
+    /// The process left on its own. No later record of the same run can change that.
     Left,
 }
 
-/// How far a process is, by its own word.
+/// How far a process is in its life, by its own account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Phase {
-    /// It began without warm state.
+    /// It started without its caches and is warming up.
     #[default]
     WarmingUp,
-    /// It takes work.
+    /// It accepts work.
     Ready,
     /// It has all the work that it can take.
     AtCapacity,
-    /// It takes no new work.
+    /// It accepts no new work.
     Draining,
 }
 
-/// What a process says of itself, bounded: a byte each.
+/// What a process says about its load, in a few bytes, as every datagram carries it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Metadata {
-    /// How far it is.
+    /// The phase.
     pub phase: Phase,
-    /// Busy part of its cores, in hundredths.
+    /// The busy part of its cores, from 0 to 100.
     pub load_percent: u8,
-    /// How warm it is, in hundredths.
+    /// How far its slow start is, from 0 to 100.
     pub warm_percent: u8,
 }
 
-/// What is known of a process.
+/// What is known about a process. The crate's documentation explains generation and incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberRecord {
-    /// Its name: one process has it at a time, or is to.
+    /// The name. At most one process should have it at a time.
     pub name: String,
-    /// Where it is to be reached, as it says itself.
+    /// The address at which the process can be reached, by its own account.
     pub address: SocketAddr,
-    /// Counts the processes that had the name, and the times that one was believed dead: higher than all earlier.
+    /// Number of the process under this name, higher than those of all earlier ones.
     pub generation: u64,
-    /// Tells two that took the same generation apart.
+    /// A random number that distinguishes two processes that took the same generation.
     pub nonce: u64,
-    /// Counts what it has said of itself within its generation, and the deaths that were told of it.
+    /// SWIM's incarnation number, within the generation.
     pub incarnation: u32,
-    /// Whether it is there.
+    /// The status.
     pub status: Status,
-    /// What it says of itself.
+    /// What the process says about its load.
     pub metadata: Metadata,
-    /// By whose word.
+    /// Name of the process that reported the status first.
     pub reported_by: String,
 }
 
 impl MemberRecord {
-    /// Which process under this name it speaks of: the higher is the newer.
+    /// Identifies one run of a process under this name; of two, the greater is the newer.
     pub fn run_id(&self) -> (u64, u64) {
         (self.generation, self.nonce)
     }
 
-    /// Orders two words on processes under one name; the greater holds. Of one process's: that it left beats all,
-    /// then the higher incarnation, which only the process itself can raise, or its death, then the worse status. So
-    /// whoever hears the same words, in any order and however often, holds the same.
+    /// Orders two records of one name; the greater one wins.
+    ///
+    /// A newer run wins over an older one. Within a run, leaving wins over everything, then the higher incarnation, then
+    /// the later status. As this is a total order, processes that received the same records agree, whatever the order
+    /// and however often the records came.
     pub fn cmp_precedence(&self, other: &MemberRecord) -> Ordering {
-        let rank = |r: &MemberRecord| {
+        let rank = |record: &MemberRecord| {
             (
-                r.run_id(),
-                r.status == Status::Left,
-                r.incarnation,
-                r.status,
+                record.run_id(),
+                record.status == Status::Left,
+                record.incarnation,
+                record.status,
             )
         };
         rank(self).cmp(&rank(other))
     }
 
-    /// It counts as there.
+    /// Whether the process counts as a live member: a suspect does.
     pub fn is_live(&self) -> bool {
         matches!(self.status, Status::Alive | Status::Suspect)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn of_any_words_on_a_name_one_holds_whatever_the_order() {
-        let word = |generation, nonce, incarnation, status| MemberRecord {
-            name: "a".to_owned(),
-            address: ([127, 0, 0, 1], 1).into(),
-            generation,
-            nonce,
-            incarnation,
-            status,
-            metadata: Metadata::default(),
-            reported_by: String::new(),
-        };
-        // From the weakest to the strongest.
-        let all = [
-            word(1, 9, 7, Status::Left),
-            word(2, 1, 0, Status::Alive),
-            word(2, 1, 0, Status::Suspect),
-            word(2, 1, 0, Status::Dead),
-            word(2, 1, 1, Status::Alive),
-            word(2, 1, 0, Status::Left),
-            word(2, 2, 0, Status::Alive),
-            word(3, 0, 0, Status::Alive),
-        ];
-        for (i, one) in all.iter().enumerate() {
-            for (j, other) in all.iter().enumerate() {
-                assert_eq!(one.cmp_precedence(other), i.cmp(&j), "{one:?} {other:?}");
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/asterdale-membership/src/settings.rs
+++ b/crates/asterdale-membership/src/settings.rs
@@ -1,93 +1,98 @@
-//! What a fleet agrees on: how often, how long, how many. All times in f64 milliseconds.
+//! The protocol's settings. All members of a fleet must have the same. Times are milliseconds as `f64`.
 
-/// How the processes of one fleet look after each other. The same in all of them.
+/// Timers and limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// From one probe to the next. Everything else follows from it unless told.
+    /// SWIM's protocol period: the time from one probe to the next. Most other times are multiples of it.
     pub probe_interval_ms: f64,
-    /// How long a probe's answer may take before others are asked to probe: some round trips.
+    /// How long a probe's ack may take before other members are asked to probe: some round trips.
     pub probe_timeout_ms: f64,
-    /// So many are asked then.
+    /// SWIM's k: how many relays are asked in an indirect probe.
     pub indirect_probes: usize,
-    /// A suspicion lasts so many intervals at the least, times the logarithm of the fleet's size.
+    /// Lifeguard's alpha: the minimum of a suspicion, in probe intervals, times the logarithm of the fleet's size.
     pub suspicion_multiplier: f64,
-    /// And so many times that without anybody's confirmation (Lifeguard's beta).
+    /// Lifeguard's beta: how many times the minimum a suspicion lasts without confirmations.
     pub max_suspicion_multiplier: f64,
-    /// A piece of news rides on so many messages, times the logarithm of the fleet's size (SWIM's lambda).
+    /// SWIM's lambda: how many times a record is piggybacked, times the logarithm of the fleet's size.
     pub retransmit_multiplier: f64,
-    /// From one exchange of whole views to the next, in intervals.
+    /// The time from one periodic full-view exchange to the next, in probe intervals.
     pub exchange_intervals: f64,
-    /// From one question to a dead process, or a seed that is no member, to the next, in intervals.
+    /// The time from one ping to a dead member, or to a seed that is no member, to the next, in probe intervals.
     pub dead_ping_intervals: f64,
-    /// The dead and those who left are remembered for so long: longer than any partition that is to heal by itself.
+    /// How long dead members, and those that left, stay in the view. It must be longer than any partition that is to
+    /// heal on its own.
     pub dead_retention_ms: f64,
-    /// Members that are kept in the view, the dead among them: what a peer tells beyond that is passed over.
+    /// How many members the view holds at most, dead ones included. Records of more are dropped.
     pub max_members: usize,
-    /// A process that starts waits for the first answer of a seed for so many intervals, before it goes on alone.
+    /// How long a starting process waits for a seed's answer before it goes on alone, in probe intervals.
     pub join_timeout_intervals: f64,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            // Seconds to detection are enough for what rests on a view, and one probe a second costs nothing.
+            // Detection within seconds is enough for what rests on the view, and one probe a second costs nothing.
             probe_interval_ms: 1000.0,
-            // Ten times what a loaded machine on the same network takes.
+            // Ten times the round trip of a loaded machine on the same network.
             probe_timeout_ms: 300.0,
-            // The paper's: with three helpers a lost way between two processes is no suspicion.
+            // The paper's value: with three relays, a broken route between two processes raises no suspicion.
             indirect_probes: 3,
             // Lifeguard's alpha and beta.
             suspicion_multiplier: 5.0,
             max_suspicion_multiplier: 6.0,
-            // The paper's 3 to 4: with it all have heard with a probability that grows with the fleet.
+            // The paper's 3 to 4: the probability that all receive a record grows with the fleet.
             retransmit_multiplier: 4.0,
-            // News reach all within a few intervals; this is for what was lost beyond its repeats.
+            // Gossip reaches all within a few intervals; exchanges are for records that were lost every time.
             exchange_intervals: 20.0,
-            // One small datagram in five intervals a process, whatever the number of dead.
+            // One small datagram in five intervals from each process, however many members are dead.
             dead_ping_intervals: 5.0,
-            // A day: the longest outage that an operator would leave to itself.
+            // A day: the longest outage that an operator would leave alone.
             dead_retention_ms: 86_400_000.0,
+            // What an exchange message has room for.
             max_members: 4096,
+            // Several requests to seeds, as one is made in each half to whole interval.
             join_timeout_intervals: 5.0,
         }
     }
 }
 
 impl Settings {
-    /// Decimal logarithm of a fleet's size, never under one.
+    /// The decimal logarithm of a fleet's size, at least 1.
     fn log_size(size: usize) -> f64 {
         ((size + 1) as f64).log10().max(1.0)
     }
 
-    /// The least that a suspicion lasts in a fleet of this size.
+    /// The minimum duration of a suspicion in a fleet of this size.
     pub fn min_suspicion_ms(&self, size: usize) -> f64 {
         self.suspicion_multiplier * Settings::log_size(size) * self.probe_interval_ms
     }
 
-    /// The most.
+    /// The maximum duration of a suspicion in a fleet of this size.
     pub fn max_suspicion_ms(&self, size: usize) -> f64 {
         self.max_suspicion_multiplier * self.min_suspicion_ms(size)
     }
 
-    /// How many messages a piece of news rides on.
+    /// How many times a record is piggybacked in a fleet of this size.
     pub fn retransmissions(&self, size: usize) -> u32 {
         (self.retransmit_multiplier * Settings::log_size(size)).ceil() as u32
     }
 
-    /// After the last fault, all who live hold the same view within this, if messages pass: a question to the dead
-    /// finds the other part of a fleet, whole views pass, whoever must takes a new generation, a process that died
-    /// last is probed by somebody (a round and a half at most, by a healthy prober), is suspected at the longest,
-    /// its death is doubted by each who hears it, and the news passes; twice that, for a busy machine.
+    /// The time within which all live processes have the same view after the last fault, if messages pass.
+    ///
+    /// It sums the steps of the slowest recovery: a ping to a dead member finds the other side of a partition; full
+    /// views are exchanged, and whoever has to takes a new generation; a process that died last is probed by a healthy
+    /// prober (after a round and a half at most) and is suspected for the maximum; members that hear of the death
+    /// suspect it for the minimum; the gossip spreads. The sum is doubled for busy machines.
     pub fn convergence_bound_ms(&self, size: usize) -> f64 {
-        let found = 3.0 * self.dead_ping_intervals * self.probe_interval_ms * 2.0;
+        let partition_found = 3.0 * self.dead_ping_intervals * self.probe_interval_ms * 2.0;
         let probed = 2.0 * self.probe_interval_ms * 2.0;
-        let spread = f64::from(self.retransmissions(size)) * self.probe_interval_ms;
-        let whole = self.exchange_intervals * self.probe_interval_ms * 1.5;
-        2.0 * (found
+        let gossip_spread = f64::from(self.retransmissions(size)) * self.probe_interval_ms;
+        let views_exchanged = self.exchange_intervals * self.probe_interval_ms * 1.5;
+        2.0 * (partition_found
             + probed
             + self.max_suspicion_ms(size)
             + self.min_suspicion_ms(size)
-            + spread
-            + whole)
+            + gossip_spread
+            + views_exchanged)
     }
 }
--- /dev/null
+++ b/crates/asterdale-membership/src/state_machine/exchange.rs
@@ -0,0 +1,117 @@
+//! Anti-entropy: exchanges of full views over a stream (push-pull).
+//!
+//! SWIM has no anti-entropy; memberlist, which Lifeguard was built on, has a periodic push-pull like this one. In addition,
+//! every message carries a hash of the sender's view, and views that differ without queued gossip to explain it are
+//! exchanged soon.
+
+use std::net::SocketAddr;
+
+use super::receiving::is_full_view;
+use super::state::State;
+use super::Membership;
+use crate::event::Action;
+use crate::message::{Message, MAX_EXCHANGE_BYTES};
+
+/// With more queued records than this, gossip would take longer than an exchange, as after a partition or a restart of
+/// the whole fleet. Views are then exchanged although gossip would make them equal.
+const MAX_GOSSIP_BACKLOG: usize = 4;
+
+/// When the next exchange is due, and with whom.
+#[derive(Clone, Debug)]
+pub(super) struct ExchangeSchedule {
+    pub(super) next_ms: f64,
+    /// The next exchange's peer; a random live member if `None`.
+    pub(super) next_peer: Option<SocketAddr>,
+    last_ms: f64,
+}
+
+impl Default for ExchangeSchedule {
+    fn default() -> ExchangeSchedule {
+        ExchangeSchedule {
+            next_ms: f64::INFINITY,
+            next_peer: None,
+            last_ms: f64::NEG_INFINITY,
+        }
+    }
+}
+
+impl Membership {
+    /// Handles the request of an exchange that another process started. Returns the response, if there is one.
+    pub fn handle_exchange_request(
+        &mut self,
+        now_ms: f64,
+        bytes: &[u8],
+    ) -> (Option<Vec<u8>>, Vec<Action>) {
+        self.run_timers(now_ms);
+        let response = self.answer_exchange(now_ms, bytes);
+        (response, self.finish_step(now_ms))
+    }
+
+    fn answer_exchange(&mut self, now_ms: f64, bytes: &[u8]) -> Option<Vec<u8>> {
+        if !self.admit_message(now_ms) || self.state == State::Stopped {
+            return None;
+        }
+        let (message, sender) = self.decode(now_ms, bytes, MAX_EXCHANGE_BYTES)?;
+        if !is_full_view(&message, false) {
+            return None;
+        }
+        self.handle_message(now_ms, &message, &sender);
+        Some(self.encode_full_view(true))
+    }
+
+    /// Handles the response to an exchange that this process started. A joining process becomes a member with it.
+    pub fn handle_exchange_response(&mut self, now_ms: f64, bytes: &[u8]) -> Vec<Action> {
+        self.run_timers(now_ms);
+        if let Some((message, sender)) = self.decode(now_ms, bytes, MAX_EXCHANGE_BYTES) {
+            if is_full_view(&message, true) {
+                self.handle_message(now_ms, &message, &sender);
+                if self.state.is_joining() {
+                    self.become_member(now_ms);
+                }
+            }
+        }
+        self.finish_step(now_ms)
+    }
+
+    /// Starts the exchange that is due, with the peer that is set or a random live member.
+    pub(super) fn run_periodic_exchange(&mut self, now_ms: f64) {
+        let live_members = self.view.live_members();
+        let addresses: Vec<SocketAddr> = live_members.map(|entry| entry.record.address).collect();
+        let peer = match self.exchanges.next_peer.take() {
+            Some(peer) => Some(peer),
+            None => self.random.choose(&addresses).copied(),
+        };
+        if let Some(peer) = peer {
+            self.start_exchange(now_ms, peer);
+        }
+        self.exchanges.next_ms =
+            self.jittered_intervals_ms(now_ms, self.settings.exchange_intervals);
+    }
+
+    /// Starts an exchange now.
+    pub(super) fn start_exchange(&mut self, now_ms: f64, peer: SocketAddr) {
+        self.exchanges.last_ms = now_ms;
+        self.counters.exchanges_started += 1;
+        let bytes = self.encode_full_view(false);
+        self.actions.push(Action::Exchange(peer, bytes));
+    }
+
+    /// Schedules an exchange if the sender's view differs and gossip does not explain it, once an interval at most.
+    pub(super) fn compare_views(&mut self, now_ms: f64, message: &Message, sender: SocketAddr) {
+        let is_exchange = is_full_view(message, false) || is_full_view(message, true);
+        if !self.is_member() || is_exchange || message.joining {
+            return;
+        }
+        let is_gossip_enough = !self.gossip.is_empty() && self.gossip.len() <= MAX_GOSSIP_BACKLOG;
+        if message.view_hash == self.view_hash() || is_gossip_enough {
+            return;
+        }
+        let interval_ms = self.settings.probe_interval_ms;
+        let earliest_ms = now_ms.max(self.exchanges.last_ms + interval_ms);
+        let next_ms = earliest_ms + interval_ms * self.random.fraction();
+        if self.exchanges.next_peer.is_none() && next_ms < self.exchanges.next_ms {
+            self.exchanges.next_ms = next_ms;
+            self.exchanges.next_peer = Some(sender);
+        }
+    }
+}
--- /dev/null
+++ b/crates/asterdale-membership/src/state_machine/mod.rs
@@ -0,0 +1,233 @@
+//! The protocol's state machine: one process's part in its fleet.
+//!
+//! This module owns the state; each submodule holds one part of the protocol: `timers` (what is due when), `probing`
+//! and `relaying` (failure detection), `suspicions` (of others) and `refutation` (of accusations against this process),
+//! `dissemination` (which received records to accept), `receiving` and `sending` (messages with piggybacked gossip),
+//! `exchange` (anti-entropy), `dead_members` (pings and retention) and `lifecycle` (joining, rejoining, leaving).
+
+mod dead_members;
+mod dissemination;
+mod exchange;
+mod lifecycle;
+mod probing;
+mod receiving;
+mod refutation;
+mod relaying;
+mod sending;
+mod state;
+mod suspicions;
+mod timers;
+
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+use crate::authentication::MessageAuthenticator;
+use crate::config::MembershipConfig;
+use crate::counters::Counters;
+use crate::event::{Action, Event, MemberChange};
+use crate::gossip_queue::GossipQueue;
+use crate::local_health::LocalHealth;
+use crate::random::RandomSource;
+use crate::receive_limiter::ReceiveLimiter;
+use crate::record::{MemberRecord, Metadata, Status};
+use crate::settings::Settings;
+use crate::view::{self, View};
+
+use exchange::ExchangeSchedule;
+use probing::Prober;
+use relaying::RelayedProbes;
+use state::State;
+use timers::Timers;
+
+/// One process's part in the protocol.
+///
+/// Every method that takes the time `now_ms` first runs the timers that are due. Times are milliseconds of a clock that
+/// does not step back.
+#[derive(Clone, Debug)]
+pub struct Membership {
+    settings: Settings,
+    authenticator: MessageAuthenticator,
+    /// This process's own record, which is not in the view.
+    local: MemberRecord,
+    /// Metadata that the program has set and that the local record does not have yet.
+    pending_metadata: Metadata,
+    seeds: Vec<SocketAddr>,
+    state: State,
+    view: View,
+    gossip: GossipQueue,
+    local_health: LocalHealth,
+    prober: Prober,
+    relayed_probes: RelayedProbes,
+    /// Names of suspects to be pinged soon, beside the probes.
+    suspects_to_ping: BTreeSet<String>,
+    /// Sequence number of the last probe, own or relayed.
+    last_seq: u32,
+    exchanges: ExchangeSchedule,
+    timers: Timers,
+    random: RandomSource,
+    receive_limiter: ReceiveLimiter,
+    /// The highest generation known under this name, from the program or from other members.
+    highest_known_generation: u64,
+    /// The highest generation that other members have reported under this name.
+    highest_reported_generation: u64,
+    had_majority: bool,
+    /// Since when this process has had a majority; infinity while it has none.
+    majority_since_ms: f64,
+    last_version_rejection_ms: f64,
+    /// Actions of the current step, returned to the caller at its end.
+    actions: Vec<Action>,
+    /// What this member has counted.
+    pub counters: Counters,
+}
+
+impl Membership {
+    /// A process that starts now. It joins through the seeds and is no member before [`Event::Joined`].
+    pub fn new(now_ms: f64, config: MembershipConfig) -> Membership {
+        let random = RandomSource::new(config.random_seed ^ config.nonce);
+        let local = MemberRecord {
+            name: config.name,
+            address: config.address,
+            generation: 0,
+            nonce: config.nonce,
+            incarnation: 0,
+            status: Status::Alive,
+            metadata: Metadata::default(),
+            reported_by: String::new(),
+        };
+        let mut seeds = config.seeds;
+        seeds.retain(|&seed| seed != local.address);
+        let mut membership = Membership {
+            authenticator: MessageAuthenticator::new(&config.key),
+            local,
+            pending_metadata: Metadata::default(),
+            state: State::joining(now_ms, &seeds, &config.settings),
+            seeds,
+            view: View::default(),
+            gossip: GossipQueue::default(),
+            local_health: LocalHealth::default(),
+            prober: Prober::default(),
+            relayed_probes: RelayedProbes::default(),
+            suspects_to_ping: BTreeSet::new(),
+            last_seq: 0,
+            exchanges: ExchangeSchedule::default(),
+            timers: Timers::new(now_ms),
+            random,
+            receive_limiter: ReceiveLimiter::new(now_ms),
+            highest_known_generation: config.last_generation,
+            highest_reported_generation: 0,
+            had_majority: false,
+            majority_since_ms: f64::INFINITY,
+            last_version_rejection_ms: f64::NEG_INFINITY,
+            actions: Vec::new(),
+            counters: Counters::default(),
+            settings: config.settings,
+        };
+        membership.timers.scheduled_wake_ms = membership.next_wake_ms();
+        membership
+    }
+
+    /// This process's own record.
+    pub fn local_record(&self) -> &MemberRecord {
+        &self.local
+    }
+
+    /// The records of all other processes.
+    pub fn view(&self) -> &View {
+        &self.view
+    }
+
+    /// Hash of the live members' run IDs, this process among them. Processes with equal views have equal hashes.
+    pub fn view_hash(&self) -> u64 {
+        let local_hash = if self.is_member() {
+            view::record_hash(&self.local)
+        } else {
+            0
+        };
+        self.view.hash() ^ local_hash
+    }
+
+    /// Whether this process is a member.
+    pub fn is_member(&self) -> bool {
+        self.state == State::Member
+    }
+
+    /// Whether this process takes no part in the protocol any more: it left, or was superseded.
+    pub fn is_stopped(&self) -> bool {
+        self.state == State::Stopped
+    }
+
+    /// The state's name, as the control socket prints it: `joining`, `in`, `fallen`, `doubled`, `leaving` or `ended`.
+    pub fn state_name(&self) -> &'static str {
+        self.state.name()
+    }
+
+    /// The live part of the fleet, from 0 to 1: live members over live and dead ones, this process included in both.
+    pub fn live_fraction(&self) -> f64 {
+        self.fleet_size() as f64 / (self.view.live_or_dead_count() + 1) as f64
+    }
+
+    /// The number of live members, this process included.
+    fn fleet_size(&self) -> usize {
+        self.view.live_count() + 1
+    }
+
+    /// Whether this process reaches more than half of the fleet, dead members counted in, and has had an ack recently.
+    ///
+    /// It is never true in a minority partition or in an even half, nor right after a pause of this process.
+    pub fn has_majority(&self, now_ms: f64) -> bool {
+        let max_age_ms = timers::PAUSE_INTERVALS
+            * self.settings.probe_interval_ms
+            * self.local_health.timeout_multiplier()
+            + self.settings.probe_timeout_ms;
+        let is_alone = self.view.live_or_dead_count() == 0;
+        self.is_member()
+            && self.live_fraction() > 0.5
+            && (is_alone || self.view_age_ms(now_ms) <= max_age_ms)
+    }
+
+    /// Whether this process has had a majority for at least the longest suspicion.
+    fn has_stable_majority(&self, now_ms: f64) -> bool {
+        let max_suspicion_ms = self.settings.max_suspicion_ms(self.fleet_size());
+        self.has_majority(now_ms) && now_ms - self.majority_since_ms >= max_suspicion_ms
+    }
+
+    /// The time since a probe was last acked; infinity if none ever was, or none since this process was paused.
+    pub fn view_age_ms(&self, now_ms: f64) -> f64 {
+        now_ms - self.prober.last_ack_ms
+    }
+
+    /// Sets what this process says about its load. It is gossiped at a bounded rate.
+    pub fn set_metadata(&mut self, metadata: Metadata) {
+        self.pending_metadata = metadata;
+    }
+
+    fn next_seq(&mut self) -> u32 {
+        self.last_seq = self.last_seq.wrapping_add(1);
+        self.last_seq
+    }
+
+    fn emit(&mut self, event: Event) {
+        self.actions.push(Action::Event(event));
+    }
+
+    fn emit_change(&mut self, record: &MemberRecord, change: MemberChange) {
+        self.emit(Event::MemberChanged {
+            name: record.name.clone(),
+            generation: record.generation,
+            change,
+            reported_by: record.reported_by.clone(),
+        });
+    }
+
+    /// Ends a step: reports a changed majority, computes the next wake, and returns the step's actions.
+    fn finish_step(&mut self, now_ms: f64) -> Vec<Action> {
+        let has_majority = self.has_majority(now_ms);
+        if has_majority != self.had_majority {
+            self.had_majority = has_majority;
+            self.majority_since_ms = if has_majority { now_ms } else { f64::INFINITY };
+            self.emit(Event::MajorityChanged(has_majority));
+        }
+        self.timers.scheduled_wake_ms = self.next_wake_ms();
+        std::mem::take(&mut self.actions)
+    }
+}
--- a/crates/asterdale-membership/src/suspicion.rs
+++ b/crates/asterdale-membership/src/suspicion.rs
@@ -1,97 +1,78 @@
-//! A suspicion: how long it lasts, and who shares it. It shortens with each that confirms it by a failed probe of its
-//! own (Lifeguard), so that a slow process alone accuses nobody quickly, and many together do.
+//! The timer of one suspicion, as in Lifeguard's LHA-Suspicion.
+//!
+//! A suspicion starts with the longest timeout and shortens with each independent confirmation, that is, a failed probe
+//! by another process. One slow process alone therefore cannot have others declared dead quickly, while several that
+//! agree can.
 
-/// Those who confirm it after the first, from which on it is as short as it gets: as many as helpers are asked.
+/// Confirmations after which the timeout is at its minimum: as many as relays are asked in an indirect probe.
 pub const MAX_CONFIRMATIONS: usize = 3;
 
-/// A suspicion.
+/// A running suspicion.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Suspicion {
     started_ms: f64,
     min_ms: f64,
     max_ms: f64,
-    /// Who shares it: the first, and those who confirmed it.
+    /// Names of the process that raised it, and of those that confirmed it.
     reporters: Vec<String>,
-    /// Somebody says that it has ended in a death.
+    /// Another process reported that the suspicion expired there.
     death_reported: bool,
 }
 
 impl Suspicion {
-    /// One that begins now, by this one's word, and lasts so long.
-    pub fn new(now: f64, by: &str, least: f64, most: f64) -> Suspicion {
+    /// Starts a suspicion that lasts `max_ms` without and `min_ms` with all confirmations.
+    pub fn new(now_ms: f64, reporter: &str, min_ms: f64, max_ms: f64) -> Suspicion {
         Suspicion {
-            started_ms: now,
-            min_ms: least,
-            max_ms: most,
-            reporters: vec![by.to_owned()],
+            started_ms: now_ms,
+            min_ms,
+            max_ms,
+            reporters: vec![reporter.to_owned()],
             death_reported: false,
         }
     }
 
-    /// This one shares it; `true` if that is news.
-    pub fn confirm(&mut self, by: &str) -> bool {
-        if self.reporters.len() > MAX_CONFIRMATIONS || self.reporters.iter().any(|one| one == by) {
+    /// Adds a confirmation. Returns `false` if this reporter has confirmed before, or enough others have.
+    pub fn confirm(&mut self, reporter: &str) -> bool {
+        if self.reporters.len() > MAX_CONFIRMATIONS
+            || self.reporters.iter().any(|known| known == reporter)
+        {
             return false;
         }
-        self.reporters.push(by.to_owned());
+        self.reporters.push(reporter.to_owned());
         true
     }
 
-    /// Somebody holds that it is over, and the process dead: it is given the least time from now on, no more.
-    pub fn report_death(&mut self, now: f64) -> bool {
-        let news = !self.death_reported;
-        if news {
-            let end = self.deadline_ms().min(now + self.min_ms);
-            (self.death_reported, self.max_ms) = (true, end - self.started_ms);
+    /// Shortens the suspicion because another process reported the death: at most the minimum is left from now on.
+    /// Returns `false` if a death was reported before.
+    pub fn report_death(&mut self, now_ms: f64) -> bool {
+        let is_first = !self.death_reported;
+        if is_first {
+            let deadline_ms = self.deadline_ms().min(now_ms + self.min_ms);
+            self.death_reported = true;
+            self.max_ms = deadline_ms - self.started_ms;
             self.min_ms = self.min_ms.min(self.max_ms);
         }
-        news
+        is_first
     }
 
-    /// This process stood still for so long, and would have heard of a refutation.
-    pub fn extend(&mut self, by: f64) {
-        self.started_ms += by;
+    /// Postpones the deadline by a pause of this process, in which it could not receive a refutation.
+    pub fn extend(&mut self, pause_ms: f64) {
+        self.started_ms += pause_ms;
     }
 
-    /// Whoever shares it.
+    /// Names of the process that raised the suspicion, and of those that confirmed it.
     pub fn reporters(&self) -> &[String] {
         &self.reporters
     }
 
-    /// When it ends in a death.
+    /// When the suspect is to be declared dead. Lifeguard's formula: the timeout falls from the maximum to the minimum
+    /// with the logarithm of the confirmations.
     pub fn deadline_ms(&self) -> f64 {
-        let confirmed = (self.reporters.len() - 1).min(MAX_CONFIRMATIONS) as f64;
-        let part = (confirmed + 1.0).ln() / (MAX_CONFIRMATIONS as f64 + 1.0).ln();
-        self.started_ms + (self.max_ms - (self.max_ms - self.min_ms) * part).max(self.min_ms)
+        let confirmations = (self.reporters.len() - 1).min(MAX_CONFIRMATIONS) as f64;
+        let reduction = (confirmations + 1.0).ln() / (MAX_CONFIRMATIONS as f64 + 1.0).ln();
+        self.started_ms + (self.max_ms - (self.max_ms - self.min_ms) * reduction).max(self.min_ms)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn it_shortens_with_each_new_accuser_down_to_the_least() {
-        let mut one = Suspicion::new(100.0, "a", 10.0, 60.0);
-        assert_eq!(one.deadline_ms(), 160.0);
-        assert!(!one.confirm("a"));
-        let mut ends = vec![one.deadline_ms()];
-        for by in ["b", "c", "d"] {
-            assert!(one.confirm(by) && !one.confirm(by));
-            ends.push(one.deadline_ms());
-        }
-        assert!(ends.windows(2).all(|two| two[1] < two[0]));
-        assert!((one.deadline_ms() - 110.0).abs() < 1e-9);
-        assert!(!one.confirm("e"));
-    }
-
-    #[test]
-    fn a_death_that_is_told_leaves_the_least_time_and_never_lengthens_it() {
-        let mut one = Suspicion::new(0.0, "a", 10.0, 60.0);
-        assert!(one.report_death(20.0) && !one.report_death(25.0));
-        assert_eq!(one.deadline_ms(), 30.0);
-        let mut late = Suspicion::new(0.0, "a", 10.0, 60.0);
-        late.report_death(55.0);
-        assert_eq!(late.deadline_ms(), 60.0);
-    }
-}
+mod tests;
--- a/crates/asterdale-membership/src/view.rs
+++ b/crates/asterdale-membership/src/view.rs
@@ -1,4 +1,4 @@
-//! The table: what a process holds of all the others, and how sure it may be of that.
+//! The membership table of one process: its records of all others, with totals.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
@@ -8,33 +8,34 @@
 use crate::record::{MemberRecord, Status};
 use crate::suspicion::Suspicion;
 
-/// What is held of one process.
+/// What the table has on one member.
 #[derive(Clone, Debug)]
 pub struct MemberEntry {
-    /// The word that holds.
+    /// The member's winning record.
     pub record: MemberRecord,
-    /// Since when its status is this, by the holder's clock.
+    /// Since when the member has had this status, by the clock of the table's owner.
     pub status_since_ms: f64,
-    /// When anything last came from itself.
+    /// When a message from the member itself last came; negative infinity if none ever did.
     pub last_contact_ms: f64,
-    /// What ends in its death, while it is suspected.
+    /// The running suspicion, if the member is suspected.
     pub suspicion: Option<Suspicion>,
 }
 
-/// The table, by name. The process that holds it is not in it.
+/// The table, by name. The process that owns it is not in it.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     entries: BTreeMap<String, MemberEntry>,
+    /// Names of the suspected members.
     suspects: BTreeSet<String>,
-    /// How many count as there.
+    /// Number of live members.
     live: usize,
-    /// How many are dead.
+    /// Number of dead members.
     dead: usize,
-    /// Of those who count as there, in no order.
+    /// Hash of the live members; independent of their order.
     hash: u64,
 }
 
-/// A part of a view's hash: who it is, not how it is doing.
+/// A member's part of a view's hash. It covers the member's run ID, not its status or metadata.
 pub fn record_hash(record: &MemberRecord) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(record.name.as_bytes());
@@ -45,122 +46,124 @@
 }
 
 impl View {
-    /// What is held of this process.
+    /// The entry of this member.
     pub fn get(&self, name: &str) -> Option<&MemberEntry> {
         self.entries.get(name)
     }
 
-    /// All that is held, by name.
+    /// All entries, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &MemberEntry> {
         self.entries.values()
     }
 
-    /// How many are held, whatever their status.
+    /// Entries of live members, ordered by name.
+    pub fn live_members(&self) -> impl Iterator<Item = &MemberEntry> {
+        self.iter().filter(|entry| entry.record.is_live())
+    }
+
+    /// How many entries there are, whatever their status.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// How many others count as there.
+    /// How many members are live.
     pub fn live_count(&self) -> usize {
         self.live
     }
 
-    /// How many others are there or dead: the fleet as it was last whole, without those who left.
+    /// How many members are live or dead: the complete fleet, without those that left.
     pub fn live_or_dead_count(&self) -> usize {
         self.live + self.dead
     }
 
-    /// Of the others who count as there.
+    /// Hash of the live members' run IDs. Equal views have equal hashes.
     pub fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Those who are suspected.
+    /// Entries of suspected members, ordered by name.
     pub fn suspects(&self) -> impl Iterator<Item = &MemberEntry> {
         self.suspects
             .iter()
             .filter_map(|name| self.entries.get(name))
     }
 
-    /// Puts a word in the place of what was held, as of now.
-    pub fn insert(&mut self, now: f64, record: MemberRecord, suspicion: Option<Suspicion>) {
-        let was = self.entries.remove(&record.name);
-        let since = match &was {
-            Some(was)
-                if was.record.status == record.status && was.record.run_id() == record.run_id() =>
-            {
-                was.status_since_ms
-            }
-            _ => now,
-        };
-        let heard = was
+    /// Replaces the entry of the record's member.
+    pub fn insert(&mut self, now_ms: f64, record: MemberRecord, suspicion: Option<Suspicion>) {
+        let previous = self.remove_entry(&record.name);
+        let status_since_ms = previous
             .as_ref()
-            .map_or(f64::NEG_INFINITY, |was| was.last_contact_ms);
-        if let Some(was) = was {
-            self.update_totals(&was.record, false);
-        }
-        self.update_totals(&record, true);
+            .filter(|entry| entry.record.status == record.status)
+            .filter(|entry| entry.record.run_id() == record.run_id())
+            .map_or(now_ms, |entry| entry.status_since_ms);
+        let last_contact_ms = previous.map_or(f64::NEG_INFINITY, |entry| entry.last_contact_ms);
+        self.add_to_totals(&record);
         self.entries.insert(
             record.name.clone(),
             MemberEntry {
                 record,
-                status_since_ms: since,
-                last_contact_ms: heard,
+                status_since_ms,
+                last_contact_ms,
                 suspicion,
             },
         );
     }
 
-    /// Something came from this process itself.
-    pub fn record_contact(&mut self, name: &str, now: f64) {
-        if let Some(seen) = self.entries.get_mut(name) {
-            seen.last_contact_ms = now;
+    /// Notes that a message from the member itself came.
+    pub fn record_contact(&mut self, name: &str, now_ms: f64) {
+        if let Some(entry) = self.entries.get_mut(name) {
+            entry.last_contact_ms = now_ms;
         }
     }
 
-    /// Its suspicion, to be confirmed.
+    /// The running suspicion against a member.
     pub fn suspicion_mut(&mut self, name: &str) -> Option<&mut Suspicion> {
         self.entries.get_mut(name)?.suspicion.as_mut()
     }
 
-    /// All suspicions last so much longer.
-    pub fn extend_suspicions(&mut self, by: f64) {
+    /// Postpones the deadlines of all suspicions by a pause of this process.
+    pub fn extend_suspicions(&mut self, pause_ms: f64) {
         for name in &self.suspects {
-            let suspicion = self
-                .entries
-                .get_mut(name)
-                .and_then(|seen| seen.suspicion.as_mut());
-            suspicion
-                .into_iter()
-                .for_each(|suspicion| suspicion.extend(by));
+            let entry = self.entries.get_mut(name);
+            if let Some(suspicion) = entry.and_then(|entry| entry.suspicion.as_mut()) {
+                suspicion.extend(pause_ms);
+            }
         }
     }
 
-    /// Forgets this process.
+    /// Removes the entry of a member.
     pub fn remove(&mut self, name: &str) {
-        if let Some(was) = self.entries.remove(name) {
-            self.update_totals(&was.record, false);
+        self.remove_entry(name);
+    }
+
+    fn remove_entry(&mut self, name: &str) -> Option<MemberEntry> {
+        let entry = self.entries.remove(name)?;
+        self.suspects.remove(name);
+        if entry.record.is_live() {
+            self.live -= 1;
+            self.hash ^= record_hash(&entry.record);
+        }
+        if entry.record.status == Status::Dead {
+            self.dead -= 1;
         }
+        Some(entry)
     }
 
-    fn update_totals(&mut self, record: &MemberRecord, more: bool) {
-        let add = |count: &mut usize| *count = if more { *count + 1 } else { *count - 1 };
+    fn add_to_totals(&mut self, record: &MemberRecord) {
         if record.is_live() {
-            add(&mut self.live);
+            self.live += 1;
             self.hash ^= record_hash(record);
         }
         if record.status == Status::Dead {
-            add(&mut self.dead);
+            self.dead += 1;
         }
-        if record.status == Status::Suspect && more {
+        if record.status == Status::Suspect {
             self.suspects.insert(record.name.clone());
-        } else {
-            self.suspects.remove(&record.name);
         }
     }
 }
--- a/crates/asterdale-membership/tests/explore.rs
+++ b/crates/asterdale-membership/tests/explore.rs
@@ -1,11 +1,11 @@
-//! Three processes, and everything that may happen to what passes between them in every order: a datagram comes, is
-//! lost, comes twice or after a later one; one process crashes, and starts anew without memory. What must hold:
+//! Model checking: three processes, and every order of a few steps in which datagrams are delivered, lost, duplicated or
+//! reordered, one process crashes, and restarts without memory. What must hold:
 //!
-//! 1. No process ever goes back to an older process under a name than the one it has held.
-//! 2. Nobody holds a process that never was: no run (generation and nonce) but one that was taken.
-//! 3. Nobody holds more of a process's own words (incarnations) than it has said; a death takes the next number.
-//! 4. A process never holds itself for another, and never takes a lower generation.
-//! 5. From every state in which the faults end, all who live come to hold the same, within the stated bound.
+//! 1. No process replaces a record by one of an older run under the same name.
+//! 2. No process has a record of a run (generation and nonce) that never was.
+//! 3. No process has a higher incarnation of a run than the run took itself, except that a death takes the next one.
+//! 4. A process never has an entry of itself, and its incarnation never falls within a generation.
+//! 5. From every state in which the faults end, all live processes get equal views, within the documented bound.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet};
@@ -14,339 +14,358 @@
 
 use asterdale_membership::{Action, Event, Membership, MembershipConfig, Settings, Status};
 
-/// Steps of every order: tens of thousands of states, in seconds.
+/// Steps whose every order is played: tens of thousands of states, in seconds.
 const DEPTH: usize = 8;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum What {
+enum Delivery {
     Datagram(Vec<u8>),
-    Exchange(SocketAddr, Vec<u8>),
-    Exchanged(Vec<u8>),
+    ExchangeRequest(SocketAddr, Vec<u8>),
+    ExchangeResponse(Vec<u8>),
 }
 
-/// What happens next.
+/// What happens next; the number is a message under way or a process.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Comes(usize),
-    Lost(usize),
-    Twice(usize),
-    /// The next one to be woken is.
-    Time,
+    Deliver(usize),
+    Lose(usize),
+    Duplicate(usize),
+    /// Time passes until the next process wants to be woken.
+    Wake,
     Crash(usize),
     Restart(usize),
 }
 
 #[derive(Clone)]
 struct World {
-    now: f64,
-    all: BTreeMap<SocketAddr, Membership>,
-    under_way: Vec<(SocketAddr, What)>,
-    losses: u32,
-    doubles: u32,
-    crashes: u32,
-    restarts: u32,
-    /// Runs that were ever taken, by name, and the highest incarnation that each has said.
-    taken: BTreeMap<(String, u64, u64), u32>,
-    /// The highest run that each holder has held of each name.
-    held: BTreeMap<(SocketAddr, String), (u64, u64)>,
+    now_ms: f64,
+    processes: BTreeMap<SocketAddr, Membership>,
+    in_flight: Vec<(SocketAddr, Delivery)>,
+    losses_left: u32,
+    duplicates_left: u32,
+    crashes_left: u32,
+    restarts_left: u32,
+    /// All runs so far, by name, generation and nonce, each with its highest incarnation.
+    taken_runs: BTreeMap<(String, u64, u64), u32>,
+    /// The newest run that each process has had of each name.
+    newest_runs: BTreeMap<(SocketAddr, String), (u64, u64)>,
 }
 
-fn at(n: usize) -> SocketAddr {
+fn address(n: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, n as u8 + 1], 7000))
 }
 
-fn told(n: usize, nonce: u64) -> MembershipConfig {
-    let terms = Settings {
+fn config(n: usize, nonce: u64) -> MembershipConfig {
+    let settings = Settings {
         suspicion_multiplier: 2.0,
         max_suspicion_multiplier: 2.0,
         exchange_intervals: 8.0,
         dead_ping_intervals: 2.0,
         ..Settings::default()
     };
-    let (name, seeds) = (format!("m{n}"), vec![at(0), at(1)]);
     MembershipConfig {
-        name,
-        address: at(n),
+        name: format!("m{n}"),
+        address: address(n),
         last_generation: 0,
         nonce,
-        seeds,
+        seeds: vec![address(0), address(1)],
         key: b"key".to_vec(),
-        settings: terms,
+        settings,
         random_seed: n as u64,
     }
 }
 
 impl World {
+    /// Three processes with equal views, and nothing under way.
     fn new() -> World {
         let mut world = World {
-            now: 0.0,
-            all: BTreeMap::new(),
-            under_way: Vec::new(),
-            losses: 2,
-            doubles: 1,
-            crashes: 1,
-            restarts: 1,
-            taken: BTreeMap::new(),
-            held: BTreeMap::new(),
+            now_ms: 0.0,
+            processes: BTreeMap::new(),
+            in_flight: Vec::new(),
+            losses_left: 2,
+            duplicates_left: 1,
+            crashes_left: 1,
+            restarts_left: 1,
+            taken_runs: BTreeMap::new(),
+            newest_runs: BTreeMap::new(),
         };
-        (0..3).for_each(|n| {
-            drop(
-                world
-                    .all
-                    .insert(at(n), Membership::new(0.0, told(n, n as u64 + 1))),
-            )
-        });
-        world.fairly(30_000.0);
-        assert_eq!(world.unsettled(), None);
-        world.under_way.clear();
+        for n in 0..3 {
+            world.start(n, n as u64 + 1);
+        }
+        world.run_without_faults(30_000.0);
+        assert_eq!(world.divergence(), None);
+        world.in_flight.clear();
         world
     }
 
-    fn act(&mut self, from: SocketAddr, actions: Vec<Action>) {
+    fn start(&mut self, n: usize, nonce: u64) {
+        let process = Membership::new(self.now_ms, config(n, nonce));
+        self.processes.insert(address(n), process);
+    }
+
+    fn run_actions(&mut self, from: SocketAddr, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(to, bytes) => self.under_way.push((to, What::Datagram(bytes))),
+                Action::Send(to, bytes) => self.in_flight.push((to, Delivery::Datagram(bytes))),
                 Action::Exchange(to, bytes) => {
-                    self.under_way.push((to, What::Exchange(from, bytes)))
+                    let request = Delivery::ExchangeRequest(from, bytes);
+                    self.in_flight.push((to, request));
                 }
                 Action::Event(Event::DeclaredDead { .. }) => {
-                    let actions = self.all.get_mut(&from).map(|fleet| fleet.rejoin(self.now));
-                    self.act(from, actions.unwrap_or_default());
+                    let now_ms = self.now_ms;
+                    let process = self.processes.get_mut(&from);
+                    let actions = process.map(|process| process.rejoin(now_ms));
+                    self.run_actions(from, actions.unwrap_or_default());
                 }
                 Action::Event(_) => {}
             }
         }
     }
 
-    fn deliver(&mut self, to: SocketAddr, what: What) {
-        let now = self.now;
-        let Some(fleet) = self.all.get_mut(&to) else {
+    fn deliver(&mut self, to: SocketAddr, delivery: Delivery) {
+        let now_ms = self.now_ms;
+        let Some(process) = self.processes.get_mut(&to) else {
             return;
         };
-        let actions = match what {
-            What::Datagram(bytes) => fleet.handle_datagram(now, &bytes),
-            What::Exchange(from, bytes) => {
-                let (back, actions) = fleet.handle_exchange_request(now, &bytes);
-                self.under_way
-                    .extend(back.map(|back| (from, What::Exchanged(back))));
+        let actions = match delivery {
+            Delivery::Datagram(bytes) => process.handle_datagram(now_ms, &bytes),
+            Delivery::ExchangeRequest(from, bytes) => {
+                let (response, actions) = process.handle_exchange_request(now_ms, &bytes);
+                let response = response.map(Delivery::ExchangeResponse);
+                self.in_flight
+                    .extend(response.map(|response| (from, response)));
                 actions
             }
-            What::Exchanged(bytes) => fleet.handle_exchange_response(now, &bytes),
+            Delivery::ExchangeResponse(bytes) => process.handle_exchange_response(now_ms, &bytes),
         };
-        self.act(to, actions);
-        self.check();
+        self.run_actions(to, actions);
+        self.check_properties();
     }
 
-    fn time(&mut self) {
-        let wake = self
-            .all
+    fn wake_next(&mut self) {
+        let next = self
+            .processes
             .iter()
-            .map(|(&at, fleet)| (fleet.next_wake_ms(), at))
-            .min_by(|a, b| a.0.total_cmp(&b.0));
-        if let Some((due, who)) = wake.filter(|(due, _)| due.is_finite()) {
-            self.now = self.now.max(due);
-            let now = self.now;
-            let actions = self
-                .all
-                .get_mut(&who)
-                .map(|fleet| fleet.wake(now))
-                .unwrap_or_default();
-            self.act(who, actions);
-            self.check();
+            .map(|(&address, process)| (process.next_wake_ms(), address))
+            .min_by(|one, other| one.0.total_cmp(&other.0));
+        if let Some((wake_ms, address)) = next.filter(|(wake_ms, _)| wake_ms.is_finite()) {
+            self.now_ms = self.now_ms.max(wake_ms);
+            let now_ms = self.now_ms;
+            let process = self.processes.get_mut(&address);
+            let actions = process.map(|process| process.wake(now_ms));
+            self.run_actions(address, actions.unwrap_or_default());
+            self.check_properties();
         }
     }
 
-    /// What may happen next. Of what is under way the first three: more differ in nothing but their place.
-    fn steps(&self) -> Vec<Step> {
-        let first = 0..self.under_way.len().min(3);
-        let mut steps: Vec<Step> = first.clone().map(Step::Comes).collect();
-        if self.losses > 0 {
-            steps.extend(first.clone().map(Step::Lost));
+    /// The steps that may come next. Only the first three messages under way are taken, as orders of more differ little.
+    fn possible_steps(&self) -> Vec<Step> {
+        let messages = 0..self.in_flight.len().min(3);
+        let mut steps: Vec<Step> = messages.clone().map(Step::Deliver).collect();
+        if self.losses_left > 0 {
+            steps.extend(messages.clone().map(Step::Lose));
         }
-        if self.doubles > 0 {
-            steps.extend(first.map(Step::Twice));
+        if self.duplicates_left > 0 {
+            steps.extend(messages.map(Step::Duplicate));
         }
-        // Time passes for all in step: nobody wakes while a dozen messages wait.
-        if self.under_way.len() < 4 {
-            steps.push(Step::Time);
+        // Time passes for all processes alike: none wakes again and again while many messages are under way.
+        if self.in_flight.len() < 4 {
+            steps.push(Step::Wake);
         }
-        if self.crashes > 0 {
+        if self.crashes_left > 0 {
             steps.extend([0, 2].map(Step::Crash));
         }
-        if self.restarts > 0 {
-            steps.extend(
-                (0..3)
-                    .filter(|&n| !self.all.contains_key(&at(n)))
-                    .map(Step::Restart),
-            );
+        if self.restarts_left > 0 {
+            let crashed = (0..3).filter(|&n| !self.processes.contains_key(&address(n)));
+            steps.extend(crashed.map(Step::Restart));
         }
         steps
     }
 
-    fn take(&mut self, step: Step) {
+    fn play(&mut self, step: Step) {
         match step {
-            Step::Comes(n) => {
-                let (to, what) = self.under_way.remove(n);
-                self.deliver(to, what);
+            Step::Deliver(n) => {
+                let (to, delivery) = self.in_flight.remove(n);
+                self.deliver(to, delivery);
             }
-            Step::Lost(n) => {
-                self.losses -= 1;
-                self.under_way.remove(n);
+            Step::Lose(n) => {
+                self.losses_left -= 1;
+                self.in_flight.remove(n);
             }
-            Step::Twice(n) => {
-                self.doubles -= 1;
-                let (to, what) = self.under_way[n].clone();
-                self.deliver(to, what);
+            Step::Duplicate(n) => {
+                self.duplicates_left -= 1;
+                let (to, delivery) = self.in_flight[n].clone();
+                self.deliver(to, delivery);
             }
-            Step::Time => self.time(),
+            Step::Wake => self.wake_next(),
             Step::Crash(n) => {
-                self.crashes -= 1;
-                self.all.remove(&at(n));
-                self.held.retain(|(holder, _), _| *holder != at(n));
+                self.crashes_left -= 1;
+                self.processes.remove(&address(n));
+                self.newest_runs
+                    .retain(|(process, _), _| *process != address(n));
             }
             Step::Restart(n) => {
-                self.restarts -= 1;
-                self.all
-                    .insert(at(n), Membership::new(self.now, told(n, 10 + n as u64)));
+                self.restarts_left -= 1;
+                self.start(n, 10 + n as u64);
             }
         }
     }
 
-    /// Properties 1 to 4.
-    fn check(&mut self) {
-        for fleet in self.all.values().filter(|fleet| fleet.is_member()) {
-            let me = fleet.local_record();
-            let said = self
-                .taken
-                .entry((me.name.clone(), me.generation, me.nonce))
-                .or_default();
-            assert!(me.incarnation >= *said, "{me:?} goes back");
-            *said = me.incarnation;
+    /// Checks the properties 1 to 4.
+    fn check_properties(&mut self) {
+        let members = self
+            .processes
+            .values()
+            .filter(|process| process.is_member());
+        for local in members.map(Membership::local_record) {
+            let run = (local.name.clone(), local.generation, local.nonce);
+            let highest_incarnation = self.taken_runs.entry(run).or_default();
+            assert!(
+                local.incarnation >= *highest_incarnation,
+                "{local:?} goes back"
+            );
+            *highest_incarnation = local.incarnation;
         }
-        for (&holder, fleet) in &self.all {
-            for seen in fleet.view().iter() {
-                let record = &seen.record;
-                assert_ne!(record.name, fleet.local_record().name);
+        for (&address, process) in &self.processes {
+            for record in process.view().iter().map(|entry| &entry.record) {
+                assert_ne!(record.name, process.local_record().name);
                 let run = (record.name.clone(), record.generation, record.nonce);
-                let said = self
-                    .taken
+                let highest_incarnation = self
+                    .taken_runs
                     .get(&run)
                     .unwrap_or_else(|| panic!("{record:?} never was"));
-                let spoken = record
+                let incarnation_of_run = record
                     .incarnation
                     .saturating_sub(u32::from(record.status != Status::Alive));
-                assert!(spoken <= *said, "{record:?} was never said");
-                let held = self.held.entry((holder, record.name.clone())).or_default();
-                assert!(record.run_id() >= *held, "{holder} goes back to {record:?}");
-                *held = record.run_id();
+                assert!(
+                    incarnation_of_run <= *highest_incarnation,
+                    "{record:?} never was"
+                );
+                let name = record.name.clone();
+                let newest_run = self.newest_runs.entry((address, name)).or_default();
+                assert!(
+                    record.run_id() >= *newest_run,
+                    "{address} goes back to {record:?}"
+                );
+                *newest_run = record.run_id();
             }
         }
     }
 
-    /// Goes on without faults: whatever is under way comes, in order, before time passes.
-    fn fairly(&mut self, ms: f64) {
-        let end = self.now + ms;
-        while self.now < end {
-            while !self.under_way.is_empty() {
-                let (to, what) = self.under_way.remove(0);
-                self.deliver(to, what);
+    /// Runs without faults: messages are delivered in order, and before time passes.
+    fn run_without_faults(&mut self, duration_ms: f64) {
+        let end_ms = self.now_ms + duration_ms;
+        while self.now_ms < end_ms {
+            while !self.in_flight.is_empty() {
+                let (to, delivery) = self.in_flight.remove(0);
+                self.deliver(to, delivery);
             }
-            self.time();
+            self.wake_next();
         }
     }
 
-    fn unsettled(&self) -> Option<String> {
-        let hashes: HashSet<u64> = self.all.values().map(Membership::view_hash).collect();
-        let there = |fleet: &Membership| {
-            fleet.view().live_count() + 1 == self.all.len() && fleet.is_member()
-        };
-        let well = hashes.len() == 1 && self.all.values().all(there);
-        let views = || {
-            let all = self.all.values().map(|f| {
-                (
-                    f.local_record().name.clone(),
-                    f.state_name(),
-                    f.view().live_count(),
-                )
-            });
-            format!("{:?}", all.collect::<Vec<_>>())
+    /// Describes the processes if their views are not equal and complete.
+    fn divergence(&self) -> Option<String> {
+        let hashes: HashSet<u64> = self.processes.values().map(Membership::view_hash).collect();
+        let is_complete = |process: &Membership| {
+            process.view().live_count() + 1 == self.processes.len() && process.is_member()
         };
-        (!well).then(views)
+        let has_converged = hashes.len() == 1 && self.processes.values().all(is_complete);
+        (!has_converged).then(|| {
+            let describe = |process: &Membership| {
+                let name = process.local_record().name.clone();
+                let live_count = process.view().live_count();
+                format!("{name} is {}, {live_count} live", process.state_name())
+            };
+            let processes: Vec<String> = self.processes.values().map(describe).collect();
+            processes.join("; ")
+        })
     }
 
-    /// Property 5.
-    fn settles(&self) {
+    /// Checks property 5, on a copy.
+    fn check_convergence(&self) {
         let mut world = self.clone();
-        let bound = told(0, 0).settings.convergence_bound_ms(3);
-        let began = world.now;
-        loop {
-            let Some(why) = world.unsettled() else { return };
-            assert!(world.now - began < bound, "not settled: {why}");
-            world.fairly(1000.0);
+        let bound_ms = config(0, 0).settings.convergence_bound_ms(3);
+        let started_ms = world.now_ms;
+        while let Some(divergence) = world.divergence() {
+            assert!(
+                world.now_ms - started_ms < bound_ms,
+                "not converged: {divergence}"
+            );
+            world.run_without_faults(1000.0);
         }
     }
 
-    fn mark(&self) -> u64 {
+    /// Equal for equal states; the order of the messages under way does not count.
+    fn state_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        for (at, fleet) in &self.all {
-            (at, format!("{fleet:?}")).hash(&mut hasher);
+        for (address, process) in &self.processes {
+            (address, format!("{process:?}")).hash(&mut hasher);
         }
-        let mut under_way = self.under_way.clone();
-        under_way.sort();
-        (
-            under_way,
-            self.losses,
-            self.doubles,
-            self.crashes,
-            self.restarts,
-        )
-            .hash(&mut hasher);
+        let mut in_flight = self.in_flight.clone();
+        in_flight.sort();
+        in_flight.hash(&mut hasher);
+        let faults_left = [
+            self.losses_left,
+            self.duplicates_left,
+            self.crashes_left,
+            self.restarts_left,
+        ];
+        faults_left.hash(&mut hasher);
         hasher.finish()
     }
 }
 
-/// Every order of so many steps; how many states there were, and how many of them were ends.
-fn explore(world: &World, depth: usize, seen: &mut HashSet<(usize, u64)>, ends: &mut u64) {
-    if !seen.insert((depth, world.mark())) {
+/// Plays every order of this many steps. Collects the states seen, and counts those at the full depth.
+fn explore(
+    world: &World,
+    depth: usize,
+    seen: &mut HashSet<(usize, u64)>,
+    final_state_count: &mut u64,
+) {
+    if !seen.insert((depth, world.state_hash())) {
         return;
     }
     if depth == 0 {
-        *ends += 1;
-        // Each fourth end: they differ by a step or two, and playing on takes most of the time.
-        if *ends % 4 == 0 {
-            world.settles();
+        *final_state_count += 1;
+        // Each fourth one: they differ by a step or two, and this check takes most of the time.
+        if *final_state_count % 4 == 0 {
+            world.check_convergence();
         }
         return;
     }
-    for step in world.steps() {
+    for step in world.possible_steps() {
         let mut next = world.clone();
-        next.take(step);
-        explore(&next, depth - 1, seen, ends);
+        next.play(step);
+        explore(&next, depth - 1, seen, final_state_count);
     }
 }
 
 #[test]
 fn every_order_of_a_few_steps_keeps_the_properties() {
-    let (mut seen, mut ends) = (HashSet::new(), 0);
-    explore(&World::new(), DEPTH, &mut seen, &mut ends);
+    let (mut seen, mut final_state_count) = (HashSet::new(), 0);
+    explore(&World::new(), DEPTH, &mut seen, &mut final_state_count);
     assert!(seen.len() > 2_000, "{} states", seen.len());
-    eprintln!("{} states, {ends} ends", seen.len());
+    eprintln!("{} states, {final_state_count} final", seen.len());
 }
 
 #[test]
-fn long_ways_through_them_keep_the_properties() {
+fn long_random_runs_keep_the_properties() {
     use rand_pcg::rand_core::{Rng, SeedableRng};
-    for seed in 0..60 {
-        let mut random = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
+    for random_seed in 0..60 {
+        let mut random = rand_pcg::Pcg64Mcg::seed_from_u64(random_seed);
         let mut world = World::new();
-        (world.losses, world.doubles, world.crashes, world.restarts) = (40, 20, 6, 6);
+        world.losses_left = 40;
+        world.duplicates_left = 20;
+        world.crashes_left = 6;
+        world.restarts_left = 6;
         for _ in 0..400 {
-            let steps = world.steps();
-            world.take(steps[(random.next_u64() % steps.len() as u64) as usize]);
-            if world.all.len() < 2 {
-                world.crashes = 0;
+            let steps = world.possible_steps();
+            world.play(steps[(random.next_u64() % steps.len() as u64) as usize]);
+            if world.processes.len() < 2 {
+                world.crashes_left = 0;
             }
         }
-        world.settles();
+        world.check_convergence();
     }
 }
--- a/crates/asterdale-membership/tests/faults.rs
+++ b/crates/asterdale-membership/tests/faults.rs
@@ -1,20 +1,20 @@
-//! The failures that the state machine is meant for, each in a network of a few processes.
+//! One test for each kind of failure that the state machine is made for, in a simulated network of a few processes.
 
-mod net;
+mod simulated_network;
 
-use asterdale_membership::{Event, MemberChange, Metadata, Phase, Status};
-use net::{at, name, Net, What};
+use asterdale_membership::{Action, Event, MemberChange, Membership, Metadata, Phase, Status};
+use simulated_network::{address, name, Delivery, Network};
 
-/// So many processes that have settled.
-fn settled(seed: u64, many: usize) -> Net {
-    let mut net = Net::new(seed, 2);
-    (0..many).for_each(|n| net.start(n));
-    net.settles();
-    net.events.clear();
-    net
+/// A network of this many processes that have converged.
+fn converged(random_seed: u64, process_count: usize) -> Network {
+    let mut network = Network::new(random_seed, 2);
+    (0..process_count).for_each(|n| network.start(n));
+    network.converge();
+    network.events.clear();
+    network
 }
 
-fn died(event: &Event) -> bool {
+fn is_death(event: &Event) -> bool {
     matches!(
         event,
         Event::MemberChanged {
@@ -24,231 +24,257 @@
     )
 }
 
+fn is_declared_dead(event: &Event) -> bool {
+    matches!(event, Event::DeclaredDead { .. })
+}
+
 #[test]
-fn joins_all_at_once_and_one_by_one_settle() {
-    for seed in 0..4 {
-        let mut net = settled(seed, 12);
-        assert!(net
-            .all
+fn processes_that_start_together_or_one_by_one_converge() {
+    for random_seed in 0..4 {
+        let mut network = converged(random_seed, 12);
+        assert!(network
+            .processes
             .values()
-            .all(|fleet| fleet.local_record().generation == 1));
+            .all(|process| process.local_record().generation == 1));
         for n in 12..16 {
-            net.start(n);
-            net.run(300.0);
+            network.start(n);
+            network.run(300.0);
         }
-        net.settles();
-        assert!(net.all.values().all(|fleet| fleet.has_majority(net.now)));
-        assert_eq!(net.count(|_, event| died(event)), 0);
+        network.converge();
+        assert!(network
+            .processes
+            .values()
+            .all(|process| process.has_majority(network.now_ms)));
+        assert_eq!(network.count_events(|_, event| is_death(event)), 0);
     }
 }
 
 #[test]
-fn a_crash_is_found_by_all_and_nobody_else_is_held_for_dead() {
-    for seed in 0..4 {
-        let mut net = settled(seed, 9);
-        net.kill(4);
-        net.settles();
-        assert!(net.count(|_, event| died(event)) >= 8);
-        let others = net.count(
-            |_, e| matches!(e, Event::MemberChanged { change: MemberChange::Died, name: n, .. } if *n != name(4)),
+fn all_members_detect_a_crash_and_no_other_death() {
+    for random_seed in 0..4 {
+        let mut network = converged(random_seed, 9);
+        network.kill(4);
+        network.converge();
+        assert!(network.count_events(|_, event| is_death(event)) >= 8);
+        let others = network.count_events(
+            |_, event| matches!(event, Event::MemberChanged { change: MemberChange::Died, name: dead, .. } if *dead != name(4)),
         );
         assert_eq!(others, 0);
     }
 }
 
 #[test]
-fn a_third_and_all_seeds_may_go_at_once() {
-    let mut net = settled(3, 12);
-    (0..4).for_each(|n| net.kill(n));
-    net.settles();
-    assert!(net.all.values().all(|fleet| fleet.has_majority(net.now)));
-    // Whoever is asked in vain goes on alone, and is found as soon as a seed is back.
-    net.start(12);
-    net.run(10_000.0);
-    assert!(net.unsettled().is_some() && net.fleet(12).is_member());
-    net.start(0);
-    net.settles();
+fn loss_of_a_third_with_all_seeds_is_survived() {
+    let mut network = converged(3, 12);
+    (0..4).for_each(|n| network.kill(n));
+    network.converge();
+    assert!(network
+        .processes
+        .values()
+        .all(|process| process.has_majority(network.now_ms)));
+    // Without a live seed a new process becomes a member alone, and is found as soon as a seed is back.
+    network.start(12);
+    network.run(10_000.0);
+    assert!(network.divergence().is_some() && network.process(12).is_member());
+    network.start(0);
+    network.converge();
 }
 
 #[test]
-fn a_process_that_restarts_without_memory_is_above_all_its_earlier_ones() {
-    for (seed, wait) in [(1, 50.0), (2, 2_000.0), (3, 60_000.0)] {
-        let mut net = settled(seed, 6);
+fn restart_without_memory_takes_a_higher_generation() {
+    for (random_seed, wait_ms) in [(1, 50.0), (2, 2_000.0), (3, 60_000.0)] {
+        let mut network = converged(random_seed, 6);
         for generation in 2..5 {
-            net.kill(3);
-            net.run(wait);
-            net.start(3);
-            net.settles();
+            network.kill(3);
+            network.run(wait_ms);
+            network.start(3);
+            network.converge();
             assert_eq!(
-                net.fleet(3).local_record().generation,
+                network.process(3).local_record().generation,
                 generation,
-                "after {wait} ms"
+                "after {wait_ms} ms"
             );
         }
     }
 }
 
 #[test]
-fn one_that_heard_nobody_when_it_began_ends_above_the_one_that_it_was() {
-    for seed in 0..8 {
-        let mut net = settled(seed, 6);
+fn restart_while_cut_off_ends_with_a_higher_generation() {
+    for random_seed in 0..8 {
+        let mut network = converged(random_seed, 6);
         let others: Vec<usize> = (0..6).filter(|n| *n != 3).collect();
-        let before = net.fleet(3).local_record().generation;
-        net.kill(3);
-        net.part(&[3], &others, true);
-        net.start(3);
-        net.run(8_000.0);
-        assert!(net.fleet(3).is_member() && net.fleet(3).local_record().generation == before);
-        net.part(&[3], &others, false);
-        net.settles();
+        let before = network.process(3).local_record().generation;
+        network.kill(3);
+        network.cut(&[3], &others);
+        network.start(3);
+        network.run(8_000.0);
+        assert!(
+            network.process(3).is_member()
+                && network.process(3).local_record().generation == before
+        );
+        network.heal(&[3], &others);
+        network.converge();
         assert!(
-            net.fleet(3).local_record().generation > before,
-            "seed {seed}"
+            network.process(3).local_record().generation > before,
+            "random seed {random_seed}"
         );
     }
 }
 
 #[test]
-fn one_that_takes_its_own_number_again_while_it_counts_as_there_is_told() {
-    for seed in 0..16 {
-        let mut net = settled(seed, 6);
-        let before = net.fleet(3).local_record().generation;
-        net.kill(3);
-        // It begins before any seed could answer, and nobody has missed the one before it.
-        net.terms.join_timeout_intervals = 0.0;
-        net.start(3);
-        net.run(1.0);
-        assert!(net.fleet(3).is_member() && net.fleet(3).local_record().generation == before);
-        net.settles();
+fn restart_with_the_same_generation_before_detection_takes_a_higher_one() {
+    for random_seed in 0..16 {
+        let mut network = converged(random_seed, 6);
+        let before = network.process(3).local_record().generation;
+        network.kill(3);
+        // It becomes a member before a seed can answer, and nobody has detected the crash.
+        network.settings.join_timeout_intervals = 0.0;
+        network.start(3);
+        network.run(1.0);
         assert!(
-            net.fleet(3).local_record().generation > before,
-            "seed {seed}"
+            network.process(3).is_member()
+                && network.process(3).local_record().generation == before
         );
-        let lost = net.count(|_, event| died(event));
-        assert_eq!(lost, 0, "seed {seed}");
+        network.converge();
+        assert!(
+            network.process(3).local_record().generation > before,
+            "random seed {random_seed}"
+        );
+        let lost = network.count_events(|_, event| is_death(event));
+        assert_eq!(lost, 0, "random seed {random_seed}");
     }
 }
 
 #[test]
-fn all_may_restart_at_once_and_what_comes_late_of_earlier_ones_is_not_believed() {
-    let mut net = settled(5, 6);
+fn late_datagrams_of_earlier_generations_are_not_believed_after_a_full_restart() {
+    let mut network = converged(5, 6);
     for _ in 0..3 {
-        net.kill(2);
-        net.start(2);
-        net.settles();
+        network.kill(2);
+        network.start(2);
+        network.converge();
     }
-    let old = net.fleet(2).local_record().generation;
+    let old = network.process(2).local_record().generation;
     assert_eq!(old, 4);
-    // Said by a process of the earlier time, and on its way for long.
-    let late: Vec<_> = net.all.get_mut(&at(2)).unwrap().wake(net.now + 1000.0);
-    (0..6).for_each(|n| net.kill(n));
-    net.run(1_000.0);
-    (0..6).for_each(|n| net.start(n));
-    net.settles();
-    let before: Vec<u64> = net
-        .all
+    // Datagrams of the earlier generation that are on their way for long.
+    let later_ms = network.now_ms + 1000.0;
+    let late = network.process_mut(2).wake(later_ms);
+    (0..6).for_each(|n| network.kill(n));
+    network.run(1_000.0);
+    (0..6).for_each(|n| network.start(n));
+    network.converge();
+    let before: Vec<u64> = network
+        .processes
         .values()
-        .map(|fleet| fleet.local_record().generation)
+        .map(|process| process.local_record().generation)
         .collect();
     assert_eq!(before, [1; 6]);
-    for action in late {
-        if let asterdale_membership::Action::Send(to, bytes) = action {
-            net.send(to, What::Datagram(bytes), 1.0);
-        }
-    }
-    // It tells of a later generation than there is: the process itself takes the next.
-    net.run(1_000.0);
-    net.settles();
-    assert!([1, old + 1].contains(&net.fleet(2).local_record().generation));
-    assert!(net
+    network.send_datagrams(late);
+    // They report a higher generation than the process has now, so that it takes the next one.
+    network.run(1_000.0);
+    network.converge();
+    assert!([1, old + 1].contains(&network.process(2).local_record().generation));
+    assert!(network
         .events
         .iter()
         .all(|(_, _, event)| !matches!(event, Event::Superseded(_))));
 }
 
 #[test]
-fn a_leave_is_no_crash() {
-    let mut net = settled(7, 8);
-    let actions = net.all.get_mut(&at(5)).unwrap().leave(net.now);
-    for action in actions {
-        if let asterdale_membership::Action::Send(to, bytes) = action {
-            net.send(to, What::Datagram(bytes), 1.0);
-        }
-    }
-    net.run(5_000.0);
-    net.kill(5);
-    net.settles();
-    assert_eq!(net.count(|_, event| died(event)), 0);
-    assert!(net
-        .all
+fn leave_is_no_death() {
+    let mut network = converged(7, 8);
+    let now_ms = network.now_ms;
+    let actions = network.process_mut(5).leave(now_ms);
+    network.send_datagrams(actions);
+    network.run(5_000.0);
+    network.kill(5);
+    network.converge();
+    assert_eq!(network.count_events(|_, event| is_death(event)), 0);
+    assert!(network.processes.values().all(|process| process
+        .view()
+        .get(&name(5))
+        .unwrap()
+        .record
+        .status
+        == Status::Left));
+    assert!(network
+        .processes
         .values()
-        .all(|fleet| fleet.view().get(&name(5)).unwrap().record.status == Status::Left));
-    assert!(net.all.values().all(|fleet| fleet.live_fraction() == 1.0));
-    // It comes back as a new one.
-    net.start(5);
-    net.settles();
-    assert_eq!(net.fleet(5).local_record().generation, 2);
+        .all(|process| process.live_fraction() == 1.0));
+    // It can come back in a new generation.
+    network.start(5);
+    network.converge();
+    assert_eq!(network.process(5).local_record().generation, 2);
 }
 
 #[test]
-fn halves_that_were_parted_longer_than_any_time_out_find_each_other() {
-    let mut net = settled(9, 8);
+fn long_partition_into_halves_heals() {
+    let mut network = converged(9, 8);
     let (one, other) = (&[0, 1, 2, 3][..], &[4, 5, 6, 7][..]);
-    net.part(one, other, true);
-    net.run(600_000.0);
-    // Neither is more than a half.
-    assert!(net
-        .all
+    network.cut(one, other);
+    network.run(600_000.0);
+    // An even half is no majority.
+    assert!(network
+        .processes
         .values()
-        .all(|fleet| !fleet.has_majority(net.now) && fleet.live_fraction() == 0.5));
-    net.part(one, other, false);
-    net.settles();
-    assert!(net.all.values().all(|fleet| fleet.live_fraction() == 1.0));
+        .all(|process| !process.has_majority(network.now_ms) && process.live_fraction() == 0.5));
+    network.heal(one, other);
+    network.converge();
+    assert!(network
+        .processes
+        .values()
+        .all(|process| process.live_fraction() == 1.0));
 }
 
 #[test]
-fn a_minority_knows_that_it_is_one_and_alone_gives_up_what_it_held() {
-    let mut net = settled(11, 9);
-    let (few, most) = (&[0, 4, 7][..], &[1, 2, 3, 5, 6, 8][..]);
-    net.part(few, most, true);
-    net.run(200_000.0);
+fn only_the_minority_of_a_partition_loses_its_majority_and_generation() {
+    let mut network = converged(11, 9);
+    let (minority, majority) = (&[0, 4, 7][..], &[1, 2, 3, 5, 6, 8][..]);
+    network.cut(minority, majority);
+    network.run(200_000.0);
     for n in 0..9 {
-        assert_eq!(net.fleet(n).has_majority(net.now), most.contains(&n), "{n}");
+        assert_eq!(
+            network.process(n).has_majority(network.now_ms),
+            majority.contains(&n),
+            "{n}"
+        );
     }
-    net.part(few, most, false);
-    net.settles();
+    network.heal(minority, majority);
+    network.converge();
     for n in 0..9 {
-        let generation = net.fleet(n).local_record().generation;
+        let generation = network.process(n).local_record().generation;
         assert_eq!(
             generation > 1,
-            few.contains(&n),
+            minority.contains(&n),
             "{n} has generation {generation}"
         );
     }
 }
 
 #[test]
-fn what_is_cut_one_way_between_two_kills_neither() {
-    let mut net = settled(13, 7);
-    net.cut.insert((at(1), at(2)));
-    net.cut.insert((at(2), at(5)));
-    net.run(300_000.0);
-    assert_eq!(net.count(|_, event| died(event)), 0);
-    assert_eq!(net.unsettled(), None);
+fn asymmetric_link_loss_causes_no_death() {
+    let mut network = converged(13, 7);
+    network.cut_links.insert((address(1), address(2)));
+    network.cut_links.insert((address(2), address(5)));
+    network.run(300_000.0);
+    assert_eq!(network.count_events(|_, event| is_death(event)), 0);
+    assert_eq!(network.divergence(), None);
 }
 
 #[test]
-fn a_process_that_stood_still_accuses_nobody_and_gives_up_what_it_held() {
-    let mut net = settled(15, 7);
-    net.paused.insert(at(3));
-    net.run(60_000.0);
-    assert!(net.count(|who, event| who != name(3) && died(event)) >= 6);
-    net.paused.clear();
-    let woke = net.now;
-    net.run(1.0);
-    assert!(!net.fleet(3).has_majority(net.now), "it can't know yet");
-    net.settles();
-    let its = |event: &Event| {
+fn paused_process_accuses_nobody_and_takes_a_new_generation() {
+    let mut network = converged(15, 7);
+    network.paused.insert(address(3));
+    network.run(60_000.0);
+    assert!(network.count_events(|process, event| process != name(3) && is_death(event)) >= 6);
+    network.paused.clear();
+    let resumed_ms = network.now_ms;
+    network.run(1.0);
+    assert!(
+        !network.process(3).has_majority(network.now_ms),
+        "it has had no ack since the pause"
+    );
+    network.converge();
+    let is_accusation = |event: &Event| {
         matches!(
             event,
             Event::MemberChanged {
@@ -257,190 +283,211 @@
             }
         )
     };
-    let accused = net
-        .events
-        .iter()
-        .filter(|(when, who, event)| *when >= woke && *who == name(3) && its(event));
-    assert_eq!(accused.count(), 0);
+    let accusations = network.events.iter().filter(|(event_ms, process, event)| {
+        *event_ms >= resumed_ms && *process == name(3) && is_accusation(event)
+    });
+    assert_eq!(accusations.count(), 0);
     assert_eq!(
-        net.count(|who, event| who == name(3) && matches!(event, Event::Paused(_))),
+        network
+            .count_events(|process, event| process == name(3) && matches!(event, Event::Paused(_))),
         1
     );
     assert_eq!(
-        net.count(|who, event| who == name(3) && matches!(event, Event::DeclaredDead { .. })),
+        network.count_events(|process, event| process == name(3) && is_declared_dead(event)),
         1
     );
-    assert_eq!(net.fleet(3).local_record().generation, 2);
-    // A short one is no matter.
-    net.events.clear();
-    net.paused.insert(at(2));
-    net.run(2_000.0);
-    net.paused.clear();
-    net.run(30_000.0);
+    assert_eq!(network.process(3).local_record().generation, 2);
+    // A short pause has no consequences.
+    network.events.clear();
+    network.paused.insert(address(2));
+    network.run(2_000.0);
+    network.paused.clear();
+    network.run(30_000.0);
     assert_eq!(
-        net.count(|_, event| died(event) || matches!(event, Event::DeclaredDead { .. })),
+        network.count_events(|_, event| is_death(event) || is_declared_dead(event)),
         0
     );
-    assert_eq!(net.unsettled(), None);
+    assert_eq!(network.divergence(), None);
 }
 
 #[test]
-fn it_does_not_act_before_it_has_given_up_what_it_held() {
-    let mut net = settled(17, 5);
-    net.gives_up = false;
-    net.paused.insert(at(3));
-    net.run(60_000.0);
-    net.paused.clear();
-    net.run(60_000.0);
+fn process_declared_dead_is_silent_until_it_rejoins() {
+    let mut network = converged(17, 5);
+    network.rejoins_at_once = false;
+    network.paused.insert(address(3));
+    network.run(60_000.0);
+    network.paused.clear();
+    network.run(60_000.0);
     assert_eq!(
         (
-            net.fleet(3).state_name(),
-            net.fleet(3).local_record().generation
+            network.process(3).state_name(),
+            network.process(3).local_record().generation
         ),
         ("fallen", 1)
     );
-    let held = net.fleet(0).view().get(&name(3)).unwrap().record.status;
-    assert_eq!(held, Status::Dead, "it is silent until then");
-    let now = net.now;
-    let actions = net.all.get_mut(&at(3)).unwrap().rejoin(now);
-    assert!(!actions.is_empty() && net.fleet(3).is_member());
-    net.run(10_000.0);
-    net.settles();
+    let status = network
+        .process(0)
+        .view()
+        .get(&name(3))
+        .unwrap()
+        .record
+        .status;
+    assert_eq!(status, Status::Dead, "it must be silent until it rejoins");
+    let now_ms = network.now_ms;
+    let actions = network.process_mut(3).rejoin(now_ms);
+    assert!(!actions.is_empty() && network.process(3).is_member());
+    network.run(10_000.0);
+    network.converge();
 }
 
 #[test]
-fn of_two_processes_under_one_name_the_older_is_over() {
-    let mut net = settled(19, 5);
-    // The same name at another address, while the first one runs.
-    let mut told = net.told(2, 0);
-    told.address = at(20);
-    net.add(told);
-    net.run(60_000.0);
-    let (old, new) = (&net.all[&at(2)], &net.all[&at(20)]);
-    assert!(old.is_stopped() && new.is_member());
-    assert_eq!(new.local_record().generation, 2);
+fn older_of_two_processes_under_one_name_stops() {
+    let mut network = converged(19, 5);
+    // A second process takes the name at another address while the first one runs.
+    let mut config = network.config(2, 0);
+    config.address = address(20);
+    network.add(config);
+    network.run(60_000.0);
+    let (older, newer) = (
+        &network.processes[&address(2)],
+        &network.processes[&address(20)],
+    );
+    assert!(older.is_stopped() && newer.is_member());
+    assert_eq!(newer.local_record().generation, 2);
     assert_eq!(
-        net.count(|_, event| matches!(event, Event::Superseded(to) if *to == at(20))),
+        network
+            .count_events(|_, event| matches!(event, Event::Superseded(by) if *by == address(20))),
         1
     );
-    net.kill(2);
-    net.settles();
-    // One that is gone, at an address that it had alone, does not keep its name from coming back elsewhere.
-    net.kill(0);
-    net.run(60_000.0);
-    let mut told = net.told(0, 0);
-    told.address = at(21);
-    net.add(told);
-    net.settles();
+    network.kill(2);
+    network.converge();
+    // A dead process does not keep its name from coming back at another address.
+    network.kill(0);
+    network.run(60_000.0);
+    let mut config = network.config(0, 0);
+    config.address = address(21);
+    network.add(config);
+    network.converge();
 }
 
 #[test]
-fn a_liar_costs_a_suspicion_and_kills_nobody() {
-    let mut net = settled(21, 6);
-    // One that has heard most of its fleet for a longest suspicion speaks against its death; a younger one begins anew.
-    net.run(60_000.0);
-    net.events.clear();
-    // Whoever has the key can say anything of anybody: a copy of one that heard nothing for long holds all for dead.
-    let words = deaths(&mut net.all[&at(5)].clone());
-    assert!(words.len() > 4);
-    for (n, word) in words.into_iter().enumerate() {
-        (0..5).for_each(|to| net.send(at(to), What::Datagram(word.clone()), (n * 10) as f64));
+fn false_death_reports_kill_nobody() {
+    let mut network = converged(21, 6);
+    // A process refutes its death only after it has had a majority for the longest suspicion.
+    network.run(60_000.0);
+    network.events.clear();
+    // A copy of a member that receives nothing for long, and so declares all others dead.
+    let reports = death_reports(network.process(5).clone());
+    assert!(reports.len() > 4);
+    for (n, report) in reports.into_iter().enumerate() {
+        (0..5).for_each(|to| {
+            network.send(
+                address(to),
+                Delivery::Datagram(report.clone()),
+                (n * 10) as f64,
+            )
+        });
     }
-    net.run(120_000.0);
-    assert_eq!(net.count(|_, event| died(event)), 0);
+    network.run(120_000.0);
+    assert_eq!(network.count_events(|_, event| is_death(event)), 0);
     assert!(
-        net.all
+        network
+            .processes
             .values()
-            .map(|fleet| fleet.counters.refutations)
+            .map(|process| process.counters.refutations)
             .sum::<u64>()
             > 0,
         "nobody was accused"
     );
-    assert_eq!(net.unsettled(), None);
+    assert_eq!(network.divergence(), None);
 }
 
-/// What this process says once it holds all others for dead, as time passes for it alone.
-fn deaths(fleet: &mut asterdale_membership::Membership) -> Vec<Vec<u8>> {
-    let mut said = Vec::new();
-    while said.len() < 20 {
-        let alone = fleet.view().live_count() == 0;
-        for action in fleet.wake(fleet.next_wake_ms()) {
-            if let asterdale_membership::Action::Send(_, bytes) = action {
-                said.extend(alone.then_some(bytes));
+/// The datagrams of a process that receives nothing, from when it has declared all others dead.
+fn death_reports(mut process: Membership) -> Vec<Vec<u8>> {
+    let mut reports = Vec::new();
+    while reports.len() < 20 {
+        let is_alone = process.view().live_count() == 0;
+        for action in process.wake(process.next_wake_ms()) {
+            if let Action::Send(_, bytes) = action {
+                reports.extend(is_alone.then_some(bytes));
             }
         }
     }
-    said
+    reports
 }
 
 #[test]
-fn heavy_loss_doubling_and_reorder_kill_nobody_in_ten_minutes() {
-    for seed in [23, 24] {
-        let mut net = settled(seed, 12);
-        (net.loss, net.doubled, net.spread) = (0.2, 0.1, 150.0);
-        net.run(600_000.0);
-        assert_eq!(net.count(|_, event| died(event)), 0);
-        (net.loss, net.doubled) = (0.0, 0.0);
-        net.settles();
+fn loss_duplication_and_reordering_kill_nobody_in_ten_minutes() {
+    for random_seed in [23, 24] {
+        let mut network = converged(random_seed, 12);
+        (network.loss, network.duplication, network.jitter_ms) = (0.2, 0.1, 150.0);
+        network.run(600_000.0);
+        assert_eq!(network.count_events(|_, event| is_death(event)), 0);
+        (network.loss, network.duplication) = (0.0, 0.0);
+        network.converge();
     }
 }
 
 #[test]
-fn notes_reach_all_and_are_news_no_more_often_than_stated() {
-    let mut net = settled(25, 6);
-    let notes = Metadata {
+fn metadata_reaches_all_members_at_a_bounded_rate() {
+    let mut network = converged(25, 6);
+    let metadata = Metadata {
         phase: Phase::AtCapacity,
         load_percent: 97,
         warm_percent: 100,
     };
-    net.all.get_mut(&at(4)).unwrap().set_metadata(notes);
-    net.run(10_000.0);
+    network.process_mut(4).set_metadata(metadata);
+    network.run(10_000.0);
     for n in [0, 1, 2, 3, 5] {
         assert_eq!(
-            net.fleet(n).view().get(&name(4)).unwrap().record.metadata,
-            notes
+            network
+                .process(n)
+                .view()
+                .get(&name(4))
+                .unwrap()
+                .record
+                .metadata,
+            metadata
         );
     }
-    let before = net.fleet(4).local_record().incarnation;
+    let incarnation_before = network.process(4).local_record().incarnation;
     for n in 0..200u8 {
-        net.all.get_mut(&at(4)).unwrap().set_metadata(Metadata {
+        network.process_mut(4).set_metadata(Metadata {
             load_percent: n % 100,
-            ..notes
+            ..metadata
         });
-        net.run(50.0);
+        network.run(50.0);
     }
-    assert!(net.fleet(4).local_record().incarnation - before <= 6);
+    assert!(network.process(4).local_record().incarnation - incarnation_before <= 6);
 }
 
 #[test]
-fn noise_foreign_keys_and_floods_change_nothing_and_are_counted() {
-    let mut net = settled(27, 4);
-    let hash = net.fleet(0).view_hash();
-    let mut told = net.told(9, 0);
-    told.key = b"another's".to_vec();
-    let mut foreign = asterdale_membership::Membership::new(net.now, told);
-    let now = net.now;
-    for action in foreign.wake(now) {
-        if let asterdale_membership::Action::Exchange(_, bytes) = action {
-            let (back, _) = net
-                .all
-                .get_mut(&at(0))
-                .unwrap()
-                .handle_exchange_request(now, &bytes);
-            assert_eq!(back, None);
+fn malformed_unauthenticated_and_excess_messages_are_counted_and_dropped() {
+    let mut network = converged(27, 4);
+    let hash = network.process(0).view_hash();
+    let mut config = network.config(9, 0);
+    config.key = b"another's".to_vec();
+    let mut stranger = Membership::new(network.now_ms, config);
+    let now_ms = network.now_ms;
+    for action in stranger.wake(now_ms) {
+        if let Action::Exchange(_, bytes) = action {
+            let (response, _) = network
+                .process_mut(0)
+                .handle_exchange_request(now_ms, &bytes);
+            assert_eq!(response, None);
         }
     }
     for n in 0..3000usize {
         let noise: Vec<u8> = (0..n % 97).map(|byte| (byte * n) as u8).collect();
-        net.send(at(0), What::Datagram(noise), n as f64 / 3000.0);
+        network.send(address(0), Delivery::Datagram(noise), n as f64 / 3000.0);
     }
-    net.send(at(0), What::Datagram(vec![1; 2000]), 5_000.0);
-    net.run(6_000.0);
-    let counters = &net.fleet(0).counters;
+    network.send(address(0), Delivery::Datagram(vec![1; 2000]), 5_000.0);
+    network.run(6_000.0);
+    let counters = &network.process(0).counters;
     assert!(
         counters.unauthenticated > 100 && counters.rate_limited > 1000 && counters.malformed == 1,
         "{counters:?}"
     );
-    assert_eq!(net.fleet(0).view_hash(), hash);
-    net.settles();
+    assert_eq!(network.process(0).view_hash(), hash);
+    network.converge();
 }
--- a/crates/asterdale-membership/tests/stored_datagrams.rs
+++ b/crates/asterdale-membership/tests/stored_datagrams.rs
@@ -47,7 +47,7 @@
 }
 
 /// A record in each status and phase.
-fn news() -> Vec<StoredRecord> {
+fn gossip() -> Vec<StoredRecord> {
     (0..4u32)
         .map(|n| StoredRecord {
             name: format!("beta-{n}"),
@@ -95,7 +95,7 @@
         sender: Some(sender()),
         view_hash: 0xfedc_ba98_7654_3210,
         joining: n == 0,
-        records: if n == 4 { news() } else { Vec::new() },
+        records: if n == 4 { gossip() } else { Vec::new() },
         payload: Some(payload),
     };
     kinds.into_iter().enumerate().map(message).collect()
@@ -112,6 +112,12 @@
     all
 }
 
+/// The message at this place of the file, decoded.
+fn stored_message(index: usize) -> (Message, MemberRecord) {
+    let authenticator = MessageAuthenticator::new(KEY);
+    decode(&authenticator, stored()[index], MAX_EXCHANGE_BYTES).unwrap()
+}
+
 #[test]
 fn stored_datagrams_are_read_to_the_same_messages() {
     assert_eq!(PROTOCOL_VERSION, 1);
@@ -144,12 +150,7 @@
 
 #[test]
 fn stored_records_are_read_in_every_status_and_phase() {
-    let (message, _) = decode(
-        &MessageAuthenticator::new(KEY),
-        stored()[4],
-        MAX_EXCHANGE_BYTES,
-    )
-    .unwrap();
+    let (message, _) = stored_message(4);
     let records: Vec<MemberRecord> = message
         .records
         .iter()
@@ -166,33 +167,20 @@
         (Status::Left, Phase::Draining),
     ];
     assert_eq!(states, expected);
-    assert_eq!(
-        (
-            records[2].run_id(),
-            records[2].incarnation,
-            records[2].address
-        ),
-        ((22, 32), 42, beta())
-    );
-    assert_eq!(
-        (
-            records[2].metadata.load_percent,
-            records[2].metadata.warm_percent,
-            &records[2].reported_by[..]
-        ),
-        (52, 62, "gamma")
-    );
-    assert_eq!(
-        records.iter().map(encode_record).collect::<Vec<_>>(),
-        news()
-    );
-    let (question, _) = decode(
-        &MessageAuthenticator::new(KEY),
-        stored()[2],
-        MAX_EXCHANGE_BYTES,
-    )
-    .unwrap();
-    let Some(Payload::PingRequest(request)) = question.payload else {
+    let dead = &records[2];
+    assert_eq!(dead.run_id(), (22, 32));
+    assert_eq!((dead.incarnation, dead.address), (42, beta()));
+    assert_eq!(dead.metadata.load_percent, 52);
+    assert_eq!(dead.metadata.warm_percent, 62);
+    assert_eq!(dead.reported_by, "gamma");
+    let written: Vec<StoredRecord> = records.iter().map(encode_record).collect();
+    assert_eq!(written, gossip());
+}
+
+#[test]
+fn stored_ping_request_is_read() {
+    let (message, _) = stored_message(2);
+    let Some(Payload::PingRequest(request)) = message.payload else {
         panic!("another kind")
     };
     assert_eq!(ping_request_address(&request), Some(alpha()));
