--- a/crates/asterdale/src/measure.rs
+++ b/crates/asterdale/src/measure.rs
@@ -1,7 +1,7 @@
 //! Containers for what is measured, and random numbers. They hold no decisions.
 
 /// Buckets of a [`Histogram`]: with steps of 8% they reach from 0.01 to over 100,000.
-pub(crate) const HISTOGRAM_BUCKETS: usize = 212;
+const HISTOGRAM_BUCKETS: usize = 212;
 
 /// Counts of values in buckets of equal ratio: fine enough for quantiles, and cheap to merge.
 #[derive(Clone)]
@@ -12,7 +12,7 @@
     /// The logarithm of the ratio between two buckets.
     #[cfg_attr(feature = "snapshot", serde(rename = "step"))]
     log_ratio: f64,
-    #[cfg_attr(feature = "snapshot", serde(with = "crate::snapshot::counts"))]
+    #[cfg_attr(feature = "snapshot", serde(with = "counts"))]
     counts: [u32; HISTOGRAM_BUCKETS],
     pub total: u32,
 }
@@ -66,6 +66,29 @@
     }
 }
 
+/// Stores the counts of a [`Histogram`] as a list: serde reads arrays of at most 32 members.
+#[cfg(feature = "snapshot")]
+mod counts {
+    use serde::de::Error;
+    use serde::{Deserialize, Deserializer, Serialize, Serializer};
+
+    use super::HISTOGRAM_BUCKETS;
+
+    type Counts = [u32; HISTOGRAM_BUCKETS];
+
+    pub fn serialize<S: Serializer>(counts: &Counts, serializer: S) -> Result<S::Ok, S::Error> {
+        counts.as_slice().serialize(serializer)
+    }
+
+    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Counts, D::Error> {
+        let counts = Vec::<u32>::deserialize(deserializer)?;
+        let length = counts.len();
+        counts.try_into().map_err(|_| {
+            D::Error::custom(format!("{length} counts instead of {HISTOGRAM_BUCKETS}"))
+        })
+    }
+}
+
 /// Amounts in a ring of time buckets: of the recent past, or of what expires in the near future.
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct TimeBuckets {
--- a/crates/asterdale/src/snapshot.rs
+++ b/crates/asterdale/src/snapshot.rs
@@ -154,25 +154,3 @@
         Err(InvalidSnapshot::Inconsistent(what))
     }
 }
-
-/// Stores the counts of a [`crate::measure::Histogram`] as a list: serde reads arrays of at most 32 members.
-pub(crate) mod counts {
-    use serde::de::Error;
-    use serde::{Deserialize, Deserializer, Serialize, Serializer};
-
-    use crate::measure::HISTOGRAM_BUCKETS;
-
-    type Counts = [u32; HISTOGRAM_BUCKETS];
-
-    pub fn serialize<S: Serializer>(counts: &Counts, serializer: S) -> Result<S::Ok, S::Error> {
-        counts.as_slice().serialize(serializer)
-    }
-
-    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Counts, D::Error> {
-        let counts = Vec::<u32>::deserialize(deserializer)?;
-        let length = counts.len();
-        counts.try_into().map_err(|_| {
-            D::Error::custom(format!("{length} counts instead of {HISTOGRAM_BUCKETS}"))
-        })
-    }
-}
--- a/crates/asterdale/src/state/rows.rs
+++ b/crates/asterdale/src/state/rows.rs
@@ -1,6 +1,6 @@
 //! State of each request class and of each tenant.
 
-use super::{LATENCY_WINDOWS, UPDATE_INTERVAL_MS};
+use super::limiter::{LATENCY_WINDOWS, UPDATE_INTERVAL_MS};
 use crate::measure::{Histogram, TimeBuckets};
 use crate::parameters::{ClassParameters, TenantParameters};
 
