--- a/crates/asterdale-identity/src/keyring/tests.rs
+++ b/crates/asterdale-identity/src/keyring/tests.rs
@@ -213,41 +213,41 @@
         sets in prop::collection::vec(
             (0u64..12, prop::collection::vec((0u8..4, 0u8..4, 0u32..9, prop::option::of(0u32..9)), 0..4),
                 prop::option::of(0u8..4)), 1..24),
-        at in 0u32..10,
+        time_ms in 0u32..10,
     ) {
         let mut keyring = keyring();
-        let (mut last, mut keys_of, mut revoked_ids) = (None, HashMap::new(), HashSet::new());
+        let (mut last, mut key_by_id, mut revoked_ids) = (None, HashMap::new(), HashSet::new());
         for (seq, keys, revoke) in sets {
             let keys = keys.into_iter().map(|(id, key, from, until)| {
                 let mut key = jwk(&secret_key(key), from.into(), until.map(f64::from));
                 key.kid = format!("id{id}");
                 key
             }).collect::<Vec<_>>();
-            let mut offered = key_set(seq, keys);
-            offered.revoked.keys.extend(revoke.map(|id| format!("id{id}")));
+            let mut set = key_set(seq, keys);
+            set.revoked.keys.extend(revoke.map(|id| format!("id{id}")));
             let before = keyring.sequence();
-            match offer(&mut keyring, &offered) {
+            match offer(&mut keyring, &set) {
                 Ok(KeySetOutcome::Adopted) => {
                     prop_assert!(before.is_none_or(|before| seq > before));
-                    for key in &offered.keys {
-                        let known = keys_of.entry(key.kid.clone()).or_insert_with(|| key.public_key.clone());
+                    for key in &set.keys {
+                        let known = key_by_id.entry(key.kid.clone()).or_insert_with(|| key.public_key.clone());
                         prop_assert_eq!(&*known, &key.public_key);
                     }
-                    revoked_ids.extend(offered.revoked.keys.iter().filter(|id| keys_of.contains_key(*id)).cloned());
-                    last = Some(offered);
+                    revoked_ids.extend(set.revoked.keys.iter().filter(|id| key_by_id.contains_key(*id)).cloned());
+                    last = Some(set);
                 }
-                Ok(KeySetOutcome::Unchanged) => prop_assert_eq!(last.as_ref(), Some(&offered)),
+                Ok(KeySetOutcome::Unchanged) => prop_assert_eq!(last.as_ref(), Some(&set)),
                 Err(_) => prop_assert_eq!(keyring.sequence(), before),
             }
             for id in (0..4).map(|id| format!("id{id}")) {
                 let is_expected = last.as_ref().is_some_and(|set| {
                     let until = |key: &PublicJwk| key.until_ms.unwrap_or(f64::INFINITY);
-                    let holds = |key: &&PublicJwk| {
-                        key.kid == id && key.from_ms <= at.into() && f64::from(at) < until(key)
+                    let is_accepted = |key: &&PublicJwk| {
+                        key.kid == id && key.from_ms <= time_ms.into() && f64::from(time_ms) < until(key)
                     };
-                    set.keys.iter().any(|key| holds(&key)) && !set.revoked.keys.contains(&id)
+                    set.keys.iter().any(|key| is_accepted(&key)) && !set.revoked.keys.contains(&id)
                 });
-                prop_assert_eq!(keyring.check_key(&id, at.into(), 0.0).is_ok(), is_expected && !revoked_ids.contains(&id));
+                prop_assert_eq!(keyring.check_key(&id, time_ms.into(), 0.0).is_ok(), is_expected && !revoked_ids.contains(&id));
             }
         }
     }
--- a/crates/asterdale-identity/tests/identity/authentication.rs
+++ b/crates/asterdale-identity/tests/identity/authentication.rs
@@ -113,29 +113,18 @@
     );
     let new = token(2, |claims| claims.jti = string("new"));
     let elsewhere = Credentials {
-        token: Some(new.as_bytes()),
-        certificate: None,
         edge_node: 5,
-        received_ms: NOW_MS,
+        ..credentials(&new, NOW_MS)
     };
     assert!(identity.authenticate(NOW_MS, elsewhere).is_ok());
-    let here = Credentials {
-        edge_node: 4,
-        ..elsewhere
-    };
-    assert!(
-        identity.authenticate(NOW_MS, here).is_ok(),
+    assert_eq!(
+        authenticate(&mut identity, NOW_MS, &new),
+        Ok(0),
         "it is cached by now"
     );
     let late = token(2, |claims| claims.jti = string("late"));
     let denial = identity
-        .authenticate(
-            NOW_MS,
-            Credentials {
-                token: Some(late.as_bytes()),
-                ..here
-            },
-        )
+        .authenticate(NOW_MS, credentials(&late, NOW_MS))
         .unwrap_err();
     assert!(
         denial.reason == DenialReason::SignatureBudget && denial.retry_after_ms > 0.0,
@@ -160,10 +149,8 @@
     assert_eq!(authenticate(&mut identity, NOW_MS, &short), Ok(0));
     // A time of receipt in the future counts as now.
     let ahead = Credentials {
-        token: Some(short.as_bytes()),
-        certificate: None,
-        edge_node: 4,
         received_ms: NOW_MS + 1e9,
+        ..credentials(&short, NOW_MS)
     };
     assert!(identity.authenticate(NOW_MS, ahead).is_ok());
     assert_eq!(
@@ -172,10 +159,8 @@
     );
     // A time of receipt in the past counts for no more than the clock skew.
     let old = |now_ms| Credentials {
-        token: Some(short.as_bytes()),
-        certificate: None,
-        edge_node: 4,
         received_ms: now_ms - 1e6,
+        ..credentials(&short, now_ms)
     };
     assert!(identity
         .authenticate(NOW_MS + 1_999.0, old(NOW_MS + 1_999.0))
--- a/crates/asterdale-identity/tests/identity/revocation.rs
+++ b/crates/asterdale-identity/tests/identity/revocation.rs
@@ -1,14 +1,15 @@
 //! Revocation of tokens, subjects, tenants and keys.
 
 use asterdale_identity::keyring::KeySet;
-use asterdale_identity::{Credentials, DenialReason, Identity};
+use asterdale_identity::{DenialReason, Identity};
 
 use crate::support::*;
 
-#[test]
-fn cached_tokens_are_denied_once_revoked() {
-    type Change = fn(&mut KeySet);
-    let changes: [(Change, DenialReason); 5] = [
+type Change = fn(&mut KeySet);
+
+/// Changes of the key set after which a token of tenant `a` is denied, and for what reason.
+fn changes() -> [(Change, DenialReason); 5] {
+    [
         (
             |set| {
                 set.revoked.tokens.insert(string("1"));
@@ -37,8 +38,12 @@
             |set| set.keys.retain(|key| key.kid != "k2"),
             DenialReason::KeyRetired,
         ),
-    ];
-    for (change, reason) in changes {
+    ]
+}
+
+#[test]
+fn cached_tokens_are_denied_once_revoked() {
+    for (change, reason) in changes() {
         let mut identity = identity();
         let (good, other) = (
             token(2, |_| ()),
@@ -51,13 +56,9 @@
             ),
             (Ok(0), Ok(1))
         );
-        let caller = Credentials {
-            token: Some(good.as_bytes()),
-            certificate: None,
-            edge_node: 4,
-            received_ms: NOW_MS,
-        };
-        let caller = identity.authenticate(NOW_MS, caller).unwrap();
+        let caller = identity
+            .authenticate(NOW_MS, credentials(&good, NOW_MS))
+            .unwrap();
         assert_eq!(identity.revocation(&caller), None);
         identity
             .offer_key_set(NOW_MS, signed_set(2, change).as_bytes())
--- a/crates/asterdale-identity/tests/identity/state_transfer.rs
+++ b/crates/asterdale-identity/tests/identity/state_transfer.rs
@@ -1,10 +1,23 @@
 //! State that a hot restart transfers.
 
 use asterdale_identity::keyring::KeySetError;
-use asterdale_identity::{AccessRequest, Credentials, DenialReason, Identity, Tenant};
+use asterdale_identity::{AccessRequest, DenialReason, Identity, IdentitySettings, Tenant};
 
 use crate::support::*;
 
+/// Settings that list the tenants in another order, and one more.
+fn next_settings() -> IdentitySettings {
+    let mut next_settings = settings();
+    next_settings.tenants.reverse();
+    let added = Tenant {
+        name: string("c"),
+        scheduling_tenant: 0,
+        roles: vec![],
+    };
+    next_settings.tenants.insert(0, added);
+    next_settings
+}
+
 #[test]
 fn transferred_state_keeps_keys_revocations_and_tenant_numbers() {
     let mut before = identity();
@@ -16,13 +29,9 @@
         .offer_key_set(NOW_MS, signed_set(3, |_| ()).as_bytes())
         .unwrap();
     let other = token(2, |claims| *claims = claims_of_tenant_b());
-    let caller = Credentials {
-        token: Some(other.as_bytes()),
-        certificate: None,
-        edge_node: 4,
-        received_ms: NOW_MS,
-    };
-    let caller = before.authenticate(NOW_MS, caller).unwrap();
+    let caller = before
+        .authenticate(NOW_MS, credentials(&other, NOW_MS))
+        .unwrap();
     let request = AccessRequest {
         request_class: 0,
         declared_cost_ms: None,
@@ -33,18 +42,7 @@
         .unwrap()
         .unwrap();
     let owner = before.permit_owner(&permit);
-    // The new settings list the tenants in another order, and one more.
-    let mut next_settings = settings();
-    next_settings.tenants.reverse();
-    next_settings.tenants.insert(
-        0,
-        Tenant {
-            name: string("c"),
-            scheduling_tenant: 0,
-            roles: vec![],
-        },
-    );
-    let mut after = Identity::new(NOW_MS, next_settings).unwrap();
+    let mut after = Identity::new(NOW_MS, next_settings()).unwrap();
     after.restore_state(NOW_MS, before.export_state()).unwrap();
     assert_eq!(authenticate(&mut after, NOW_MS, &other), Ok(caller.tenant));
     assert_eq!(
--- a/crates/asterdale-identity/tests/identity/support.rs
+++ b/crates/asterdale-identity/tests/identity/support.rs
@@ -18,9 +18,9 @@
 }
 
 pub fn settings() -> IdentitySettings {
-    let role = |name: &str, stages: &[usize]| Role {
+    let role = |name: &str, request_classes: &[usize]| Role {
         name: string(name),
-        request_classes: stages.to_vec(),
+        request_classes: request_classes.to_vec(),
         max_concurrent: 9,
         requests_per_s: 100.0,
         burst: 100.0,
@@ -110,19 +110,24 @@
     secret_key(key).sign_token(&claims)
 }
 
+/// A token that arrives at `now_ms` through edge node 4.
+pub fn credentials(token: &str, now_ms: f64) -> Credentials<'_> {
+    Credentials {
+        token: Some(token.as_bytes()),
+        certificate: None,
+        edge_node: 4,
+        received_ms: now_ms,
+    }
+}
+
+/// The tenant's number, or the reason of the denial.
 pub fn authenticate(
     identity: &mut Identity,
     now_ms: f64,
     token: &str,
 ) -> Result<u32, DenialReason> {
-    let credentials = Credentials {
-        token: Some(token.as_bytes()),
-        certificate: None,
-        edge_node: 4,
-        received_ms: now_ms,
-    };
     identity
-        .authenticate(now_ms, credentials)
+        .authenticate(now_ms, credentials(token, now_ms))
         .map(|caller| caller.tenant)
         .map_err(|denial| denial.reason)
 }
--- a/crates/asterdale-identity/tests/rotation.rs
+++ b/crates/asterdale-identity/tests/rotation.rs
@@ -13,15 +13,16 @@
         SecretKey::generate("one").unwrap(),
         SecretKey::generate("two").unwrap(),
     );
-    let (mut set, mut ring) = (
+    let (mut set, mut keyring) = (
         KeySet::empty(),
         Keyring::new(vec![root.public_key()], f64::INFINITY),
     );
     let mut publish = |set: &mut KeySet, now_ms: f64| {
         set.advance_sequence(now_ms);
-        ring.offer_key_set(now_ms, root.sign_key_set(set).as_bytes())
+        keyring
+            .offer_key_set(now_ms, root.sign_key_set(set).as_bytes())
             .unwrap();
-        (ring.phase("one", now_ms), ring.phase("two", now_ms))
+        (keyring.phase("one", now_ms), keyring.phase("two", now_ms))
     };
     set.announce(0.0, "one", &one.public_key_text(), 0.0)
         .unwrap();
@@ -41,7 +42,7 @@
         publish(&mut set, 120.0),
         (Some(Phase::Retired), Some(Phase::Active))
     );
-    // Activated again it prolongs nothing.
+    // Activating the key again does not prolong the overlap.
     set.activate(130.0, "two", 100.0).unwrap();
     assert_eq!(
         publish(&mut set, 130.0),
--- a/crates/asterdale-identity/tests/secret_key.rs
+++ b/crates/asterdale-identity/tests/secret_key.rs
@@ -13,8 +13,8 @@
     );
     assert_eq!(format!("{secret:?}"), "SecretKey(k1)");
     let other = SecretKey::generate("k1").unwrap();
-    let wrong = text.replace(&secret.public_key_text(), &other.public_key_text());
-    assert!(SecretKey::from_jwk(&wrong)
+    let mismatch = text.replace(&secret.public_key_text(), &other.public_key_text());
+    assert!(SecretKey::from_jwk(&mismatch)
         .unwrap_err()
         .to_string()
         .starts_with("x: "));
--- a/crates/asterdale-identity/tests/stored_keys.rs
+++ b/crates/asterdale-identity/tests/stored_keys.rs
@@ -27,13 +27,13 @@
 }
 
 fn published() -> KeySet {
-    let key = |kid: &str, x: &str, from_ms, until_ms| {
+    let key = |kid: &str, public_key: &str, from_ms, until_ms| {
         let (kty, crv) = (text("OKP"), text("Ed25519"));
         PublicJwk {
             kty,
             crv,
             kid: text(kid),
-            public_key: text(x),
+            public_key: text(public_key),
             from_ms,
             until_ms,
         }
@@ -86,7 +86,7 @@
         scheduling_tenant: 1,
         roles: vec![text("clerk")],
     };
-    let facts = IdentitySettings {
+    let settings = IdentitySettings {
         seed: 5,
         issuer: text("issuer"),
         audience: text("asterdale"),
@@ -100,7 +100,7 @@
         tenants: vec![tenant("other"), tenant("house"), tenant("former")],
         certificate_mappings: Vec::new(),
     };
-    Identity::new(SIGNED_MS, facts).unwrap()
+    Identity::new(SIGNED_MS, settings).unwrap()
 }
 
 #[test]
@@ -127,21 +127,22 @@
 #[test]
 fn a_stored_signed_set_moves_a_ring_through_the_same_phases() {
     assert_eq!(KEY_SET_TYPE, "asterdale-keys+jws");
-    let mut ring = Keyring::new(vec![parse_public_key(ROOT_PUBLIC).unwrap()], 86_400_000.0);
+    let mut keyring = Keyring::new(vec![parse_public_key(ROOT_PUBLIC).unwrap()], 86_400_000.0);
     assert_eq!(
-        ring.offer_key_set(SIGNED_MS, SIGNED_SET.as_bytes()),
+        keyring.offer_key_set(SIGNED_MS, SIGNED_SET.as_bytes()),
         Ok(KeySetOutcome::Adopted)
     );
     assert_eq!(
-        ring.offer_key_set(SIGNED_MS, SIGNED_SET.as_bytes()),
+        keyring.offer_key_set(SIGNED_MS, SIGNED_SET.as_bytes()),
         Ok(KeySetOutcome::Unchanged)
     );
     assert_eq!(
-        (ring.sequence(), ring.age_ms(SIGNED_MS + 7.0)),
+        (keyring.sequence(), keyring.age_ms(SIGNED_MS + 7.0)),
         (Some(2), 7.0)
     );
-    let phases =
-        |at: f64| ["sign-0", "sign-1", "sign-2", "sign-3", "sign-4"].map(|id| ring.phase(id, at));
+    let phases = |at: f64| {
+        ["sign-0", "sign-1", "sign-2", "sign-3", "sign-4"].map(|id| keyring.phase(id, at))
+    };
     use Phase::*;
     let (revoked, active) = (Some(Revoked), Some(Active));
     assert_eq!(
@@ -191,23 +192,23 @@
         .offer_key_set(SIGNED_MS, SIGNED_SET.as_bytes())
         .unwrap();
     let mut ask = |now: f64, token: &str| {
-        let ask = Credentials {
+        let credentials = Credentials {
             token: Some(token.as_bytes()),
             certificate: None,
             edge_node: 4,
             received_ms: now,
         };
         identity
-            .authenticate(now, ask)
+            .authenticate(now, credentials)
             .map(|caller| (caller.tenant, caller.key.clone()))
-            .map_err(|denied| denied.reason)
+            .map_err(|denial| denial.reason)
     };
     let (line, end) = (TOKEN.trim_end(), (ISSUED_S + 600.0) * 1000.0);
     assert_eq!(ask(SIGNED_MS, line), Ok((1, Some(text("sign-2")))));
     assert_eq!(ask(end + 499.0, line), Ok((1, Some(text("sign-2")))));
     assert_eq!(ask(end + 500.0, line), Err(DenialReason::Expired));
     let sign = SecretKey::from_jwk(SIGN).unwrap();
-    for (claims, why) in [
+    for (claims, reason) in [
         (
             Claims {
                 jti: text("token-0"),
@@ -230,6 +231,6 @@
             DenialReason::TenantRevoked,
         ),
     ] {
-        assert_eq!(ask(SIGNED_MS, &sign.sign_token(&claims)), Err(why));
+        assert_eq!(ask(SIGNED_MS, &sign.sign_token(&claims)), Err(reason));
     }
 }
