--- a/crates/asterdale-daemon/src/start/identity/callers.rs
+++ b/crates/asterdale-daemon/src/start/identity/callers.rs
@@ -1,7 +1,6 @@
 //! The lists of section `identity`: roles, tenants and client certificates, and how they refer to each other.
 
-use asterdale_identity::rights::{Role, Tenant, MOST_NAMED_ROLES, MOST_TENANTS};
-use asterdale_identity::Named;
+use asterdale_identity::{CertificateMapping, Role, Tenant, MAX_ROLES, MAX_TENANTS};
 use asterdale_parameters::Settings;
 
 use super::section::{CertificateSection, RoleSection, TenantSection};
@@ -26,8 +25,8 @@
         .unwrap_or_default();
     let names = sections.iter().map(|role| role.name.as_ref());
     unique_names("identity.roles", names, faults);
-    if sections.len() > MOST_NAMED_ROLES {
-        let rule = format!("no more than {MOST_NAMED_ROLES} are taken");
+    if sections.len() > MAX_ROLES {
+        let rule = format!("no more than {MAX_ROLES} are taken");
         faults.add("identity.roles", rule);
     }
     let sections = sections.into_iter().enumerate();
@@ -58,13 +57,13 @@
     let default_burst = (DEFAULT_BURST_SECONDS * rate_per_s).max(1.0);
     Role {
         name: section.name.unwrap_or_default(),
-        stages: classes,
-        open: section.max_open.unwrap_or(DEFAULT_MAX_OPEN) as usize,
-        per_s: rate_per_s,
+        request_classes: classes,
+        max_concurrent: section.max_open.unwrap_or(DEFAULT_MAX_OPEN) as usize,
+        requests_per_s: rate_per_s,
         burst: section
             .burst
             .map_or(default_burst, |burst| burst.0.max(1.0)),
-        hint_ms: section.max_cost_ms.map_or(f64::INFINITY, |ms| ms.0),
+        max_cost_ms: section.max_cost_ms.map_or(f64::INFINITY, |ms| ms.0),
     }
 }
 
@@ -80,8 +79,8 @@
         .unwrap_or_default();
     let names = sections.iter().map(|tenant| tenant.name.as_ref());
     unique_names("identity.tenants", names, faults);
-    if sections.len() > MOST_TENANTS {
-        let rule = format!("no more than {MOST_TENANTS} are taken");
+    if sections.len() > MAX_TENANTS {
+        let rule = format!("no more than {MAX_TENANTS} are taken");
         faults.add("identity.tenants", rule);
     }
     let quotas = settings.decisions.tenants.len();
@@ -95,7 +94,7 @@
         }
         tenants.push(Tenant {
             name: section.name.unwrap_or_default(),
-            customer: quota,
+            scheduling_tenant: quota,
             roles: check_role_names(&format!("{path}.roles"), section.roles, roles, faults),
         });
     }
@@ -108,7 +107,7 @@
     roles: &[Role],
     tenants: &[Tenant],
     faults: &mut Faults,
-) -> Vec<Named> {
+) -> Vec<CertificateMapping> {
     let sections = sections.unwrap_or_default();
     let names = sections.iter().map(|certificate| certificate.name.as_ref());
     unique_names("identity.certificates", names, faults);
@@ -126,7 +125,7 @@
         }
         let roles = check_role_names(&format!("{path}.roles"), section.roles, roles, faults);
         let subject = section.subject.unwrap_or_else(|| name.clone());
-        certificates.push(Named {
+        certificates.push(CertificateMapping {
             name,
             tenant,
             subject,
--- a/crates/asterdale-identity/benches/verdict.rs
+++ b/crates/asterdale-identity/benches/verdict.rs
@@ -1,147 +1,154 @@
-//! What a verdict costs: a token that is new, one that is known, one that is refused. Not part of CI:
+//! Cost of authenticating new, cached and denied tokens, and of authorizing a request. Not part of CI:
 //! `cargo bench -p asterdale-identity`.
 
-use asterdale_identity::keyring::Published;
-use asterdale_identity::mint::Secret;
-use asterdale_identity::rights::{Role, Tenant};
+use std::cell::{Cell, RefCell};
+
+use asterdale_identity::keyring::KeySet;
+use asterdale_identity::mint::SecretKey;
 use asterdale_identity::token::{Audience, Claims};
-use asterdale_identity::{Ask, Facts, Identity};
+use asterdale_identity::{AccessRequest, Credentials, Identity, IdentitySettings, Role, Tenant};
 use divan::{black_box, Bencher};
 
-const NOW: f64 = 1e12;
+const NOW_MS: f64 = 1e12;
 
-fn identity() -> (Identity, Secret) {
+fn identity() -> (Identity, SecretKey) {
     let (root, key) = (
-        Secret::from_seed([1; 32], "root"),
-        Secret::from_seed([2; 32], "k"),
+        SecretKey::from_seed([1; 32], "root"),
+        SecretKey::from_seed([2; 32], "k"),
     );
     let role = Role {
         name: "r".into(),
-        stages: vec![0],
-        open: usize::MAX,
-        per_s: f64::INFINITY,
+        request_classes: vec![0],
+        max_concurrent: usize::MAX,
+        requests_per_s: f64::INFINITY,
         burst: f64::INFINITY,
-        hint_ms: f64::INFINITY,
+        max_cost_ms: f64::INFINITY,
     };
-    let facts = Facts {
+    let settings = IdentitySettings {
         seed: 1,
         issuer: "i".into(),
         audience: "a".into(),
-        roots: vec![root.public()],
-        most_age_ms: f64::INFINITY,
-        skew_ms: 500.0,
-        cache: 2048,
-        per_edge: 1e12,
-        in_all: 1e12,
+        root_keys: vec![root.public_key()],
+        max_key_set_age_ms: f64::INFINITY,
+        clock_skew_ms: 500.0,
+        cached_tokens: 2048,
+        signatures_per_edge_per_s: 1e12,
+        signatures_per_s: 1e12,
         roles: vec![role],
         tenants: vec![Tenant {
             name: "t".into(),
-            customer: 0,
+            scheduling_tenant: 0,
             roles: vec!["r".into()],
         }],
-        certificates: Vec::new(),
+        certificate_mappings: Vec::new(),
     };
-    let mut identity = Identity::new(NOW, facts).unwrap();
-    let mut set = Published::empty();
-    set.announce(NOW, "k", &key.public_text(), 0.0).unwrap();
+    let mut identity = Identity::new(NOW_MS, settings).unwrap();
+    let mut set = KeySet::empty();
+    set.announce(NOW_MS, "k", &key.public_key_text(), 0.0)
+        .unwrap();
     set.revoked.tokens.insert("gone".into());
-    set.next(NOW);
-    identity.offer(NOW, root.set(&set).as_bytes()).unwrap();
+    set.advance_sequence(NOW_MS);
+    identity
+        .offer_key_set(NOW_MS, root.sign_key_set(&set).as_bytes())
+        .unwrap();
     (identity, key)
 }
 
-fn token(key: &Secret, jti: &str) -> String {
-    key.token(&Claims {
+fn token(key: &SecretKey, jti: &str) -> String {
+    key.sign_token(&Claims {
         iss: "i".into(),
         aud: Audience::One("a".into()),
         sub: "s".into(),
         tenant: "t".into(),
         roles: vec!["r".into()],
-        exp: NOW,
+        exp: NOW_MS,
         nbf: None,
         iat: None,
         jti: jti.into(),
     })
 }
 
-fn ask(identity: &mut Identity, token: &str) -> bool {
+fn is_authenticated(identity: &mut Identity, token: &str) -> bool {
     identity
-        .identify(
-            NOW,
-            Ask {
+        .authenticate(
+            NOW_MS,
+            Credentials {
                 token: Some(token.as_bytes()),
                 certificate: None,
-                edge: 1,
-                arrived_ms: NOW,
+                edge_node: 1,
+                received_ms: NOW_MS,
             },
         )
         .is_ok()
 }
 
-/// One signature each.
+/// A token that is not cached: one signature.
 #[divan::bench(sample_count = 200)]
 fn new_token(bencher: Bencher<'_, '_>) {
     let (identity, key) = identity();
-    let (identity, n) = (
-        std::cell::RefCell::new(identity),
-        std::cell::Cell::new(0u64),
-    );
+    let identity = RefCell::new(identity);
+    let token_number = Cell::new(0u64);
     bencher
         .with_inputs(|| {
-            n.set(n.get() + 1);
-            token(&key, &n.get().to_string())
+            token_number.set(token_number.get() + 1);
+            token(&key, &token_number.get().to_string())
         })
-        .bench_local_values(|token| assert!(ask(&mut identity.borrow_mut(), &token)));
+        .bench_local_values(|token| assert!(is_authenticated(&mut identity.borrow_mut(), &token)));
 }
 
-/// A digest, a look-up, and a look at what it rests on.
+/// A cached token: a digest, a look-up, and the checks of its claims.
 #[divan::bench]
 fn known_token(bencher: Bencher<'_, '_>) {
     let (mut identity, key) = identity();
     let token = token(&key, "1");
-    bencher.bench_local(|| assert!(ask(&mut identity, black_box(&token))));
+    bencher.bench_local(|| assert!(is_authenticated(&mut identity, black_box(&token))));
 }
 
-/// A digest and a look-up.
+/// A token that was denied before: a digest and a look-up.
 #[divan::bench]
 fn revoked_token_again(bencher: Bencher<'_, '_>) {
     let (mut identity, key) = identity();
     let token = token(&key, "gone");
-    bencher.bench_local(|| assert!(!ask(&mut identity, black_box(&token))));
+    bencher.bench_local(|| assert!(!is_authenticated(&mut identity, black_box(&token))));
 }
 
-/// Read, looked up, and refused without a signature.
+/// An expired token: parsed, its key looked up, and denied without a signature.
 #[divan::bench(sample_count = 200)]
 fn expired_token(bencher: Bencher<'_, '_>) {
     let (mut identity, key) = identity();
     let token = token(&key, "1");
     bencher.bench_local(|| {
-        let late = NOW * 1e3 + 1e6;
-        let ask = Ask {
+        let late_ms = NOW_MS * 1e3 + 1e6;
+        let credentials = Credentials {
             token: Some(black_box(token.as_bytes())),
             certificate: None,
-            edge: 1,
-            arrived_ms: late,
+            edge_node: 1,
+            received_ms: late_ms,
         };
-        assert!(identity.identify(late, ask).is_err());
+        assert!(identity.authenticate(late_ms, credentials).is_err());
     });
 }
 
-/// Rights alone, for a caller that is known.
+/// Authorization alone.
 #[divan::bench]
 fn permit(bencher: Bencher<'_, '_>) {
     let (mut identity, key) = identity();
     let token = token(&key, "1");
-    let ask = Ask {
+    let credentials = Credentials {
         token: Some(token.as_bytes()),
         certificate: None,
-        edge: 1,
-        arrived_ms: NOW,
+        edge_node: 1,
+        received_ms: NOW_MS,
+    };
+    let caller = identity.authenticate(NOW_MS, credentials).unwrap();
+    let request = AccessRequest {
+        request_class: 0,
+        declared_cost_ms: Some(1.0),
+        is_repeat: false,
     };
-    let caller = identity.identify(NOW, ask).unwrap();
     bencher.bench_local(|| {
-        let seat = identity.permit(NOW, &caller, 0, Some(1.0), false).unwrap();
-        identity.leave(seat.unwrap());
+        let permit = identity.authorize(NOW_MS, &caller, &request).unwrap();
+        identity.release(permit.unwrap());
     });
 }
 
--- a/crates/asterdale/src/snapshot.rs
+++ b/crates/asterdale/src/snapshot.rs
@@ -39,11 +39,13 @@
     /// The concurrency limit.
     pub limit: f64,
     /// The base latency of each request class; 0 where there is none yet.
-    pub bases: Vec<f64>,
+    #[serde(rename = "bases")]
+    pub base_latencies: Vec<f64>,
     /// How many calls to the dependency may be in flight.
     pub call_window: f64,
     /// The median of recent ratios of run time over base latency.
-    pub pace: f64,
+    #[serde(rename = "pace")]
+    pub median_ratio: f64,
     /// Tasks that have not been released.
     pub tasks: usize,
 }
@@ -73,13 +75,13 @@
     pub fn summary(&self) -> Summary {
         Summary {
             limit: self.limiter.limit,
-            bases: self
+            base_latencies: self
                 .classes
                 .iter()
                 .map(|class| class.base_latency)
                 .collect(),
             call_window: self.dependency.window,
-            pace: self.limiter.median_ratio,
+            median_ratio: self.limiter.median_ratio,
             tasks: self.active.len(),
         }
     }
@@ -152,25 +154,3 @@
         Err(InvalidSnapshot::Inconsistent(what))
     }
 }
-
-/// Stores the counts of a [`crate::measure::Histogram`] as a list: serde reads arrays of at most 32 members.
-pub(crate) mod counts {
-    use serde::de::Error;
-    use serde::{Deserialize, Deserializer, Serialize, Serializer};
-
-    use crate::measure::HISTOGRAM_BUCKETS;
-
-    type Counts = [u32; HISTOGRAM_BUCKETS];
-
-    pub fn serialize<S: Serializer>(counts: &Counts, serializer: S) -> Result<S::Ok, S::Error> {
-        counts.as_slice().serialize(serializer)
-    }
-
-    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Counts, D::Error> {
-        let counts = Vec::<u32>::deserialize(deserializer)?;
-        let length = counts.len();
-        counts.try_into().map_err(|_| {
-            D::Error::custom(format!("{length} counts instead of {HISTOGRAM_BUCKETS}"))
-        })
-    }
-}
