--- a/crates/asterdale-daemon/src/cli.rs
+++ b/crates/asterdale-daemon/src/cli.rs
@@ -1,13 +1,21 @@
-//! The command line. Without words the program serves, as it always has.
+//! The command line. Without arguments the program serves.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
 
+use thiserror::Error;
+
 use crate::start;
 use crate::{keys, serve, tell, token, How};
 
+#[cfg(test)]
+mod tests;
+
+/// The exit code of a command that has failed.
+const FAILED: u8 = 2;
+
 const EXAMPLES: &str = "\
 Examples:
   ROUTER_CONFIG=deploy/loopback.json asterdale
@@ -67,7 +75,7 @@
     },
 }
 
-/// How to serve.
+/// The options of `serve`.
 #[derive(Args)]
 struct Serve {
     /// The start file; the variable ROUTER_CONFIG if absent
@@ -123,19 +131,19 @@
     Debug,
 }
 
-/// The schema of the start file, as text.
+/// The JSON Schema of the start file, as text.
 pub fn schema() -> String {
     let schema = schemars::schema_for!(start::file::StartFile);
     serde_json::to_string_pretty(&schema).unwrap_or_default()
 }
 
+/// Reads a start file and prints its faults.
 fn check(file: &Path) -> ExitCode {
     match start::from_file(file) {
         Ok(start) => {
-            let callers = if start.identity.is_some() {
-                "known callers only"
-            } else {
-                "any caller"
+            let callers = match start.identity {
+                Some(_) => "known callers only",
+                None => "any caller",
             };
             println!(
                 "{}: good: {} stages, {callers}",
@@ -148,63 +156,67 @@
     }
 }
 
-/// Does what the command line says.
+/// A command has failed.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error(transparent)]
+    Token(#[from] token::TokenError),
+    #[error(transparent)]
+    Keys(#[from] keys::KeysError),
+    #[cfg(feature = "upgrade")]
+    #[error(transparent)]
+    Upgrade(#[from] crate::upgrade::RequestUpgradeError),
+}
+
+/// Runs the command that the command line names, and prints its error.
 pub fn run() -> ExitCode {
-    let done = match Line::parse().command {
-        None => return serve(How::default()),
-        Some(Command::Serve(how)) => return serve(how.into()),
-        Some(Command::Check { file }) => return check(&file),
-        Some(Command::Schema) => {
-            println!("{}", schema());
-            Ok(())
+    match run_command(Line::parse().command) {
+        Ok(code) => code,
+        Err(error) => {
+            eprintln!("asterdale: {error}");
+            ExitCode::from(FAILED)
         }
-        Some(Command::Token(command)) => token::run(command),
-        Some(Command::Keys(command)) => keys::run(command),
+    }
+}
+
+fn run_command(command: Option<Command>) -> Result<ExitCode, CommandError> {
+    match command {
+        None => return Ok(serve(How::default())),
+        Some(Command::Serve(options)) => return Ok(serve(options.into())),
+        Some(Command::Check { file }) => return Ok(check(&file)),
+        Some(Command::Schema) => println!("{}", schema()),
+        Some(Command::Token(command)) => token::run(command)?,
+        Some(Command::Keys(command)) => keys::run(command)?,
         #[cfg(feature = "upgrade")]
-        Some(Command::Upgrade { control, binary }) => {
-            let binary = binary
-                .map(|path| path.display().to_string())
-                .unwrap_or_default();
-            crate::upgrade::request_upgrade(&control, &binary, |phase| println!("{phase}"))
-                .map(|process| println!("done: process {process} serves"))
-                .map_err(|e| e.to_string())
-        }
+        Some(Command::Upgrade { control, binary }) => upgrade(&control, binary)?,
         #[cfg(feature = "fleet")]
-        Some(Command::Fleet(command)) => return crate::fleet::run(&command),
+        Some(Command::Fleet(command)) => return Ok(crate::fleet::run(&command)),
         #[cfg(feature = "journal")]
-        Some(Command::Journal(command)) => return crate::journal::run(&command),
-        Some(Command::Completions { shell }) => {
-            clap_complete::generate(
-                shell,
-                &mut Line::command(),
-                "asterdale",
-                &mut std::io::stdout(),
-            );
-            Ok(())
-        }
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("asterdale: {why}");
-            ExitCode::from(2)
-        }
+        Some(Command::Journal(command)) => return Ok(crate::journal::run(&command)),
+        Some(Command::Completions { shell }) => print_completions(shell),
     }
+    Ok(ExitCode::SUCCESS)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_command_line_is_sound_and_its_examples_can_be_read() {
-        Line::command().debug_assert();
-        for example in EXAMPLES.lines().skip(1) {
-            let words = example
-                .split_whitespace()
-                .skip_while(|word| *word != "asterdale");
-            assert!(Line::try_parse_from(words).is_ok(), "{example}");
-        }
-        assert!(Line::try_parse_from(["asterdale", "unheard"]).is_err());
-    }
+/// Requests an upgrade, and prints its phases and the process that serves from then on.
+#[cfg(feature = "upgrade")]
+fn upgrade(
+    control: &Path,
+    binary: Option<PathBuf>,
+) -> Result<(), crate::upgrade::RequestUpgradeError> {
+    let program = binary
+        .map(|path| path.display().to_string())
+        .unwrap_or_default();
+    let process = crate::upgrade::request_upgrade(control, &program, |phase| println!("{phase}"))?;
+    println!("done: process {process} serves");
+    Ok(())
+}
+
+fn print_completions(shell: clap_complete::Shell) {
+    clap_complete::generate(
+        shell,
+        &mut Line::command(),
+        "asterdale",
+        &mut std::io::stdout(),
+    );
 }
--- a/crates/asterdale-daemon/src/start/mod.rs
+++ b/crates/asterdale-daemon/src/start/mod.rs
@@ -28,6 +28,8 @@
 
 pub use error::StartError;
 pub use fleet::FleetSettings;
+#[cfg(feature = "tools")]
+pub use identity::ReadKeySetError;
 pub use identity::{IdentitySettings, KeySetSource};
 pub use journal::JournalSettings;
 #[cfg(any(test, feature = "tools"))]
--- a/crates/asterdale-daemon/src/token.rs
+++ b/crates/asterdale-daemon/src/token.rs
@@ -1,16 +1,17 @@
-//! `asterdale token`: makes tokens, shows what one claims, and says what a server would make of it.
+//! `asterdale token`: makes tokens, prints the claims of one, and verifies one as a server would.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 use asterdale_identity::mint::SecretKey;
 use asterdale_identity::token::{self, Audience, Claims};
 use asterdale_identity::{Credentials, Identity};
 use clap::{Args, Subcommand};
+use thiserror::Error;
 
-use crate::keys;
-use crate::start;
+use crate::keys::{parse_duration_ms, read_secret_key, unix_ms, Cause, KeysError};
+use crate::start::{self, KeySetSource, ReadKeySetError, Start, StartError};
 
-/// What can be done with tokens.
+/// The commands on tokens. Their texts are the help of the command line.
 #[derive(Subcommand)]
 pub enum Command {
     /// Make a token and print it
@@ -31,12 +32,12 @@
         #[arg(long)]
         set: Option<PathBuf>,
         /// Ask for a task of this stage, too
-        #[arg(long)]
-        stage: Option<String>,
+        #[arg(long = "stage", value_name = "STAGE")]
+        request_class: Option<String>,
     },
 }
 
-/// What a new token says.
+/// The claims of a new token.
 #[derive(Args)]
 pub struct Mint {
     /// The secret key that signs it
@@ -58,126 +59,182 @@
     #[arg(long = "role", required = true)]
     roles: Vec<String>,
     /// How long it lives
-    #[arg(long, default_value = "10m", value_parser = keys::duration)]
-    lives: f64,
+    #[arg(long = "lives", value_name = "LIVES", default_value = "10m", value_parser = parse_duration_ms)]
+    lifetime_ms: f64,
     /// Its id; one made at random if absent
     #[arg(long)]
     id: Option<String>,
 }
 
-fn mint(mint: Mint) -> Result<(), String> {
-    let (secret, now) = (keys::secret(&mint.key)?, keys::now());
-    // The public half of a key that was just made up: no two are alike.
-    let jti = mint.id.map_or_else(
-        || SecretKey::generate("id").map(|made| made.public_key_text()),
-        Ok,
-    )?;
+/// A command on tokens has failed, or a token was rejected.
+#[derive(Debug, Error)]
+pub enum TokenError {
+    /// The secret key can't be read.
+    #[error(transparent)]
+    Key(#[from] KeysError),
+    /// No id can be made for the token.
+    #[error("{0}")]
+    Id(#[source] Cause),
+    /// The new token breaks a rule that servers have.
+    #[error("no server would take this token: {0}")]
+    Unusable(String),
+    /// The text is no token.
+    #[error("this can't be read as a token: {0}")]
+    Malformed(String),
+    /// The claims can't be printed.
+    #[error("{0}")]
+    Print(#[from] serde_json::Error),
+    /// The start file can't be read.
+    #[error("{}: {source}", path.display())]
+    StartFile {
+        /// Its path.
+        path: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// The start file has faults.
+    #[error("{}", fault_lines(.0))]
+    Start(#[source] StartError),
+    /// The start file accepts any caller.
+    #[error("identity: the start file has no such section")]
+    NoIdentity,
+    /// Neither the command line nor the start file names a file with a key set.
+    #[error("--set: the start file names an issuer, and no file")]
+    NoKeySetFile,
+    /// The key set can't be read.
+    #[error(transparent)]
+    KeySetFile(#[from] ReadKeySetError),
+    /// The identity settings are of no use.
+    #[error("{0}")]
+    Identity(#[source] Cause),
+    /// The key set is rejected.
+    #[error("the set of keys is refused: {0}")]
+    KeySetRejected(String),
+    /// A server would deny the request.
+    #[error("turned away: {0}")]
+    Denied(String),
+    /// There is no such request class.
+    #[error("--stage {0}: no name in settings.lanes")]
+    UnknownRequestClass(String),
+}
+
+/// The faults of a start file, a line each.
+fn fault_lines(error: &StartError) -> String {
+    let lines: Vec<String> = error.faults().iter().map(ToString::to_string).collect();
+    lines.join("\n")
+}
+
+/// Runs a command.
+///
+/// # Errors
+/// If a file can't be used, or a server would reject the token.
+pub fn run(command: Command) -> Result<(), TokenError> {
+    match command {
+        Command::Mint(claims) => mint(*claims),
+        Command::Inspect { token } => inspect(&token),
+        Command::Verify {
+            token,
+            start,
+            set,
+            request_class,
+        } => verify(&token, &start, set, request_class),
+    }
+}
+
+fn mint(mint: Mint) -> Result<(), TokenError> {
+    let key = read_secret_key(&mint.key)?;
+    let now_ms = unix_ms();
+    let id = match mint.id {
+        Some(id) => id,
+        None => random_id()?,
+    };
+    let now_seconds = (now_ms / 1e3).floor();
     let claims = Claims {
         iss: mint.issuer,
         aud: Audience::One(mint.audience),
         sub: mint.subject,
         tenant: mint.tenant,
         roles: mint.roles,
-        exp: ((now + mint.lives) / 1e3).floor(),
-        nbf: Some((now / 1e3).floor()),
-        iat: Some((now / 1e3).floor()),
-        jti,
+        exp: ((now_ms + mint.lifetime_ms) / 1e3).floor(),
+        nbf: Some(now_seconds),
+        iat: Some(now_seconds),
+        jti: id,
     };
-    let text = secret.sign_token(&claims);
-    token::parse(text.as_bytes())
-        .map_err(|why| format!("no server would take this token: {why:?}"))?;
+    let text = key.sign_token(&claims);
+    token::parse(text.as_bytes()).map_err(|reason| TokenError::Unusable(format!("{reason:?}")))?;
     println!("{text}");
     Ok(())
 }
 
-fn inspect(text: &str) -> Result<(), String> {
+/// An id that no other token has: the public key of a new secret key.
+fn random_id() -> Result<String, TokenError> {
+    SecretKey::generate("id")
+        .map(|key| key.public_key_text())
+        .map_err(|e| TokenError::Id(e.into()))
+}
+
+fn inspect(text: &str) -> Result<(), TokenError> {
     let token = token::parse(text.as_bytes())
-        .map_err(|why| format!("this can't be read as a token: {why:?}"))?;
+        .map_err(|reason| TokenError::Malformed(format!("{reason:?}")))?;
     let shown = serde_json::json!({"head": token.header, "claims": token.claims});
-    println!(
-        "{}",
-        serde_json::to_string_pretty(&shown).map_err(|e| e.to_string())?
-    );
-    let left = token.claims.exp - keys::now() / 1e3;
-    println!("expires in {left:.0} s; the signature was not checked");
+    println!("{}", serde_json::to_string_pretty(&shown)?);
+    let left_seconds = token.claims.exp - unix_ms() / 1e3;
+    println!("expires in {left_seconds:.0} s; the signature was not checked");
     Ok(())
 }
 
 fn verify(
     text: &str,
-    file: &PathBuf,
-    set: Option<PathBuf>,
-    stage: Option<String>,
-) -> Result<(), String> {
-    let told = |e: std::io::Error| format!("{}: {e}", file.display());
-    let start = start::parse(
-        &std::fs::read(file).map_err(told)?,
-        Some(String::new()),
-        None,
-    );
-    let start = start.map_err(|error| {
-        error
-            .faults()
-            .iter()
-            .map(|f| f.to_string())
-            .collect::<Vec<_>>()
-            .join("\n")
-    })?;
-    let callers = start
-        .identity
-        .ok_or("identity: the start file has no such section")?;
-    let source = set.map_or(callers.key_source, |path| {
-        start::KeySetSource::File(path.display().to_string())
+    start_file: &Path,
+    key_set: Option<PathBuf>,
+    request_class: Option<String>,
+) -> Result<(), TokenError> {
+    let start = read_start_file(start_file)?;
+    let settings = start.identity.ok_or(TokenError::NoIdentity)?;
+    let source = key_set.map_or(settings.key_source, |path| {
+        KeySetSource::File(path.display().to_string())
     });
-    let set = source
-        .read_file()
-        .ok_or("--set: the start file names an issuer, and no file")?
-        .map_err(|e| e.to_string())?;
-    let now = keys::now();
-    let mut identity = Identity::new(now, callers.parameters)?;
+    let key_set = source.read_file().ok_or(TokenError::NoKeySetFile)??;
+    let now_ms = unix_ms();
+    let mut identity =
+        Identity::new(now_ms, settings.parameters).map_err(|e| TokenError::Identity(e.into()))?;
     identity
-        .offer_key_set(now, &set)
-        .map_err(|why| format!("the set of keys is refused: {why:?}"))?;
-    let ask = Credentials {
+        .offer_key_set(now_ms, &key_set)
+        .map_err(|reason| TokenError::KeySetRejected(format!("{reason:?}")))?;
+    let credentials = Credentials {
         token: Some(text.as_bytes()),
         certificate: None,
         edge_node: 0,
-        received_ms: now,
+        received_ms: now_ms,
     };
     let caller = identity
-        .authenticate(now, ask)
-        .map_err(|denied| format!("turned away: {:?}", denied.reason))?;
+        .authenticate(now_ms, credentials)
+        .map_err(|denial| TokenError::Denied(format!("{:?}", denial.reason)))?;
     println!(
         "{} of {}, key {}",
         caller.claims.sub,
         caller.claims.tenant,
         caller.key.as_deref().unwrap_or("-")
     );
-    if let Some(stage) = stage {
-        let at = start
-            .settings
-            .class_names
-            .iter()
-            .position(|name| *name == stage);
-        let at = at.ok_or(format!("--stage {stage}: no name in settings.lanes"))?;
-        identity
-            .authorize(now, &caller, at, None, false)
-            .map_err(|denied| format!("turned away: {:?}", denied.reason))?;
-        println!("may ask for {stage}");
-    }
+    let Some(name) = request_class else {
+        return Ok(());
+    };
+    let classes = &start.settings.class_names;
+    let Some(class) = classes.iter().position(|known| *known == name) else {
+        return Err(TokenError::UnknownRequestClass(name));
+    };
+    identity
+        .authorize(now_ms, &caller, class, None, false)
+        .map_err(|denial| TokenError::Denied(format!("{:?}", denial.reason)))?;
+    println!("may ask for {name}");
     Ok(())
 }
 
-/// Does it.
-pub fn run(command: Command) -> Result<(), String> {
-    match command {
-        Command::Mint(what) => mint(*what),
-        Command::Inspect { token } => inspect(&token),
-        Command::Verify {
-            token,
-            start,
-            set,
-            stage,
-        } => verify(&token, &start, set, stage),
-    }
+/// Reads the start file. Its name and address are of no use here: the variables for them are not read.
+fn read_start_file(path: &Path) -> Result<Start, TokenError> {
+    let text = std::fs::read(path).map_err(|source| TokenError::StartFile {
+        path: path.to_owned(),
+        source,
+    })?;
+    start::parse(&text, Some(String::new()), None).map_err(TokenError::Start)
 }
--- a/crates/asterdale-daemon/src/upgrade/mod.rs
+++ b/crates/asterdale-daemon/src/upgrade/mod.rs
@@ -19,6 +19,8 @@
 pub use control_socket::{bind_control_socket, ControlServer};
 pub use new_process::{inherit, Inherited};
 pub use request::request_upgrade;
+#[cfg(feature = "tools")]
+pub use request::RequestUpgradeError;
 
 /// The environment variable with the path of the control socket, for a process that is started to take over. Every
 /// release knows it by this name.
