--- a/crates/asterdale-daemon/src/keys/error.rs
+++ b/crates/asterdale-daemon/src/keys/error.rs
@@ -1,14 +1,12 @@
 //! The errors of `asterdale keys` and of what `asterdale token` shares with it.
 
-use std::error::Error;
 use std::io;
 use std::path::{Path, PathBuf};
 
+use asterdale_identity::keyring::{KeySetError, RotationError};
+use asterdale_identity::mint::SecretKeyError;
 use thiserror::Error;
 
-/// An error of another package, which says itself what is wrong.
-pub type Cause = Box<dyn Error + Send + Sync>;
-
 /// A command on keys or key sets has failed.
 #[derive(Debug, Error)]
 pub enum KeysError {
@@ -20,20 +18,42 @@
         /// Why.
         source: io::Error,
     },
-    /// A file holds no key, or no key set.
+    /// A file holds no secret key.
+    #[error("{}: {source}", path.display())]
+    SecretKeyFile {
+        /// Its path.
+        path: PathBuf,
+        /// What is wrong with its content.
+        source: SecretKeyError,
+    },
+    /// A file holds no key set.
     #[error("{}: {source}", path.display())]
-    Content {
+    KeySetFile {
         /// Its path.
         path: PathBuf,
-        /// What is wrong with it.
-        source: Cause,
+        /// What is wrong with its content.
+        source: serde_json::Error,
     },
-    /// A key can't be made, or a key set can't be changed in this way.
-    #[error("{0}")]
-    Rejected(#[source] Cause),
-    /// A server would reject the key set.
-    #[error("no server would take this set: {0}")]
-    UnusableKeySet(String),
+    /// Servers would reject the key set of a file.
+    #[error("{}: {source:?}", path.display())]
+    RejectedKeySet {
+        /// Its path.
+        path: PathBuf,
+        /// Why.
+        source: KeySetError,
+    },
+    /// A secret key can't be made.
+    #[error(transparent)]
+    MakeSecretKey(#[from] SecretKeyError),
+    /// The key set can't be changed in this way.
+    #[error(transparent)]
+    Rotation(#[from] RotationError),
+    /// The key set can't be serialized.
+    #[error(transparent)]
+    Serialize(#[from] serde_json::Error),
+    /// Servers would reject the key set that was signed.
+    #[error("no server would take this set: {0:?}")]
+    UnusableKeySet(#[source] KeySetError),
     /// A subject has no tenant.
     #[error("--subject {0}: TENANT/SUBJECT is wanted")]
     SubjectWithoutTenant(String),
@@ -47,17 +67,4 @@
             source,
         }
     }
-
-    /// The content of this file is of no use.
-    pub fn content(path: &Path, source: impl Into<Cause>) -> KeysError {
-        KeysError::Content {
-            path: path.to_owned(),
-            source: source.into(),
-        }
-    }
-
-    /// A key or a key set rejects the command.
-    pub fn rejected(cause: impl Into<Cause>) -> KeysError {
-        KeysError::Rejected(cause.into())
-    }
 }
--- a/crates/asterdale-daemon/src/keys/files.rs
+++ b/crates/asterdale-daemon/src/keys/files.rs
@@ -20,7 +20,10 @@
 pub fn read_secret_key(path: &Path) -> Result<SecretKey, KeysError> {
     let text = fs::read_to_string(path).map_err(KeysError::file(path))?;
     let text = zeroize::Zeroizing::new(text);
-    SecretKey::from_jwk(&text).map_err(|e| KeysError::content(path, e))
+    SecretKey::from_jwk(&text).map_err(|source| KeysError::SecretKeyFile {
+        path: path.to_owned(),
+        source,
+    })
 }
 
 /// Writes a secret key to a new file. One that exists is not replaced, as it may hold a key that is in use.
@@ -39,12 +42,15 @@
 /// Reads a key set.
 pub fn read_key_set(path: &Path) -> Result<KeySet, KeysError> {
     let text = fs::read(path).map_err(KeysError::file(path))?;
-    serde_json::from_slice(&text).map_err(|e| KeysError::content(path, e))
+    serde_json::from_slice(&text).map_err(|source| KeysError::KeySetFile {
+        path: path.to_owned(),
+        source,
+    })
 }
 
 /// Writes a key set.
 pub fn write_key_set(path: &Path, set: &KeySet) -> Result<(), KeysError> {
-    let text = serde_json::to_vec_pretty(set).map_err(KeysError::rejected)?;
+    let text = serde_json::to_vec_pretty(set)?;
     replace(path, &text)
 }
 
--- a/crates/asterdale-daemon/src/keys/list.rs
+++ b/crates/asterdale-daemon/src/keys/list.rs
@@ -45,7 +45,10 @@
     let mut keyring = Keyring::new(vec![root.public_key()], f64::INFINITY);
     keyring
         .offer_key_set(now_ms, root.sign_key_set(&signed).as_bytes())
-        .map_err(|error| KeysError::content(path, format!("{error:?}")))?;
+        .map_err(|source| KeysError::RejectedKeySet {
+            path: path.to_owned(),
+            source,
+        })?;
     Ok(keyring)
 }
 
--- a/crates/asterdale-daemon/src/keys/mod.rs
+++ b/crates/asterdale-daemon/src/keys/mod.rs
@@ -17,7 +17,7 @@
 use clap::{Args, Subcommand};
 
 pub use duration::parse_duration_ms;
-pub use error::{Cause, KeysError};
+pub use error::KeysError;
 pub use files::read_secret_key;
 use files::{change_key_set, create_secret_key, read_key_set, replace, write_key_set};
 
@@ -121,21 +121,17 @@
             set,
             id,
             overlap_ms,
-        } => change_key_set(&set, |set| {
-            set.activate(unix_ms(), &id, overlap_ms)
-                .map_err(KeysError::rejected)
-        }),
-        Command::Retire { set, id, delay_ms } => change_key_set(&set, |set| {
-            set.retire(&id, unix_ms() + delay_ms)
-                .map_err(KeysError::rejected)
-        }),
+        } => change_key_set(&set, |set| Ok(set.activate(unix_ms(), &id, overlap_ms)?)),
+        Command::Retire { set, id, delay_ms } => {
+            change_key_set(&set, |set| Ok(set.retire(&id, unix_ms() + delay_ms)?))
+        }
         Command::Revoke { set, names } => change_key_set(&set, |set| revoke(set, names)),
         Command::SignSet { set, root, out } => sign_key_set(&set, &root, &out),
     }
 }
 
 fn make_secret_key(id: &str, out: &Path) -> Result<(), KeysError> {
-    let key = SecretKey::generate(id).map_err(KeysError::rejected)?;
+    let key = SecretKey::generate(id)?;
     create_secret_key(out, &key)?;
     println!("{}", key.public_key_text());
     Ok(())
@@ -149,13 +145,12 @@
         KeySet::empty()
     };
     let now_ms = unix_ms();
-    set.announce(now_ms, key.id(), &key.public_key_text(), now_ms + delay_ms)
-        .map_err(KeysError::rejected)?;
+    set.announce(now_ms, key.id(), &key.public_key_text(), now_ms + delay_ms)?;
     // Only public keys may be written to a key set.
     debug_assert!(set
         .keys
         .iter()
-        .all(|key| parse_public_key(&key.x).is_some()));
+        .all(|key| parse_public_key(&key.public_key).is_some()));
     write_key_set(path, &set)
 }
 
@@ -181,7 +176,7 @@
     let mut keyring = Keyring::new(vec![root.public_key()], f64::INFINITY);
     keyring
         .offer_key_set(unix_ms(), text.as_bytes())
-        .map_err(|error| KeysError::UnusableKeySet(format!("{error:?}")))?;
+        .map_err(KeysError::UnusableKeySet)?;
     replace(out, text.as_bytes())?;
     println!("set {} with {} keys", set.seq, set.keys.len());
     Ok(())
--- a/crates/asterdale-daemon/src/token.rs
+++ b/crates/asterdale-daemon/src/token.rs
@@ -2,13 +2,14 @@
 
 use std::path::{Path, PathBuf};
 
-use asterdale_identity::mint::SecretKey;
+use asterdale_identity::keyring::KeySetError;
+use asterdale_identity::mint::{SecretKey, SecretKeyError};
 use asterdale_identity::token::{self, Audience, Claims};
-use asterdale_identity::{Credentials, Identity};
+use asterdale_identity::{AccessRequest, Credentials, DenialReason, Identity, IdentityError};
 use clap::{Args, Subcommand};
 use thiserror::Error;
 
-use crate::keys::{parse_duration_ms, read_secret_key, unix_ms, Cause, KeysError};
+use crate::keys::{parse_duration_ms, read_secret_key, unix_ms, KeysError};
 use crate::start::{self, KeySetSource, ReadKeySetError, Start, StartError};
 
 /// The commands on tokens. Their texts are the help of the command line.
@@ -73,16 +74,16 @@
     #[error(transparent)]
     Key(#[from] KeysError),
     /// No id can be made for the token.
-    #[error("{0}")]
-    Id(#[source] Cause),
+    #[error(transparent)]
+    Id(#[from] SecretKeyError),
     /// The new token breaks a rule that servers have.
-    #[error("no server would take this token: {0}")]
-    Unusable(String),
+    #[error("no server would take this token: {0:?}")]
+    Unusable(#[source] DenialReason),
     /// The text is no token.
-    #[error("this can't be read as a token: {0}")]
-    Malformed(String),
+    #[error("this can't be read as a token: {0:?}")]
+    Malformed(#[source] DenialReason),
     /// The claims can't be printed.
-    #[error("{0}")]
+    #[error(transparent)]
     Print(#[from] serde_json::Error),
     /// The start file can't be read.
     #[error("{}: {source}", path.display())]
@@ -105,14 +106,14 @@
     #[error(transparent)]
     KeySetFile(#[from] ReadKeySetError),
     /// The identity settings are of no use.
-    #[error("{0}")]
-    Identity(#[source] Cause),
+    #[error(transparent)]
+    Identity(#[from] IdentityError),
     /// The key set is rejected.
-    #[error("the set of keys is refused: {0}")]
-    KeySetRejected(String),
+    #[error("the set of keys is refused: {0:?}")]
+    KeySetRejected(#[source] KeySetError),
     /// A server would deny the request.
-    #[error("turned away: {0}")]
-    Denied(String),
+    #[error("turned away: {0:?}")]
+    Denied(#[source] DenialReason),
     /// There is no such request class.
     #[error("--stage {0}: no name in settings.lanes")]
     UnknownRequestClass(String),
@@ -161,21 +162,18 @@
         jti: id,
     };
     let text = key.sign_token(&claims);
-    token::parse(text.as_bytes()).map_err(|reason| TokenError::Unusable(format!("{reason:?}")))?;
+    token::parse(text.as_bytes()).map_err(TokenError::Unusable)?;
     println!("{text}");
     Ok(())
 }
 
 /// An id that no other token has: the public key of a new secret key.
 fn random_id() -> Result<String, TokenError> {
-    SecretKey::generate("id")
-        .map(|key| key.public_key_text())
-        .map_err(|e| TokenError::Id(e.into()))
+    Ok(SecretKey::generate("id")?.public_key_text())
 }
 
 fn inspect(text: &str) -> Result<(), TokenError> {
-    let token = token::parse(text.as_bytes())
-        .map_err(|reason| TokenError::Malformed(format!("{reason:?}")))?;
+    let token = token::parse(text.as_bytes()).map_err(TokenError::Malformed)?;
     let shown = serde_json::json!({"head": token.header, "claims": token.claims});
     println!("{}", serde_json::to_string_pretty(&shown)?);
     let left_seconds = token.claims.exp - unix_ms() / 1e3;
@@ -196,11 +194,10 @@
     });
     let key_set = source.read_file().ok_or(TokenError::NoKeySetFile)??;
     let now_ms = unix_ms();
-    let mut identity =
-        Identity::new(now_ms, settings.parameters).map_err(|e| TokenError::Identity(e.into()))?;
+    let mut identity = Identity::new(now_ms, settings.parameters)?;
     identity
         .offer_key_set(now_ms, &key_set)
-        .map_err(|reason| TokenError::KeySetRejected(format!("{reason:?}")))?;
+        .map_err(TokenError::KeySetRejected)?;
     let credentials = Credentials {
         token: Some(text.as_bytes()),
         certificate: None,
@@ -209,7 +206,7 @@
     };
     let caller = identity
         .authenticate(now_ms, credentials)
-        .map_err(|denial| TokenError::Denied(format!("{:?}", denial.reason)))?;
+        .map_err(|denial| TokenError::Denied(denial.reason))?;
     println!(
         "{} of {}, key {}",
         caller.claims.sub,
@@ -223,9 +220,14 @@
     let Some(class) = classes.iter().position(|known| *known == name) else {
         return Err(TokenError::UnknownRequestClass(name));
     };
+    let request = AccessRequest {
+        request_class: class,
+        declared_cost_ms: None,
+        is_repeat: false,
+    };
     identity
-        .authorize(now_ms, &caller, class, None, false)
-        .map_err(|denial| TokenError::Denied(format!("{:?}", denial.reason)))?;
+        .authorize(now_ms, &caller, &request)
+        .map_err(|denial| TokenError::Denied(denial.reason))?;
     println!("may ask for {name}");
     Ok(())
 }
