--- a/crates/asterdale-daemon/src/fleet.rs
+++ b/crates/asterdale-daemon/src/fleet.rs
@@ -197,7 +197,7 @@
             OwnershipNotification::OwnerlessRequests(all) => EngineMessage::OwnerlessRequests(all),
             OwnershipNotification::Log(word) => return told_of(&words, &word),
             OwnershipNotification::StorageFailed(why) => {
-                return slog::error!(words, "takeover: this process is no keeper any more, its disk failed"; "why" => why);
+                return slog::error!(words, "takeover: this process is no keeper any more, its disk failed"; "why" => %why);
             }
         };
         // The host takes its mail at once; while its box is full everybody waits for it.
@@ -358,11 +358,11 @@
         },
     }
 
-    fn watch(at: &At, every_ms: u64) -> Result<(), String> {
+    fn watch(at: &At, every_ms: u64) -> Result<(), control::ControlError> {
         let mut held: BTreeMap<String, (u64, String)> = BTreeMap::new();
         loop {
             let shown = control::show(&at.control)?;
-            let all = std::iter::once(&shown.me).chain(&shown.members);
+            let all = std::iter::once(&shown.local).chain(&shown.members);
             let now: BTreeMap<_, _> = all
                 .map(|m| (m.name.clone(), (m.generation, m.status.clone())))
                 .collect();
@@ -426,14 +426,14 @@
                     shown.to_table()
                 };
                 println!("{text}");
-                if shown.certain {
+                if shown.has_majority {
                     ExitCode::SUCCESS
                 } else {
                     ExitCode::FAILURE
                 }
             }),
             Command::Watch { at, every_ms } => watch(at, *every_ms).map(|()| ExitCode::SUCCESS),
-            Command::Keepers { at, json } => control::keepers(&at.control).map(|shown| {
+            Command::Keepers { at, json } => control::replica_status(&at.control).map(|shown| {
                 println!(
                     "{}",
                     if *json {
--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -213,7 +213,12 @@
 
 #[cfg(feature = "fleet")]
 impl asterdale_transport::ownership::ReplicaStorage for OnShelf {
-    fn save(&mut self, saves: Vec<asterdale_ownership::StorageWrite>) -> Result<(), String> {
+    fn save(
+        &mut self,
+        saves: Vec<asterdale_ownership::StorageWrite>,
+    ) -> Result<(), asterdale_transport::ownership::StorageError> {
+        use asterdale_transport::ownership::StorageError;
+
         use asterdale_journal::replica_store::ReplicaChange;
         use asterdale_ownership::StorageWrite;
         let mut changes = Vec::with_capacity(saves.len());
@@ -243,7 +248,7 @@
                 }),
             }
         }
-        self.0.commit(&changes).map_err(|e| e.to_string())
+        self.0.commit(&changes).map_err(StorageError::new)
     }
 }
 
--- a/crates/asterdale-journal/src/folder.rs
+++ b/crates/asterdale-journal/src/folder.rs
@@ -91,3 +91,17 @@
         ..FolderHeader::default()
     }
 }
+
+/// Checks that the folder belongs to the process of this name.
+pub(crate) fn check_owner(
+    settings: &JournalSettings,
+    header: &FolderHeader,
+) -> Result<(), StartError> {
+    if header.name == settings.name {
+        return Ok(());
+    }
+    Err(StartError::WrongOwner {
+        folder: settings.folder.clone(),
+        owner: header.name.clone(),
+    })
+}
--- a/crates/asterdale-journal/src/journal.rs
+++ b/crates/asterdale-journal/src/journal.rs
@@ -11,7 +11,6 @@
 use crate::error::StartError;
 use crate::folder::{self, OpenFolder};
 use crate::index::KeyIndex;
-use crate::store::StoredState;
 
 /// How long [`Journal::flush`] waits for the disk.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
@@ -64,18 +63,14 @@
         damaged_file,
     } = folder::open_or_replace(&settings)?;
     let previous_run = folder::previous_run(&stored);
-    let StoredState {
-        header, entries, ..
-    } = stored;
-    let mut header = header.unwrap_or_else(|| folder::new_header(&settings));
-    if header.name != settings.name {
-        return Err(StartError::WrongOwner {
-            folder: settings.folder,
-            owner: header.name,
-        });
-    }
+    let entries = stored.entries;
+    let mut header = stored
+        .header
+        .unwrap_or_else(|| folder::new_header(&settings));
+    folder::check_owner(&settings, &header)?;
     header.run += 1;
-    let (started_at_ms, previous_quiet_until_ms) = (header.folder_time_ms, header.quiet_until_ms);
+    let started_at_ms = header.folder_time_ms;
+    let previous_quiet_until_ms = header.quiet_until_ms;
     // Should this run end before its recovery check, the next run knows no more than this one.
     header.quiet_until_ms = header
         .quiet_until_ms
--- /dev/null
+++ b/crates/asterdale-transport/src/control/client.rs
@@ -0,0 +1,102 @@
+//! Clients of the control socket.
+
+use std::io::{self, BufRead, BufReader, Read, Write};
+use std::os::unix::net::UnixStream;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use serde_json::Value;
+
+use super::{CLIENT_TIMEOUT, LEAVE, REPLICA_STATUS, SHOW};
+use crate::status::StatusReport;
+
+/// The maximal length of an answer, in bytes: a report of 4,096 members, the most that a view holds.
+const MAX_ANSWER_BYTES: u64 = 4 * 1024 * 1024;
+/// How long a client waits for the answer. The server may serve another client first.
+const ANSWER_TIMEOUT: Duration = CLIENT_TIMEOUT.saturating_mul(3);
+
+/// Why a process did not do what it was asked to do over its control socket.
+#[derive(Debug, thiserror::Error)]
+pub enum ControlError {
+    /// The socket cannot be reached.
+    #[error("{path}: {source}", path = path.display())]
+    Io {
+        /// The path of the socket.
+        path: PathBuf,
+        /// The error of the operating system.
+        source: io::Error,
+    },
+    /// The answer is not as expected.
+    #[error("{path}: no answer: {source}", path = path.display())]
+    InvalidAnswer {
+        /// The path of the socket.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+    /// The process answered with an error.
+    #[error("{0}")]
+    Rejected(String),
+    /// The process did not announce its leave in time.
+    #[error("it did not leave in time")]
+    LeaveTimeout,
+}
+
+/// What the process behind this socket knows of its fleet.
+///
+/// # Errors
+/// If there is no valid answer.
+pub fn show(path: &Path) -> Result<StatusReport, ControlError> {
+    let answer = request(path, SHOW)?;
+    serde_json::from_value(answer).map_err(|source| invalid_answer(path, source))
+}
+
+/// The state of the process behind this socket as an ownership replica. Its group is 0 if it is none.
+///
+/// # Errors
+/// If there is no valid answer.
+pub fn replica_status(path: &Path) -> Result<Value, ControlError> {
+    request(path, REPLICA_STATUS)
+}
+
+/// Has the process behind this socket leave its fleet.
+///
+/// # Errors
+/// If there is no valid answer, or it does not announce that in time.
+pub fn leave(path: &Path) -> Result<(), ControlError> {
+    match request(path, LEAVE)?["left"].as_bool() {
+        Some(true) => Ok(()),
+        _ => Err(ControlError::LeaveTimeout),
+    }
+}
+
+fn request(path: &Path, command: &str) -> Result<Value, ControlError> {
+    let line = exchange_lines(path, command).map_err(|source| ControlError::Io {
+        path: path.to_owned(),
+        source,
+    })?;
+    let answer: Value =
+        serde_json::from_str(&line).map_err(|source| invalid_answer(path, source))?;
+    match answer["error"].as_str() {
+        Some(error) => Err(ControlError::Rejected(error.to_owned())),
+        None => Ok(answer),
+    }
+}
+
+fn exchange_lines(path: &Path, command: &str) -> io::Result<String> {
+    let mut stream = UnixStream::connect(path)?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+    stream.write_all(format!("{command}\n").as_bytes())?;
+    let mut line = String::new();
+    BufReader::new(stream)
+        .take(MAX_ANSWER_BYTES)
+        .read_line(&mut line)?;
+    Ok(line)
+}
+
+fn invalid_answer(path: &Path, source: serde_json::Error) -> ControlError {
+    ControlError::InvalidAnswer {
+        path: path.to_owned(),
+        source,
+    }
+}
--- a/crates/asterdale-transport/src/exchanges.rs
+++ b/crates/asterdale-transport/src/exchanges.rs
@@ -1,306 +1,247 @@
-//! Exchanges of whole views: one thread waits for all streams together. A stream carries one message each way, behind
-//! its length in four bytes; whoever is slow, long or silent costs a place for two seconds, and there are few places.
+//! The thread of the exchanges of full views. It waits for all streams together. A stream carries one message each way. The
+//! number of streams and their time are limited, so that a slow or silent peer occupies a place for two seconds only.
+
+mod stream;
 
 use std::collections::HashMap;
-use std::io::{self, Read, Write};
+use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::AsRawFd;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale_membership::message::MAX_EXCHANGE_BYTES;
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use mio::net::TcpStream;
 use mio::unix::SourceFd;
 use mio::{Events, Interest, Poll, Token, Waker};
 
-use crate::actor::Mail;
-use crate::links::{self, Links, LINK};
-
-/// An exchange takes no longer: whole views are some KiB, on a network that takes milliseconds.
-const LONGEST: Duration = Duration::from_secs(2);
-/// Streams that others have begun at once. A fleet that is well has one in many seconds.
-const MOST_ASKED: usize = 32;
-/// And those that this process has begun.
-const MOST_ASKING: usize = 8;
+use crate::framing::exchange_frame;
+use crate::messages::MembershipMessage;
+use crate::persistent_streams::PersistentStreams;
+use crate::threads;
+use stream::{ExchangeStream, Progress, Role};
+
+/// The maximal duration of an exchange. Full views take some KiB, and the network some milliseconds.
+const MAX_DURATION: Duration = Duration::from_secs(2);
+/// The maximal number of concurrent exchanges that others have requested. Usually there is one in several seconds.
+const MAX_RESPONDING: usize = 32;
+/// The maximal number of concurrent exchanges that this process has requested.
+const MAX_REQUESTING: usize = 8;
+/// Events that one poll returns.
+const EVENT_CAPACITY: usize = 64;
 const LISTENER: Token = Token(usize::MAX);
-const WORDS: Token = Token(usize::MAX - 1);
-
-/// What the thread is told.
-pub enum Word {
-    /// Begin an exchange there, with this.
-    Begin(SocketAddr, Vec<u8>),
-    /// This goes back over this stream, if anything does.
-    Back(usize, Option<Vec<u8>>),
+const COMMANDS: Token = Token(usize::MAX - 1);
+
+/// A command to the thread.
+pub(crate) enum ExchangeCommand {
+    /// Request an exchange.
+    Request {
+        /// The peer's address.
+        to: SocketAddr,
+        /// The request.
+        bytes: Vec<u8>,
+    },
+    /// Respond to a request, or close its stream.
+    Respond {
+        /// The number of the request's stream.
+        stream: usize,
+        /// The response, if there is one.
+        response: Option<Vec<u8>>,
+    },
 }
 
-/// The way to the thread.
-pub struct Exchanges {
-    words: Sender<Word>,
+/// A handle to the thread.
+pub(crate) struct Exchanges {
+    commands: Sender<ExchangeCommand>,
     waker: Arc<Waker>,
 }
 
 impl Exchanges {
-    /// Tells it.
-    pub fn say(&self, word: Word) {
-        if self.words.send(word).is_ok() {
+    /// Sends a command. Never waits.
+    pub(crate) fn send(&self, command: ExchangeCommand) {
+        if self.commands.send(command).is_ok() {
+            // Without the wake-up the command waits for the next event of a stream.
             let _ = self.waker.wake();
         }
     }
 }
 
-struct Line {
-    stream: TcpStream,
-    asking: bool,
-    out: Vec<u8>,
-    got: Vec<u8>,
-    /// What came is handed over: nothing more is read.
-    heard: bool,
-    until: Instant,
-}
-
-struct Serving {
+/// The state of the thread.
+struct Worker {
     poll: Poll,
     listener: TcpListener,
-    words: Receiver<Word>,
-    mail: Sender<Mail>,
-    /// Who has the streams that turn out to be links.
-    links: Option<Links>,
-    lines: HashMap<usize, Line>,
-    next: usize,
+    commands: Receiver<ExchangeCommand>,
+    mailbox: Sender<MembershipMessage>,
+    /// Takes over the streams that turn out to be persistent.
+    persistent: Option<PersistentStreams>,
+    streams: HashMap<usize, ExchangeStream>,
+    last_number: usize,
 }
 
-/// Begins to serve this listener.
-pub fn begin(
+/// Starts the thread, which accepts streams from this listener.
+pub(crate) fn start(
     listener: TcpListener,
-    mail: Sender<Mail>,
-    links: Option<Links>,
+    mailbox: Sender<MembershipMessage>,
+    persistent: Option<PersistentStreams>,
 ) -> io::Result<Exchanges> {
     let poll = Poll::new()?;
-    let waker = Arc::new(Waker::new(poll.registry(), WORDS)?);
+    let waker = Arc::new(Waker::new(poll.registry(), COMMANDS)?);
     listener.set_nonblocking(true)?;
-    let fd = listener.as_raw_fd();
+    let descriptor = listener.as_raw_fd();
     poll.registry()
-        .register(&mut SourceFd(&fd), LISTENER, Interest::READABLE)?;
-    let (to, words) = unbounded();
-    let serving = Serving {
+        .register(&mut SourceFd(&descriptor), LISTENER, Interest::READABLE)?;
+    let (sender, commands) = unbounded();
+    let worker = Worker {
         poll,
         listener,
-        words,
-        mail,
-        links,
-        lines: HashMap::new(),
-        next: 0,
+        commands,
+        mailbox,
+        persistent,
+        streams: HashMap::new(),
+        last_number: 0,
     };
-    crate::spawn("talk streams", move || serving.serve())?;
-    Ok(Exchanges { words: to, waker })
+    threads::spawn("exchanges", move || worker.run())?;
+    Ok(Exchanges {
+        commands: sender,
+        waker,
+    })
 }
 
-fn framed(bytes: &[u8]) -> Vec<u8> {
-    let mut all = (bytes.len() as u32).to_be_bytes().to_vec();
-    all.extend_from_slice(bytes);
-    all
-}
-
-impl Serving {
-    fn serve(mut self) {
-        let mut events = Events::with_capacity(64);
+impl Worker {
+    fn run(mut self) {
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
         loop {
-            let now = Instant::now();
-            let first = self
-                .lines
-                .values()
-                .map(|line| line.until.saturating_duration_since(now))
-                .min();
-            if self
-                .poll
-                .poll(&mut events, first)
-                .is_err_and(|e| e.kind() != io::ErrorKind::Interrupted)
-            {
-                return;
+            match self.poll.poll(&mut events, self.time_to_first_deadline()) {
+                Err(e) if e.kind() != io::ErrorKind::Interrupted => return,
+                _ => {}
             }
             for event in &events {
                 match event.token() {
                     LISTENER => self.accept(),
-                    WORDS => {}
-                    Token(number) => self.go_on(number),
+                    COMMANDS => {}
+                    Token(number) => self.advance(number),
                 }
             }
-            let words: Vec<Word> = self.words.try_iter().collect();
-            for word in words {
-                match word {
-                    Word::Begin(at, bytes) => self.begin(at, &bytes),
-                    Word::Back(number, Some(bytes)) => {
-                        if let Some(line) = self.lines.get_mut(&number) {
-                            line.out = framed(&bytes);
-                        }
-                        self.go_on(number);
-                    }
-                    Word::Back(number, None) => drop(self.lines.remove(&number)),
-                }
+            let commands: Vec<ExchangeCommand> = self.commands.try_iter().collect();
+            for command in commands {
+                self.handle(command);
             }
             let now = Instant::now();
-            self.lines.retain(|_, line| line.until > now);
+            self.streams.retain(|_, stream| stream.deadline > now);
+        }
+    }
+
+    fn time_to_first_deadline(&self) -> Option<Duration> {
+        let now = Instant::now();
+        self.streams
+            .values()
+            .map(|stream| stream.deadline.saturating_duration_since(now))
+            .min()
+    }
+
+    fn handle(&mut self, command: ExchangeCommand) {
+        match command {
+            ExchangeCommand::Request { to, bytes } => self.request(to, &bytes),
+            ExchangeCommand::Respond {
+                stream: number,
+                response: Some(response),
+            } => {
+                if let Some(stream) = self.streams.get_mut(&number) {
+                    stream.outgoing = exchange_frame(&response);
+                }
+                self.advance(number);
+            }
+            ExchangeCommand::Respond {
+                stream: number,
+                response: None,
+            } => drop(self.streams.remove(&number)),
         }
     }
 
-    fn places(&self, asking: bool) -> usize {
-        let most = if asking { MOST_ASKING } else { MOST_ASKED };
-        most.saturating_sub(
-            self.lines
-                .values()
-                .filter(|line| line.asking == asking)
-                .count(),
-        )
+    fn has_capacity(&self, role: Role) -> bool {
+        let max_streams = match role {
+            Role::Requester => MAX_REQUESTING,
+            Role::Responder => MAX_RESPONDING,
+        };
+        let streams = self.streams.values();
+        streams.filter(|stream| stream.role == role).count() < max_streams
     }
 
     fn accept(&mut self) {
         loop {
             match self.listener.accept() {
-                // Without a place it is dropped: the other tries again with somebody else.
-                Ok((stream, _))
-                    if self.places(false) > 0 && stream.set_nonblocking(true).is_ok() =>
-                {
-                    self.add(TcpStream::from_std(stream), false, Vec::new());
+                // Without capacity the stream is closed, and the peer asks another member.
+                Ok((stream, _)) => {
+                    if self.has_capacity(Role::Responder) && stream.set_nonblocking(true).is_ok() {
+                        self.add(TcpStream::from_std(stream), Role::Responder, Vec::new());
+                    }
                 }
-                Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return,
             }
         }
     }
 
-    fn begin(&mut self, at: SocketAddr, bytes: &[u8]) {
-        if self.places(true) > 0 {
-            if let Ok(stream) = TcpStream::connect(at) {
-                self.add(stream, true, framed(bytes));
-            }
+    fn request(&mut self, to: SocketAddr, bytes: &[u8]) {
+        if !self.has_capacity(Role::Requester) {
+            return;
+        }
+        if let Ok(stream) = TcpStream::connect(to) {
+            self.add(stream, Role::Requester, exchange_frame(bytes));
         }
     }
 
-    fn add(&mut self, mut stream: TcpStream, asking: bool, out: Vec<u8>) {
-        self.next = (self.next + 1) % WORDS.0;
-        let either = Interest::READABLE | Interest::WRITABLE;
-        if self
+    fn add(&mut self, mut stream: TcpStream, role: Role, outgoing: Vec<u8>) {
+        self.last_number = (self.last_number + 1) % COMMANDS.0;
+        let number = self.last_number;
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        let registered = self
             .poll
             .registry()
-            .register(&mut stream, Token(self.next), either)
-            .is_ok()
-        {
-            let (got, until) = (Vec::new(), Instant::now() + LONGEST);
-            self.lines.insert(
-                self.next,
-                Line {
-                    stream,
-                    asking,
-                    out,
-                    got,
-                    heard: false,
-                    until,
-                },
-            );
+            .register(&mut stream, Token(number), interest);
+        if registered.is_ok() {
+            let deadline = Instant::now() + MAX_DURATION;
+            let stream = ExchangeStream::new(stream, role, outgoing, deadline);
+            self.streams.insert(number, stream);
         }
     }
 
-    /// Goes on with a stream; its end is here, or in its time.
-    fn go_on(&mut self, number: usize) {
-        let Some(line) = self.lines.get_mut(&number) else {
+    /// Writes and reads as much as a stream allows.
+    fn advance(&mut self, number: usize) {
+        let Some(stream) = self.streams.get_mut(&number) else {
             return;
         };
-        match line.go_on() {
-            Ok(None) => {}
-            Ok(Some(bytes)) if line.asking => {
-                self.lines.remove(&number);
-                let _ = self.mail.try_send(Mail::Exchanged(bytes));
+        let role = stream.role;
+        match stream.advance() {
+            Ok(Progress::Pending) => {}
+            Ok(Progress::Received(bytes)) if role == Role::Requester => {
+                self.streams.remove(&number);
+                self.deliver(MembershipMessage::ExchangeResponse(bytes));
             }
-            Ok(Some(bytes)) => drop(self.mail.try_send(Mail::Exchange(number, bytes))),
-            Err(e) if e.kind() == io::ErrorKind::Unsupported => {
-                let Some(mut line) = self.lines.remove(&number) else {
-                    return;
-                };
-                if let (Some(links), Ok(())) = (
-                    &self.links,
-                    self.poll.registry().deregister(&mut line.stream),
-                ) {
-                    links.say(links::Word::Adopt(line.stream, line.got));
-                }
-            }
-            Err(_) => drop(self.lines.remove(&number)),
+            Ok(Progress::Received(bytes)) => self.deliver(MembershipMessage::ExchangeRequest {
+                stream: number,
+                bytes,
+            }),
+            Ok(Progress::Persistent) => self.hand_over(number),
+            Ok(Progress::Done) | Err(_) => drop(self.streams.remove(&number)),
         }
     }
-}
 
-impl Line {
-    /// Another has made it to send letters, one after the other: it is no exchange.
-    fn is_link(&self) -> bool {
-        let length = self
-            .got
-            .first_chunk::<4>()
-            .map_or(0, |length| u32::from_be_bytes(*length));
-        !self.asking && length & LINK != 0
+    fn deliver(&self, message: MembershipMessage) {
+        // With a full mailbox the exchange is lost, like a datagram; its stream ends at its deadline.
+        let _ = self.mailbox.try_send(message);
     }
 
-    /// What came, once it is whole. An error ends the stream, as does having said all.
-    fn go_on(&mut self) -> io::Result<Option<Vec<u8>>> {
-        while !self.out.is_empty() {
-            match self.stream.write(&self.out) {
-                Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(n) => drop(self.out.drain(..n)),
-                Err(e)
-                    if matches!(
-                        e.kind(),
-                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
-                    ) =>
-                {
-                    return Ok(None)
-                }
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
-            }
-            if self.out.is_empty() && self.heard {
-                return Err(io::ErrorKind::ConnectionAborted.into()); // the answer is out
-            }
-        }
-        if self.heard {
-            return Ok(None);
-        }
-        let mut chunk = [0; 8192];
-        loop {
-            match self.stream.read(&mut chunk) {
-                Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(n) => self.got.extend_from_slice(&chunk[..n]),
-                Err(e)
-                    if matches!(
-                        e.kind(),
-                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
-                    ) =>
-                {
-                    break
-                }
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
-            }
-            if self.is_link() {
-                break;
-            }
-            if self.got.len() > 4 + MAX_EXCHANGE_BYTES {
-                return Err(io::ErrorKind::InvalidData.into());
-            }
-        }
-        let Some(length) = self.got.first_chunk::<4>() else {
-            return Ok(None);
+    fn hand_over(&mut self, number: usize) {
+        let Some(mut stream) = self.streams.remove(&number) else {
+            return;
         };
-        let length = u32::from_be_bytes(*length) as usize;
-        if self.is_link() {
-            return Err(io::ErrorKind::Unsupported.into());
-        }
-        if length > MAX_EXCHANGE_BYTES {
-            return Err(io::ErrorKind::InvalidData.into());
-        }
-        let Some(body) = self.got.get(4..4 + length) else {
-            return Ok(None);
+        let Some(persistent) = &self.persistent else {
+            return;
         };
-        self.heard = true;
-        Ok(Some(body.to_vec()))
+        let registry = self.poll.registry();
+        if registry.deregister(&mut stream.stream).is_ok() {
+            persistent.adopt(stream.stream, stream.received);
+        }
     }
 }
--- /dev/null
+++ b/crates/asterdale-transport/src/exchanges/stream.rs
@@ -0,0 +1,145 @@
+//! One stream of an exchange: a request one way, a response the other way.
+
+use std::io::{self, ErrorKind, Read, Write};
+use std::time::Instant;
+
+use asterdale_membership::message::MAX_EXCHANGE_BYTES;
+use mio::net::TcpStream;
+
+use crate::framing::{length_field, LENGTH_BYTES, PERSISTENT_BIT};
+
+/// Bytes that are read at once.
+const READ_BUFFER_BYTES: usize = 8192;
+
+/// Which part this process has in an exchange.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Role {
+    /// It sends the request.
+    Requester,
+    /// It sends the response.
+    Responder,
+}
+
+/// How far a stream has come.
+pub(super) enum Progress {
+    /// It waits for the peer or for a response.
+    Pending,
+    /// The peer's message has arrived.
+    Received(Vec<u8>),
+    /// The response is sent.
+    Done,
+    /// It is a persistent stream and no exchange.
+    Persistent,
+}
+
+/// A stream of an exchange.
+pub(super) struct ExchangeStream {
+    pub(super) stream: TcpStream,
+    pub(super) role: Role,
+    /// Bytes that are still to be written.
+    pub(super) outgoing: Vec<u8>,
+    /// Bytes that were read.
+    pub(super) received: Vec<u8>,
+    /// Whether the peer's message was returned: nothing more is read then.
+    is_received: bool,
+    pub(super) deadline: Instant,
+}
+
+impl ExchangeStream {
+    pub(super) fn new(
+        stream: TcpStream,
+        role: Role,
+        outgoing: Vec<u8>,
+        deadline: Instant,
+    ) -> ExchangeStream {
+        ExchangeStream {
+            stream,
+            role,
+            outgoing,
+            received: Vec::new(),
+            is_received: false,
+            deadline,
+        }
+    }
+
+    /// Writes and reads as much as the stream allows. After an error the stream has to be closed.
+    pub(super) fn advance(&mut self) -> io::Result<Progress> {
+        let had_outgoing = !self.outgoing.is_empty();
+        if !self.write()? {
+            return Ok(Progress::Pending);
+        }
+        if self.is_received {
+            return Ok(if had_outgoing {
+                Progress::Done
+            } else {
+                Progress::Pending
+            });
+        }
+        self.read()?;
+        self.take_message()
+    }
+
+    /// Returns whether everything is written.
+    fn write(&mut self) -> io::Result<bool> {
+        while !self.outgoing.is_empty() {
+            match self.stream.write(&self.outgoing) {
+                Ok(0) => return Err(ErrorKind::WriteZero.into()),
+                Ok(count) => drop(self.outgoing.drain(..count)),
+                Err(e) if is_not_ready(&e) => return Ok(false),
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(e) => return Err(e),
+            }
+        }
+        Ok(true)
+    }
+
+    fn read(&mut self) -> io::Result<()> {
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        loop {
+            match self.stream.read(&mut buffer) {
+                Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
+                Ok(count) => self.received.extend_from_slice(&buffer[..count]),
+                Err(e) if is_not_ready(&e) => return Ok(()),
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(e) => return Err(e),
+            }
+            if self.is_persistent() {
+                return Ok(());
+            }
+            if self.received.len() > LENGTH_BYTES + MAX_EXCHANGE_BYTES {
+                return Err(ErrorKind::InvalidData.into());
+            }
+        }
+    }
+
+    fn is_persistent(&self) -> bool {
+        let flags = length_field(&self.received).unwrap_or(0) & PERSISTENT_BIT;
+        self.role == Role::Responder && flags != 0
+    }
+
+    fn take_message(&mut self) -> io::Result<Progress> {
+        let Some(length) = length_field(&self.received) else {
+            return Ok(Progress::Pending);
+        };
+        if self.is_persistent() {
+            return Ok(Progress::Persistent);
+        }
+        let length = length as usize;
+        if length > MAX_EXCHANGE_BYTES {
+            return Err(ErrorKind::InvalidData.into());
+        }
+        let Some(message) = self.received.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
+            return Ok(Progress::Pending);
+        };
+        self.is_received = true;
+        Ok(Progress::Received(message.to_vec()))
+    }
+}
+
+/// Whether the stream has to wait for the peer, or for its connection.
+fn is_not_ready(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        ErrorKind::WouldBlock | ErrorKind::NotConnected
+    )
+}
--- /dev/null
+++ b/crates/asterdale-transport/src/persistent_streams/inbound.rs
@@ -0,0 +1,149 @@
+//! A persistent stream that a peer has opened: reads, checks and delivers its messages.
+
+use std::io::{ErrorKind, Read};
+use std::time::{Duration, Instant};
+
+use asterdale_membership::authentication::MessageAuthenticator;
+use asterdale_ownership::message::MAX_MESSAGE_BYTES;
+use crossbeam_channel::{Sender, TrySendError};
+use mio::net::TcpStream;
+
+use crate::framing::{length_field, LENGTH_BYTES, PERSISTENT_BIT};
+
+/// The maximal length of an encoded message with its authentication code, in bytes.
+const MAX_FRAME_BYTES: usize = MAX_MESSAGE_BYTES + 64;
+/// A message has to arrive completely within this time.
+const MAX_MESSAGE_DURATION: Duration = Duration::from_secs(10);
+/// About how much is read from one stream before it is the turn of the others, in bytes.
+const READ_TURN_BYTES: usize = 64 * 1024;
+/// Bytes that are read at once.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+
+/// What reading a stream has brought.
+pub(super) struct ReadOutcome {
+    /// How many bytes were read.
+    pub(super) bytes: usize,
+    /// Whether the peer has closed the stream, or it has failed.
+    pub(super) is_closed: bool,
+    /// Whether the turn ended before everything was read.
+    pub(super) may_have_more: bool,
+}
+
+/// What the received bytes contain.
+pub(super) enum Parsed {
+    /// Messages of this many bytes in total, which were delivered.
+    Valid {
+        /// The size of the messages with their length fields.
+        taken_bytes: usize,
+    },
+    /// Likewise, and then bytes that are no message of the fleet.
+    Invalid {
+        /// The size of the messages with their length fields.
+        taken_bytes: usize,
+    },
+    /// The receiver of messages is gone.
+    Disconnected,
+}
+
+/// A persistent stream that a peer has opened.
+pub(super) struct InboundStream {
+    stream: TcpStream,
+    received: Vec<u8>,
+    /// When the first byte of the incomplete message arrived.
+    message_started: Option<Instant>,
+}
+
+impl InboundStream {
+    pub(super) fn new(stream: TcpStream, received: Vec<u8>) -> InboundStream {
+        InboundStream {
+            stream,
+            received,
+            message_started: Some(Instant::now()),
+        }
+    }
+
+    /// The size of the incomplete message, in bytes.
+    pub(super) fn buffered_bytes(&self) -> usize {
+        self.received.len()
+    }
+
+    /// Whether a message has not arrived completely within its time.
+    pub(super) fn is_message_late(&self, now: Instant) -> bool {
+        self.message_started
+            .is_some_and(|started| now - started > MAX_MESSAGE_DURATION)
+    }
+
+    /// Reads about [`READ_TURN_BYTES`], or what has arrived.
+    pub(super) fn read(&mut self) -> ReadOutcome {
+        let before = self.received.len();
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        let (mut is_closed, mut may_have_more) = (false, true);
+        while self.received.len() - before < READ_TURN_BYTES {
+            match self.stream.read(&mut buffer) {
+                Ok(0) => is_closed = true,
+                Ok(count) => {
+                    self.received.extend_from_slice(&buffer[..count]);
+                    continue;
+                }
+                Err(e) if e.kind() == ErrorKind::Interrupted => continue,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => may_have_more = false,
+                Err(_) => is_closed = true,
+            }
+            break;
+        }
+        ReadOutcome {
+            bytes: self.received.len() - before,
+            is_closed,
+            may_have_more,
+        }
+    }
+
+    /// Delivers the complete messages that were received. A message that finds the receiver's queue full is lost.
+    pub(super) fn deliver_messages(
+        &mut self,
+        authenticator: &MessageAuthenticator,
+        messages: &Sender<Vec<u8>>,
+    ) -> Parsed {
+        let mut taken_bytes = 0;
+        let mut is_valid = true;
+        while let Some(length) = length_field(&self.received[taken_bytes..]) {
+            let size = (length & !PERSISTENT_BIT) as usize;
+            if length & PERSISTENT_BIT == 0 || size > MAX_FRAME_BYTES {
+                is_valid = false;
+                break;
+            }
+            let start = taken_bytes + LENGTH_BYTES;
+            let Some(message) = self.received.get(start..start + size) else {
+                break;
+            };
+            if authenticator.verify(message).is_err() {
+                is_valid = false;
+                break;
+            }
+            match messages.try_send(message.to_vec()) {
+                Ok(()) | Err(TrySendError::Full(_)) => {}
+                Err(TrySendError::Disconnected(_)) => return Parsed::Disconnected,
+            }
+            taken_bytes += LENGTH_BYTES + size;
+        }
+        self.remove_delivered(taken_bytes);
+        if is_valid {
+            Parsed::Valid { taken_bytes }
+        } else {
+            Parsed::Invalid { taken_bytes }
+        }
+    }
+
+    fn remove_delivered(&mut self, taken_bytes: usize) {
+        if taken_bytes > 0 {
+            self.received.drain(..taken_bytes);
+        }
+        self.message_started = if self.received.is_empty() {
+            None
+        } else if taken_bytes == 0 {
+            self.message_started.or_else(|| Some(Instant::now()))
+        } else {
+            Some(Instant::now())
+        };
+    }
+}
--- a/crates/asterdale-transport/src/status.rs
+++ b/crates/asterdale-transport/src/status.rs
@@ -1,59 +1,74 @@
-//! What is held of the fleet, for people and tools: the JSON that the control socket tells.
+//! The status report of a process about its fleet, as the control socket sends it in JSON. The JSON keys are read by
+//! operators and tools and stay as they are.
 
 use std::collections::BTreeMap;
 
 use asterdale_membership::{MemberRecord, Membership, Phase, Status};
 use serde::{Deserialize, Serialize};
 
-/// A process, as it is held.
+/// What is known of a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// Its name.
     pub name: String,
-    /// Where the others reach it.
-    pub at: String,
-    /// Which process under this name.
+    /// The address that it advertises.
+    #[serde(rename = "at")]
+    pub address: String,
+    /// Counts the processes that have had this name.
     pub generation: u64,
-    /// Which of its words.
+    /// Counts its refutations of suspicions.
     pub incarnation: u32,
     /// `alive`, `suspect`, `dead` or `left`.
     pub status: String,
-    /// For so many milliseconds.
-    pub for_ms: u64,
-    /// By whose word.
-    pub by: String,
-    /// Since anything came from itself; absent where nothing ever did.
-    pub heard_ms: Option<u64>,
-    /// `cold`, `ready`, `full` or `leaving`, by its own word.
+    /// How long it has had this status, in milliseconds.
+    #[serde(rename = "for_ms")]
+    pub status_age_ms: u64,
+    /// Which member reported the status.
+    #[serde(rename = "by")]
+    pub reported_by: String,
+    /// The time since a message came from the member itself, in milliseconds; absent if none ever did.
+    #[serde(rename = "heard_ms")]
+    pub last_contact_ms: Option<u64>,
+    /// Its own statement: `cold`, `ready`, `full` or `leaving`.
     pub phase: String,
-    /// Busy part of its cores, in hundredths.
-    pub load: u8,
-    /// How warm it is, in hundredths.
-    pub warm: u8,
+    /// The utilization of its cores, in percent.
+    #[serde(rename = "load")]
+    pub load_percent: u8,
+    /// How far it is warmed up, in percent.
+    #[serde(rename = "warm")]
+    pub warm_percent: u8,
 }
 
-/// The whole.
+/// What a process knows of its fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The process that tells.
-    pub me: MemberStatus,
-    /// How it stands to the fleet: `joining`, `in`, `fallen`, `doubled`, `leaving` or `ended`.
-    pub standing: String,
-    /// It hears more than half of the fleet.
-    pub certain: bool,
-    /// The part of the fleet, as it was last whole, that counts as there.
-    pub part: f64,
-    /// How old the view is: since a probe was last answered; absent where none was.
-    pub age_ms: Option<u64>,
-    /// Two that hold the same members tell the same.
-    pub hash: String,
-    /// The others.
+    /// The reporting process.
+    #[serde(rename = "me")]
+    pub local: MemberStatus,
+    /// Its state in the fleet: `joining`, `in`, `fallen`, `doubled`, `leaving` or `ended`.
+    #[serde(rename = "standing")]
+    pub state: String,
+    /// Whether it is in contact with the majority of the fleet.
+    #[serde(rename = "certain")]
+    pub has_majority: bool,
+    /// The fraction of the last complete fleet that is live.
+    #[serde(rename = "part")]
+    pub live_fraction: f64,
+    /// The time since a probe was last answered, in milliseconds; absent if none was.
+    #[serde(rename = "age_ms")]
+    pub view_age_ms: Option<u64>,
+    /// A hash of the view: processes with the same members have the same one.
+    #[serde(rename = "hash")]
+    pub view_hash: String,
+    /// The other members.
     pub members: Vec<MemberStatus>,
-    /// Counts.
-    pub counts: BTreeMap<String, u64>,
+    /// Counters by name.
+    #[serde(rename = "counts")]
+    pub counters: BTreeMap<String, u64>,
 }
 
-fn status(status: Status) -> &'static str {
+/// The name of a status in JSON.
+fn status_name(status: Status) -> &'static str {
     match status {
         Status::Alive => "alive",
         Status::Suspect => "suspect",
@@ -62,8 +77,8 @@
     }
 }
 
-/// A phase, in a word.
-pub fn phase(phase: Phase) -> &'static str {
+/// The name of a phase in JSON.
+fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::WarmingUp => "cold",
         Phase::Ready => "ready",
@@ -72,105 +87,122 @@
     }
 }
 
-fn member(record: &MemberRecord, for_ms: f64, heard_ms: f64) -> MemberStatus {
-    MemberStatus {
-        name: record.name.clone(),
-        at: record.address.to_string(),
-        generation: record.generation,
-        incarnation: record.incarnation,
-        status: status(record.status).to_owned(),
-        for_ms: for_ms.max(0.0) as u64,
-        by: record.reported_by.clone(),
-        heard_ms: heard_ms.is_finite().then(|| heard_ms.max(0.0) as u64),
-        phase: phase(record.metadata.phase).to_owned(),
-        load: record.metadata.load_percent,
-        warm: record.metadata.warm_percent,
+impl MemberStatus {
+    fn new(record: &MemberRecord, status_age_ms: f64, last_contact_ms: f64) -> MemberStatus {
+        MemberStatus {
+            name: record.name.clone(),
+            address: record.address.to_string(),
+            generation: record.generation,
+            incarnation: record.incarnation,
+            status: status_name(record.status).to_owned(),
+            status_age_ms: status_age_ms.max(0.0) as u64,
+            reported_by: record.reported_by.clone(),
+            last_contact_ms: to_ms(last_contact_ms),
+            phase: phase_name(record.metadata.phase).to_owned(),
+            load_percent: record.metadata.load_percent,
+            warm_percent: record.metadata.warm_percent,
+        }
+    }
+
+    fn is_live(&self) -> bool {
+        ["alive", "suspect"].contains(&&*self.status)
+    }
+
+    /// A row of the table, under [`table_header`].
+    fn to_row(&self) -> String {
+        format!(
+            "{:<16} {:<21} {:>10} {:<8} {:>9.1} {:<16} {:<8} {:>4} {:>4}",
+            self.name,
+            self.address,
+            self.generation,
+            self.status,
+            self.status_age_ms as f64 / 1e3,
+            self.reported_by,
+            self.phase,
+            self.load_percent,
+            self.warm_percent
+        )
     }
 }
 
+/// The header of the table that `asterdale fleet show` prints.
+fn table_header() -> String {
+    format!(
+        "{:<16} {:<21} {:>10} {:<8} {:>9} {:<16} {:<8} {:>4} {:>4}",
+        "name", "at", "generation", "status", "for s", "by", "phase", "load", "warm"
+    )
+}
+
+fn to_ms(duration_ms: f64) -> Option<u64> {
+    duration_ms.is_finite().then(|| duration_ms.max(0.0) as u64)
+}
+
 impl StatusReport {
-    /// What this process holds now; so many datagrams found no place.
-    pub fn of(fleet: &Membership, now: f64, dropped: u64) -> StatusReport {
-        let others = fleet.view().iter();
-        let mut counts: BTreeMap<String, u64> = fleet
+    /// The report of this moment.
+    pub(crate) fn new(
+        membership: &Membership,
+        now_ms: f64,
+        dropped_datagrams: u64,
+    ) -> StatusReport {
+        let members = membership.view().iter().map(|member| {
+            MemberStatus::new(
+                &member.record,
+                now_ms - member.status_since_ms,
+                now_ms - member.last_contact_ms,
+            )
+        });
+        let mut counters: BTreeMap<String, u64> = membership
             .counters
             .all()
             .into_iter()
-            .map(|(name, n)| (name.to_owned(), n))
+            .map(|(name, count)| (name.to_owned(), count))
             .collect();
-        counts.insert("dropped".to_owned(), dropped);
+        counters.insert("dropped".to_owned(), dropped_datagrams);
         StatusReport {
-            me: member(fleet.local_record(), now, 0.0),
-            standing: fleet.state_name().to_owned(),
-            certain: fleet.has_majority(now),
-            part: (fleet.live_fraction() * 1e3).round() / 1e3,
-            age_ms: Some(fleet.view_age_ms(now))
-                .filter(|ms| ms.is_finite())
-                .map(|ms| ms.max(0.0) as u64),
-            hash: format!("{:016x}", fleet.view_hash()),
-            members: others
-                .map(|seen| {
-                    member(
-                        &seen.record,
-                        now - seen.status_since_ms,
-                        now - seen.last_contact_ms,
-                    )
-                })
-                .collect(),
-            counts,
+            local: MemberStatus::new(membership.local_record(), now_ms, 0.0),
+            state: membership.state_name().to_owned(),
+            has_majority: membership.has_majority(now_ms),
+            live_fraction: (membership.live_fraction() * 1e3).round() / 1e3,
+            view_age_ms: to_ms(membership.view_age_ms(now_ms)),
+            view_hash: format!("{:016x}", membership.view_hash()),
+            members: members.collect(),
+            counters,
         }
     }
 
-    /// Those who count as there, this process among them: name and generation, in order.
+    /// The generations of all live members by name, the reporting process among them if it is a member.
     pub fn live_generations(&self) -> BTreeMap<String, u64> {
-        let others = self
+        let mut generations: BTreeMap<String, u64> = self
             .members
             .iter()
-            .filter(|member| ["alive", "suspect"].contains(&&*member.status));
-        let mut all: BTreeMap<String, u64> =
-            others.map(|m| (m.name.clone(), m.generation)).collect();
-        if self.standing == "in" {
-            all.insert(self.me.name.clone(), self.me.generation);
+            .filter(|member| member.is_live())
+            .map(|member| (member.name.clone(), member.generation))
+            .collect();
+        if self.state == "in" {
+            generations.insert(self.local.name.clone(), self.local.generation);
         }
-        all
+        generations
     }
 
     /// A table for people.
     pub fn to_table(&self) -> String {
-        let seconds = |ms: u64| format!("{:.1}", ms as f64 / 1e3);
-        let mut lines = vec![
-            format!(
-                "{} is {}, generation {}, hears {:.0}% of the fleet{}; view {}",
-                self.me.name,
-                self.standing,
-                self.me.generation,
-                self.part * 100.0,
-                if self.certain {
-                    ""
-                } else {
-                    " and is not certain of it"
-                },
-                self.hash
-            ),
-            format!(
-                "{:<16} {:<21} {:>10} {:<8} {:>9} {:<16} {:<8} {:>4} {:>4}",
-                "name", "at", "generation", "status", "for s", "by", "phase", "load", "warm"
-            ),
-        ];
-        for m in std::iter::once(&self.me).chain(&self.members) {
-            lines.push(format!(
-                "{:<16} {:<21} {:>10} {:<8} {:>9} {:<16} {:<8} {:>4} {:>4}",
-                m.name,
-                m.at,
-                m.generation,
-                m.status,
-                seconds(m.for_ms),
-                m.by,
-                m.phase,
-                m.load,
-                m.warm
-            ));
-        }
+        let uncertainty = if self.has_majority {
+            ""
+        } else {
+            " and is not certain of it"
+        };
+        let title = format!(
+            "{} is {}, generation {}, hears {:.0}% of the fleet{uncertainty}; view {}",
+            self.local.name,
+            self.state,
+            self.local.generation,
+            self.live_fraction * 100.0,
+            self.view_hash
+        );
+        let rows = std::iter::once(&self.local)
+            .chain(&self.members)
+            .map(MemberStatus::to_row);
+        let lines: Vec<String> = [title, table_header()].into_iter().chain(rows).collect();
         lines.join("\n")
     }
 }
--- a/crates/asterdale-transport/tests/sockets.rs
+++ b/crates/asterdale-transport/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The talk on real sockets: processes that find each other, and strangers who cost them nothing.
+//! Fleets of processes on real sockets, and strangers that must not disturb them.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -9,68 +9,72 @@
 use asterdale_membership::{Event, MembershipConfig, Metadata, Phase, Settings};
 use asterdale_transport::{control, start, Transport, TransportSettings};
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An address whose port is free for both.
-fn address() -> SocketAddr {
+/// A local address whose port is free over UDP and TCP.
+fn free_address() -> SocketAddr {
     loop {
         let udp = UdpSocket::bind("127.0.0.1:0").unwrap();
-        let at = udp.local_addr().unwrap();
-        if TcpListener::bind(at).is_ok() {
-            return at;
+        let address = udp.local_addr().unwrap();
+        if TcpListener::bind(address).is_ok() {
+            return address;
         }
     }
 }
 
-fn place(name: &str, listen: SocketAddr, seeds: &[SocketAddr]) -> TransportSettings {
-    let terms = Settings {
-        probe_interval_ms: 100.0,
-        probe_timeout_ms: 30.0,
-        ..Settings::default()
-    };
+fn settings(name: &str, listen: SocketAddr, seeds: &[SocketAddr]) -> TransportSettings {
     let nonce = u64::from(listen.port()) << 8 | name.len() as u64;
-    let start = MembershipConfig {
+    let membership = MembershipConfig {
         name: name.to_owned(),
         address: listen,
         last_generation: 0,
         nonce,
         seeds: seeds.to_vec(),
         key: b"sixteen bytes ok".to_vec(),
-        settings: terms,
+        settings: Settings {
+            probe_interval_ms: 100.0,
+            probe_timeout_ms: 30.0,
+            ..Settings::default()
+        },
         random_seed: nonce,
     };
     TransportSettings {
         listen,
         control_socket: None,
-        membership: start,
+        membership,
         ownership: None,
     }
 }
 
-fn talk(place: TransportSettings) -> (Transport, Receiver<Event>) {
-    let (to, events) = channel();
-    let talk = start(place, move |event| drop(to.send(event.clone())), |_| ()).unwrap();
-    (talk, events)
+fn start_process(settings: TransportSettings) -> (Transport, Receiver<Event>) {
+    let (sender, events) = channel();
+    let on_event = move |event: &Event| drop(sender.send(event.clone()));
+    let transport = start(settings, on_event, |_| ()).unwrap();
+    (transport, events)
 }
 
-fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "waited in vain for {what}");
+        assert!(Instant::now() < deadline, "waited in vain for {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
+fn live_members(transport: &Transport) -> u32 {
+    transport.summary.live_members()
+}
+
 #[test]
-fn processes_find_each_other_tell_how_they_do_and_leave() {
-    let (one, two) = (address(), address());
-    let mut first = place("one", one, &[]);
+fn two_processes_join_publish_status_and_leave() {
+    let (address, second_address) = (free_address(), free_address());
+    let mut first = settings("one", address, &[]);
     let path = std::env::temp_dir().join(format!("asterdale-transport-{}", std::process::id()));
     first.control_socket = Some(path.clone());
-    let (first, _) = talk(first);
-    let (second, events) = talk(place("two", two, &[one]));
-    until("both", || {
-        first.summary.live_members() == 2 && second.summary.live_members() == 2
+    let (first, _) = start_process(first);
+    let (second, events) = start_process(settings("two", second_address, &[address]));
+    wait_until("both to join", || {
+        live_members(&first) == 2 && live_members(&second) == 2
     });
     assert!(events.iter().any(|event| event == Event::Joined(1)));
     second.publish_status(Metadata {
@@ -78,73 +82,74 @@
         load_percent: 30,
         warm_percent: 100,
     });
-    until("its word", || {
+    wait_until("the status of the second", || {
         first.summary.warm_members() == 1 && !first.summary.is_local_warm()
     });
-    let shown = control::show(&path).unwrap();
-    assert_eq!(shown.live_generations().len(), 2);
-    assert!(shown.certain && shown.to_table().contains("two"));
+    let report = control::show(&path).unwrap();
+    assert_eq!(report.live_generations().len(), 2);
+    assert!(report.has_majority && report.to_table().contains("two"));
     assert!(second.leave());
-    until("its leave", || {
+    wait_until("the leave of the second", || {
         control::show(&path).unwrap().members[0].status == "left"
     });
-    assert_eq!(first.summary.live_members(), 1);
+    assert_eq!(live_members(&first), 1);
     control::leave(&path).unwrap();
-    assert!(control::show(&path).is_ok_and(|shown| shown.standing == "ended"));
+    assert!(control::show(&path).is_ok_and(|report| report.state == "ended"));
+    // Left over if removing it fails; the next run replaces it.
     let _ = std::fs::remove_file(path);
 }
 
 #[test]
-fn strangers_that_send_noise_or_nothing_keep_nobody_out() {
-    let one = address();
-    let (first, _) = talk(place("one", one, &[]));
-    until("itself", || first.summary.live_members() == 1);
-    // More silent streams than there are places, lengths that no exchange has, and noise on both ways.
-    let silent: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(one).unwrap()).collect();
+fn strangers_that_send_noise_or_nothing_do_not_disturb_the_fleet() {
+    let address = free_address();
+    let (first, _) = start_process(settings("one", address, &[]));
+    wait_until("the first to join", || live_members(&first) == 1);
+    // More silent streams than the limit, invalid lengths, and noise over UDP and TCP.
+    let silent: Vec<TcpStream> = (0..60)
+        .map(|_| TcpStream::connect(address).unwrap())
+        .collect();
     let noise = UdpSocket::bind("127.0.0.1:0").unwrap();
-    for n in 0..200u8 {
-        noise.send_to(&vec![n; usize::from(n) * 12], one).unwrap();
-        if n % 8 == 0 {
-            let mut long = TcpStream::connect(one).unwrap();
-            let _ = long.write_all(&[0xff, 0xff, 0xff, n, 1, 2, 3]);
+    for byte in 0..200u8 {
+        let datagram = vec![byte; usize::from(byte) * 12];
+        noise.send_to(&datagram, address).unwrap();
+        if byte % 8 == 0 {
+            let mut stream = TcpStream::connect(address).unwrap();
+            // The process may have closed the stream already.
+            let _ = stream.write_all(&[0xff, 0xff, 0xff, byte, 1, 2, 3]);
         }
     }
-    // All of it ends within its time, and whoever has the key gets in.
-    let (second, _) = talk(place("two", address(), &[one]));
-    until("both", || {
-        first.summary.live_members() == 2 && second.summary.live_members() == 2
+    // The strangers' streams end at their deadlines, and a process with the key joins.
+    let (second, _) = start_process(settings("two", free_address(), &[address]));
+    wait_until("both to join", || {
+        live_members(&first) == 2 && live_members(&second) == 2
     });
-    let shown = first.status_report().unwrap();
+    let counters = first.status_report().unwrap().counters;
     assert!(
-        shown.counts["foreign"] > 0 && shown.counts["unreadable"] > 0,
-        "{:?}",
-        shown.counts
+        counters["foreign"] > 0 && counters["unreadable"] > 0,
+        "{counters:?}"
     );
     for mut stream in silent {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         assert_eq!(
             stream.read(&mut [0; 8]).unwrap_or(0),
             0,
-            "nothing is said to a stranger"
+            "a stranger got an answer"
         );
     }
 }
 
 #[test]
-fn another_key_is_another_fleet() {
-    let one = address();
-    let (first, _) = talk(place("one", one, &[]));
-    let mut other = place("two", address(), &[one]);
+fn processes_with_different_keys_do_not_join() {
+    let address = free_address();
+    let (first, _) = start_process(settings("one", address, &[]));
+    let mut other = settings("two", free_address(), &[address]);
     other.membership.key = b"another sixteen.".to_vec();
-    let (second, _) = talk(other);
-    until("each alone", || {
-        first.summary.live_members() == 1 && second.summary.live_members() == 1
+    let (second, _) = start_process(other);
+    wait_until("both to be alone", || {
+        live_members(&first) == 1 && live_members(&second) == 1
     });
-    until("a refusal", || {
-        first.status_report().unwrap().counts["foreign"] > 2
+    wait_until("rejected messages", || {
+        first.status_report().unwrap().counters["foreign"] > 2
     });
-    assert_eq!(
-        (first.summary.live_members(), second.summary.live_members()),
-        (1, 1)
-    );
+    assert_eq!((live_members(&first), live_members(&second)), (1, 1));
 }
