--- a/crates/asterdale-daemon/src/start/tests.rs
+++ b/crates/asterdale-daemon/src/start/tests.rs
@@ -14,7 +14,7 @@
 
 fn with_identity() -> Value {
     let mut all = minimal();
-    let root = asterdale_identity::mint::Secret::from_seed([1; 32], "r").public_text();
+    let root = asterdale_identity::mint::SecretKey::from_seed([1; 32], "r").public_key_text();
     all["identity"] = json!({"issuer": "i", "audience": "a", "roots": [root], "keys": {"file": "/k"},
         "roles": [{"name": "phone", "stages": ["bid"]}],
         "tenants": [{"name": "t", "customer": 1, "roles": ["phone"]}]});
@@ -251,11 +251,19 @@
         key_source: keys,
     } = start.identity.unwrap();
     assert_eq!(
-        (facts.skew_ms, facts.cache, facts.per_edge, facts.in_all),
+        (
+            facts.clock_skew_ms,
+            facts.cached_tokens,
+            facts.signatures_per_edge_per_s,
+            facts.signatures_per_s
+        ),
         (500.0, 2048, 50.0, 400.0)
     );
     assert_eq!(
-        (facts.roles[0].stages.as_slice(), facts.tenants[0].customer),
+        (
+            facts.roles[0].request_classes.as_slice(),
+            facts.tenants[0].scheduling_tenant
+        ),
         (&[0][..], 1)
     );
     assert!(matches!(keys, KeySetSource::File(path) if path == "/k"));
--- /dev/null
+++ b/crates/asterdale-fastcgi/src/record_reader.rs
@@ -0,0 +1,95 @@
+//! Input buffer of a connection, from which complete records are parsed in place.
+
+use crate::error::ProtocolError;
+
+/// Length of a record header, in bytes.
+pub(crate) const HEADER_BYTES: usize = 8;
+/// Size of the buffer while no larger record is expected, in bytes: one read takes many of the platform's requests.
+const DEFAULT_BUFFER_BYTES: usize = 4 * 1024;
+/// The only protocol version of the specification.
+pub(crate) const VERSION: u8 = 1;
+
+/// One record.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Record<'a> {
+    /// The record type, see [`crate::record_type`].
+    pub record_type: u8,
+    /// The request that the record belongs to; 0 for a management record.
+    pub request_id: u16,
+    /// The content without the padding.
+    pub content: &'a [u8],
+}
+
+/// The bytes that were received and not yet parsed, in one buffer.
+#[derive(Default)]
+pub struct RecordReader {
+    buffer: Vec<u8>,
+    /// The unparsed bytes are `buffer[start..end]`.
+    start: usize,
+    end: usize,
+}
+
+impl RecordReader {
+    /// The buffer space for the next read. It is never empty, and large enough for the rest of the record whose header
+    /// has been received. Call [`RecordReader::commit`] after the read.
+    pub fn free_space(&mut self) -> &mut [u8] {
+        self.buffer.copy_within(self.start..self.end, 0);
+        self.end -= self.start;
+        self.start = 0;
+        let required_bytes = self.record_length().unwrap_or(0).max(DEFAULT_BUFFER_BYTES);
+        if self.buffer.len() != required_bytes && self.end < required_bytes {
+            self.buffer.resize(required_bytes, 0);
+            self.buffer.shrink_to(required_bytes);
+        }
+        &mut self.buffer[self.end..]
+    }
+
+    /// Records that `count` bytes were read into [`RecordReader::free_space`].
+    pub fn commit(&mut self, count: usize) {
+        self.end += count;
+    }
+
+    /// The size of the buffer, in bytes.
+    pub fn buffer_bytes(&self) -> usize {
+        self.buffer.len()
+    }
+
+    /// Whether every received byte has been parsed.
+    pub fn is_empty(&self) -> bool {
+        self.start == self.end
+    }
+
+    /// The length of the first record with header and padding, in bytes; `None` until its header is complete.
+    fn record_length(&self) -> Option<usize> {
+        let header = self.buffer[self.start..self.end].get(..HEADER_BYTES)?;
+        Some(HEADER_BYTES + content_length(header) + usize::from(header[6]))
+    }
+
+    /// Parses and removes the next record; `None` until it is complete.
+    ///
+    /// # Errors
+    /// [`ProtocolError::UnsupportedVersion`] as soon as the header is complete. The record is not removed then.
+    pub fn next_record(&mut self) -> Result<Option<Record<'_>>, ProtocolError> {
+        let Some(record_length) = self.record_length() else {
+            return Ok(None);
+        };
+        let bytes = &self.buffer[self.start..];
+        if bytes[0] != VERSION {
+            return Err(ProtocolError::UnsupportedVersion(bytes[0]));
+        }
+        if self.end - self.start < record_length {
+            return Ok(None);
+        }
+        self.start += record_length;
+        Ok(Some(Record {
+            record_type: bytes[1],
+            request_id: u16::from_be_bytes([bytes[2], bytes[3]]),
+            content: &bytes[HEADER_BYTES..HEADER_BYTES + content_length(bytes)],
+        }))
+    }
+}
+
+/// The length of the content, from the header at the start of `record`.
+fn content_length(record: &[u8]) -> usize {
+    usize::from(u16::from_be_bytes([record[4], record[5]]))
+}
