--- a/crates/asterdale-daemon/src/edge/connection.rs
+++ b/crates/asterdale-daemon/src/edge/connection.rs
@@ -9,7 +9,7 @@
 
 use asterdale_engine::counters::Counters;
 use asterdale_engine::log::{Kind, Log};
-use asterdale_engine::message::{EngineMessage, Reply, Request};
+use asterdale_engine::message::{EngineMessage, Reply, Request, ResponseRoute};
 use asterdale_fastcgi::{
     end_request_response, protocol_status, unknown_type_response, values_response,
 };
@@ -71,8 +71,8 @@
 
     fn makes_no_sense(&self, field: &'static str) {
         static SENSELESS: Kind = Kind::new();
-        self.counters.tasks_senseless.add();
-        if self.log.may(&SENSELESS) {
+        self.counters.tasks_malformed.add();
+        if self.log.allows(&SENSELESS) {
             slog::warn!(self.log.lines, "edge: a request makes no sense"; "field" => field);
         }
     }
@@ -283,14 +283,15 @@
                     }
                 }
                 Ok(AssemblyEvent::Abort(id)) => {
-                    let _ = shared
-                        .host
-                        .send(EngineMessage::Abort((peer.connection, id)));
+                    let _ = shared.host.send(EngineMessage::Abort(ResponseRoute {
+                        connection: peer.connection,
+                        request: id,
+                    }));
                     continue;
                 }
                 Ok(AssemblyEvent::EndRequest(id, state)) => {
                     if state == protocol_status::OVERLOADED {
-                        shared.counters.requests_over.add();
+                        shared.counters.requests_overloaded.add();
                     }
                     end_request_response(id, state)
                 }
@@ -392,13 +393,13 @@
             End::Quiet => {}
             End::Malformed(what) => {
                 shared.counters.connections_malformed.add();
-                if shared.log.may(&MALFORMED) {
+                if shared.log.allows(&MALFORMED) {
                     slog::warn!(shared.log.lines, "edge: a connection ends, malformed"; "what" => %what);
                 }
             }
             End::Crowded => {
-                shared.counters.connections_crowded.add();
-                if shared.log.may(&CROWDED) {
+                shared.counters.connections_over_memory.add();
+                if shared.log.allows(&CROWDED) {
                     slog::warn!(
                         shared.log.lines,
                         "edge: a connection ends, no memory for what it begins"
--- a/crates/asterdale-daemon/src/fleet.rs
+++ b/crates/asterdale-daemon/src/fleet.rs
@@ -4,6 +4,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
+use asterdale::events::PeerCounts;
 use asterdale_engine::engine::unix_ms;
 use asterdale_engine::log::Log;
 use asterdale_engine::message::{EngineMessage, FleetView, LocalStatus, OwnershipClient};
@@ -23,14 +24,12 @@
 struct Others(Transport);
 
 impl FleetView for Others {
-    fn peer_counts(&self) -> Option<(f64, f64)> {
+    fn peer_counts(&self) -> Option<PeerCounts> {
         let there = self.0.summary.live_members();
         let own = u32::from(self.0.summary.is_local_warm());
-        (there > 0).then(|| {
-            (
-                f64::from(there - 1),
-                f64::from(self.0.summary.warm_members().saturating_sub(own)),
-            )
+        (there > 0).then(|| PeerCounts {
+            present: f64::from(there - 1),
+            ready: f64::from(self.0.summary.warm_members().saturating_sub(own)),
         })
     }
 
@@ -101,7 +100,7 @@
         self.custody.request(number, want);
     }
 
-    fn forget(&self, number: u64) {
+    fn cancel(&self, number: u64) {
         self.custody.cancel(number);
     }
 
@@ -121,7 +120,7 @@
         self.custody.lease_ms()
     }
 
-    fn leave(&self) {
+    fn release_all(&self) {
         self.custody.leave();
     }
 }
--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -87,7 +87,7 @@
         });
     }
 
-    fn forget(&self, number: u64) {
+    fn cancel(&self, number: u64) {
         self.journal.send(JournalCommand::CancelRequest(number));
     }
 
@@ -102,7 +102,7 @@
         true
     }
 
-    fn fences(&self) -> bool {
+    fn sends_fences(&self) -> bool {
         // A claim's number means nothing outside this folder.
         false
     }
@@ -111,7 +111,7 @@
         PATIENCE_MS
     }
 
-    fn leave(&self) {
+    fn release_all(&self) {
         self.journal.flush();
     }
 }
--- a/crates/asterdale-daemon/src/main.rs
+++ b/crates/asterdale-daemon/src/main.rs
@@ -31,7 +31,7 @@
 use asterdale_engine::counters::Counters;
 use asterdale_engine::engine::{unix_ms, EngineSettings};
 use asterdale_engine::issuer::{self, KeyRefresh};
-use asterdale_engine::log::{Kind, Log};
+use asterdale_engine::log::{error_chain, Kind, Log};
 use asterdale_engine::message::{EngineMessage, Frontends};
 use asterdale_engine::{records, registry, runtime, Engine, EnginePorts};
 use asterdale_identity::Identity;
@@ -77,12 +77,12 @@
         self.0.iter().for_each(|edge| edge.close_idle(after_ms));
     }
 
-    fn open(&self) -> usize {
-        self.0.iter().map(|edge| edge.open()).sum()
+    fn open_connections(&self) -> usize {
+        self.0.iter().map(|edge| edge.open_connections()).sum()
     }
 
-    fn close(&self) {
-        self.0.iter().for_each(|edge| edge.close());
+    fn stop_listening(&self) {
+        self.0.iter().for_each(|edge| edge.stop_listening());
     }
 
     fn end_answered_connections(&self) {
@@ -91,8 +91,8 @@
             .for_each(|edge| edge.end_answered_connections());
     }
 
-    fn aside(&self, aside: bool) {
-        self.0.iter().for_each(|edge| edge.aside(aside));
+    fn set_paused(&self, aside: bool) {
+        self.0.iter().for_each(|edge| edge.set_paused(aside));
     }
 }
 
@@ -202,7 +202,7 @@
                 Ok(false) => return,
                 Err(what) => {
                     counters.reloads_failed.add();
-                    if log.may(&UNREADABLE) {
+                    if log.allows(&UNREADABLE) {
                         slog::error!(log.lines, "host: the start file is passed over"; "why" => what);
                     }
                     continue;
@@ -293,7 +293,7 @@
         start.endpoints.runtime,
     );
     spawn("runtime", move || {
-        runtime::link(at, &moved, &host, &counted, &lines)
+        runtime::run(at, &moved, &host, &counted, &lines)
     })?;
     let (list, reporter) = registry::new(
         start.endpoints.registry,
@@ -339,13 +339,13 @@
     let company = None;
     let around = EnginePorts {
         records,
-        fronts: Arc::new(Doors(edges)),
-        list,
-        moves,
+        frontends: Arc::new(Doors(edges)),
+        registry: list,
+        runtime_link: moves,
         issuer: nudges,
-        company,
+        fleet: company,
         #[cfg(any(feature = "fleet", feature = "journal"))]
-        custody,
+        ownership: custody,
         counters,
         log: log.clone(),
     };
@@ -357,25 +357,26 @@
         ..
     } = start;
     let begin = EngineSettings {
-        facts,
-        memory,
-        stop_ms,
-        peers,
+        settings: facts,
+        memory_bytes: memory,
+        termination_grace_ms: stop_ms,
+        endpoints: peers,
         identity,
     };
     #[cfg(feature = "upgrade")]
     let mut host = match taken {
         None => Engine::new(begin, around),
         Some(taken) => {
-            let (stages, epoch) = (begin.facts.class_names.len(), taken.epoch);
-            let host = Engine::go_on(
+            let (stages, epoch) = (begin.settings.class_names.len(), taken.epoch);
+            let host = Engine::restore(
                 begin,
                 around,
                 &taken.state,
                 &taken.remote_connections(),
                 taken.mirror_to_old_process(),
-            )?;
-            slog::info!(log.lines, "upgrade: this process goes on"; "process" => std::process::id(), "epoch" => epoch, "gist" => ?host.gist());
+            )
+            .map_err(|e| error_chain(&e))?;
+            slog::info!(log.lines, "upgrade: this process goes on"; "process" => std::process::id(), "epoch" => epoch, "gist" => ?host.summary());
             spawn("hearing", move || {
                 taken.relay_from_old_process(&mail, stages)
             })?;
@@ -385,8 +386,8 @@
     #[cfg(not(feature = "upgrade"))]
     let mut host = Engine::new(begin, around);
     slog::info!(log.lines, "host: serving"; "at" => %start.listen);
-    host.serve(&mailbox);
-    host.report();
+    host.run(&mailbox);
+    host.print_counters();
     #[cfg(feature = "upgrade")]
     if let Some(guardian) = guardian {
         // It left in order: there is nothing to take back.
--- a/crates/asterdale-daemon/src/upgrade/mirror.rs
+++ b/crates/asterdale-daemon/src/upgrade/mirror.rs
@@ -23,62 +23,60 @@
     };
     match event {
         MirroredEvent::KeyRetained {
-            mark,
-            owner: (owner, sign),
-            until,
+            key,
+            owner,
+            body_digest,
+            until_ms,
         } => Mirror {
-            body_digest: sign,
-            expires_ms: until,
-            ..of_key(mark, owner, KEY_RETAINED)
+            body_digest,
+            expires_ms: until_ms,
+            ..of_key(key, owner, KEY_RETAINED)
         },
         MirroredEvent::TaskStarted {
             id,
-            mark: Some((mark, owner)),
+            key: Some((key, owner)),
         } => Mirror {
             request_id: id.to_vec(),
-            ..of_key(mark, owner, TASK_STARTED)
+            ..of_key(key, owner, TASK_STARTED)
         },
-        MirroredEvent::TaskStarted { id, mark: None } => Mirror {
+        MirroredEvent::TaskStarted { id, key: None } => Mirror {
             request_id: id.to_vec(),
             event: TASK_STARTED,
             ..Mirror::default()
         },
-        MirroredEvent::TaskEnded {
-            mark,
-            owner,
-            result,
-        } => Mirror {
+        MirroredEvent::TaskEnded { key, owner, result } => Mirror {
             result: result.map(|result| result.to_vec()),
-            ..of_key(mark, owner, TASK_ENDED)
+            ..of_key(key, owner, TASK_ENDED)
         },
-        MirroredEvent::KeyDropped { mark, owner } => of_key(mark, owner, KEY_DROPPED),
+        MirroredEvent::KeyDropped { key, owner } => of_key(key, owner, KEY_DROPPED),
     }
 }
 
 /// The event of a message; `None` if it is malformed, or of a kind that this release does not know.
 pub fn mirrored_event(frame: Mirror) -> Option<MirroredEvent> {
     let owner = frame.owner;
-    let mark = IdempotencyKey {
+    let key = IdempotencyKey {
         class: frame.request_class as usize,
         tenant: frame.tenant,
         bytes: frame.idempotency_key.into(),
     };
     Some(match frame.event {
         KEY_RETAINED => MirroredEvent::KeyRetained {
-            mark,
-            owner: (owner, frame.body_digest),
-            until: frame.expires_ms,
+            key,
+            owner,
+            body_digest: frame.body_digest,
+            until_ms: frame.expires_ms,
         },
         TASK_STARTED => MirroredEvent::TaskStarted {
             id: RequestId::try_from(frame.request_id.as_slice()).ok()?,
-            mark: (!mark.bytes.is_empty()).then_some((mark, owner)),
+            key: (!key.bytes.is_empty()).then_some((key, owner)),
         },
         TASK_ENDED => MirroredEvent::TaskEnded {
-            mark,
+            key,
             owner,
             result: frame.result.map(Into::into),
         },
-        KEY_DROPPED => MirroredEvent::KeyDropped { mark, owner },
+        KEY_DROPPED => MirroredEvent::KeyDropped { key, owner },
         _ => return None,
     })
 }
--- a/crates/asterdale-daemon/src/upgrade/new_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/new_process.rs
@@ -8,6 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use asterdale_engine::log::error_chain;
 use asterdale_engine::message::{Connection, EngineMessage};
 use asterdale_engine::state_transfer::{check_state, HotRestartStep, Mirror};
 use asterdale_hot_restart::frame::MAX_STATE_BYTES;
@@ -273,7 +274,7 @@
         }
         let state = std::mem::take(&mut self.state);
         let is_usable = check_state(&state, self.class_count)
-            .map_err(|e| UnusableState(e.to_string()))
+            .map_err(|e| UnusableState(error_chain(&e)))
             .and_then(|()| check_descriptor_limit(self.max_descriptors));
         Some(Event::TrialState(is_usable))
     }
@@ -284,7 +285,7 @@
             return None;
         }
         let is_usable =
-            check_state(&self.state, self.class_count).map_err(|e| UnusableState(e.to_string()));
+            check_state(&self.state, self.class_count).map_err(|e| UnusableState(error_chain(&e)));
         Some(Event::State(chunk.epoch, is_usable))
     }
 }
--- a/crates/asterdale-daemon/src/upgrade/relay.rs
+++ b/crates/asterdale-daemon/src/upgrade/relay.rs
@@ -31,16 +31,17 @@
 }
 
 impl Connection for RemoteConnection {
-    fn connection(&self) -> u64 {
+    fn connection_id(&self) -> u64 {
         self.connection
     }
 
     fn answer(self: Arc<Self>, request: u16, reply: Reply) {
         // If the old process has ended, so have its connections.
-        let _ = self.writer.send(Payload::Reply(reply_frame(
-            (self.connection, request),
-            &reply,
-        )));
+        let route = ResponseRoute {
+            connection: self.connection,
+            request,
+        };
+        let _ = self.writer.send(Payload::Reply(reply_frame(route, &reply)));
     }
 
     fn discard_request(&self) {}
@@ -65,36 +66,45 @@
 const FAILED_OUTCOME: usize = 1;
 
 impl SuccessorLink for NewProcessLink {
-    fn task(&mut self, route: ResponseRoute, request: &Request) {
+    fn forward_request(&mut self, route: ResponseRoute, request: &Request) {
         // Here and below: see the type.
         let _ = self.0.send(Payload::Request(request_frame(route, request)));
     }
 
-    fn check(&mut self, route: ResponseRoute, is_deep: bool) {
+    fn forward_health_check(&mut self, route: ResponseRoute, is_deep: bool) {
         let _ = self.0.send(Payload::HealthCheck(HealthCheck {
             route: route_frame(route),
             is_deep,
         }));
     }
 
-    fn left(&mut self, connection: u64, request: Option<u16>) {
+    fn forward_abort(&mut self, connection: u64, request: Option<u16>) {
         let _ = self.0.send(Payload::Abort(Abort {
-            route: route_frame((connection, request.unwrap_or(0))),
+            route: route_frame(ResponseRoute {
+                connection,
+                request: request.unwrap_or(0),
+            }),
             entire_connection: request.is_none(),
         }));
     }
 
-    fn called(&mut self, task_id: TaskId, outcome: Outcome, took_ms: f64, body: &[u8]) {
+    fn forward_call_result(
+        &mut self,
+        task_id: TaskId,
+        outcome: Outcome,
+        duration_ms: f64,
+        body: &[u8],
+    ) {
         let outcome = OUTCOMES.iter().position(|known| *known == outcome);
         let _ = self.0.send(Payload::CallEnded(CallEnded {
             task_id,
             outcome: outcome.unwrap_or(FAILED_OUTCOME) as u32,
-            took_ms,
+            took_ms: duration_ms,
             body: body.to_vec(),
         }));
     }
 
-    fn done(&mut self) {
+    fn guard_ended(&mut self) {
         let _ = self.0.send(Payload::Release(Release {}));
     }
 }
@@ -144,7 +154,10 @@
     };
     Some(match payload {
         Payload::Request(frame) => {
-            let (connection, request) = route(frame.route)?;
+            let ResponseRoute {
+                connection,
+                request,
+            } = route(frame.route)?;
             let head = request_head(&frame, class_count)?;
             EngineMessage::Request(Box::new(Request {
                 head,
@@ -157,7 +170,10 @@
             }))
         }
         Payload::HealthCheck(check) => {
-            let (connection, request) = route(check.route)?;
+            let ResponseRoute {
+                connection,
+                request,
+            } = route(check.route)?;
             EngineMessage::HealthCheck {
                 client: client(connection),
                 request,
@@ -167,15 +183,15 @@
         Payload::Abort(abort) => {
             let route = route(abort.route)?;
             if abort.entire_connection {
-                EngineMessage::ConnectionClosed(route.0)
+                EngineMessage::ConnectionClosed(route.connection)
             } else {
                 EngineMessage::Abort(route)
             }
         }
         Payload::CallEnded(call) => EngineMessage::CallEnded {
-            who: call.task_id,
+            task: call.task_id,
             outcome: *OUTCOMES.get(call.outcome as usize)?,
-            took_ms: call.took_ms,
+            duration_ms: call.took_ms,
             body: call.body,
         },
         _ => return None,
--- a/crates/asterdale-daemon/src/upgrade/reply.rs
+++ b/crates/asterdale-daemon/src/upgrade/reply.rs
@@ -7,37 +7,44 @@
 /// The message of a route.
 pub fn route_frame(route: ResponseRoute) -> Option<RouteFrame> {
     Some(RouteFrame {
-        connection: route.0,
-        request: route.1.into(),
+        connection: route.connection,
+        request: route.request.into(),
     })
 }
 
 /// The route of a message; `None` if it has none, or one that is out of range.
 pub fn route(frame: Option<RouteFrame>) -> Option<ResponseRoute> {
     let frame = frame?;
-    Some((frame.connection, frame.request.try_into().ok()?))
+    Some(ResponseRoute {
+        connection: frame.connection,
+        request: frame.request.try_into().ok()?,
+    })
 }
 
 /// The message of a reply.
 pub fn reply_frame(route: ResponseRoute, reply: &Reply) -> ReplyFrame {
     let (kind, number, body) = match reply {
         Reply::Served(body) => (0, 0, body.to_vec()),
-        Reply::Rejected { last, stay_away_ms } => {
-            (1, stay_away_ms << 1 | u64::from(*last), Vec::new())
-        }
+        Reply::Rejected {
+            is_final,
+            retry_after_ms,
+        } => (1, retry_after_ms << 1 | u64::from(*is_final), Vec::new()),
         Reply::Overloaded => (2, 0, Vec::new()),
         Reply::Failed | Reply::Unknown { .. } => (3, 0, Vec::new()),
         Reply::Malformed => (4, 0, Vec::new()),
         Reply::CallerGone => (5, 0, Vec::new()),
         Reply::HealthChecked(good) => (6, u64::from(*good), Vec::new()),
-        Reply::Denied { kind, wait_ms } => {
+        Reply::Denied {
+            kind,
+            retry_after_ms,
+        } => {
             let kind = match kind {
                 DenialStatus::Unauthenticated => 7,
                 DenialStatus::Forbidden => 8,
                 DenialStatus::QuotaExceeded => 9,
                 DenialStatus::Unavailable => 10,
             };
-            (kind, *wait_ms, Vec::new())
+            (kind, *retry_after_ms, Vec::new())
         }
     };
     ReplyFrame {
@@ -53,13 +60,13 @@
     let number = frame.number;
     let denied = |kind| Reply::Denied {
         kind,
-        wait_ms: number,
+        retry_after_ms: number,
     };
     let reply = match frame.kind {
         0 => Reply::Served(frame.body.into()),
         1 => Reply::Rejected {
-            last: number & 1 == 1,
-            stay_away_ms: number >> 1,
+            is_final: number & 1 == 1,
+            retry_after_ms: number >> 1,
         },
         2 => Reply::Overloaded,
         4 => Reply::Malformed,
--- a/crates/asterdale-daemon/src/upgrade/stored.rs
+++ b/crates/asterdale-daemon/src/upgrade/stored.rs
@@ -22,7 +22,10 @@
 use super::{CONTROL_VARIABLE, NONCE_VARIABLE};
 
 const FRAMES: &[u8] = include_bytes!("../../tests/fixtures/frames/meanings.bin");
-const ROUTE: ResponseRoute = (1 << 40, 513);
+const ROUTE: ResponseRoute = ResponseRoute {
+    connection: 1 << 40,
+    request: 513,
+};
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Failed,
@@ -36,21 +39,24 @@
 
 /// A reply of each kind, by the number that stands for the kind.
 fn replies() -> Vec<(u32, Reply)> {
-    let denied = |kind| Reply::Denied { kind, wait_ms: 7 };
+    let denied = |kind| Reply::Denied {
+        kind,
+        retry_after_ms: 7,
+    };
     vec![
         (0, Reply::Served(b"sold for 7".as_slice().into())),
         (
             1,
             Reply::Rejected {
-                last: true,
-                stay_away_ms: 900,
+                is_final: true,
+                retry_after_ms: 900,
             },
         ),
         (
             1,
             Reply::Rejected {
-                last: false,
-                stay_away_ms: 901,
+                is_final: false,
+                retry_after_ms: 901,
             },
         ),
         (2, Reply::Overloaded),
@@ -78,23 +84,24 @@
         (
             0,
             MirroredEvent::KeyRetained {
-                mark: mark(),
-                owner: (7, 9),
-                until: 1_700_000_005_000.25,
+                key: mark(),
+                owner: 7,
+                body_digest: 9,
+                until_ms: 1_700_000_005_000.25,
             },
         ),
         (
             1,
             MirroredEvent::TaskStarted {
                 id,
-                mark: Some((mark(), 7)),
+                key: Some((mark(), 7)),
             },
         ),
-        (1, MirroredEvent::TaskStarted { id, mark: None }),
+        (1, MirroredEvent::TaskStarted { id, key: None }),
         (
             2,
             MirroredEvent::TaskEnded {
-                mark: mark(),
+                key: mark(),
                 owner: 7,
                 result: Some(b"sold".as_slice().into()),
             },
@@ -102,7 +109,7 @@
         (
             2,
             MirroredEvent::TaskEnded {
-                mark: mark(),
+                key: mark(),
                 owner: 7,
                 result: None,
             },
@@ -110,7 +117,7 @@
         (
             3,
             MirroredEvent::KeyDropped {
-                mark: mark(),
+                key: mark(),
                 owner: 7,
             },
         ),
@@ -227,9 +234,9 @@
     let mut next = || engine_message(stored.next().unwrap(), &writer, 2).unwrap();
     for expected in OUTCOMES {
         let EngineMessage::CallEnded {
-            who,
+            task: who,
             outcome,
-            took_ms,
+            duration_ms: took_ms,
             body,
         } = next()
         else {
@@ -265,9 +272,11 @@
         (&relayed.body[..], relayed.token.as_deref()),
         (&b"body"[..], Some(&b"token"[..]))
     );
-    assert_eq!((relayed.client.connection(), relayed.request), ROUTE);
+    assert_eq!(relayed.route(), ROUTE);
     assert!(matches!(next(), EngineMessage::Abort(route) if route == ROUTE));
-    assert!(matches!(next(), EngineMessage::ConnectionClosed(connection) if connection == ROUTE.0));
+    assert!(
+        matches!(next(), EngineMessage::ConnectionClosed(connection) if connection == ROUTE.connection)
+    );
 }
 
 /// The old process starts the new one with these variables: they stay as long as any release that may be replaced knows
--- a/crates/asterdale-daemon/src/upgrade/tests.rs
+++ b/crates/asterdale-daemon/src/upgrade/tests.rs
@@ -16,16 +16,19 @@
 
 #[test]
 fn replies_and_routes_are_read_back_from_their_messages() {
-    let denied = |kind| Reply::Denied { kind, wait_ms: 7 };
+    let denied = |kind| Reply::Denied {
+        kind,
+        retry_after_ms: 7,
+    };
     for expected in [
         Reply::Served([1, 2].into()),
         Reply::Rejected {
-            last: true,
-            stay_away_ms: 900,
+            is_final: true,
+            retry_after_ms: 900,
         },
         Reply::Rejected {
-            last: false,
-            stay_away_ms: 0,
+            is_final: false,
+            retry_after_ms: 0,
         },
         Reply::Overloaded,
         Reply::Failed,
@@ -39,8 +42,8 @@
         denied(DenialStatus::Unavailable),
     ] {
         assert_eq!(
-            reply(reply_frame((1 << 40, 9), &expected)),
-            Some(((1 << 40, 9), expected))
+            reply(reply_frame((1 << 40, 9).into(), &expected)),
+            Some(((1 << 40, 9).into(), expected))
         );
     }
     assert_eq!(
@@ -94,30 +97,31 @@
     };
     for event in [
         MirroredEvent::KeyRetained {
-            mark: mark(),
-            owner: (7, 9),
-            until: 1e12,
+            key: mark(),
+            owner: 7,
+            body_digest: 9,
+            until_ms: 1e12,
         },
         MirroredEvent::TaskStarted {
             id: *b"9b1f03aa5c7e2d41",
-            mark: Some((mark(), 7)),
+            key: Some((mark(), 7)),
         },
         MirroredEvent::TaskStarted {
             id: *b"9b1f03aa5c7e2d41",
-            mark: None,
+            key: None,
         },
         MirroredEvent::TaskEnded {
-            mark: mark(),
+            key: mark(),
             owner: 7,
             result: Some([1].into()),
         },
         MirroredEvent::TaskEnded {
-            mark: mark(),
+            key: mark(),
             owner: 7,
             result: None,
         },
         MirroredEvent::KeyDropped {
-            mark: mark(),
+            key: mark(),
             owner: 7,
         },
     ] {
--- a/crates/asterdale-daemon/tests/certificates.rs
+++ b/crates/asterdale-daemon/tests/certificates.rs
@@ -287,7 +287,7 @@
     site.backend.runtime.command("start");
     site.backend.signal("-TERM");
     until("the notice", || {
-        site.backend.log().contains("host: leaving")
+        site.backend.log().contains("engine: draining")
     });
     site.backend.runtime.end(A, "PASS", b"in time");
     assert_eq!(desk.answer().unwrap().body, b"in time");
--- a/crates/asterdale-daemon/tests/runtime.rs
+++ b/crates/asterdale-daemon/tests/runtime.rs
@@ -17,7 +17,7 @@
     backend.runtime.say(&far.to_string());
     backend.runtime.end(A, "PASS", b"heard");
     assert_eq!(edge.answer().unwrap().body, b"heard");
-    backend.counters_until(|count| count("lines_bad") == 1);
+    backend.counters_until(|count| count("runtime_lines_malformed") == 1);
 }
 
 #[test]
@@ -44,13 +44,23 @@
     let backend = Backend::start_before_runtime(|_| ());
     let mut edge = backend.connect();
     edge.task(1, "page", A, &[]);
-    until("the start", || backend.log().contains("host: begun"));
-    assert!(backend.log().contains("cold: true"), "{}", backend.log());
+    until("the start", || {
+        backend.log().contains("engine: server started")
+    });
+    assert!(
+        backend.log().contains("slow_start: true"),
+        "{}",
+        backend.log()
+    );
     backend.runtime.up();
     until("the runtime's word", || {
-        backend.log().contains("host: the runtime has begun")
+        backend.log().contains("engine: runtime started")
     });
-    assert!(backend.log().contains("cold: false"), "{}", backend.log());
+    assert!(
+        backend.log().contains("slow_start: false"),
+        "{}",
+        backend.log()
+    );
     backend.runtime.command("start");
     backend.runtime.end(A, "PASS", b"");
     assert_eq!(edge.status(1), "200");
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -242,7 +242,7 @@
     });
     backend.runtime.end(B, "PASS", b"");
     assert_eq!(edge.status(1), "200");
-    backend.counters_until(|count| count("tasks_left") == 1 && count("tasks_open") == 0);
+    backend.counters_until(|count| count("tasks_aborted") == 1 && count("tasks_open") == 0);
 }
 
 #[test]
@@ -304,7 +304,7 @@
     edge.send(&long);
     assert_eq!(edge.status(7), "400");
     assert_eq!(backend.runtime.commanded(), None);
-    backend.counters_until(|count| count("tasks_senseless") == 12 && count("tasks_taken") == 0);
+    backend.counters_until(|count| count("tasks_malformed") == 12 && count("tasks_taken") == 0);
 }
 
 #[test]
@@ -391,7 +391,7 @@
     backend.runtime.up();
     let mut edge = backend.connect();
     backend.signal("-TERM");
-    until("the notice", || backend.log().contains("host: leaving"));
+    until("the notice", || backend.log().contains("engine: draining"));
     std::thread::sleep(std::time::Duration::from_millis(750)); // the way out is 300 ms of the second
     edge.task(1, "page", A, &[]);
     assert_eq!(edge.status(1), "503");
@@ -497,7 +497,9 @@
     let backend = Backend::start();
     let mut edge = backend.connect();
     backend.runtime.broken(|_| {
-        until("the break", || backend.log().contains("runtime: no link"));
+        until("the break", || {
+            backend.log().contains("runtime: link failed")
+        });
         edge.task(1, "bid", A, &[KEY]);
         backend.counters_until(|count| count("runs_started") == 1);
     });
@@ -528,10 +530,10 @@
     let bad = "{\"t\":\"end\",\"no\":\"many\"}";
     // On a young link it would come again with each new one: it is passed over.
     backend.runtime.say(bad);
-    backend.counters_until(|count| count("links") == 1 && count("lines_bad") == 1);
+    backend.counters_until(|count| count("links") == 1 && count("runtime_lines_malformed") == 1);
     std::thread::sleep(std::time::Duration::from_millis(1100)); // until the link is not young any more
     backend.runtime.say(bad);
-    backend.counters_until(|count| count("links") == 2 && count("lines_bad") == 2);
+    backend.counters_until(|count| count("links") == 2 && count("runtime_lines_malformed") == 2);
     let mut edge = backend.connect();
     edge.task(1, "page", A, &[]);
     backend.runtime.command("start");
@@ -584,7 +586,7 @@
     backend.runtime.command("start");
     backend.runtime.command("start");
     backend.signal("-TERM");
-    until("the notice", || backend.log().contains("host: leaving"));
+    until("the notice", || backend.log().contains("engine: draining"));
     // What comes after the grace is rejected; what runs may end; what never ends is abandoned in time.
     std::thread::sleep(std::time::Duration::from_millis(5)); // stamps are whole milliseconds
     edge.task(3, "page", C, &[]);
@@ -598,7 +600,7 @@
     assert!(status.success(), "{log}");
     let count = |name: &str| counter(&log, name);
     assert_eq!((count("tasks_taken"), count("tasks_open")), (3, 0));
-    let answered = ["finished", "joined", "rejected", "abandoned", "left"];
+    let answered = ["served", "joined", "rejected", "failed", "aborted"];
     assert_eq!(
         answered.map(|how| count(&format!("tasks_{how}"))),
         [1, 0, 1, 1, 0]
@@ -616,14 +618,7 @@
     backend.runtime.command("start");
     backend.runtime.end(A, "PASS", b"");
     backend.counters_until(|count| {
-        let ends = [
-            "finished",
-            "joined",
-            "rejected",
-            "abandoned",
-            "left",
-            "open",
-        ];
+        let ends = ["served", "joined", "rejected", "failed", "aborted", "open"];
         let ends = ends.map(|how| count(&format!("tasks_{how}")));
         assert_eq!(ends.iter().sum::<u64>(), count("tasks_taken"));
         ends == [1, 0, 1, 0, 1, 0]
--- a/crates/asterdale-daemon/tests/upgrade.rs
+++ b/crates/asterdale-daemon/tests/upgrade.rs
@@ -351,7 +351,7 @@
     site.backend.signal("-HUP");
     site.backend.signal("-TERM");
     until("the notice", || {
-        site.backend.log().contains("host: leaving")
+        site.backend.log().contains("engine: draining")
     });
     site.backend.runtime.end(A, "PASS", b"in time");
     assert_eq!(edge.answer().unwrap().body, b"in time");
@@ -434,12 +434,16 @@
     let new = new_process_id(&site.backend.log());
     let log = site.backend.log();
     assert_eq!(
-        summary(&log, "this one guards it"),
+        summary(&log, "hot restart: committed to the new process"),
         summary(&log, "this process goes on")
     );
     // A request that the old process had started ends in the new one, and its response goes over the old one's connection.
     until("the link", || {
-        site.backend.log().matches("runtime: linked").count() == 2
+        site.backend
+            .log()
+            .matches("runtime: link established")
+            .count()
+            == 2
     });
     site.backend.runtime.end(A, "PASS", b"sold");
     let answer = edge.answer().unwrap();
@@ -461,7 +465,9 @@
         "{end:?}"
     );
     until("the way back", || {
-        site.backend.log().contains("takes the work back")
+        site.backend
+            .log()
+            .contains("hot restart: new process ended, work taken back")
     });
     site.backend
         .runtime
--- a/crates/asterdale-engine/src/state_transfer/tests.rs
+++ b/crates/asterdale-engine/src/state_transfer/tests.rs
@@ -1,6 +1,6 @@
-//! The whole state of a hot restart that an earlier release wrote is gone on with: open tasks, idempotency entries and
-//! their results, keys and the link to the runtime come out as they went in. The stored fields are looked at by name
-//! as well, so that a change is seen even where reading and writing change together.
+//! The state of a hot restart that an earlier release wrote is restored: open tasks, idempotency entries and their
+//! results, keys and the link to the runtime come out as they went in. The stored fields are compared by name as well,
+//! so that a change is seen even where reading and writing change together.
 //! `tests/fixtures/hot_restart/README.md` says how the file was made.
 
 use asterdale_identity::mint::SecretKey;
@@ -8,49 +8,54 @@
 use asterdale_parameters::Settings;
 use crossbeam_channel::unbounded;
 use serde_json::{json, Value};
+use std::sync::Arc;
 
-use super::*;
+use super::check_state;
+use super::format::TransferredState;
 use crate::counters::Counters;
-use crate::engine::EnginePorts;
-use crate::idempotency::Fate;
+use crate::engine::{Engine, EnginePorts, EngineSettings};
+use crate::idempotency::EntryState;
 use crate::log::Log;
-use crate::message::{Endpoints, Frontends};
+use crate::message::{
+    Connection, Endpoints, Frontends, IdempotencyKey, Reply, RequestId, ResponseRoute, TaskId,
+};
+use crate::tasks::PendingCall;
 use crate::{mailbox, records};
 
 const STATE: &[u8] = include_bytes!("../../tests/fixtures/hot_restart/state.msgpack");
 
-/// Seed of the tests' signs, which the passed state overrides.
+/// Seed of the tests' digests, which the stored state overrides.
 const SEED: u64 = 42;
-/// The module's time when the first host began.
+/// The engine's time when the first engine started.
 const START_MS: f64 = 1e12;
 
-/// Connections of nobody.
+/// No connections.
 struct NoFrontends;
 
 impl Frontends for NoFrontends {
     fn close_idle(&self, _: f64) {}
-    fn open(&self) -> usize {
+    fn open_connections(&self) -> usize {
         0
     }
-    fn close(&self) {}
+    fn stop_listening(&self) {}
     fn end_answered_connections(&self) {}
-    fn aside(&self, _: bool) {}
+    fn set_paused(&self, _: bool) {}
 }
 
 /// A connection that takes every answer.
 struct DiscardingConnection(u64);
 
 impl Connection for DiscardingConnection {
-    fn connection(&self) -> u64 {
+    fn connection_id(&self) -> u64 {
         self.0
     }
     fn answer(self: Arc<Self>, _: u16, _: Reply) {}
     fn discard_request(&self) {}
 }
 
-/// Two cores, a stage that may run again and one with idempotency keys.
-fn facts() -> Settings {
-    let stage = |name: &str, repeat: &str| {
+/// Two cores, a request class that may run again and one with idempotency keys.
+fn settings() -> Settings {
+    let class = |name: &str, repeat: &str| {
         json!({"name": name, "repeat": repeat, "objectiveNs": 500e6, "deadlineNs": 2000e6, "worth": 1.0,
             "lateShare": 0.2, "memorySpanNs": 5000e6})
     };
@@ -60,7 +65,7 @@
             "upstreams": 2, "ownStats": ["core_use"]},
         "guarantees": {"startCapacity": 0.25, "coldNs": 1000e6, "overloadFactor": 5.0},
         "tickNs": 5e6, "servers": 2, "overShareWorth": 0.1,
-        "lanes": [stage("read", "repeatable"), stage("bid", "by_key")],
+        "lanes": [class("read", "repeatable"), class("bid", "by_key")],
         "tenants": [{"name": "house", "allowancePerS": 50.0}],
     });
     asterdale_parameters::from_json(SEED, &start)
@@ -77,7 +82,7 @@
         burst: 1000.0,
         max_cost_ms: f64::INFINITY,
     };
-    let facts = asterdale_identity::IdentitySettings {
+    let identity_settings = asterdale_identity::IdentitySettings {
         seed: 5,
         issuer: text("issuer"),
         audience: text("asterdale"),
@@ -95,51 +100,51 @@
         }],
         certificate_mappings: Vec::new(),
     };
-    Identity::new(START_MS, facts).unwrap()
+    Identity::new(START_MS, identity_settings).unwrap()
 }
 
-/// What a host is given at its start; nobody reads what it says.
+/// What an engine starts with; nobody reads what it says.
 fn start() -> (EngineSettings, EnginePorts) {
-    let at = ([127, 0, 0, 1], 9).into();
-    let peers = Endpoints {
-        runtime: at,
-        registry: at,
-        records: at,
+    let address = ([127, 0, 0, 1], 9).into();
+    let endpoints = Endpoints {
+        runtime: address,
+        registry: address,
+        records: address,
     };
-    let begin = EngineSettings {
-        facts: Arc::new(facts()),
-        memory: 64 << 20,
-        stop_ms: 5000.0,
-        peers,
+    let engine_settings = EngineSettings {
+        settings: Arc::new(settings()),
+        memory_bytes: 64 << 20,
+        termination_grace_ms: 5000.0,
+        endpoints,
         identity: Some(identity()),
     };
     let counters = Arc::new(Counters::default());
     let (log, _) = Log::to_stderr("test", true, slog::Level::Critical);
-    let (records, _) = records::new(at, unbounded().0, counters.clone(), log.clone()).unwrap();
-    let (list, _) = mailbox::open(&mio::Poll::new().unwrap(), mio::Token(0)).unwrap();
-    let around = EnginePorts {
+    let (records, _) = records::new(address, unbounded().0, counters.clone(), log.clone()).unwrap();
+    let (registry, _) = mailbox::open(&mio::Poll::new().unwrap(), mio::Token(0)).unwrap();
+    let ports = EnginePorts {
         records,
-        fronts: Arc::new(NoFrontends),
-        list,
-        moves: unbounded().0,
+        frontends: Arc::new(NoFrontends),
+        registry,
+        runtime_link: unbounded().0,
         issuer: None,
-        company: None,
+        fleet: None,
         #[cfg(feature = "ownership")]
-        custody: None,
+        ownership: None,
         counters,
         log,
     };
-    (begin, around)
+    (engine_settings, ports)
 }
 
-fn gone_on(state: &[u8]) -> Engine {
-    let (begin, around) = start();
+fn restored(state: &[u8]) -> Engine {
+    let (engine_settings, ports) = start();
     let client = |connection| -> Arc<dyn Connection> { Arc::new(DiscardingConnection(connection)) };
-    Engine::go_on(begin, around, state, &client, None).unwrap()
+    Engine::restore(engine_settings, ports, state, &client, None).unwrap()
 }
 
-fn decode(state: &[u8]) -> Passed {
-    rmp_serde::from_slice(state).unwrap()
+fn decode(state: &[u8]) -> TransferredState {
+    TransferredState::decode(state).unwrap()
 }
 
 /// A state as a tree of names and values; lists whose order means nothing are put in order.
@@ -162,68 +167,92 @@
         .unwrap()
 }
 
-fn mark(key: &[u8]) -> IdempotencyKey {
+fn key(text: &[u8]) -> IdempotencyKey {
     IdempotencyKey {
         class: 1,
         tenant: 0,
-        bytes: key.into(),
+        bytes: text.into(),
     }
 }
 
 #[test]
-fn a_stored_state_fits_a_start_with_as_many_stages_and_no_other() {
-    assert_eq!(check_state(STATE, 2), Ok(()));
+fn stored_state_fits_only_as_many_request_classes() {
+    assert!(check_state(STATE, 2).is_ok());
     assert!(check_state(STATE, 3).is_err());
     assert!(check_state(&STATE[..STATE.len() - 1], 2).is_err());
 }
 
 #[test]
-fn a_stored_state_is_written_again_byte_for_byte() {
-    assert!(encode(&decode(STATE)) == STATE, "the bytes differ");
+fn stored_state_is_written_again_byte_for_byte() {
+    assert!(decode(STATE).encode() == STATE, "the bytes differ");
 }
 
 #[test]
-fn a_host_that_went_on_passes_the_same_state() {
-    assert_eq!(tree(&gone_on(STATE).pass()), tree(STATE));
+fn restored_engine_exports_the_same_state() {
+    assert_eq!(tree(&restored(STATE).export()), tree(STATE));
 }
 
 #[test]
-fn open_tasks_of_a_stored_state_come_out_as_they_went_in() {
-    let mut host = gone_on(STATE);
-    let gist = host.gist().unwrap();
-    assert_eq!((gist.tasks, gist.limit, gist.call_window), (6, 2.0, 2.0));
+fn open_tasks_of_a_stored_state_are_restored() {
+    let mut engine = restored(STATE);
+    let summary = engine.summary().unwrap();
+    assert_eq!(
+        (summary.tasks, summary.limit, summary.call_window),
+        (6, 2.0, 2.0)
+    );
     assert_eq!(
         (
-            host.tasks.serial,
-            host.tasks.by_serial.len(),
-            host.tasks.by_way.len()
+            engine.tasks.last_number,
+            engine.tasks.by_number.len(),
+            engine.tasks.by_route.len()
         ),
         (8, 6, 6)
     );
-    assert_eq!((host.tasks.good, host.tasks.stored), (true, false));
-    let link = &host.tasks.link;
-    assert_eq!((link.last, link.asked, link.came), (3, 1, 0));
     assert_eq!(
-        (host.tasks.now, host.callers.get(&17)),
+        (engine.tasks.is_healthy, engine.tasks.health_is_cached),
+        (true, false)
+    );
+    let link = &engine.tasks.runtime;
+    assert_eq!(
+        (
+            link.last_notice,
+            link.gauges_requested,
+            link.gauges_received
+        ),
+        (3, 1, 0)
+    );
+    assert_eq!(
+        (engine.tasks.now, engine.edge_node_indexes.get(&17)),
         (1_000_000_000_001.304_3, Some(&0))
     );
-    let mut task = |serial: TaskId| {
-        let handle = host.tasks.by_serial[&serial];
-        assert_eq!(host.tasks.by_id[&id(serial as u8)], handle);
-        assert_eq!(host.tasks.by_way[&(1 << 33, serial as u16)], handle);
-        host.tasks.slots[handle.index()].take().unwrap()
+    let mut task = |number: TaskId| {
+        let handle = engine.tasks.by_number[&number];
+        assert_eq!(engine.tasks.by_id[&id(number as u8)], handle);
+        assert_eq!(
+            engine.tasks.by_route[&ResponseRoute::from((1 << 33, number as u16))],
+            handle
+        );
+        engine.tasks.slots[handle.index()].take().unwrap()
     };
     let at_call = task(3);
     assert_eq!(
-        (at_call.stage, &at_call.body[..], at_call.mark),
-        (1, &b"bid 3"[..], Some(mark(b"key-3")))
+        (at_call.class, &at_call.body[..], at_call.idempotency_key),
+        (1, &b"bid 3"[..], Some(key(b"key-3")))
     );
     assert_eq!(
-        (at_call.started, at_call.void, at_call.sent.is_some()),
+        (
+            at_call.started,
+            at_call.must_not_start,
+            at_call.last_command.is_some()
+        ),
         (true, false, false)
     );
-    assert_eq!(at_call.wants, Some((3, b"stock?".to_vec())));
-    assert_eq!(at_call.sign, 4_609_995_455_783_861_838);
+    let call = PendingCall {
+        notice: 3,
+        body: b"stock?".to_vec(),
+    };
+    assert_eq!(at_call.pending_call, Some(call));
+    assert_eq!(at_call.body_digest, 4_609_995_455_783_861_838);
     let caller = at_call.caller.unwrap();
     assert_eq!(
         (caller.tenant, caller.key.as_deref(), &caller.claims.sub[..]),
@@ -234,56 +263,76 @@
         ("token-1", 2e9, Some(1e9))
     );
     assert!(
-        at_call.seat.is_some() && task(4).seat.is_none(),
-        "who waits for another takes up no place"
+        at_call.quota_seat.is_some() && task(4).quota_seat.is_none(),
+        "a task that joined another takes up no quota"
     );
     let running = task(6);
     assert_eq!(
-        (running.stage, running.started, running.mark),
+        (running.class, running.started, running.idempotency_key),
         (0, true, None)
     );
-    let sent = running.sent.unwrap();
+    let command = running.last_command.unwrap();
     assert_eq!(
-        (sent.before, sent.was_handed(), sent.can_go(false)),
+        (
+            command.next_gauges,
+            command.handed_to_link,
+            command.may_be_resent(false)
+        ),
         (1, true, true)
     );
     let line = r#"{"t":"start","rid":"0000000000000006","route":"read","b64":"cmVhZCA2"}"#;
-    assert_eq!(sent.line, format!("{line}\n"));
-    let held = task(8);
+    assert_eq!(command.line, format!("{line}\n"));
+    let queued = task(8);
     assert_eq!(
-        (held.started, held.sent.is_some(), held.wants),
+        (
+            queued.started,
+            queued.last_command.is_some(),
+            queued.pending_call
+        ),
         (false, false, None)
     );
 }
 
 #[test]
-fn idempotency_entries_of_a_stored_state_come_out_as_they_went_in() {
-    let mut host = gone_on(STATE);
-    let entries = &mut host.tasks.fingerprints;
+fn idempotency_entries_of_a_stored_state_are_restored() {
+    let mut engine = restored(STATE);
+    let entries = &mut engine.tasks.idempotency;
     assert_eq!((entries.len(), entries.bytes()), (4, "sold for 7".len()));
-    // The secret is the stored one: a repeat has the sign of the task that it repeats.
-    assert_eq!(entries.sign(b"bid 1"), 15_236_941_030_769_685_157);
-    assert!(entries.differs(&mark(b"key-1"), entries.sign(b"bid 2")));
-    assert!(entries.knows(&mark(b"key-1"), 1_000_000_005_010.0));
-    assert!(!entries.knows(&mark(b"key-1"), 1_000_000_005_011.0));
+    // The secret is the stored one: a repeat has the digest of the task that it repeats.
+    assert_eq!(entries.digest(b"bid 1"), 15_236_941_030_769_685_157);
+    assert!(entries.has_other_body(&key(b"key-1"), entries.digest(b"bid 2")));
+    assert!(entries.is_repeat(&key(b"key-1"), 1_000_000_005_010.0));
+    assert!(!entries.is_repeat(&key(b"key-1"), 1_000_000_005_011.0));
     assert!(
-        matches!(entries.join(&mark(b"key-1"), 99), Fate::Passed(result) if &result[..] == b"sold for 7")
+        matches!(entries.join(&key(b"key-1"), 99), EntryState::Served(result) if &result[..] == b"sold for 7")
     );
-    assert!(matches!(entries.join(&mark(b"key-2"), 99), Fate::Failed));
-    assert!(matches!(entries.join(&mark(b"key-7"), 99), Fate::Open));
-    let waiting = entries.ended(&mark(b"key-3"), 3, 1e12, Some(b"sold".as_slice().into()));
+    assert!(matches!(
+        entries.join(&key(b"key-2"), 99),
+        EntryState::Failed
+    ));
+    assert!(matches!(
+        entries.join(&key(b"key-7"), 99),
+        EntryState::Pending
+    ));
+    let waiting = entries.complete(&key(b"key-3"), 3, 1e12, Some(b"sold".as_slice().into()));
     assert_eq!(
         waiting,
         [4],
-        "the repeat that came before still waits for it"
+        "the repeat that had joined still waits for it"
     );
 }
 
 #[test]
-fn the_keys_of_a_stored_state_judge_tokens() {
+fn keys_of_a_stored_state_are_restored() {
     use asterdale_identity::keyring::Phase;
-    let host = gone_on(STATE);
-    let keyring = host.tasks.callers.identity.as_ref().unwrap().keyring();
+    let engine = restored(STATE);
+    let keyring = engine
+        .tasks
+        .identity_gate
+        .identity
+        .as_ref()
+        .unwrap()
+        .keyring();
     assert_eq!(
         (keyring.sequence(), keyring.phase("k2", START_MS + 1.0)),
         (Some(1), Some(Phase::Active))
@@ -295,11 +344,11 @@
 }
 
 #[test]
-fn the_stored_fields_have_these_names() {
+fn stored_fields_keep_their_names() {
     let tree = tree(STATE);
-    let names = |at: &str| -> Vec<String> {
+    let names = |path: &str| -> Vec<String> {
         let mut names: Vec<String> = tree
-            .pointer(at)
+            .pointer(path)
             .and_then(Value::as_object)
             .unwrap()
             .keys()
@@ -308,7 +357,7 @@
         names.sort();
         names
     };
-    let whole = [
+    let state = [
         "callers",
         "good",
         "identity",
@@ -320,7 +369,7 @@
         "stored",
         "tasks",
     ];
-    assert_eq!(names(""), whole);
+    assert_eq!(names(""), state);
     let task = [
         "body", "caller", "handle", "id", "mark", "place", "sent", "serial", "sign", "stage",
         "started", "void", "wants", "way",
--- /dev/null
+++ b/crates/asterdale-engine/src/tasks/mod.rs
@@ -0,0 +1,14 @@
+//! The task table: every request that the server's policies know, with its body, its responder and its state. The
+//! policies' actions take effect here; nothing is decided.
+
+mod actions;
+mod commands;
+mod completion;
+mod link;
+mod record;
+mod table;
+
+#[cfg(feature = "hot-restart")]
+pub use record::SentCommand;
+pub use record::{PendingCall, TaskRecord};
+pub use table::{Tasks, TasksInit};
