--- a/crates/asterdale-daemon/src/main.rs
+++ b/crates/asterdale-daemon/src/main.rs
@@ -31,7 +31,7 @@
 use asterdale_engine::counters::Counters;
 use asterdale_engine::engine::{unix_ms, EngineSettings};
 use asterdale_engine::issuer::{self, KeyRefresh};
-use asterdale_engine::log::{error_chain, Kind, Log};
+use asterdale_engine::log::{Kind, Log};
 use asterdale_engine::message::{EngineMessage, Frontends};
 use asterdale_engine::{records, registry, runtime, Engine, EnginePorts};
 use asterdale_identity::Identity;
@@ -375,7 +375,7 @@
                 &taken.remote_connections(),
                 taken.mirror_to_old_process(),
             )
-            .map_err(|e| error_chain(&e))?;
+            .map_err(|e| asterdale_engine::log::error_chain(&e))?;
             slog::info!(log.lines, "upgrade: this process goes on"; "process" => std::process::id(), "epoch" => epoch, "gist" => ?host.summary());
             spawn("hearing", move || {
                 taken.relay_from_old_process(&mail, stages)
