--- a/crates/asterdale-daemon/src/fleet.rs
+++ b/crates/asterdale-daemon/src/fleet.rs
@@ -4,6 +4,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
+use asterdale::events::PeerCounts;
 use asterdale_engine::engine::unix_ms;
 use asterdale_engine::log::Log;
 use asterdale_engine::message::{EngineMessage, FleetView, LocalStatus, OwnershipClient};
@@ -23,14 +24,12 @@
 struct Others(Transport);
 
 impl FleetView for Others {
-    fn peer_counts(&self) -> Option<(f64, f64)> {
+    fn peer_counts(&self) -> Option<PeerCounts> {
         let there = self.0.summary.live_members();
         let own = u32::from(self.0.summary.is_local_warm());
-        (there > 0).then(|| {
-            (
-                f64::from(there - 1),
-                f64::from(self.0.summary.warm_members().saturating_sub(own)),
-            )
+        (there > 0).then(|| PeerCounts {
+            present: f64::from(there - 1),
+            ready: f64::from(self.0.summary.warm_members().saturating_sub(own)),
         })
     }
 
@@ -101,7 +100,7 @@
         self.custody.request(number, want);
     }
 
-    fn forget(&self, number: u64) {
+    fn cancel(&self, number: u64) {
         self.custody.cancel(number);
     }
 
@@ -121,7 +120,7 @@
         self.custody.lease_ms()
     }
 
-    fn leave(&self) {
+    fn release_all(&self) {
         self.custody.leave();
     }
 }
@@ -197,7 +196,7 @@
             OwnershipNotification::OwnerlessRequests(all) => EngineMessage::OwnerlessRequests(all),
             OwnershipNotification::Log(word) => return told_of(&words, &word),
             OwnershipNotification::StorageFailed(why) => {
-                return slog::error!(words, "takeover: this process is no keeper any more, its disk failed"; "why" => why);
+                return slog::error!(words, "takeover: this process is no keeper any more, its disk failed"; "why" => %why);
             }
         };
         // The host takes its mail at once; while its box is full everybody waits for it.
@@ -358,11 +357,11 @@
         },
     }
 
-    fn watch(at: &At, every_ms: u64) -> Result<(), String> {
+    fn watch(at: &At, every_ms: u64) -> Result<(), control::ControlError> {
         let mut held: BTreeMap<String, (u64, String)> = BTreeMap::new();
         loop {
             let shown = control::show(&at.control)?;
-            let all = std::iter::once(&shown.me).chain(&shown.members);
+            let all = std::iter::once(&shown.local).chain(&shown.members);
             let now: BTreeMap<_, _> = all
                 .map(|m| (m.name.clone(), (m.generation, m.status.clone())))
                 .collect();
@@ -426,14 +425,14 @@
                     shown.to_table()
                 };
                 println!("{text}");
-                if shown.certain {
+                if shown.has_majority {
                     ExitCode::SUCCESS
                 } else {
                     ExitCode::FAILURE
                 }
             }),
             Command::Watch { at, every_ms } => watch(at, *every_ms).map(|()| ExitCode::SUCCESS),
-            Command::Keepers { at, json } => control::keepers(&at.control).map(|shown| {
+            Command::Keepers { at, json } => control::replica_status(&at.control).map(|shown| {
                 println!(
                     "{}",
                     if *json {
