--- a/crates/asterdale-engine/src/access.rs
+++ b/crates/asterdale-engine/src/access.rs
@@ -10,7 +10,7 @@
 use crate::message::{request_id_text, IdempotencyKey, KeyRefresh, Reply, RequestId, TaskId};
 use crate::tasks::{Slot, Tasks};
 
-fn turned_away(log: &Log, id: &RequestId, stage: &str, tenant: &str, why: Why) {
+fn log_denied(log: &Log, id: &RequestId, stage: &str, tenant: &str, why: Why) {
     static AWAY: Kind = Kind::new();
     if log.allows(&AWAY) {
         slog::warn!(log.lines, "identity: a caller is turned away";
@@ -20,14 +20,14 @@
 
 impl Tasks {
     /// The first gate: who is calling. The mark is the tenant's from then on. Nothing of the module is touched.
-    pub fn who(
+    pub fn identify_caller(
         &mut self,
         ask: Ask<'_>,
         (id, stage): (RequestId, usize),
         mark: &mut Option<IdempotencyKey>,
     ) -> Result<Option<Arc<Caller>>, Reply> {
         let now = self.now;
-        let Some(identity) = &mut self.callers.identity else {
+        let Some(identity) = &mut self.identity_gate.identity else {
             return Ok(None);
         };
         match identity.identify(now, ask) {
@@ -41,17 +41,17 @@
                 Ok(Some(caller))
             }
             Err(denied) => {
-                if let (Why::KeyUnknown, Some(issuer)) = (denied.why, &self.callers.issuer) {
+                if let (Why::KeyUnknown, Some(issuer)) = (denied.why, &self.identity_gate.issuer) {
                     let _ = issuer.try_send(KeyRefresh::Requested);
                 }
-                turned_away(
+                log_denied(
                     &self.log,
                     &id,
-                    &self.facts.class_names[stage],
+                    &self.settings.class_names[stage],
                     "",
                     denied.why,
                 );
-                let reply = self.callers.reply(denied);
+                let reply = self.identity_gate.denial_reply(denied);
                 // A caller that can't be judged is told that this try never ran. That is so; but of a key under
                 // which something has run, whoever's it is, nothing is said that could be taken for more.
                 let unable = denied.why.kind() == Said::Unable;
@@ -68,11 +68,11 @@
 
     /// Whether any tenant's task is remembered under this mark.
     fn known_somewhere(&self, mark: Option<&IdempotencyKey>, arrived: f64) -> bool {
-        let (Some(mark), Some(identity)) = (mark, &self.callers.identity) else {
+        let (Some(mark), Some(identity)) = (mark, &self.identity_gate.identity) else {
             return false;
         };
         (0..identity.rights().tenants()).any(|tenant| {
-            self.fingerprints.knows(
+            self.idempotency.is_repeat(
                 &IdempotencyKey {
                     tenant,
                     ..mark.clone()
@@ -83,35 +83,35 @@
     }
 
     /// The second gate: whether this caller may have this task now.
-    pub fn may(
+    pub fn permit_request(
         &mut self,
         caller: Option<&Caller>,
         (id, stage): (RequestId, usize),
         hint_ms: Option<f64>,
         repeat: bool,
     ) -> Result<Option<Seat>, Reply> {
-        let (Some(identity), Some(caller)) = (&mut self.callers.identity, caller) else {
+        let (Some(identity), Some(caller)) = (&mut self.identity_gate.identity, caller) else {
             return Ok(None);
         };
         identity
             .permit(self.now, caller, stage, hint_ms, repeat)
             .map_err(|denied| {
                 let tenant = &caller.claims.tenant;
-                turned_away(
+                log_denied(
                     &self.log,
                     &id,
-                    &self.facts.class_names[stage],
+                    &self.settings.class_names[stage],
                     tenant,
                     denied.why,
                 );
-                self.callers.reply(denied)
+                self.identity_gate.denial_reply(denied)
             })
     }
 
     /// Tasks that wait for an answer, have not been started, and whose caller is revoked by now; with what to
     /// tell him.
-    pub fn revoked(&self) -> Vec<(TaskId, Reply)> {
-        let Some(identity) = &self.callers.identity else {
+    pub fn revoked_tasks(&self) -> Vec<(TaskId, Reply)> {
+        let Some(identity) = &self.identity_gate.identity else {
             return Vec::new();
         };
         let revoked = |slot: &Slot| {
@@ -120,8 +120,8 @@
                 .as_ref()
                 .filter(|_| slot.back.is_some() && !slot.started)?;
             Some((
-                slot.serial,
-                self.callers.reply(identity.revoked(caller)?.into()),
+                slot.number,
+                self.identity_gate.denial_reply(identity.revoked(caller)?.into()),
             ))
         };
         self.slots.iter().flatten().filter_map(revoked).collect()
--- a/crates/asterdale-engine/src/checks.rs
+++ b/crates/asterdale-engine/src/checks.rs
@@ -16,6 +16,6 @@
 }
 
 /// Ends a check.
-pub(crate) fn checked(client: &Arc<dyn Connection>, request: u16, good: bool) {
+pub(crate) fn answer_health_check(client: &Arc<dyn Connection>, request: u16, good: bool) {
     client.clone().answer(request, Reply::HealthChecked(good));
 }
--- a/crates/asterdale-engine/src/draining.rs
+++ b/crates/asterdale-engine/src/draining.rs
@@ -14,51 +14,51 @@
 const HUSH: Duration = Duration::from_millis(50);
 
 impl Engine {
-    pub(crate) fn leave(&mut self) {
-        if self.leave_by.is_some() {
+    pub(crate) fn drain(&mut self) {
+        if self.drain_deadline.is_some() {
             return;
         }
-        let left_ms = self.stop_ms - self.way_out_ms();
+        let left_ms = self.termination_grace_ms - self.close_allowance_ms();
         slog::info!(self.tasks.log.lines, "host: leaving"; "answers_within_ms" => left_ms);
-        self.leave_by = Some(Instant::now() + Duration::from_millis(left_ms as u64));
-        self.list.send(RegistryCommand::Drain);
-        self.begin(false, 0.0);
+        self.drain_deadline = Some(Instant::now() + Duration::from_millis(left_ms as u64));
+        self.registry.send(RegistryCommand::Drain);
+        self.start_server(false, 0.0);
         #[cfg(feature = "ownership")]
-        self.tasks.desk.leaves_by(self.tasks.now + left_ms);
+        self.tasks.ownership.leaves_by(self.tasks.now + left_ms);
         if let Some(server) = &mut self.server {
             server.drain(self.tasks.now, left_ms, &mut self.tasks);
         }
     }
 
     /// After all that was read is answered: lets the connections end, and waits for them.
-    pub(crate) fn left(&mut self, mailbox: &Receiver<EngineMessage>) -> bool {
-        self.tasks.fronts.stop_listening();
-        let last = Instant::now() + Duration::from_millis((0.8 * self.way_out_ms()) as u64);
+    pub(crate) fn close_connections(&mut self, mailbox: &Receiver<EngineMessage>) -> bool {
+        self.tasks.frontends.stop_listening();
+        let last = Instant::now() + Duration::from_millis((0.8 * self.close_allowance_ms()) as u64);
         let mut hush = Instant::now();
-        while self.tasks.fronts.open_connections() > 0 && Instant::now() < last {
+        while self.tasks.frontends.open_connections() > 0 && Instant::now() < last {
             // Again and again: connections that were accepted last have had time to bring their request.
             if Instant::now() >= hush {
-                self.tasks.fronts.end_answered_connections();
+                self.tasks.frontends.end_answered_connections();
                 hush += HUSH;
             }
             if let Ok(mail) = mailbox.recv_timeout(Duration::from_millis(2)) {
                 self.handle(mail);
             }
             self.tasks.now = self.clock.now();
-            if self.tasks.now >= self.tasks.wake_at {
-                self.beat();
+            if self.tasks.now >= self.tasks.next_tick_at {
+                self.tick();
             }
             #[cfg(feature = "ownership")]
             self.custody_tick();
         }
         #[cfg(feature = "ownership")]
-        self.tasks.desk.leave();
-        let open = self.tasks.fronts.open_connections();
+        self.tasks.ownership.leave();
+        let open = self.tasks.frontends.open_connections();
         slog::info!(self.tasks.log.lines, "host: left"; "connections" => open);
         true
     }
 
-    pub(crate) fn way_out_ms(&self) -> f64 {
-        WAY_OUT_MS.min(self.stop_ms / 4.0)
+    pub(crate) fn close_allowance_ms(&self) -> f64 {
+        WAY_OUT_MS.min(self.termination_grace_ms / 4.0)
     }
 }
--- a/crates/asterdale-engine/src/engine.rs
+++ b/crates/asterdale-engine/src/engine.rs
@@ -17,7 +17,7 @@
 use crate::clock::Clock;
 use crate::counters::{resident_kib, Counters};
 use crate::idempotency::IdempotencyTable;
-use crate::identity_gate::Callers;
+use crate::identity_gate::IdentityGate;
 use crate::log::Log;
 use crate::mailbox::MailboxSender;
 use crate::message::{
@@ -25,7 +25,7 @@
     Reply, Request, RequestHead, ResponseRoute, RuntimeLinkCommand, TaskId,
 };
 use crate::records::Records;
-use crate::tasks::{Link, Slot, Tasks};
+use crate::tasks::{RuntimeLink, Slot, Tasks};
 
 /// Gauges are asked for so long before the beat that uses them: several times what the answer takes.
 const AHEAD_MS: f64 = 1.5;
@@ -83,30 +83,30 @@
     pub(crate) clock: Clock,
     pub(crate) gauges: Gauges,
     /// When they came.
-    pub(crate) read_at: f64,
+    pub(crate) gauges_at: f64,
     /// Small indices of the callers, by their number.
-    pub(crate) callers: HashMap<u32, usize>,
+    pub(crate) edge_node_indexes: HashMap<u32, usize>,
     /// Deep checks that wait for the runtime, by their number.
-    pub(crate) checks: HashMap<TaskId, Check>,
+    pub(crate) health_checks: HashMap<TaskId, Check>,
     /// The last call got a reply, whatever it said.
-    pub(crate) records_well: bool,
+    pub(crate) records_reachable: bool,
     /// When to ask for gauges.
-    pub(crate) ask_at: f64,
-    pub(crate) stop_ms: f64,
+    pub(crate) gauges_due_at: f64,
+    pub(crate) termination_grace_ms: f64,
     /// Where the peers listen.
-    pub(crate) peers: Endpoints,
-    pub(crate) list: MailboxSender<RegistryCommand>,
-    pub(crate) moves: Sender<RuntimeLinkCommand>,
-    company: Option<Arc<dyn FleetView>>,
+    pub(crate) endpoints: Endpoints,
+    pub(crate) registry: MailboxSender<RegistryCommand>,
+    pub(crate) runtime_link: Sender<RuntimeLinkCommand>,
+    fleet: Option<Arc<dyn FleetView>>,
     /// How long the runtime had been up when it last said so.
     pub(crate) runtime_up_ms: Option<f64>,
     /// Until when it counts as cold, once the module has begun.
-    pub(crate) cold_until: f64,
+    pub(crate) warming_up_until: f64,
     /// When all must be answered, once the notice has come.
-    pub(crate) leave_by: Option<Instant>,
+    pub(crate) drain_deadline: Option<Instant>,
     /// Whether the work is another process's, or about to be.
     #[cfg(feature = "hot-restart")]
-    pub(crate) aside: crate::paused::Aside,
+    pub(crate) paused: crate::paused::PausedState,
 }
 
 impl Engine {
@@ -142,63 +142,63 @@
             server: None,
             tasks: Tasks {
                 now: clock.now(),
-                wake_at: f64::INFINITY,
+                next_tick_at: f64::INFINITY,
                 slots: Vec::new(),
                 by_id: HashMap::new(),
-                by_serial: HashMap::new(),
-                by_way: HashMap::new(),
-                serial: 0,
+                by_number: HashMap::new(),
+                by_route: HashMap::new(),
+                last_number: 0,
                 arriving: None,
-                fingerprints: IdempotencyTable::new(memory, longest, facts.decisions.seed),
-                callers: Callers::new(identity, issuer, &counters),
-                joined: VecDeque::new(),
-                not_begun: VecDeque::new(),
-                not_started: VecDeque::new(),
+                idempotency: IdempotencyTable::new(memory, longest, facts.decisions.seed),
+                identity_gate: IdentityGate::new(identity, issuer, &counters),
+                joined_results: VecDeque::new(),
+                calls_not_made: VecDeque::new(),
+                runs_not_started: VecDeque::new(),
                 #[cfg(feature = "hot-restart")]
                 mirror: None,
                 #[cfg(feature = "hot-restart")]
-                elsewhere: HashMap::new(),
+                started_by_successor: HashMap::new(),
                 #[cfg(feature = "ownership")]
-                desk: crate::ownership::Desk::new(custody),
-                link: Link::default(),
+                ownership: crate::ownership::Desk::new(custody),
+                runtime: RuntimeLink::default(),
                 records,
-                fronts,
-                good: true,
-                stored: true,
+                frontends: fronts,
+                is_healthy: true,
+                health_is_cached: true,
                 counters,
                 log,
-                facts,
+                settings: facts,
             },
             clock,
             gauges: Gauges::default(),
-            read_at: 0.0,
-            callers: HashMap::new(),
-            checks: HashMap::new(),
-            records_well: true,
-            ask_at: f64::INFINITY,
-            stop_ms,
-            peers,
-            list,
-            moves,
-            company,
+            gauges_at: 0.0,
+            edge_node_indexes: HashMap::new(),
+            health_checks: HashMap::new(),
+            records_reachable: true,
+            gauges_due_at: f64::INFINITY,
+            termination_grace_ms: stop_ms,
+            endpoints: peers,
+            registry: list,
+            runtime_link: moves,
+            fleet: company,
             runtime_up_ms: None,
-            cold_until: f64::INFINITY,
-            leave_by: None,
+            warming_up_until: f64::INFINITY,
+            drain_deadline: None,
             #[cfg(feature = "hot-restart")]
-            aside: crate::paused::Aside::default(),
+            paused: crate::paused::PausedState::default(),
         }
     }
 
     /// Handles mail, or keeps it, or carries it to another process: whosever the work is.
     #[cfg(feature = "hot-restart")]
-    pub(crate) fn take_mail(&mut self, mail: EngineMessage, mailbox: &Receiver<EngineMessage>) {
-        let mail = if self.aside.stands() {
-            self.carry(mail)
+    pub(crate) fn dispatch(&mut self, mail: EngineMessage, mailbox: &Receiver<EngineMessage>) {
+        let mail = if self.paused.is_paused() {
+            self.forward_to_successor(mail)
         } else {
             Some(mail)
         };
         match mail {
-            Some(EngineMessage::HotRestart(step)) => self.step(step, mailbox),
+            Some(EngineMessage::HotRestart(step)) => self.hot_restart_step(step, mailbox),
             Some(mail) => self.handle(mail),
             None => {}
         }
@@ -213,22 +213,22 @@
     pub fn run(&mut self, mailbox: &Receiver<EngineMessage>) {
         let mut sweep = Instant::now() + SWEEP;
         loop {
-            let wait = (self.tasks.wake_at.min(self.ask_at) - self.clock.now()).clamp(0.0, 50.0);
+            let wait = (self.tasks.next_tick_at.min(self.gauges_due_at) - self.clock.now()).clamp(0.0, 50.0);
             match mailbox.recv_timeout(Duration::from_micros((wait * 1000.0) as u64)) {
-                Ok(mail) => self.take_mail(mail, mailbox),
+                Ok(mail) => self.dispatch(mail, mailbox),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             #[cfg(feature = "hot-restart")]
-            if self.aside.stands() && self.guard(mailbox) {
+            if self.paused.is_paused() && self.guard_successor(mailbox) {
                 return;
             }
             self.tasks.now = self.clock.now();
-            if self.tasks.now >= self.ask_at {
-                self.ask();
+            if self.tasks.now >= self.gauges_due_at {
+                self.request_gauges();
             }
-            if self.tasks.now >= self.tasks.wake_at {
-                self.beat();
+            if self.tasks.now >= self.tasks.next_tick_at {
+                self.tick();
             }
             #[cfg(feature = "ownership")]
             self.custody_tick();
@@ -237,7 +237,7 @@
                 sweep = at + SWEEP;
                 self.sweep();
             }
-            if self.leave_by.is_some_and(|by| at >= by) && self.left(mailbox) {
+            if self.drain_deadline.is_some_and(|by| at >= by) && self.close_connections(mailbox) {
                 return;
             }
         }
@@ -247,22 +247,22 @@
     /// may never have begun.
     fn sweep(&mut self) {
         self.company();
-        self.tasks.fingerprints.sweep(self.tasks.now);
-        self.tasks.send_again(false);
-        self.checks_lapse();
+        self.tasks.idempotency.sweep(self.tasks.now);
+        self.tasks.resend(false);
+        self.expire_health_checks();
     }
 
     /// Says to the other processes of the fleet what this one is doing, and hears how many there are.
     fn company(&mut self) {
-        let Some(company) = &self.company else { return };
+        let Some(company) = &self.fleet else { return };
         let load = self
             .gauges
             .cpu
             .map_or(0.0, |cpu| (cpu * 100.0).clamp(0.0, 100.0));
-        let cold = self.tasks.now < self.cold_until;
-        let leaves = self.leave_by.is_some();
+        let cold = self.tasks.now < self.warming_up_until;
+        let leaves = self.drain_deadline.is_some();
         company.publish_status(LocalStatus {
-            accepts_work: self.tasks.good && !leaves,
+            accepts_work: self.tasks.is_healthy && !leaves,
             warming_up: cold,
             draining: leaves,
             load: load as u8,
@@ -280,40 +280,40 @@
                 client,
                 request,
                 deep,
-            } => self.check(client, request, deep),
+            } => self.health_check(client, request, deep),
             EngineMessage::Abort(way) => {
                 #[cfg(feature = "ownership")]
                 self.tasks.left_parked(|parked| parked == way);
-                self.leave_task(way);
+                self.abort_request(way);
             }
             EngineMessage::ConnectionClosed(connection) => {
                 #[cfg(feature = "ownership")]
                 self.tasks
                     .left_parked(|parked| parked.connection == connection);
-                self.gone(connection);
+                self.close_connection(connection);
             }
-            EngineMessage::RuntimeConnected(commands) => self.linked(commands),
+            EngineMessage::RuntimeConnected(commands) => self.runtime_connected(commands),
             EngineMessage::RuntimeDisconnected => {
-                self.tasks.link.commands = None;
-                self.checks_end();
+                self.tasks.runtime.commands = None;
+                self.fail_health_checks();
             }
-            EngineMessage::RuntimeNotice(line) => self.line(line),
+            EngineMessage::RuntimeNotice(line) => self.runtime_notice(line),
             EngineMessage::CallEnded {
                 task,
                 outcome,
                 duration_ms: took_ms,
                 body,
-            } => self.called(task, outcome, took_ms, &body),
-            EngineMessage::KeySet(set) => self.keys(&set),
+            } => self.call_ended(task, outcome, took_ms, &body),
+            EngineMessage::KeySet(set) => self.adopt_key_set(&set),
             EngineMessage::Reloaded(peers, facts) => {
-                self.tasks.callers.retold(facts, &self.tasks.log);
-                self.moved(peers);
+                self.tasks.identity_gate.reload(facts, &self.tasks.log);
+                self.endpoints_changed(peers);
             }
             #[cfg(feature = "ownership")]
             EngineMessage::OwnershipAnswer(number, answer) => self.kept(number, answer),
             #[cfg(feature = "ownership")]
             EngineMessage::OwnerlessRequests(all) => self.offered(all),
-            EngineMessage::Drain => self.leave(),
+            EngineMessage::Drain => self.drain(),
             EngineMessage::PrintCounters => self.print_counters(),
             #[cfg(feature = "hot-restart")]
             EngineMessage::HotRestart(_) => {}
@@ -322,12 +322,12 @@
     }
 
     /// Starts the module, unless it has begun.
-    pub(crate) fn begin(&mut self, cold: bool, ago_ms: f64) {
+    pub(crate) fn start_server(&mut self, cold: bool, ago_ms: f64) {
         if self.server.is_none() {
-            let mut told = self.tasks.facts.decisions.clone();
+            let mut told = self.tasks.settings.decisions.clone();
             told.slow_start |= cold;
             // The notice to leave may lie as long as answers may, before it is heeded: the grace began then.
-            told.drain_grace_ms = (told.drain_grace_ms - self.way_out_ms()).max(0.0);
+            told.drain_grace_ms = (told.drain_grace_ms - self.close_allowance_ms()).max(0.0);
             slog::info!(self.tasks.log.lines, "host: begun"; "cold" => told.slow_start, "ago_ms" => ago_ms);
             // A cold server warms from the runtime's start on.
             let since = if told.slow_start {
@@ -335,7 +335,7 @@
             } else {
                 0.0
             };
-            self.cold_until = if told.slow_start {
+            self.warming_up_until = if told.slow_start {
                 self.tasks.now - since + told.slow_start_ms
             } else {
                 self.tasks.now
@@ -344,17 +344,17 @@
         }
     }
 
-    pub(crate) fn beat(&mut self) {
+    pub(crate) fn tick(&mut self) {
         let (now, tasks) = (self.tasks.now, &mut self.tasks);
         // While a link is made anew the last gauges still tell more than none; old ones tell nothing.
-        if now >= self.read_at + STALE_MS {
+        if now >= self.gauges_at + STALE_MS {
             self.gauges = Gauges::default();
         }
         if let Some(server) = &mut self.server {
             server.tick(now, self.gauges, tasks);
         }
         self.settle();
-        self.ask_at = self.tasks.wake_at - AHEAD_MS;
+        self.gauges_due_at = self.tasks.next_tick_at - AHEAD_MS;
     }
 
     fn take(&mut self, request: Request) {
@@ -386,7 +386,7 @@
             idempotency_key: mut mark,
         } = asked;
         let tasks = &mut self.tasks;
-        if tasks.by_way.contains_key(&ResponseRoute {
+        if tasks.by_route.contains_key(&ResponseRoute {
             connection: client.connection_id(),
             request,
         }) {
@@ -404,7 +404,7 @@
             edge: caller,
             arrived_ms: tasks.now - unread_ms,
         };
-        let who = match tasks.who(ask, (id, stage), &mut mark) {
+        let who = match tasks.identify_caller(ask, (id, stage), &mut mark) {
             Ok(who) => who,
             Err(reply) => return client.answer(request, reply),
         };
@@ -412,10 +412,10 @@
             tasks.counters.tasks_malformed.add();
             return client.answer(request, Reply::Malformed);
         }
-        let sign = tasks.fingerprints.sign(&body);
+        let sign = tasks.idempotency.digest(&body);
         if mark
             .as_ref()
-            .is_some_and(|mark| tasks.fingerprints.differs(mark, sign))
+            .is_some_and(|mark| tasks.idempotency.has_other_body(mark, sign))
         {
             // Another task under a known key: its result is not this one's.
             tasks.counters.tasks_malformed.add();
@@ -423,14 +423,14 @@
         }
         let repeat = mark
             .as_ref()
-            .is_some_and(|mark| tasks.fingerprints.knows(mark, tasks.now - since_ms));
+            .is_some_and(|mark| tasks.idempotency.is_repeat(mark, tasks.now - since_ms));
         #[cfg(feature = "ownership")]
         let mut kept = None;
         #[cfg(feature = "ownership")]
         if let Some(mark) = mark.as_ref().filter(|_| !repeat) {
             let owner = who.as_deref().map_or("", |who| &who.claims.tenant);
             let left_ms =
-                timeout_ms.unwrap_or(tasks.facts.decisions.classes[stage].deadline_ms) - since_ms;
+                timeout_ms.unwrap_or(tasks.settings.decisions.classes[stage].deadline_ms) - since_ms;
             kept = tasks.keeps(mark, owner, (left_ms, hint_ms, kb), &body);
             if let (Some(kept), false) = (&kept, looked) {
                 let mark = Some(mark.clone());
@@ -457,31 +457,31 @@
                 return tasks.look(request, kept);
             }
         }
-        let marked = tasks.facts.decisions.classes[stage].idempotency == Idempotency::Keyed;
-        if marked && !repeat && tasks.fingerprints.is_full() {
+        let marked = tasks.settings.decisions.classes[stage].idempotency == Idempotency::Keyed;
+        if marked && !repeat && tasks.idempotency.is_full() {
             // It could not be remembered, and so must not run.
             tasks.counters.requests_overloaded.add();
             return client.answer(request, Reply::Overloaded);
         }
-        let seat = match tasks.may(who.as_deref(), (id, stage), hint_ms, repeat) {
+        let seat = match tasks.permit_request(who.as_deref(), (id, stage), hint_ms, repeat) {
             Ok(seat) => seat,
             Err(reply) => return client.answer(request, reply),
         };
         tasks.counters.tasks_taken.add();
         tasks.counters.tasks_open.add();
-        if self.callers.len() >= MOST_CALLERS {
-            self.callers.clear();
+        if self.edge_node_indexes.len() >= MOST_CALLERS {
+            self.edge_node_indexes.clear();
         }
         let left_ms = timeout_ms.map(|ms| (ms - since_ms).max(0.0));
         #[cfg(feature = "ownership")]
         let left_ms = kept
             .as_ref()
             .map_or(left_ms, |kept| Some(kept.of_use_ms(tasks.now)));
-        let next = self.callers.len();
-        let caller = *self.callers.entry(caller).or_insert(next);
+        let next = self.edge_node_indexes.len();
+        let caller = *self.edge_node_indexes.entry(caller).or_insert(next);
         let arrival = Arrival {
             class: stage,
-            tenant: tasks.callers.customer(who.as_deref(), tenant),
+            tenant: tasks.identity_gate.tenant_index(who.as_deref(), tenant),
             caller,
             unread_ms,
             remaining_ms: left_ms,
@@ -489,29 +489,29 @@
             memory_kb: kb,
             is_repeat: repeat,
         };
-        tasks.serial += 1;
-        let (serial, back) = (tasks.serial, Some((client, request)));
+        tasks.last_number += 1;
+        let (serial, back) = (tasks.last_number, Some((client, request)));
         let (caller, started, void, wants, sent) = (who, false, false, None, None);
         tasks.arriving = Some(Slot {
-            serial,
+            number: serial,
             id,
-            stage,
+            class: stage,
             body,
-            sign,
+            body_digest: sign,
             back,
-            mark,
+            idempotency_key: mark,
             caller,
-            seat,
+            quota_seat: seat,
             started,
-            void,
+            must_not_start: void,
             #[cfg(feature = "ownership")]
-            kept,
-            wants,
-            sent,
+            ownership: kept,
+            pending_call: wants,
+            last_command: sent,
         });
         // No request comes before the runtime is up, but for one by a list that is out of date: until the runtime says
         // otherwise the server counts as one that has just started.
-        self.begin(true, 0.0);
+        self.start_server(true, 0.0);
         if let Some(server) = &mut self.server {
             server.receive(self.tasks.now, arrival, &mut self.tasks);
         }
@@ -519,23 +519,23 @@
 
     /// A set of keys has come. Whoever is revoked by it hears so at once where nothing runs for him yet; what
     /// runs goes on, and its result is kept.
-    fn keys(&mut self, set: &[u8]) {
+    fn adopt_key_set(&mut self, set: &[u8]) {
         if !self
             .tasks
-            .callers
-            .offer(self.tasks.now, set, &self.tasks.log)
+            .identity_gate
+            .adopt_key_set(self.tasks.now, set, &self.tasks.log)
         {
             return;
         }
         // All are answered before the module hears of the first: what it frees must start none of the others.
-        let revoked = self.tasks.revoked();
+        let revoked = self.tasks.revoked_tasks();
         for (serial, reply) in &revoked {
             let tasks = &mut self.tasks;
-            let Some(task) = tasks.by_serial.get(serial).copied() else {
+            let Some(task) = tasks.by_number.get(serial).copied() else {
                 continue;
             };
             if let Some(slot) = tasks.slot(task) {
-                slot.void = true;
+                slot.must_not_start = true;
             }
             tasks.answer(task, reply.clone());
             tasks.counters.tasks_revoked.add();
@@ -544,18 +544,18 @@
             let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
                 return;
             };
-            if let Some(task) = tasks.by_serial.get(&serial).copied() {
+            if let Some(task) = tasks.by_number.get(&serial).copied() {
                 task.caller_gone(server, tasks.now, tasks);
             }
         }
     }
 
     /// Nobody waits any more for this request.
-    fn leave_task(&mut self, way: ResponseRoute) {
+    fn abort_request(&mut self, way: ResponseRoute) {
         let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
             return;
         };
-        let Some(task) = tasks.by_way.remove(&way) else {
+        let Some(task) = tasks.by_route.remove(&way) else {
             return;
         };
         let Some((client, request)) = tasks.slot(task).and_then(|slot| slot.back.take()) else {
@@ -573,14 +573,14 @@
     }
 
     /// A connection broke: nobody waits for what is open on it.
-    fn gone(&mut self, connection: u64) {
+    fn close_connection(&mut self, connection: u64) {
         let all = self
             .tasks
-            .by_way
+            .by_route
             .keys()
             .filter(|way| way.connection == connection);
         for way in all.copied().collect::<Vec<_>>() {
-            self.leave_task(way);
+            self.abort_request(way);
         }
     }
 
@@ -590,13 +590,13 @@
             return;
         };
         loop {
-            if let Some((who, result)) = tasks.joined.pop_front() {
-                let Some(task) = tasks.by_serial.get(&who).copied() else {
+            if let Some((who, result)) = tasks.joined_results.pop_front() {
+                let Some(task) = tasks.by_number.get(&who).copied() else {
                     continue;
                 };
                 let outcome = match result {
                     Some(result) => {
-                        if tasks.finished(task, result) {
+                        if tasks.answer_served(task, result) {
                             tasks.counters.tasks_joined.add();
                         }
                         Outcome::Ok
@@ -604,19 +604,19 @@
                     #[cfg(feature = "ownership")]
                     None if tasks.heard_in_vain(task) => Outcome::Failed,
                     None => {
-                        tasks.failed(task);
+                        tasks.answer_failed(task);
                         Outcome::Failed
                     }
                 };
                 task.run_ended(server, tasks.now, outcome, tasks);
-            } else if let Some(who) = tasks.not_begun.pop_front() {
-                let Some(task) = tasks.by_serial.get(&who).copied() else {
+            } else if let Some(who) = tasks.calls_not_made.pop_front() {
+                let Some(task) = tasks.by_number.get(&who).copied() else {
                     continue;
                 };
                 tasks.counters.calls_failed.add();
                 task.call_ended(server, tasks.now, Outcome::Unreachable, 0.0, tasks);
-            } else if let Some(who) = tasks.not_started.pop_front() {
-                let Some(task) = tasks.by_serial.get(&who).copied() else {
+            } else if let Some(who) = tasks.runs_not_started.pop_front() {
+                let Some(task) = tasks.by_number.get(&who).copied() else {
                     continue;
                 };
                 tasks.drop_idempotency_entry(task); // nothing was started: another of its tenant's may still run
@@ -633,10 +633,10 @@
         tasks
             .counters
             .idempotency_keys
-            .set(tasks.fingerprints.len());
-        tasks.counters.result_bytes.set(tasks.fingerprints.bytes());
+            .set(tasks.idempotency.len());
+        tasks.counters.result_bytes.set(tasks.idempotency.bytes());
         tasks.counters.memory_kib.set(resident_kib());
-        tasks.callers.count();
+        tasks.identity_gate.update_counters();
         slog::info!(tasks.log.lines, "counters: {}", tasks.counters);
     }
 }
--- a/crates/asterdale-engine/src/identity_gate.rs
+++ b/crates/asterdale-engine/src/identity_gate.rs
@@ -16,21 +16,21 @@
 const AGAIN: f64 = 1000.0;
 
 /// The gate.
-pub struct Callers {
+pub struct IdentityGate {
     pub(crate) identity: Option<Identity>,
     counters: Arc<Counters>,
     /// Hears of keys that no set has held.
     pub(crate) issuer: Option<Sender<KeyRefresh>>,
 }
 
-impl Callers {
+impl IdentityGate {
     /// A gate that asks this; an open one where there is none.
     pub fn new(
         identity: Option<Identity>,
         issuer: Option<Sender<KeyRefresh>>,
         counters: &Arc<Counters>,
-    ) -> Callers {
-        Callers {
+    ) -> IdentityGate {
+        IdentityGate {
             identity,
             issuer,
             counters: counters.clone(),
@@ -39,7 +39,7 @@
 
     /// The start file was read again. A gate can't be opened or closed that way: what it let in would lose its
     /// tenant, or have none.
-    pub fn retold(&mut self, facts: Option<Box<Facts>>, log: &Log) {
+    pub fn reload(&mut self, facts: Option<Box<Facts>>, log: &Log) {
         let why = match (&mut self.identity, facts) {
             (Some(identity), Some(facts)) => match identity.retold(*facts) {
                 Ok(()) => return,
@@ -53,7 +53,7 @@
     }
 
     /// Offers a set of keys; `true` if it is another one than before.
-    pub fn offer(&mut self, now: f64, set: &[u8], log: &Log) -> bool {
+    pub fn adopt_key_set(&mut self, now: f64, set: &[u8], log: &Log) -> bool {
         static REFUSED: Kind = Kind::new();
         let Some(identity) = &mut self.identity else {
             return false;
@@ -78,13 +78,13 @@
 
     /// What a process that goes on needs.
     #[cfg(feature = "hot-restart")]
-    pub fn pass(&self) -> Option<asterdale_identity::Passed> {
+    pub fn export(&self) -> Option<asterdale_identity::Passed> {
         self.identity.as_ref().map(Identity::pass)
     }
 
     /// Goes on where another process stood. Nothing may have been asked here yet.
     #[cfg(feature = "hot-restart")]
-    pub fn go_on(&mut self, now: f64, passed: asterdale_identity::Passed) -> Result<(), String> {
+    pub fn import(&mut self, now: f64, passed: asterdale_identity::Passed) -> Result<(), String> {
         match &mut self.identity {
             Some(identity) => identity.continue_from(now, passed),
             None => Err("identity is on in the state, and off in the start file".to_owned()),
@@ -93,19 +93,19 @@
 
     /// Whose place this is, and by which role.
     #[cfg(feature = "hot-restart")]
-    pub fn place(&self, seat: &Seat) -> Option<(u32, String)> {
+    pub fn seat_key(&self, seat: &Seat) -> Option<(u32, String)> {
         self.identity.as_ref().map(|identity| identity.place(seat))
     }
 
     /// Takes up a place that a task has had already.
     #[cfg(feature = "hot-restart")]
-    pub fn replace(&mut self, place: &(u32, String)) -> Option<Seat> {
+    pub fn restore_seat(&mut self, place: &(u32, String)) -> Option<Seat> {
         self.identity.as_mut()?.replace(place)
     }
 
     /// The customer that a caller's requests count for. Where callers are known that is by what they have proven, and
     /// not by what the edge node says.
-    pub fn customer(&self, caller: Option<&Caller>, said: u32) -> usize {
+    pub fn tenant_index(&self, caller: Option<&Caller>, said: u32) -> usize {
         match (&self.identity, caller) {
             (Some(identity), Some(caller)) => identity.customer(caller.tenant),
             _ => said as usize,
@@ -113,14 +113,14 @@
     }
 
     /// A task is over: its place is given back here, and nowhere else.
-    pub fn leave(&mut self, seat: Option<Seat>) {
+    pub fn release_seat(&mut self, seat: Option<Seat>) {
         if let (Some(identity), Some(seat)) = (&mut self.identity, seat) {
             identity.leave(seat);
         }
     }
 
     /// Counts what is kept.
-    pub fn count(&self) {
+    pub fn update_counters(&self) {
         if let Some(identity) = &self.identity {
             let (checked, kept) = identity.cost();
             self.counters.signatures.set(checked as usize);
@@ -128,7 +128,7 @@
         }
     }
 
-    pub(crate) fn reply(&self, denied: Denied) -> Reply {
+    pub(crate) fn denial_reply(&self, denied: Denied) -> Reply {
         let kind = denied.why.kind();
         match kind {
             Said::Unknown => self.counters.callers_unknown.add(),
--- a/crates/asterdale-engine/src/ownership.rs
+++ b/crates/asterdale-engine/src/ownership.rs
@@ -258,13 +258,13 @@
         (left_ms, hint_ms, kb): (f64, Option<f64>, f64),
         body: &[u8],
     ) -> Option<Kept> {
-        let port = self.desk.port.as_ref()?;
-        let told = &self.facts.decisions.classes[mark.class];
+        let port = self.ownership.port.as_ref()?;
+        let told = &self.settings.decisions.classes[mark.class];
         if told.idempotency != Idempotency::Keyed || port.replicates_class(mark.class).is_none() {
             return None;
         }
         let key = [
-            self.facts.class_names[mark.class].as_bytes(),
+            self.settings.class_names[mark.class].as_bytes(),
             tenant.as_bytes(),
             &mark.bytes,
         ]
@@ -289,11 +289,11 @@
     /// Asks what is known of a task, which waits for that.
     pub(crate) fn look(&mut self, request: Request, kept: &Kept) {
         let way = request.route();
-        if self.desk.parked.contains_key(&way) {
+        if self.ownership.parked.contains_key(&way) {
             self.counters.requests_duplicate.add();
             return request.client.discard_request();
         }
-        if self.desk.waiting.len() >= MOST_WAITING {
+        if self.ownership.waiting.len() >= MOST_WAITING {
             self.counters.requests_overloaded.add();
             return request
                 .client
@@ -312,14 +312,14 @@
             sign,
             since,
         };
-        let number = self.desk.want(want, awaited);
-        self.desk.parked.insert(way, number);
+        let number = self.ownership.want(want, awaited);
+        self.ownership.parked.insert(way, number);
     }
 
     /// Nobody waits any more for requests that are parked.
     pub(crate) fn left_parked(&mut self, which: impl Fn(ResponseRoute) -> bool) {
         let numbers: Vec<u64> = self
-            .desk
+            .ownership
             .parked
             .iter()
             .filter(|(way, _)| which(**way))
@@ -336,11 +336,11 @@
     }
 
     fn unpark(&mut self, number: u64) -> Option<Box<Request>> {
-        let Some(Awaited::Look { request, .. }) = self.desk.waiting.remove(&number) else {
+        let Some(Awaited::Look { request, .. }) = self.ownership.waiting.remove(&number) else {
             return None;
         };
-        self.desk.parked.remove(&request.route());
-        if let Some(port) = &self.desk.port {
+        self.ownership.parked.remove(&request.route());
+        if let Some(port) = &self.ownership.port {
             port.cancel(number);
         }
         Some(request)
@@ -348,13 +348,13 @@
 
     /// Whether a task whose turn it is starts now. One that is not this process's yet is claimed first.
     pub(crate) fn may_start(&mut self, task: Handle) -> bool {
-        let facts = self.facts.clone();
+        let facts = self.settings.clone();
         let now = self.now;
         let Some(slot) = self.slot(task) else {
             return false;
         };
-        let (who, id, stage, body) = (slot.serial, slot.id, slot.stage, slot.body.clone());
-        let Some(kept) = &mut slot.kept else {
+        let (who, id, stage, body) = (slot.number, slot.id, slot.class, slot.body.clone());
+        let Some(kept) = &mut slot.ownership else {
             return true;
         };
         match kept.claim {
@@ -376,7 +376,7 @@
             kb: kept.kb,
             fenced: false,
         };
-        let Some(port) = &self.desk.port else {
+        let Some(port) = &self.ownership.port else {
             return true;
         };
         let work = Work {
@@ -384,9 +384,9 @@
             ..work
         };
         let number = self
-            .desk
+            .ownership
             .want(Want::Claim(work), Awaited::Claim { who, since: now });
-        if let Some(kept) = self.slot(task).and_then(|slot| slot.kept.as_mut()) {
+        if let Some(kept) = self.slot(task).and_then(|slot| slot.ownership.as_mut()) {
             kept.claim = Claim::Asked(number);
         }
         false
@@ -394,14 +394,14 @@
 
     /// The fence that goes with a call of this task, if one does; an error where it must not be made now.
     pub(crate) fn fence_of(&mut self, task: Handle) -> Result<Option<(String, u64)>, ()> {
-        let Some(kept) = self.slot(task).and_then(|slot| slot.kept.as_ref()) else {
+        let Some(kept) = self.slot(task).and_then(|slot| slot.ownership.as_ref()) else {
             return Ok(None);
         };
         let (Some(_), key) = (kept.held(), hexadecimal(&kept.key)) else {
             return Ok(None);
         };
         let fence = kept.fence();
-        let may = self.desk.port.as_ref().is_some_and(|port| port.may_act());
+        let may = self.ownership.port.as_ref().is_some_and(|port| port.may_act());
         if !may && !failpoint::is_active(Failpoint::Lease) {
             return Err(());
         }
@@ -411,28 +411,28 @@
     /// A run has ended with a result. What others keep waits for that to be kept: its answer is no longer this task's.
     pub(crate) fn outcome(&mut self, task: Handle, result: &Arc<[u8]>) {
         let Some(slot) = self.slot(task) else { return };
-        let Some(kept) = slot.kept.take_if(|kept| kept.held().is_some()) else {
+        let Some(kept) = slot.ownership.take_if(|kept| kept.held().is_some()) else {
             return;
         };
-        let (Some(fence), Some(mark), who) = (kept.held(), slot.mark.clone(), slot.serial) else {
+        let (Some(fence), Some(mark), who) = (kept.held(), slot.idempotency_key.clone(), slot.number) else {
             return;
         };
         let mut back = None;
         if failpoint::is_active(Failpoint::Outcome) {
-            if self.finished(task, result.clone()) {
+            if self.answer_served(task, result.clone()) {
                 self.counters.tasks_served.add();
             }
         } else {
-            slot.mark = None;
+            slot.idempotency_key = None;
             back = slot.back.take();
         }
         if let Some((client, request)) = &back {
-            self.by_way.remove(&ResponseRoute {
+            self.by_route.remove(&ResponseRoute {
                 connection: client.connection_id(),
                 request: *request,
             });
         }
-        self.desk.taken -= usize::from(kept.orphan);
+        self.ownership.taken -= usize::from(kept.orphan);
         let Kept { key, sign, by, .. } = kept;
         let want = Want::End(key.clone(), fence, Some(result.to_vec()));
         let ended = Ended {
@@ -444,23 +444,23 @@
             back,
             by,
         };
-        self.desk.want(want, Awaited::Outcome(Box::new(ended)));
+        self.ownership.want(want, Awaited::Outcome(Box::new(ended)));
     }
 
     /// A run is over without a result that could be given, or nothing was started.
     pub(crate) fn over_without(&mut self, task: Handle, never: bool) {
         let Some(slot) = self.slot(task) else { return };
-        let Some(kept) = slot.kept.take_if(|kept| kept.held().is_some()) else {
+        let Some(kept) = slot.ownership.take_if(|kept| kept.held().is_some()) else {
             return;
         };
-        self.desk.taken -= usize::from(kept.orphan);
+        self.ownership.taken -= usize::from(kept.orphan);
         let Some(fence) = kept.held() else { return };
         if never {
-            if let Some(port) = &self.desk.port {
+            if let Some(port) = &self.ownership.port {
                 port.claim_unused(kept.key, fence);
             }
         } else {
-            self.desk
+            self.ownership
                 .want(Want::End(kept.key, fence, None), Awaited::Told);
         }
     }
@@ -468,39 +468,39 @@
     /// The module is done with a task. One that was started and whose end nobody saw has ended without a result, as it
     /// has for whoever repeats it here; while this process leaves, others may do better.
     pub(crate) fn released(&mut self, task: Handle) {
-        let Some(kept) = self.slot(task).and_then(|slot| slot.kept.take()) else {
+        let Some(kept) = self.slot(task).and_then(|slot| slot.ownership.take()) else {
             return;
         };
-        self.desk.taken -= usize::from(kept.orphan);
-        if let (Some(fence), None) = (kept.held(), self.desk.leaves) {
-            self.desk
+        self.ownership.taken -= usize::from(kept.orphan);
+        if let (Some(fence), None) = (kept.held(), self.ownership.leaves) {
+            self.ownership
                 .want(Want::End(kept.key, fence, None), Awaited::Told);
         }
     }
 
     /// A held task that this process rejects as it leaves is passed on instead; its caller waits for whoever takes it.
     pub(crate) fn pass_on(&mut self, task: Handle, last: bool, stay_away_ms: f64) -> bool {
-        if self.desk.leaves.is_none() {
+        if self.ownership.leaves.is_none() {
             return false;
         }
-        let (facts, now) = (self.facts.clone(), self.now);
-        let Some(port) = self.desk.port.clone() else {
+        let (facts, now) = (self.settings.clone(), self.now);
+        let Some(port) = self.ownership.port.clone() else {
             return false;
         };
         let Some(slot) = self.slot(task) else {
             return false;
         };
         let Some(kept) = slot
-            .kept
+            .ownership
             .as_ref()
             .filter(|kept| kept.claim == Claim::None && !kept.orphan)
         else {
             return false;
         };
-        let (Some(mark), Some(back)) = (slot.mark.clone(), slot.back.take()) else {
+        let (Some(mark), Some(back)) = (slot.idempotency_key.clone(), slot.back.take()) else {
             return false;
         };
-        let (key, sign, stage) = (kept.key.clone(), kept.sign, slot.stage);
+        let (key, sign, stage) = (kept.key.clone(), kept.sign, slot.class);
         let work = Work {
             key: key.clone(),
             stage: facts.class_names[stage].clone(),
@@ -515,19 +515,19 @@
             kb: kept.kb,
             fenced: port.replicates_class(stage).unwrap_or(false),
         };
-        slot.mark = None;
-        let serial = slot.serial;
-        self.by_way.remove(&ResponseRoute {
+        slot.idempotency_key = None;
+        let serial = slot.number;
+        self.by_route.remove(&ResponseRoute {
             connection: back.0.connection_id(),
             request: back.1,
         });
-        let waiting = self.fingerprints.forget(&mark, serial);
-        self.tell(waiting, None);
+        let waiting = self.idempotency.forget(&mark, serial);
+        self.notify_joined(waiting, None);
         let reply = Reply::Rejected {
             is_final: last,
             retry_after_ms: stay_away_ms as u64,
         };
-        self.desk.want(
+        self.ownership.want(
             Want::Pass(work),
             Awaited::Pass {
                 mark,
@@ -542,7 +542,7 @@
 
     /// Whether a task goes on whose caller has left: what is kept and started, as its repeat gets its result anywhere.
     pub(crate) fn goes_on(&mut self, task: Handle) -> bool {
-        let kept = self.slot(task).and_then(|slot| slot.kept.as_ref());
+        let kept = self.slot(task).and_then(|slot| slot.ownership.as_ref());
         kept.is_some_and(|kept| kept.held().is_some())
     }
 
@@ -551,11 +551,11 @@
         let now = self.now;
         let late = |slot: &Slot| {
             let kept = slot
-                .kept
+                .ownership
                 .as_ref()
                 .filter(|kept| slot.back.is_some() && now > kept.by - BEFORE_MS)?;
             Some((
-                self.by_serial.get(&slot.serial).copied()?,
+                self.by_number.get(&slot.number).copied()?,
                 matches!(kept.claim, Claim::Held(_) | Claim::Elsewhere),
             ))
         };
@@ -564,10 +564,10 @@
 
     /// Whether a task that waited in vain for what runs elsewhere is to hear something of its own; it has, then.
     pub(crate) fn heard_in_vain(&mut self, task: Handle) -> bool {
-        let Some(who) = self.slot(task).map(|slot| slot.serial) else {
+        let Some(who) = self.slot(task).map(|slot| slot.number) else {
             return false;
         };
-        let Some(reply) = self.desk.replies.remove(&who) else {
+        let Some(reply) = self.ownership.replies.remove(&who) else {
             return false;
         };
         self.answer_counted(task, reply);
@@ -588,15 +588,15 @@
 
     /// This process takes over what some here waited for: they wait for its run now.
     pub(crate) fn rejoin(&mut self, mark: &IdempotencyKey, waited: Vec<TaskId>) -> Vec<TaskId> {
-        let Some(elsewhere) = self.desk.elsewhere.get(mark) else {
+        let Some(elsewhere) = self.ownership.elsewhere.get(mark) else {
             return waited;
         };
         if elsewhere.backs.is_empty() {
-            self.desk.elsewhere.remove(mark);
+            self.ownership.elsewhere.remove(mark);
         }
         waited
             .into_iter()
-            .for_each(|who| drop(self.fingerprints.join(mark, who)));
+            .for_each(|who| drop(self.idempotency.join(mark, who)));
         Vec::new()
     }
 
@@ -614,7 +614,7 @@
 
     /// What runs elsewhere is over, as far as this process can tell.
     fn known(&mut self, mark: &IdempotencyKey, reply: &Reply) {
-        let Some(elsewhere) = self.desk.elsewhere.remove(mark) else {
+        let Some(elsewhere) = self.ownership.elsewhere.remove(mark) else {
             return;
         };
         for Detached { back, ran, .. } in elsewhere.backs {
@@ -632,25 +632,25 @@
         match reply {
             Reply::Served(result) => {
                 let waiting = self
-                    .fingerprints
-                    .ended(mark, ELSEWHERE, now, Some(result.clone()));
-                self.tell(waiting, Some(result));
+                    .idempotency
+                    .complete(mark, ELSEWHERE, now, Some(result.clone()));
+                self.notify_joined(waiting, Some(result));
             }
             Reply::Failed => {
-                let waiting = self.fingerprints.ended(mark, ELSEWHERE, now, None);
-                self.tell(waiting, None);
+                let waiting = self.idempotency.complete(mark, ELSEWHERE, now, None);
+                self.notify_joined(waiting, None);
             }
             _ => {
                 // Whoever asks again is told what is known then.
-                let waiting = self.fingerprints.forget(mark, ELSEWHERE);
+                let waiting = self.idempotency.forget(mark, ELSEWHERE);
                 // One that the module has done with hears nothing more.
                 let waits = waiting
                     .iter()
-                    .filter(|who| self.by_serial.contains_key(who));
-                self.desk
+                    .filter(|who| self.by_number.contains_key(who));
+                self.ownership
                     .replies
                     .extend(waits.map(|who| (*who, reply.clone())));
-                self.tell(waiting, None);
+                self.notify_joined(waiting, None);
             }
         }
     }
@@ -681,11 +681,11 @@
 impl Engine {
     /// An answer of the keepers has come.
     pub(crate) fn kept(&mut self, number: u64, answer: Answer) {
-        if let Some(Awaited::Look { request, .. }) = self.tasks.desk.waiting.get(&number) {
+        if let Some(Awaited::Look { request, .. }) = self.tasks.ownership.waiting.get(&number) {
             let way = request.route();
-            self.tasks.desk.parked.remove(&way);
+            self.tasks.ownership.parked.remove(&way);
         }
-        match self.tasks.desk.waiting.remove(&number) {
+        match self.tasks.ownership.waiting.remove(&number) {
             Some(Awaited::Look {
                 request,
                 mark,
@@ -707,12 +707,12 @@
             }) => {
                 let (now, by) = (
                     self.tasks.now,
-                    self.tasks.desk.leaves.unwrap_or(self.tasks.now),
+                    self.tasks.ownership.leaves.unwrap_or(self.tasks.now),
                 );
                 match answer.verdict() {
                     Verdict::Kept | Verdict::Open => {
-                        let window = self.tasks.facts.decisions.classes[mark.class].retry_window_ms;
-                        let elsewhere = self.tasks.desk.waits(now, &mark, (&key, sign), window);
+                        let window = self.tasks.settings.decisions.classes[mark.class].retry_window_ms;
+                        let elsewhere = self.tasks.ownership.waits(now, &mark, (&key, sign), window);
                         elsewhere.backs.push(Detached {
                             back,
                             by,
@@ -742,7 +742,7 @@
         if matches!(verdict, Verdict::Open | Verdict::Passed | Verdict::Failed)
             && !lock_is_ignored(verdict)
         {
-            if tasks.fingerprints.is_full() {
+            if tasks.idempotency.is_full() {
                 tasks.counters.requests_overloaded.add();
                 return request
                     .client
@@ -750,25 +750,25 @@
                     .answer(request.request, Reply::Overloaded);
             }
             // Known here from now on: the module joins it as it joins any repeat.
-            let window = tasks.facts.decisions.classes[mark.class].retry_window_ms;
-            let local = tasks.fingerprints.sign(&request.body);
-            if !tasks.fingerprints.knows(mark, tasks.now) {
-                let before = tasks.fingerprints.remember(
+            let window = tasks.settings.decisions.classes[mark.class].retry_window_ms;
+            let local = tasks.idempotency.digest(&request.body);
+            if !tasks.idempotency.is_repeat(mark, tasks.now) {
+                let before = tasks.idempotency.remember(
                     mark.clone(),
                     (ELSEWHERE, local),
                     tasks.now + window,
                     None,
                 );
-                tasks.tell(before, None);
+                tasks.notify_joined(before, None);
                 let now = tasks.now;
-                tasks.desk.waits(now, mark, (key, sign), window);
+                tasks.ownership.waits(now, mark, (key, sign), window);
                 if let Some(reply) = reply_of(answer, 0.0) {
                     tasks.known(mark, &reply);
                 }
             }
             return self.take_in(request, true);
         }
-        match reply_of(answer, tasks.desk.lease_ms()) {
+        match reply_of(answer, tasks.ownership.lease_ms()) {
             Some(reply) if verdict != Verdict::Open => {
                 if reply == Reply::Malformed {
                     tasks.counters.tasks_malformed.add();
@@ -784,7 +784,7 @@
     fn polled(&mut self, mark: &IdempotencyKey, answer: &Answer) {
         let tasks = &mut self.tasks;
         let now = tasks.now;
-        let Some(elsewhere) = tasks.desk.elsewhere.get_mut(mark) else {
+        let Some(elsewhere) = tasks.ownership.elsewhere.get_mut(mark) else {
             return;
         };
         (elsewhere.polling, elsewhere.at) = (false, now + POLL_MS);
@@ -816,18 +816,18 @@
     /// Whose a task is that the module has run.
     fn claimed(&mut self, who: TaskId, answer: &Answer) {
         let tasks = &mut self.tasks;
-        let Some(port) = tasks.desk.port.clone() else {
+        let Some(port) = tasks.ownership.port.clone() else {
             return;
         };
         let (verdict, fence) = (answer.verdict(), answer.number);
-        let task = tasks.by_serial.get(&who).copied();
+        let task = tasks.by_number.get(&who).copied();
         let Some((task, slot)) =
             task.and_then(|task| Some((task, tasks.slots.get_mut(task.index())?.as_mut()?)))
         else {
             return; // its key is dropped by the owner, as nobody waits
         };
-        let (waits, void) = (slot.back.is_some(), slot.void);
-        let Some(kept) = &mut slot.kept else { return };
+        let (waits, void) = (slot.back.is_some(), slot.must_not_start);
+        let Some(kept) = &mut slot.ownership else { return };
         if lock_is_ignored(verdict) {
             kept.claim = Claim::Held(u64::MAX >> 1);
             return asterdale::Actions::start(tasks, task);
@@ -852,32 +852,32 @@
         match verdict {
             Verdict::Open => {
                 kept.claim = Claim::Elsewhere;
-                let (key, sign, mark) = (kept.key.clone(), kept.sign, slot.mark.clone());
+                let (key, sign, mark) = (kept.key.clone(), kept.sign, slot.idempotency_key.clone());
                 let Some(mark) = mark else { return };
-                let window = tasks.facts.decisions.classes[mark.class].retry_window_ms;
-                if tasks.fingerprints.goes_to(&mark, who, ELSEWHERE) {
-                    tasks.fingerprints.join(&mark, who);
+                let window = tasks.settings.decisions.classes[mark.class].retry_window_ms;
+                if tasks.idempotency.reassign(&mark, who, ELSEWHERE) {
+                    tasks.idempotency.join(&mark, who);
                     let now = tasks.now;
-                    tasks.desk.waits(now, &mark, (&key, sign), window);
+                    tasks.ownership.waits(now, &mark, (&key, sign), window);
                 }
             }
             Verdict::Passed => {
                 let result: Arc<[u8]> = answer.result.clone().into();
                 kept.claim = Claim::Elsewhere;
-                if tasks.finished(task, result.clone()) {
+                if tasks.answer_served(task, result.clone()) {
                     tasks.counters.tasks_joined.add();
                 }
-                tasks.ended(task, Some(&result));
+                tasks.complete_key(task, Some(&result));
                 self.moot(task);
             }
             Verdict::Failed => {
                 kept.claim = Claim::Elsewhere;
-                tasks.failed(task);
-                tasks.ended(task, None);
+                tasks.answer_failed(task);
+                tasks.complete_key(task, None);
                 self.moot(task);
             }
             _ => {
-                let reply = reply_of(answer, tasks.desk.lease_ms());
+                let reply = reply_of(answer, tasks.ownership.lease_ms());
                 self.never_started(
                     task,
                     reply.unwrap_or(Reply::Rejected {
@@ -892,7 +892,7 @@
     /// Nothing of this task was started: its caller hears that, or what is known besides, and another try may run.
     fn never_started(&mut self, task: Handle, reply: Reply) {
         let tasks = &mut self.tasks;
-        if let Some(kept) = tasks.slot(task).and_then(|slot| slot.kept.as_mut()) {
+        if let Some(kept) = tasks.slot(task).and_then(|slot| slot.ownership.as_mut()) {
             kept.claim = Claim::Elsewhere;
         }
         tasks.answer_counted(task, reply);
@@ -922,10 +922,10 @@
             // Another backend has taken it over: its outcome counts, and whoever waits here waits for that.
             let (now, window) = (
                 tasks.now,
-                tasks.facts.decisions.classes[mark.class].retry_window_ms,
+                tasks.settings.decisions.classes[mark.class].retry_window_ms,
             );
-            if tasks.fingerprints.goes_to(&mark, who, ELSEWHERE) || back.is_some() {
-                let elsewhere = tasks.desk.waits(now, &mark, (&key, sign), window);
+            if tasks.idempotency.reassign(&mark, who, ELSEWHERE) || back.is_some() {
+                let elsewhere = tasks.ownership.waits(now, &mark, (&key, sign), window);
                 elsewhere.backs.extend(back.map(|back| Detached {
                     back,
                     by,
@@ -936,9 +936,9 @@
         }
         let now = tasks.now;
         let waiting = tasks
-            .fingerprints
-            .ended(&mark, who, now, Some(result.clone()));
-        tasks.tell(waiting, Some(&result));
+            .idempotency
+            .complete(&mark, who, now, Some(result.clone()));
+        tasks.notify_joined(waiting, Some(&result));
         if let Some(back) = back {
             tasks.answer_back(back, Reply::Served(result));
         }
@@ -952,7 +952,7 @@
             }
             let tasks = &mut self.tasks;
             let Some(stage) = tasks
-                .facts
+                .settings
                 .class_names
                 .iter()
                 .position(|name| *name == work.stage)
@@ -969,16 +969,16 @@
                 tenant: 0,
                 bytes: text.into(),
             };
-            let known = tasks.fingerprints.knows(&mark, tasks.now);
-            let waited_for = tasks.desk.elsewhere.contains_key(&mark);
-            if known && !waited_for || tasks.fingerprints.is_full() {
+            let known = tasks.idempotency.is_repeat(&mark, tasks.now);
+            let waited_for = tasks.ownership.elsewhere.contains_key(&mark);
+            if known && !waited_for || tasks.idempotency.is_full() {
                 continue;
             }
-            tasks.serial += 1;
-            let Some(id) = fresh_id(tasks.facts.decisions.seed, tasks.serial, &work.id) else {
+            tasks.last_number += 1;
+            let Some(id) = fresh_id(tasks.settings.decisions.seed, tasks.last_number, &work.id) else {
                 continue;
             };
-            let sign = tasks.fingerprints.sign(&work.body);
+            let sign = tasks.idempotency.digest(&work.body);
             let arrival = Arrival {
                 class: stage,
                 tenant: 0,
@@ -1000,22 +1000,22 @@
                 hint_ms: work.hint_ms,
                 kb: work.kb,
             };
-            tasks.desk.taken += 1;
+            tasks.ownership.taken += 1;
             tasks.arriving = Some(Slot {
-                serial: tasks.serial,
+                number: tasks.last_number,
                 id,
-                stage,
+                class: stage,
                 body: work.body,
-                sign,
+                body_digest: sign,
                 back: None,
-                mark: Some(mark),
+                idempotency_key: Some(mark),
                 caller: None,
-                seat: None,
+                quota_seat: None,
                 started: false,
-                void: false,
-                kept: Some(kept),
-                wants: None,
-                sent: None,
+                must_not_start: false,
+                ownership: Some(kept),
+                pending_call: None,
+                last_command: None,
             });
             if let Some(server) = &mut self.server {
                 server.receive(self.tasks.now, arrival, &mut self.tasks);
@@ -1026,31 +1026,31 @@
     /// Orphans that would be taken now: as many as the cores have room for, and no more than a few each.
     fn room(&self) -> u32 {
         let tasks = &self.tasks;
-        if !tasks.good || tasks.desk.leaves.is_some() || self.server.is_none() {
+        if !tasks.is_healthy || tasks.ownership.leaves.is_some() || self.server.is_none() {
             return 0;
         }
-        let cores = tasks.facts.decisions.cores;
+        let cores = tasks.settings.decisions.cores;
         let idle = cores * (1.0 - self.gauges.cpu.unwrap_or(1.0)).clamp(0.0, 1.0);
-        let most = (TAKEN * cores - tasks.desk.taken as f64).max(0.0);
+        let most = (TAKEN * cores - tasks.ownership.taken as f64).max(0.0);
         (TAKEN * idle).min(most).ceil().max(0.0) as u32
     }
 
     /// What has waited for long enough, and what is to be asked again.
     pub(crate) fn custody_tick(&mut self) {
-        if self.tasks.now < self.tasks.desk.tick_at || self.tasks.desk.port.is_none() {
+        if self.tasks.now < self.tasks.ownership.tick_at || self.tasks.ownership.port.is_none() {
             return;
         }
         let now = self.tasks.now;
-        self.tasks.desk.tick_at = now + TICK_MS;
+        self.tasks.ownership.tick_at = now + TICK_MS;
         let room = self.room();
-        let claim_ms = CLAIM_LEASES * self.tasks.desk.lease_ms();
+        let claim_ms = CLAIM_LEASES * self.tasks.ownership.lease_ms();
         let (mut looks, mut claims) = (Vec::new(), Vec::new());
         let mut late = Vec::new();
-        let Some(port) = self.tasks.desk.port.clone() else {
+        let Some(port) = self.tasks.ownership.port.clone() else {
             return;
         };
         port.set_takeover_capacity(room);
-        for (&number, awaited) in &mut self.tasks.desk.waiting {
+        for (&number, awaited) in &mut self.tasks.ownership.waiting {
             match awaited {
                 Awaited::Look { since, .. } if now > *since + LOOK_MS => looks.push(number),
                 Awaited::Claim { who, since } if now > *since + claim_ms => {
@@ -1068,10 +1068,10 @@
             }
         }
         for (number, who) in claims {
-            self.tasks.desk.waiting.remove(&number);
+            self.tasks.ownership.waiting.remove(&number);
             port.cancel(number);
-            let stay_away_ms = self.tasks.desk.lease_ms() as u64;
-            if let Some(task) = self.tasks.by_serial.get(&who).copied() {
+            let stay_away_ms = self.tasks.ownership.lease_ms() as u64;
+            if let Some(task) = self.tasks.by_number.get(&who).copied() {
                 self.never_started(
                     task,
                     Reply::Rejected {
@@ -1119,7 +1119,7 @@
 
     /// Looks again at what runs elsewhere; whose caller goes is answered.
     fn look_elsewhere(&mut self, now: f64, late: &mut Vec<Back>) {
-        let desk = &mut self.tasks.desk;
+        let desk = &mut self.tasks.ownership;
         let (mut looks, mut over) = (Vec::new(), Vec::new());
         for (mark, elsewhere) in &mut desk.elsewhere {
             let all = std::mem::take(&mut elsewhere.backs).into_iter();
@@ -1135,7 +1135,7 @@
         }
         for (mark, key, sign) in looks {
             self.tasks
-                .desk
+                .ownership
                 .want(Want::Look(key, sign), Awaited::Poll(mark));
         }
         for mark in over {
--- a/crates/asterdale-engine/src/paused.rs
+++ b/crates/asterdale-engine/src/paused.rs
@@ -9,30 +9,30 @@
 
 /// What a guardian knows beyond its own state.
 #[derive(Default)]
-pub(crate) struct Guarding {
-    /// Requests that were carried, and are not answered.
-    pub(crate) carried: HashMap<ResponseRoute, Arc<dyn Connection>>,
+pub(crate) struct Guard {
+    /// Requests that were forwarded, and are not answered.
+    pub(crate) forwarded: HashMap<ResponseRoute, Arc<dyn Connection>>,
     /// Tasks that the other has started.
-    pub(crate) elsewhere: HashMap<RequestId, Option<(IdempotencyKey, TaskId)>>,
+    pub(crate) started_by_successor: HashMap<RequestId, Option<(IdempotencyKey, TaskId)>>,
     /// The last window that it knows of ends then.
-    pub(crate) until: f64,
-    pub(crate) port: Option<Box<dyn SuccessorLink>>,
+    pub(crate) guard_until: f64,
+    pub(crate) successor: Option<Box<dyn SuccessorLink>>,
 }
 
 /// What a host that has given its work away, or is about to, does with its mail.
 #[derive(Default)]
-pub struct Aside {
-    pub(crate) frozen: bool,
+pub struct PausedState {
+    pub(crate) is_frozen: bool,
     /// Mail that waits while it is not sure whose the work is.
-    pub(crate) kept: Vec<EngineMessage>,
-    pub(crate) guarding: Option<Guarding>,
+    pub(crate) deferred: Vec<EngineMessage>,
+    pub(crate) guarding: Option<Guard>,
     /// It is to leave.
-    pub(crate) gone: bool,
+    pub(crate) must_exit: bool,
 }
 
-impl Aside {
+impl PausedState {
     /// Whether nothing may be decided here.
-    pub fn stands(&self) -> bool {
-        self.frozen || self.guarding.is_some()
+    pub fn is_paused(&self) -> bool {
+        self.is_frozen || self.guarding.is_some()
     }
 }
--- a/crates/asterdale-engine/src/runtime_events.rs
+++ b/crates/asterdale-engine/src/runtime_events.rs
@@ -8,7 +8,7 @@
 use asterdale::Actions;
 use crossbeam_channel::Sender;
 
-use crate::checks::{checked, Check, LONGEST_CHECK};
+use crate::checks::{answer_health_check, Check, LONGEST_CHECK};
 use crate::engine::Engine;
 use crate::log::Kind;
 use crate::message::{
@@ -16,7 +16,7 @@
     RuntimeNotice, TaskId,
 };
 use crate::runtime;
-use crate::tasks::{Sent, Slot};
+use crate::tasks::{SentCommand, Slot};
 
 /// A runtime that owes gauges for so many beats (3 s) may have lost its link without a word. A new one does no
 /// harm.
@@ -37,69 +37,69 @@
 impl Engine {
     /// Asks for the gauges, a moment before the beat that uses them. A runtime that is slow to answer is not
     /// asked again meanwhile, or for half a second.
-    pub(crate) fn ask(&mut self) {
-        self.ask_at = f64::INFINITY;
+    pub(crate) fn request_gauges(&mut self) {
+        self.gauges_due_at = f64::INFINITY;
         let now = self.tasks.now;
         let tasks = &mut self.tasks;
-        let link = &mut tasks.link;
+        let link = &mut tasks.runtime;
         // Counted by beats: while the machine pauses there are none, and the runtime owes nothing.
-        if now >= link.move_by {
-            (link.move_by, link.commands) = (f64::INFINITY, None);
+        if now >= link.move_deadline {
+            (link.move_deadline, link.commands) = (f64::INFINITY, None);
         }
-        let owed = if link.replaying {
-            link.ready
+        let owed = if link.is_replaying {
+            link.is_ready
         } else {
-            link.asked != link.came
+            link.gauges_requested != link.gauges_received
         };
-        link.silent = if owed { link.silent + 1 } else { 0 };
-        if link.silent >= SILENT {
-            link.silent = 0;
+        link.silent_ticks = if owed { link.silent_ticks + 1 } else { 0 };
+        if link.silent_ticks >= SILENT {
+            link.silent_ticks = 0;
             link.commands = None; // the link ends, and is made again
         }
-        let due = link.asked == link.came || now >= link.asked_at + 500.0;
-        if link.commands.is_some() && !link.replaying && due {
-            link.asked_at = now;
-            let line = runtime::ask("gauges", &tasks.link.asked.to_string());
-            tasks.link.asked += 1;
+        let due = link.gauges_requested == link.gauges_received || now >= link.gauges_requested_at + 500.0;
+        if link.commands.is_some() && !link.is_replaying && due {
+            link.gauges_requested_at = now;
+            let line = runtime::ask("gauges", &tasks.runtime.gauges_requested.to_string());
+            tasks.runtime.gauges_requested += 1;
             tasks.send(line);
         }
     }
 
-    pub(crate) fn linked(&mut self, commands: Sender<String>) {
-        let _ = commands.try_send(runtime::sync(self.tasks.link.last));
-        let link = &mut self.tasks.link;
-        (link.commands, link.replaying, link.ready) = (Some(commands), true, false);
-        link.move_by = f64::INFINITY;
+    pub(crate) fn runtime_connected(&mut self, commands: Sender<String>) {
+        let _ = commands.try_send(runtime::sync(self.tasks.runtime.last_notice));
+        let link = &mut self.tasks.runtime;
+        (link.commands, link.is_replaying, link.is_ready) = (Some(commands), true, false);
+        link.move_deadline = f64::INFINITY;
     }
 
     /// The runtime is up and sends the notices that were missed. What was under way when the last link broke
     /// may have arrived or not: until the answer to this, which comes after them, nothing else is sent, so
     /// that no run that has ended is started. Asked any sooner, a runtime that is not up turns it down.
-    pub(crate) fn ready(&mut self, cold: bool, ago_ms: f64) {
+    pub(crate) fn runtime_ready(&mut self, cold: bool, ago_ms: f64) {
         let up_before = self.runtime_up_ms.replace(ago_ms);
         let replaced = up_before.is_some_and(|before| ago_ms + RESTART_SLACK_MS < before);
         if self.server.is_none() {
-            self.begin(cold, ago_ms);
+            self.start_server(cold, ago_ms);
         } else if up_before.is_none() || replaced {
-            self.runtime_began(cold, ago_ms);
+            self.runtime_started(cold, ago_ms);
         }
         if replaced {
             self.runtime_replaced();
         }
-        let link = &mut self.tasks.link;
-        (link.ready, link.silent) = (true, 0);
+        let link = &mut self.tasks.runtime;
+        (link.is_ready, link.silent_ticks) = (true, 0);
         if let Some(commands) = &link.commands {
             let _ = commands.try_send(runtime::ask("gauges", REPLAY));
         }
     }
 
     /// The runtime has said how it began when the module had begun already.
-    fn runtime_began(&mut self, cold: bool, ago_ms: f64) {
+    fn runtime_started(&mut self, cold: bool, ago_ms: f64) {
         let now = self.tasks.now;
-        let cold = cold || self.tasks.facts.decisions.slow_start;
+        let cold = cold || self.tasks.settings.decisions.slow_start;
         slog::info!(self.tasks.log.lines, "host: the runtime has begun"; "cold" => cold, "ago_ms" => ago_ms);
-        self.cold_until = if cold {
-            now - ago_ms + self.tasks.facts.decisions.slow_start_ms
+        self.warming_up_until = if cold {
+            now - ago_ms + self.tasks.settings.decisions.slow_start_ms
         } else {
             now
         };
@@ -112,7 +112,7 @@
     /// to the one before may have run and will never be heard of.
     fn runtime_replaced(&mut self) {
         static REPLACED: Kind = Kind::new();
-        let handed = |slot: &&Slot| slot.started && slot.sent.as_ref().is_none_or(Sent::was_handed);
+        let handed = |slot: &&Slot| slot.started && slot.last_command.as_ref().is_none_or(SentCommand::may_have_arrived);
         let lost: Vec<RequestId> = self
             .tasks
             .slots
@@ -124,82 +124,82 @@
         if self.tasks.log.allows(&REPLACED) {
             slog::error!(self.tasks.log.lines, "runtime: it has been replaced"; "runs_lost" => lost.len());
         }
-        self.tasks.link.last = 0;
+        self.tasks.runtime.last_notice = 0;
         for id in lost {
-            self.run_over(&id, RunOutcome::Failed, Vec::new());
+            self.run_ended(&id, RunOutcome::Failed, Vec::new());
         }
     }
 
     /// All missed notices are read: what may not have arrived is sent again.
     pub(crate) fn replayed(&mut self) {
-        self.tasks.link.replaying = false;
-        self.tasks.send_again(true);
+        self.tasks.runtime.is_replaying = false;
+        self.tasks.resend(true);
     }
 
     /// The start file was read again. Calls and reports go to the new addresses from now on. The link to the
     /// runtime moves once all commands on the old one have arrived: what comes meanwhile waits for the new.
-    pub(crate) fn moved(&mut self, to: Endpoints) {
-        let was = std::mem::replace(&mut self.peers, to);
+    pub(crate) fn endpoints_changed(&mut self, to: Endpoints) {
+        let was = std::mem::replace(&mut self.endpoints, to);
         self.tasks.counters.reloads.add();
         slog::info!(self.tasks.log.lines, "host: the start file is read again"; "runtime" => %to.runtime,
             "records" => %to.records, "registry" => %to.registry);
         self.tasks.records.go_to(to.records);
         if was.registry != to.registry {
-            self.list.send(RegistryCommand::SetAddress(to.registry));
+            self.registry.send(RegistryCommand::SetAddress(to.registry));
         }
         if was.runtime == to.runtime {
             return;
         }
-        let _ = self.moves.send(RuntimeLinkCommand::SetAddress(to.runtime));
-        if self.tasks.link.replaying {
+        let _ = self.runtime_link.send(RuntimeLinkCommand::SetAddress(to.runtime));
+        if self.tasks.runtime.is_replaying {
             // One that is moving goes on; one that takes nothing yet has nothing to lose.
-            if !self.tasks.link.move_by.is_finite() {
-                self.tasks.link.commands = None;
+            if !self.tasks.runtime.move_deadline.is_finite() {
+                self.tasks.runtime.commands = None;
             }
         } else if self.tasks.send(runtime::ask("gauges", LAST)) {
-            (self.tasks.link.replaying, self.tasks.link.move_by) =
+            (self.tasks.runtime.is_replaying, self.tasks.runtime.move_deadline) =
                 (true, self.tasks.now + MOVING_MS);
         }
     }
 
     /// Every command on the link that is to end has arrived.
-    pub(crate) fn flushed(&mut self) {
-        let link = &mut self.tasks.link;
-        link.asked += 1;
-        (link.came, link.move_by, link.commands) = (link.asked, f64::INFINITY, None);
+    pub(crate) fn commands_flushed(&mut self) {
+        let link = &mut self.tasks.runtime;
+        link.gauges_requested += 1;
+        (link.gauges_received, link.move_deadline, link.commands) = (link.gauges_requested, f64::INFINITY, None);
     }
 
     /// A notice is counted once, whichever link it came over.
-    pub(crate) fn first(&mut self, no: u64) -> bool {
-        let last = self.tasks.link.last;
+    pub(crate) fn is_first_notice(&mut self, no: u64) -> bool {
+        let last = self.tasks.runtime.last_notice;
         if no > last.saturating_add(MOST_AHEAD) {
             // Taken for the last, it would have all true ones passed over as known.
             self.tasks.counters.runtime_lines_malformed.add();
             return false;
         }
-        self.tasks.link.last = last.max(no);
+        self.tasks.runtime.last_notice = last.max(no);
         no > last
     }
 
-    pub(crate) fn line(&mut self, line: RuntimeNotice) {
+    pub(crate) fn runtime_notice(&mut self, line: RuntimeNotice) {
         static NACK: Kind = Kind::new();
         match line {
             RuntimeNotice::Ready {
                 slow_start: cold,
                 uptime_ms: time_ms,
-            } => self.ready(cold, time_ms),
-            RuntimeNotice::Ignored(no) => drop(no.map(|no| self.first(no))),
+            } => self.runtime_ready(cold, time_ms),
+            RuntimeNotice::Ignored(no) => drop(no.map(|no| self.is_first_notice(no))),
             RuntimeNotice::RunEnded {
                 sequence: no,
                 id,
                 outcome: how,
                 body,
-            } if self.first(no) => self.run_over(&id, how, body),
+            } if self.is_first_notice(no) => self.run_ended(&id, how, body),
             RuntimeNotice::CallNeeded {
                 sequence: no,
                 id,
                 body,
-            } if self.first(no) => {
+            } if self.is_first_notice(no) => {
                 let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
                     return;
                 };
@@ -207,15 +207,15 @@
                     return;
                 };
                 let Some(slot) = tasks.slot(task) else { return };
-                (slot.wants, slot.sent) = (Some((no, body)), None);
+                (slot.pending_call, slot.last_command) = (Some((no, body)), None);
                 task.call_needed(server, tasks.now, tasks);
             }
             RuntimeNotice::RunEnded { .. } | RuntimeNotice::CallNeeded { .. } => {}
             RuntimeNotice::Gauges { tag: mark, values } => {
                 match mark.parse::<u64>() {
-                    Ok(number) => self.tasks.link.came = self.tasks.link.came.max(number + 1),
+                    Ok(number) => self.tasks.runtime.gauges_received = self.tasks.runtime.gauges_received.max(number + 1),
                     Err(_) if mark == REPLAY => self.replayed(),
-                    Err(_) if mark == LAST => self.flushed(),
+                    Err(_) if mark == LAST => self.commands_flushed(),
                     Err(_) => {}
                 }
                 self.read_gauges(&values);
@@ -227,33 +227,33 @@
                 let check = mark
                     .parse()
                     .ok()
-                    .and_then(|number: u64| self.checks.remove(&number));
+                    .and_then(|number: u64| self.health_checks.remove(&number));
                 if let Some(check) = check {
-                    checked(&check.client, check.request, good);
+                    answer_health_check(&check.client, check.request, good);
                 }
             }
             RuntimeNotice::Rejected { command, id } => {
                 if self.tasks.log.allows(&NACK) {
                     let about = id.and_then(|id| self.tasks.by_id.get(&id).copied());
                     let about = about
-                        .and_then(|task| self.tasks.about(task))
+                        .and_then(|task| self.tasks.log_fields(task))
                         .unwrap_or_default();
                     slog::error!(self.tasks.log.lines, "runtime: a command was not carried out";
-                        "command" => &command, "id" => about.id, "stage" => about.stage,
+                        "command" => &command, "id" => about.id, "stage" => about.class,
                         "tenant" => about.tenant);
                 }
                 // Nothing runs. A run that waits at its call stays there until its task is given up.
                 if let (Some(id), "start") = (id, command.as_str()) {
-                    self.run_over(&id, RunOutcome::Noop, Vec::new());
+                    self.run_ended(&id, RunOutcome::Noop, Vec::new());
                 }
             }
         }
     }
 
     pub(crate) fn read_gauges(&mut self, values: &[f64]) {
-        self.read_at = self.tasks.now;
+        self.gauges_at = self.tasks.now;
         self.gauges = Gauges::default();
-        for (name, &value) in self.tasks.facts.gauge_names.iter().zip(values) {
+        for (name, &value) in self.tasks.settings.gauge_names.iter().zip(values) {
             match name.as_str() {
                 "core_use" => self.gauges.cpu = Some(value),
                 "on_cores" => self.gauges.on_cores = Some(value),
@@ -264,13 +264,13 @@
         }
     }
 
-    pub(crate) fn run_over(&mut self, id: &RequestId, how: RunOutcome, body: Vec<u8>) {
+    pub(crate) fn run_ended(&mut self, id: &RequestId, how: RunOutcome, body: Vec<u8>) {
         let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
             return;
         };
         let result: Option<Arc<[u8]>> = (how == RunOutcome::Passed).then(|| body.into());
         #[cfg(feature = "hot-restart")]
-        tasks.ended_elsewhere(id, how == RunOutcome::Noop, result.as_ref());
+        tasks.complete_successor_run(id, how == RunOutcome::Noop, result.as_ref());
         let Some(task) = tasks.by_id.get(id).copied() else {
             return;
         };
@@ -279,7 +279,7 @@
                 tasks.counters.runs_passed.add();
                 #[cfg(feature = "ownership")]
                 tasks.outcome(task, result);
-                if tasks.finished(task, result.clone()) {
+                if tasks.answer_served(task, result.clone()) {
                     tasks.counters.tasks_served.add();
                 }
                 Outcome::Ok
@@ -294,7 +294,7 @@
             }
             _ => {
                 tasks.counters.runs_failed.add();
-                tasks.failed(task);
+                tasks.answer_failed(task);
                 Outcome::Failed
             }
         };
@@ -303,12 +303,12 @@
         if how == RunOutcome::Noop {
             tasks.drop_idempotency_entry(task); // nothing was started: a true try under this key may still run
         } else {
-            tasks.ended(task, result.as_ref());
+            tasks.complete_key(task, result.as_ref());
         }
         task.run_ended(server, tasks.now, outcome, tasks);
     }
 
-    pub(crate) fn called(&mut self, who: TaskId, outcome: Outcome, took_ms: f64, body: &[u8]) {
+    pub(crate) fn call_ended(&mut self, who: TaskId, outcome: Outcome, took_ms: f64, body: &[u8]) {
         static RECORDS: Kind = Kind::new();
         static REPLIES: Kind = Kind::new();
         let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
@@ -320,71 +320,71 @@
             tasks.counters.calls_failed.add();
         }
         let well = !matches!(outcome, Outcome::Unreachable | Outcome::Reset);
-        if well != self.records_well {
-            self.records_well = well;
+        if well != self.records_reachable {
+            self.records_reachable = well;
             if well && tasks.log.allows(&REPLIES) {
                 slog::info!(tasks.log.lines, "records: replies again");
             } else if !well && tasks.log.allows(&RECORDS) {
                 let about = tasks
-                    .by_serial
+                    .by_number
                     .get(&who)
                     .copied()
-                    .and_then(|task| tasks.about(task));
+                    .and_then(|task| tasks.log_fields(task));
                 let about = about.unwrap_or_default();
                 slog::warn!(tasks.log.lines, "records: a call broke"; "how" => ?outcome, "id" => about.id,
-                    "stage" => about.stage, "tenant" => about.tenant);
+                    "stage" => about.class, "tenant" => about.tenant);
             }
         }
-        let Some(task) = tasks.by_serial.get(&who).copied() else {
+        let Some(task) = tasks.by_number.get(&who).copied() else {
             return;
         }; // its task is over
         if outcome == Outcome::Ok {
             let Some(slot) = tasks.slot(task) else { return };
-            if slot.wants.take().is_none() {
+            if slot.pending_call.take().is_none() {
                 return;
             }
             let line = runtime::give(&slot.id, body);
-            tasks.command(task, line, false);
+            tasks.send_command(task, line, false);
         }
         task.call_ended(server, tasks.now, outcome, took_ms, tasks);
     }
 
-    pub(crate) fn check(&mut self, client: Arc<dyn Connection>, request: u16, deep: bool) {
+    pub(crate) fn health_check(&mut self, client: Arc<dyn Connection>, request: u16, deep: bool) {
         let tasks = &mut self.tasks;
         tasks.counters.checks.add();
-        if deep && !tasks.stored && tasks.good {
-            if tasks.link.commands.is_none() || tasks.link.replaying {
-                return checked(&client, request, false);
+        if deep && !tasks.health_is_cached && tasks.is_healthy {
+            if tasks.runtime.commands.is_none() || tasks.runtime.is_replaying {
+                return answer_health_check(&client, request, false);
             }
-            tasks.serial += 1;
-            self.checks.insert(
-                tasks.serial,
+            tasks.last_number += 1;
+            self.health_checks.insert(
+                tasks.last_number,
                 Check {
                     client,
                     request,
                     since: Instant::now(),
                 },
             );
-            let line = runtime::ask("selftest", &tasks.serial.to_string());
+            let line = runtime::ask("selftest", &tasks.last_number.to_string());
             tasks.send(line);
             return;
         }
-        checked(&client, request, tasks.good);
+        answer_health_check(&client, request, tasks.is_healthy);
     }
 
     /// Nobody will say how the deep checks end.
-    pub(crate) fn checks_end(&mut self) {
-        self.checks
+    pub(crate) fn fail_health_checks(&mut self) {
+        self.health_checks
             .drain()
-            .for_each(|(_, check)| checked(&check.client, check.request, false));
+            .for_each(|(_, check)| answer_health_check(&check.client, check.request, false));
     }
 
     /// Checks that nobody waits for any more end.
-    pub(crate) fn checks_lapse(&mut self) {
-        self.checks.retain(|_, check| {
+    pub(crate) fn expire_health_checks(&mut self) {
+        self.health_checks.retain(|_, check| {
             let waits = check.since.elapsed() < LONGEST_CHECK;
             if !waits {
-                checked(&check.client, check.request, false);
+                answer_health_check(&check.client, check.request, false);
             }
             waits
         });
--- a/crates/asterdale-engine/src/state_transfer.rs
+++ b/crates/asterdale-engine/src/state_transfer.rs
@@ -13,14 +13,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::engine::{Engine, EngineSettings};
-use crate::idempotency::Passed as Remembered;
+use crate::idempotency::ExportedTable as Remembered;
 use crate::message::{
     Connection, EngineMessage, IdempotencyKey, RegistryCommand, Reply, RequestId, ResponseRoute,
     RuntimeLinkCommand, TaskId,
 };
-use crate::paused::Guarding;
+use crate::paused::Guard;
 use crate::runtime;
-use crate::tasks::{Sent, Slot, Tasks};
+use crate::tasks::{SentCommand, Slot, Tasks};
 
 /// Proof that all commands on the link have arrived is waited for so long before the state is made without it.
 const PROOF: Duration = Duration::from_millis(250);
@@ -33,42 +33,56 @@
 
 /// A task that passes.
 #[derive(Serialize, Deserialize)]
-struct PassedTask {
+struct TransferredTask {
     handle: Handle,
-    serial: TaskId,
+    #[serde(rename = "serial")]
+    number: TaskId,
     id: RequestId,
-    stage: usize,
+    #[serde(rename = "stage")]
+    class: usize,
     body: Vec<u8>,
-    sign: u64,
-    way: Option<ResponseRoute>,
-    mark: Option<IdempotencyKey>,
+    #[serde(rename = "sign")]
+    body_digest: u64,
+    #[serde(rename = "way")]
+    route: Option<ResponseRoute>,
+    #[serde(rename = "mark")]
+    idempotency_key: Option<IdempotencyKey>,
     caller: Option<Caller>,
-    place: Option<(u32, String)>,
+    #[serde(rename = "place")]
+    seat_key: Option<(u32, String)>,
     started: bool,
-    void: bool,
-    wants: Option<(u64, Vec<u8>)>,
-    sent: Option<Sent>,
+    #[serde(rename = "void")]
+    must_not_start: bool,
+    #[serde(rename = "wants")]
+    pending_call: Option<(u64, Vec<u8>)>,
+    #[serde(rename = "sent")]
+    last_command: Option<SentCommand>,
 }
 
 /// All that passes.
 #[derive(Serialize, Deserialize)]
-struct Passed {
+struct TransferredState {
     now: f64,
     server: Option<Vec<u8>>,
-    serial: TaskId,
-    tasks: Vec<PassedTask>,
-    remembered: Remembered,
+    #[serde(rename = "serial")]
+    last_number: TaskId,
+    tasks: Vec<TransferredTask>,
+    #[serde(rename = "remembered")]
+    idempotency: Remembered,
     identity: Option<asterdale_identity::Passed>,
-    callers: HashMap<u32, usize>,
+    #[serde(rename = "callers")]
+    edge_node_indexes: HashMap<u32, usize>,
     /// The last notice read, and the gauges asked for and come.
     link: (u64, u64, u64),
-    good: bool,
-    stored: bool,
+    #[serde(rename = "good")]
+    is_healthy: bool,
+    #[serde(rename = "stored")]
+    health_is_cached: bool,
 }
 
 /// Whether a host with so many stages could go on with this state.
 pub fn check_state(state: &[u8], stages: usize) -> Result<(), String> {
-    let passed: Passed = rmp_serde::from_slice(state).map_err(|e| format!("the state: {e}"))?;
+    let passed: TransferredState = rmp_serde::from_slice(state).map_err(|e| format!("the state: {e}"))?;
     let Some(server) = passed.server else {
         return Ok(());
     };
@@ -79,56 +93,56 @@
     Ok(())
 }
 
-fn encode(passed: &Passed) -> Vec<u8> {
+fn encode(passed: &TransferredState) -> Vec<u8> {
     // Maps, lists and numbers alone are written, into memory: that can't fail.
     rmp_serde::to_vec_named(passed).unwrap_or_default()
 }
 
-fn task(handle: Handle, slot: &Slot, tasks: &Tasks) -> PassedTask {
-    PassedTask {
+fn exported_task(handle: Handle, slot: &Slot, tasks: &Tasks) -> TransferredTask {
+    TransferredTask {
         handle,
-        serial: slot.serial,
+        number: slot.number,
         id: slot.id,
-        stage: slot.stage,
+        class: slot.class,
         body: slot.body.clone(),
-        sign: slot.sign,
-        way: slot.back.as_ref().map(|(client, request)| ResponseRoute {
+        body_digest: slot.body_digest,
+        route: slot.back.as_ref().map(|(client, request)| ResponseRoute {
             connection: client.connection_id(),
             request: *request,
         }),
-        mark: slot.mark.clone(),
+        idempotency_key: slot.idempotency_key.clone(),
         caller: slot.caller.as_deref().cloned(),
-        place: slot
-            .seat
+        seat_key: slot
+            .quota_seat
             .as_ref()
-            .and_then(|seat| tasks.callers.place(seat)),
+            .and_then(|seat| tasks.identity_gate.seat_key(seat)),
         started: slot.started,
-        void: slot.void,
-        wants: slot.wants.clone(),
-        sent: slot.sent.clone(),
+        must_not_start: slot.must_not_start,
+        pending_call: slot.pending_call.clone(),
+        last_command: slot.last_command.clone(),
     }
 }
 
 impl Engine {
-    fn pass(&self) -> Vec<u8> {
+    fn export(&self) -> Vec<u8> {
         let tasks = &self.tasks;
-        let all = tasks.by_serial.values().filter_map(|handle| {
+        let all = tasks.by_number.values().filter_map(|handle| {
             let slot = tasks.slots.get(handle.index())?.as_ref()?;
-            Some(task(*handle, slot, tasks))
+            Some(exported_task(*handle, slot, tasks))
         });
-        encode(&Passed {
+        encode(&TransferredState {
             now: tasks.now,
             server: self.server.as_ref().map(Server::snapshot),
-            serial: tasks.serial,
+            last_number: tasks.last_number,
             tasks: all.collect(),
-            remembered: tasks
-                .fingerprints
-                .pass(failpoint::is_active(Failpoint::Unpassed)),
-            identity: tasks.callers.pass(),
-            callers: self.callers.clone(),
-            link: (tasks.link.last, tasks.link.asked, tasks.link.came),
-            good: tasks.good,
-            stored: tasks.stored,
+            idempotency: tasks
+                .idempotency
+                .export(failpoint::is_active(Failpoint::Unpassed)),
+            identity: tasks.identity_gate.export(),
+            edge_node_indexes: self.edge_node_indexes.clone(),
+            link: (tasks.runtime.last_notice, tasks.runtime.gauges_requested, tasks.runtime.gauges_received),
+            is_healthy: tasks.is_healthy,
+            health_is_cached: tasks.health_is_cached,
         })
     }
 
@@ -141,7 +155,7 @@
         client: &dyn Fn(u64) -> Arc<dyn Connection>,
         mirror: Option<Mirror>,
     ) -> Result<Engine, String> {
-        let passed: Passed = rmp_serde::from_slice(state).map_err(|e| format!("the state: {e}"))?;
+        let passed: TransferredState = rmp_serde::from_slice(state).map_err(|e| format!("the state: {e}"))?;
         let server = passed
             .server
             .map(|server| Server::restore(&server))
@@ -158,43 +172,43 @@
         host.clock.set(passed.now);
         let tasks = &mut host.tasks;
         tasks.now = passed.now;
-        tasks.serial = passed.serial;
-        tasks.fingerprints.go_on(passed.remembered);
+        tasks.last_number = passed.last_number;
+        tasks.idempotency.import(passed.idempotency);
         if let Some(identity) = passed.identity {
-            tasks.callers.go_on(passed.now, identity)?;
+            tasks.identity_gate.import(passed.now, identity)?;
         }
         for task in passed.tasks {
-            if task.stage >= stages || task.handle.index() > 1 << 24 {
+            if task.class >= stages || task.handle.index() > 1 << 24 {
                 return Err("a task of the state makes no sense".to_owned());
             }
-            let seat = task.place.and_then(|place| tasks.callers.replace(&place));
-            let back = task.way.map(|way| (client(way.connection), way.request));
+            let seat = task.seat_key.and_then(|place| tasks.identity_gate.restore_seat(&place));
+            let back = task.route.map(|way| (client(way.connection), way.request));
             tasks.arriving = Some(Slot {
-                serial: task.serial,
+                number: task.number,
                 id: task.id,
-                stage: task.stage,
+                class: task.class,
                 body: task.body,
-                sign: task.sign,
+                body_digest: task.body_digest,
                 back,
-                mark: task.mark,
+                idempotency_key: task.idempotency_key,
                 caller: task.caller.map(Arc::new),
-                seat,
+                quota_seat: seat,
                 started: task.started,
-                void: task.void,
+                must_not_start: task.must_not_start,
                 #[cfg(feature = "ownership")]
-                kept: None, // a process that hands over talks with nobody
-                wants: task.wants,
-                sent: task.sent,
+                ownership: None, // a process that hands over talks with nobody
+                pending_call: task.pending_call,
+                last_command: task.last_command,
             });
             tasks.counters.tasks_taken.add();
             tasks.counters.tasks_open.add();
             tasks.accepted(task.handle);
         }
-        (tasks.link.last, tasks.link.asked, tasks.link.came) = passed.link;
-        (tasks.good, tasks.stored) = (passed.good, passed.stored);
+        (tasks.runtime.last_notice, tasks.runtime.gauges_requested, tasks.runtime.gauges_received) = passed.link;
+        (tasks.is_healthy, tasks.health_is_cached) = (passed.is_healthy, passed.health_is_cached);
         tasks.mirror = mirror.filter(|_| !failpoint::is_active(Failpoint::Unmirrored));
-        tasks.wake_at = passed.now;
-        host.callers = passed.callers;
+        tasks.next_tick_at = passed.now;
+        host.edge_node_indexes = passed.edge_node_indexes;
         host.server = server;
         Ok(host)
     }
@@ -205,34 +219,34 @@
     }
 
     /// One step of a handover.
-    pub(crate) fn step(&mut self, step: HotRestartStep, mailbox: &Receiver<EngineMessage>) {
+    pub(crate) fn hot_restart_step(&mut self, step: HotRestartStep, mailbox: &Receiver<EngineMessage>) {
         match step {
             // Of one that leaves there is nothing to take: the way back is dropped.
-            HotRestartStep::Rehearse(_) | HotRestartStep::Freeze(_) if self.leave_by.is_some() => {}
-            HotRestartStep::Rehearse(to) => drop(to.send(self.pass())),
+            HotRestartStep::Rehearse(_) | HotRestartStep::Freeze(_) if self.drain_deadline.is_some() => {}
+            HotRestartStep::Rehearse(to) => drop(to.send(self.export())),
             HotRestartStep::Freeze(to) => self.freeze(&to, mailbox),
             HotRestartStep::Thaw => {
-                self.aside.frozen = false;
-                self.tasks.wake_at = self.tasks.wake_at.min(self.clock.now());
-                self.link_again();
-                self.handle_kept(mailbox);
+                self.paused.is_frozen = false;
+                self.tasks.next_tick_at = self.tasks.next_tick_at.min(self.clock.now());
+                self.reclaim_link();
+                self.handle_deferred(mailbox);
             }
-            HotRestartStep::Commit(port) => self.give(port, mailbox),
-            HotRestartStep::PeerReply(way, reply) => self.relay(way, reply),
-            HotRestartStep::Mirrored(what) => self.mirrored(what),
+            HotRestartStep::Commit(port) => self.commit_to_successor(port, mailbox),
+            HotRestartStep::PeerReply(way, reply) => self.relay_reply(way, reply),
+            HotRestartStep::Mirrored(what) => self.apply_mirrored(what),
             HotRestartStep::Resume => self.resume(mailbox),
             HotRestartStep::Exit => {
-                if let Some(guarding) = &mut self.aside.guarding {
-                    guarding.until = f64::NEG_INFINITY;
+                if let Some(guarding) = &mut self.paused.guarding {
+                    guarding.guard_until = f64::NEG_INFINITY;
                 }
             }
             HotRestartStep::GuardEnded => self.tasks.mirror = None,
         }
     }
 
-    fn handle_kept(&mut self, mailbox: &Receiver<EngineMessage>) {
-        for mail in std::mem::take(&mut self.aside.kept) {
-            self.take_mail(mail, mailbox);
+    fn handle_deferred(&mut self, mailbox: &Receiver<EngineMessage>) {
+        for mail in std::mem::take(&mut self.paused.deferred) {
+            self.dispatch(mail, mailbox);
         }
     }
 
@@ -240,71 +254,71 @@
     /// what the runtime says meanwhile is in the state. Nothing new is started: the link takes no commands.
     fn freeze(&mut self, to: &Sender<Vec<u8>>, mailbox: &Receiver<EngineMessage>) {
         let end = Instant::now() + PROOF;
-        if self.tasks.link.commands.is_some() && !self.tasks.link.replaying {
+        if self.tasks.runtime.commands.is_some() && !self.tasks.runtime.is_replaying {
             self.tasks
                 .send(runtime::ask("gauges", crate::runtime_events::LAST));
         }
-        self.tasks.link.replaying = true;
-        while self.tasks.link.commands.is_some() {
+        self.tasks.runtime.is_replaying = true;
+        while self.tasks.runtime.commands.is_some() {
             let left = end.saturating_duration_since(Instant::now());
             match mailbox.recv_timeout(left) {
-                Ok(mail @ EngineMessage::RuntimeNotice(_)) => self.take_mail(mail, mailbox),
-                Ok(mail) => self.aside.kept.push(mail),
+                Ok(mail @ EngineMessage::RuntimeNotice(_)) => self.dispatch(mail, mailbox),
+                Ok(mail) => self.paused.deferred.push(mail),
                 Err(_) => break,
             }
         }
-        self.tasks.link.commands = None;
-        let _ = self.moves.send(RuntimeLinkCommand::SetPaused(true));
-        self.checks_end();
-        self.aside.frozen = true;
+        self.tasks.runtime.commands = None;
+        let _ = self.runtime_link.send(RuntimeLinkCommand::SetPaused(true));
+        self.fail_health_checks();
+        self.paused.is_frozen = true;
         self.tasks.now = self.clock.now();
-        let _ = to.send(self.pass());
+        let _ = to.send(self.export());
     }
 
     /// The link is this process's again: what may not have arrived is sent again on the new one.
-    fn link_again(&mut self) {
-        self.tasks.link.replaying = true;
-        let _ = self.moves.send(RuntimeLinkCommand::SetPaused(false));
+    fn reclaim_link(&mut self) {
+        self.tasks.runtime.is_replaying = true;
+        let _ = self.runtime_link.send(RuntimeLinkCommand::SetPaused(false));
     }
 
-    fn give(&mut self, port: Box<dyn SuccessorLink>, mailbox: &Receiver<EngineMessage>) {
-        let until = self.tasks.fingerprints.last_window().max(self.tasks.now);
-        self.aside.frozen = false;
-        self.aside.guarding = Some(Guarding {
-            port: Some(port),
-            until,
-            ..Guarding::default()
+    fn commit_to_successor(&mut self, port: Box<dyn SuccessorLink>, mailbox: &Receiver<EngineMessage>) {
+        let until = self.tasks.idempotency.last_window().max(self.tasks.now);
+        self.paused.is_frozen = false;
+        self.paused.guarding = Some(Guard {
+            successor: Some(port),
+            guard_until: until,
+            ..Guard::default()
         });
-        self.list.send(RegistryCommand::SetPaused(true));
-        self.tasks.fronts.set_paused(true);
-        self.tasks.fronts.end_answered_connections();
+        self.registry.send(RegistryCommand::SetPaused(true));
+        self.tasks.frontends.set_paused(true);
+        self.tasks.frontends.end_answered_connections();
         slog::info!(self.tasks.log.lines, "upgrade: the work is the new process's; this one guards it";
             "gist" => ?self.summary());
-        self.handle_kept(mailbox);
+        self.handle_deferred(mailbox);
     }
 
     /// Carries mail to the successor; gives back what is this host's own all the same.
-    pub(crate) fn carry(&mut self, mail: EngineMessage) -> Option<EngineMessage> {
-        let Some(Guarding {
-            carried,
-            port: Some(port),
+    pub(crate) fn forward_to_successor(&mut self, mail: EngineMessage) -> Option<EngineMessage> {
+        let Some(Guard {
+            forwarded,
+            successor: Some(port),
             ..
-        }) = &mut self.aside.guarding
+        }) = &mut self.paused.guarding
         else {
             if matches!(mail, EngineMessage::HotRestart(_)) {
                 return Some(mail);
             }
-            self.aside.kept.push(mail);
+            self.paused.deferred.push(mail);
             return None;
         };
         match mail {
             EngineMessage::Request(request) => {
                 let way = request.route();
-                if carried.contains_key(&way) || self.tasks.by_way.contains_key(&way) {
+                if forwarded.contains_key(&way) || self.tasks.by_route.contains_key(&way) {
                     request.client.discard_request();
                 } else {
                     port.forward_request(way, &request);
-                    carried.insert(way, request.client);
+                    forwarded.insert(way, request.client);
                 }
             }
             EngineMessage::HealthCheck {
@@ -317,7 +331,7 @@
                     request,
                 };
                 port.forward_health_check(way, deep);
-                carried.insert(way, client);
+                forwarded.insert(way, client);
             }
             EngineMessage::Abort(route) => {
                 port.forward_abort(route.connection, Some(route.request))
@@ -338,7 +352,7 @@
             // A process that hands over talks with no fleet.
             #[cfg(feature = "ownership")]
             EngineMessage::OwnershipAnswer(..) | EngineMessage::OwnerlessRequests(_) => {}
-            EngineMessage::Drain => self.aside.gone = true,
+            EngineMessage::Drain => self.paused.must_exit = true,
             mail @ (EngineMessage::PrintCounters | EngineMessage::HotRestart(_)) => {
                 return Some(mail)
             }
@@ -346,21 +360,21 @@
         None
     }
 
-    fn relay(&mut self, way: ResponseRoute, reply: Reply) {
-        if let Some(task) = self.tasks.by_way.get(&way).copied() {
+    fn relay_reply(&mut self, way: ResponseRoute, reply: Reply) {
+        if let Some(task) = self.tasks.by_route.get(&way).copied() {
             self.tasks.answer(task, reply);
             return;
         }
-        let Some(guarding) = &mut self.aside.guarding else {
+        let Some(guarding) = &mut self.paused.guarding else {
             return;
         };
-        if let Some(client) = guarding.carried.remove(&way) {
+        if let Some(client) = guarding.forwarded.remove(&way) {
             client.answer(way.request, reply);
         }
     }
 
-    fn mirrored(&mut self, what: MirroredEvent) {
-        let Some(guarding) = &mut self.aside.guarding else {
+    fn apply_mirrored(&mut self, what: MirroredEvent) {
+        let Some(guarding) = &mut self.paused.guarding else {
             return;
         };
         let tasks = &mut self.tasks;
@@ -370,26 +384,26 @@
                 owner,
                 until_ms: until,
             } => {
-                guarding.until = guarding.until.max(until);
-                tasks.serial = tasks.serial.max(owner.0);
+                guarding.guard_until = guarding.guard_until.max(until);
+                tasks.last_number = tasks.last_number.max(owner.0);
                 // Whoever waited for an earlier one is the other's.
-                drop(tasks.fingerprints.remember(mark, owner, until, None));
+                drop(tasks.idempotency.remember(mark, owner, until, None));
             }
             MirroredEvent::TaskStarted { id, key: mark } => {
-                tasks.serial = tasks
-                    .serial
+                tasks.last_number = tasks
+                    .last_number
                     .max(mark.as_ref().map_or(0, |(_, owner)| *owner));
-                guarding.elsewhere.insert(id, mark);
+                guarding.started_by_successor.insert(id, mark);
             }
             MirroredEvent::TaskEnded {
                 key: mark,
                 owner,
                 result,
             } => {
-                drop(tasks.fingerprints.ended(&mark, owner, tasks.now, result));
+                drop(tasks.idempotency.complete(&mark, owner, tasks.now, result));
             }
             MirroredEvent::KeyDropped { key: mark, owner } => {
-                drop(tasks.fingerprints.forget(&mark, owner))
+                drop(tasks.idempotency.forget(&mark, owner))
             }
         }
     }
@@ -397,60 +411,60 @@
     /// Takes the work back. What the other has started is not started again here: its clients hear that nothing
     /// is promised, and its results come with the notices that were missed.
     fn resume(&mut self, mailbox: &Receiver<EngineMessage>) {
-        let Some(guarding) = self.aside.guarding.take() else {
+        let Some(guarding) = self.paused.guarding.take() else {
             return;
         };
         slog::error!(self.tasks.log.lines, "upgrade: the new process has ended; this one takes the work back";
-            "started_there" => guarding.elsewhere.len(), "unanswered" => guarding.carried.len());
+            "started_there" => guarding.started_by_successor.len(), "unanswered" => guarding.forwarded.len());
         self.tasks.now = self.clock.now();
-        for (ResponseRoute { request, .. }, client) in guarding.carried {
+        for (ResponseRoute { request, .. }, client) in guarding.forwarded {
             client.answer(request, Reply::Failed);
         }
-        self.tasks.elsewhere = guarding.elsewhere;
-        self.tasks.fronts.set_paused(false);
-        self.list.send(RegistryCommand::SetPaused(false));
-        self.link_again();
-        let over: Vec<Handle> = (self.tasks.by_serial.values().copied())
+        self.tasks.started_by_successor = guarding.started_by_successor;
+        self.tasks.frontends.set_paused(false);
+        self.registry.send(RegistryCommand::SetPaused(false));
+        self.reclaim_link();
+        let over: Vec<Handle> = (self.tasks.by_number.values().copied())
             .filter(|task| {
                 let slot = self.tasks.slots.get(task.index()).and_then(Option::as_ref);
                 slot.is_some_and(|slot| {
                     !slot.started
-                        && (slot.back.is_none() || self.tasks.elsewhere.contains_key(&slot.id))
+                        && (slot.back.is_none() || self.tasks.started_by_successor.contains_key(&slot.id))
                 })
             })
             .collect();
         // All are marked before the module hears of the first: what it frees must start none of the others.
         for task in &over {
             if let Some(slot) = self.tasks.slot(*task) {
-                slot.void = true;
+                slot.must_not_start = true;
             }
-            self.tasks.failed(*task);
+            self.tasks.answer_failed(*task);
         }
         for task in over {
             if let Some(server) = &mut self.server {
                 task.caller_gone(server, self.tasks.now, &mut self.tasks);
             }
         }
-        self.tasks.wake_at = self.tasks.now;
-        self.handle_kept(mailbox);
+        self.tasks.next_tick_at = self.tasks.now;
+        self.handle_deferred(mailbox);
     }
 
     /// What a host does that has given its work away; `true` once it has left.
-    pub(crate) fn guard(&mut self, mailbox: &Receiver<EngineMessage>) -> bool {
+    pub(crate) fn guard_successor(&mut self, mailbox: &Receiver<EngineMessage>) -> bool {
         let mut hush = Instant::now();
-        while self.aside.stands() {
+        while self.paused.is_paused() {
             match mailbox.recv_timeout(HUSH) {
-                Ok(mail) => self.take_mail(mail, mailbox),
+                Ok(mail) => self.dispatch(mail, mailbox),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return true,
             }
             self.tasks.now = self.clock.now();
-            let Some(guarding) = &mut self.aside.guarding else {
+            let Some(guarding) = &mut self.paused.guarding else {
                 continue;
             };
-            let open = self.tasks.fronts.open_connections();
-            if self.aside.gone || open == 0 && self.tasks.now > guarding.until + AFTER {
-                if let Some(port) = &mut guarding.port {
+            let open = self.tasks.frontends.open_connections();
+            if self.paused.must_exit || open == 0 && self.tasks.now > guarding.guard_until + AFTER {
+                if let Some(port) = &mut guarding.successor {
                     port.guard_ended();
                 }
                 slog::info!(self.tasks.log.lines, "upgrade: this process leaves"; "connections" => open);
@@ -458,7 +472,7 @@
             }
             if Instant::now() >= hush {
                 hush = Instant::now() + HUSH;
-                self.tasks.fronts.end_answered_connections();
+                self.tasks.frontends.end_answered_connections();
             }
         }
         false
