--- a/crates/asterdale-daemon/src/frontend/mod.rs
+++ b/crates/asterdale-daemon/src/frontend/mod.rs
@@ -88,7 +88,7 @@
         handle: handle.clone(),
         writer: ports.writer.clone(),
         max_idle_connections: max_idle_connections(start, listener.listener_count),
-        idle_timeout_ms: start.facts.decisions.idle_timeout_ms as u64,
+        idle_timeout_ms: start.settings.decisions.idle_timeout_ms as u64,
     };
     let context = connection_context(start, listener.listener_count, ports);
     let event_loop = EventLoop::new(poll, commands, listener, context, settings);
@@ -101,21 +101,21 @@
     ports: FrontendPorts,
 ) -> ConnectionContext {
     let max_deadline_ms = start
-        .facts
+        .settings
         .decisions
         .classes
         .iter()
         .map(|class| class.deadline_ms)
         .fold(MIN_LONGEST_DEADLINE_MS, f64::max);
     ConnectionContext {
-        settings: start.facts.clone(),
+        settings: start.settings.clone(),
         identity_required: start.identity.is_some(),
         engine: ports.engine,
         counters: ports.counters,
         log: ports.log,
         max_connections: max_connections(start, listener_count),
         buffered_bytes: 0,
-        max_buffered_bytes: start.memory / 8 / listener_count,
+        max_buffered_bytes: start.memory_bytes / 8 / listener_count,
         max_deadline_ms: max_deadline_ms as u64,
         started_at: ports.started_at,
     }
@@ -123,17 +123,17 @@
 
 /// Several times the number of connections that edge nodes keep open for reuse.
 fn max_idle_connections(start: &Start, listener_count: usize) -> usize {
-    (start.descriptors / 8 / listener_count).max(MIN_IDLE_CONNECTIONS)
+    (start.max_descriptors / 8 / listener_count).max(MIN_IDLE_CONNECTIONS)
 }
 
 /// Edge nodes open as many connections as half of the descriptors at most. Some of the rest are for health checks, and
 /// [`RESERVED_DESCRIPTORS`] (fewer where there are few) for connections that this process opens. All connections take
 /// half of the memory at most.
 fn max_connections(start: &Start, listener_count: usize) -> usize {
-    (start.descriptors * 3 / 4)
-        .min(start.descriptors.saturating_sub(RESERVED_DESCRIPTORS))
-        .max(start.descriptors / 2)
-        .min(start.memory / 2 / CONNECTION_BYTES)
+    (start.max_descriptors * 3 / 4)
+        .min(start.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS))
+        .max(start.max_descriptors / 2)
+        .min(start.memory_bytes / 2 / CONNECTION_BYTES)
         .div_euclid(listener_count)
         .max(1)
 }
--- a/crates/asterdale-daemon/src/frontend/tests.rs
+++ b/crates/asterdale-daemon/src/frontend/tests.rs
@@ -38,7 +38,7 @@
     let start = json!({"name": "n", "listen": "127.0.0.1:0", "runtime": "127.0.0.1:1", "registry":
         "127.0.0.1:1", "records": "127.0.0.1:1", "seed": "1", "stop_ms": 1, "limits": {"memory_mb": 32,
         "sockets": 64}, "settings": {"extra": {"cores": 1, "memoryKb": 1}, "lanes": [{"name": "page"}]}});
-    crate::start::read(start.to_string().as_bytes(), None, None).unwrap()
+    crate::start::parse(start.to_string().as_bytes(), None, None).unwrap()
 }
 
 #[test]
--- a/crates/asterdale-daemon/src/frontend/tls/mod.rs
+++ b/crates/asterdale-daemon/src/frontend/tls/mod.rs
@@ -12,7 +12,7 @@
 use rustls::{ServerConfig, ServerConnection};
 
 use crate::start::faults::Fault;
-use crate::start::Tls;
+use crate::start::TlsSettings;
 
 pub use session::TlsSession;
 
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// What is wrong with them, each fault with the path of its field.
-    pub fn new(tls: &Tls) -> Result<TlsAcceptor, Vec<Fault>> {
+    pub fn new(tls: &TlsSettings) -> Result<TlsAcceptor, Vec<Fault>> {
         Ok(TlsAcceptor {
             config: RwLock::new(settings::load(tls)?),
         })
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     /// If anything is wrong with them; then the previous certificates stay in use.
-    pub fn reload(&self, tls: &Tls) -> Result<(), Vec<Fault>> {
+    pub fn reload(&self, tls: &TlsSettings) -> Result<(), Vec<Fault>> {
         let config = settings::load(tls)?;
         // A panic anywhere ends the process, so a poisoned lock is never seen.
         *self.config.write().unwrap_or_else(PoisonError::into_inner) = config;
--- a/crates/asterdale-daemon/src/frontend/tls/settings.rs
+++ b/crates/asterdale-daemon/src/frontend/tls/settings.rs
@@ -10,12 +10,12 @@
 use rustls::{RootCertStore, ServerConfig};
 
 use crate::start::faults::Fault;
-use crate::start::Tls;
+use crate::start::TlsSettings;
 
 fn fault(path: &str, file: &str, error: impl Display) -> Vec<Fault> {
     vec![Fault {
         path: path.to_owned(),
-        what: format!("{file}: {error}"),
+        message: format!("{file}: {error}"),
     }]
 }
 
@@ -23,12 +23,12 @@
 ///
 /// # Errors
 /// What is wrong with them, with the path of the field.
-pub fn load(tls: &Tls) -> Result<Arc<ServerConfig>, Vec<Fault>> {
-    let chain = certificates("tls.certificate", &tls.certificate)?;
-    let key = PrivateKeyDer::from_pem_file(&tls.key).map_err(|e| fault("tls.key", &tls.key, e))?;
-    let clients_fault = |e: &dyn Display| fault("tls.clients", &tls.clients, e);
+pub fn load(tls: &TlsSettings) -> Result<Arc<ServerConfig>, Vec<Fault>> {
+    let chain = certificates("tls.certificate", &tls.certificate_path)?;
+    let key = PrivateKeyDer::from_pem_file(&tls.key_path).map_err(|e| fault("tls.key", &tls.key_path, e))?;
+    let clients_fault = |e: &dyn Display| fault("tls.clients", &tls.client_ca_path, e);
     let mut roots = RootCertStore::empty();
-    for root in certificates("tls.clients", &tls.clients)? {
+    for root in certificates("tls.clients", &tls.client_ca_path)? {
         roots.add(root).map_err(|e| clients_fault(&e))?;
     }
     let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -40,7 +40,7 @@
         .map_err(|e| fault("tls", "", e))?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain, key)
-        .map_err(|e| fault("tls.key", &tls.key, e))?;
+        .map_err(|e| fault("tls.key", &tls.key_path, e))?;
     // No session is resumed: a resumed one presents no certificate, and would outlive the removal of its CA.
     config.session_storage = Arc::new(NoServerSessionStorage {});
     config.send_tls13_tickets = 0;
