--- /dev/null
+++ b/crates/asterdale-daemon/src/assembly/error.rs
@@ -0,0 +1,45 @@
+//! Why the process can't serve.
+
+use std::error::Error;
+use std::io;
+use std::net::SocketAddr;
+
+#[cfg(feature = "tls")]
+use crate::error::InvalidFile;
+use crate::threads::SpawnError;
+
+/// Why the process can't serve.
+#[derive(Debug, thiserror::Error)]
+pub enum AssemblyError {
+    #[error("signals")]
+    Signals(#[source] io::Error),
+    #[error(transparent)]
+    Thread(#[from] SpawnError),
+    /// A file that the start file names is invalid.
+    #[cfg(feature = "tls")]
+    #[error("{0}")]
+    Invalid(#[from] InvalidFile),
+    #[error("frontend")]
+    Frontend(#[source] io::Error),
+    #[error("listen: {address}")]
+    Listen {
+        address: SocketAddr,
+        source: io::Error,
+    },
+    #[error("registry")]
+    Registry(#[source] io::Error),
+    #[error("records")]
+    Records(#[source] io::Error),
+    #[error("identity: {0}")]
+    Identity(String),
+    /// The state of the previous process can't be taken over, or the control socket can't be opened.
+    #[cfg(feature = "upgrade")]
+    #[error(transparent)]
+    HotRestart(Box<dyn Error + Send + Sync>),
+    #[cfg(feature = "journal")]
+    #[error(transparent)]
+    Journal(Box<dyn Error + Send + Sync>),
+    #[cfg(feature = "fleet")]
+    #[error(transparent)]
+    Fleet(Box<dyn Error + Send + Sync>),
+}
--- /dev/null
+++ b/crates/asterdale-daemon/src/assembly/identity.rs
@@ -0,0 +1,68 @@
+//! Starts what identifies callers, where the start file requires that.
+
+use asterdale_engine::engine::unix_ms;
+use asterdale_engine::issuer::{self, KeyRefresh};
+use asterdale_engine::message::EngineMessage;
+use asterdale_identity::Identity;
+use crossbeam_channel::{bounded, Sender};
+
+use super::{ActorContext, AssemblyError};
+use crate::start::{KeySetSource, Start};
+use crate::threads::spawn;
+
+/// Commands that wait for the issuer's actor at most.
+const ISSUER_MAILBOX_CAPACITY: usize = 16;
+
+/// How callers are identified. Both are absent where any caller is served.
+#[derive(Default)]
+pub struct CallerIdentity {
+    /// Decides who a caller is and what it may do.
+    pub identity: Option<Identity>,
+    /// The actor that fetches keys from an issuer, if they come from one.
+    pub issuer: Option<Sender<KeyRefresh>>,
+}
+
+/// Starts to get the set of keys: it is sent to the engine now if it comes from a file, or when the issuer's actor has
+/// fetched it.
+pub fn start(start: &Start, context: &ActorContext) -> Result<CallerIdentity, AssemblyError> {
+    let Some(settings) = &start.identity else {
+        return Ok(CallerIdentity::default());
+    };
+    let identity =
+        Identity::new(unix_ms(), settings.parameters.clone()).map_err(AssemblyError::Identity)?;
+    let issuer = match &settings.key_source {
+        KeySetSource::Issuer(source) => {
+            let (sender, commands) = bounded(ISSUER_MAILBOX_CAPACITY);
+            let (source, seed) = (source.clone(), settings.parameters.seed);
+            let ActorContext {
+                engine,
+                counters,
+                log,
+            } = context.clone();
+            spawn("issuer", move || {
+                issuer::fetch(source, seed, &commands, &engine, &counters, &log);
+            })?;
+            Some(sender)
+        }
+        file => {
+            send_key_set(file, context);
+            None
+        }
+    };
+    Ok(CallerIdentity {
+        identity: Some(identity),
+        issuer,
+    })
+}
+
+/// Sends the set of keys in this file to the engine. If it can't be read, every caller is rejected until a reload.
+fn send_key_set(file: &KeySetSource, context: &ActorContext) {
+    match file.read_file() {
+        // The engine's mailbox is open: it is created and run by the caller of `start`.
+        Some(Ok(key_set)) => drop(context.engine.send(EngineMessage::KeySet(key_set))),
+        Some(Err(e)) => {
+            slog::error!(context.log.lines, "identity: key set not loaded"; "error" => e);
+        }
+        None => {}
+    }
+}
--- /dev/null
+++ b/crates/asterdale-daemon/src/assembly/mod.rs
@@ -0,0 +1,104 @@
+//! Starts all actors of the process, connects them with the engine, and runs the engine.
+//!
+//! Every actor has a thread of its own; the engine runs on the main thread. Actors exchange messages only, so this module
+//! and those below are the ones that know which actors there are.
+
+mod actors;
+mod error;
+mod frontends;
+mod hot_restart;
+mod identity;
+
+use std::path::PathBuf;
+use std::sync::Arc;
+
+use asterdale_engine::counters::Counters;
+use asterdale_engine::engine::EngineSettings;
+use asterdale_engine::log::Log;
+use asterdale_engine::message::EngineMessage;
+use asterdale_engine::EnginePorts;
+use crossbeam_channel::{bounded, Sender};
+
+use crate::reload::Reload;
+use crate::signals::{self, SignalHandler};
+use crate::start::Start;
+use crate::threads;
+pub use error::AssemblyError;
+use frontends::Frontends;
+use hot_restart::PreviousProcess;
+
+/// Messages that wait for the engine at most. Whoever sends more waits, so connections are read no further.
+const ENGINE_MAILBOX_CAPACITY: usize = 4096;
+
+/// What every actor gets: the way to the engine, the counters and the log.
+#[derive(Clone)]
+struct ActorContext {
+    engine: Sender<EngineMessage>,
+    counters: Arc<Counters>,
+    log: Log,
+}
+
+/// Serves until the engine ends, which is when the process is drained.
+///
+/// # Errors
+/// If any actor can't be started. The process must exit then, as others may be running.
+pub fn run(start: Start, start_file: Option<PathBuf>, log: &Log) -> Result<(), AssemblyError> {
+    let (engine, mailbox) = bounded(ENGINE_MAILBOX_CAPACITY);
+    let context = ActorContext {
+        engine,
+        counters: Arc::default(),
+        log: log.clone(),
+    };
+    // Before anything shows that the process is there: a signal that came sooner would end it.
+    let caught_signals = signals::catch().map_err(AssemblyError::Signals)?;
+    let mut listeners = frontends::listener_settings(&start)?;
+    let mut previous = PreviousProcess::inherit(&start)?;
+    previous.separate_connection_numbers(&mut listeners);
+    let frontends = Frontends::create(&start, &listeners, &context)?;
+    let sockets = previous.listening_sockets(&listeners, log)?;
+    previous.start_control_server(&start, &sockets, &context)?;
+    let callers = identity::start(&start, &context)?;
+    let handler = SignalHandler {
+        engine: context.engine.clone(),
+        reload: Reload {
+            start_file,
+            issuer: callers.issuer.clone(),
+            #[cfg(feature = "tls")]
+            tls: listeners.iter().find_map(|listener| listener.tls.clone()),
+        },
+        control_socket: start.control_socket.as_ref().map(PathBuf::from),
+        counters: context.counters.clone(),
+        log: log.clone(),
+    };
+    threads::spawn("signals", move || handler.run(caught_signals))?;
+    let runtime_link = actors::start_runtime_link(&start, &context)?;
+    let registry = actors::start_registry(&start, &context)?;
+    let frontends = frontends.start(sockets)?;
+    let records = actors::start_records(&start, &context)?;
+    let fleet = actors::start_journal_and_fleet(&start, &context)?;
+    let ports = EnginePorts {
+        records,
+        frontends: Arc::new(frontends),
+        registry,
+        runtime_link,
+        issuer: callers.issuer,
+        fleet: fleet.view,
+        #[cfg(any(feature = "fleet", feature = "journal"))]
+        ownership: fleet.ownership,
+        counters: context.counters.clone(),
+        log: log.clone(),
+    };
+    let settings = EngineSettings {
+        settings: start.settings,
+        memory_bytes: start.memory_bytes,
+        termination_grace_ms: start.stop_ms,
+        endpoints: start.endpoints,
+        identity: callers.identity,
+    };
+    let (mut engine, guard) = previous.into_engine(settings, ports, &context)?;
+    slog::info!(log.lines, "daemon: serving"; "address" => %start.listen);
+    engine.run(&mailbox);
+    engine.print_counters();
+    guard.release();
+    Ok(())
+}
--- a/crates/asterdale-daemon/src/cli.rs
+++ b/crates/asterdale-daemon/src/cli.rs
@@ -5,8 +5,9 @@
 
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
 
+use crate::serve::{report_faults, serve, ServeOptions};
 use crate::start;
-use crate::{keys, serve, tell, token, How};
+use crate::{keys, token};
 
 const EXAMPLES: &str = "\
 Examples:
@@ -80,8 +81,8 @@
     level: Level,
 }
 
-impl From<Serve> for How {
-    fn from(Serve { file, log, level }: Serve) -> How {
+impl From<Serve> for ServeOptions {
+    fn from(Serve { file, log, level }: Serve) -> ServeOptions {
         let level = match level {
             Level::Critical => slog::Level::Critical,
             Level::Error => slog::Level::Error,
@@ -89,10 +90,10 @@
             Level::Info => slog::Level::Info,
             Level::Debug => slog::Level::Debug,
         };
-        How {
-            file,
-            json: matches!(log, Form::Json),
-            level: Some(level),
+        ServeOptions {
+            start_file: file,
+            json_log: matches!(log, Form::Json),
+            log_level: Some(level),
         }
     }
 }
@@ -144,14 +145,14 @@
             );
             ExitCode::SUCCESS
         }
-        Err(faults) => tell(&faults),
+        Err(faults) => report_faults(&faults),
     }
 }
 
 /// Does what the command line says.
 pub fn run() -> ExitCode {
     let done = match Line::parse().command {
-        None => return serve(How::default()),
+        None => return serve(ServeOptions::default()),
         Some(Command::Serve(how)) => return serve(how.into()),
         Some(Command::Check { file }) => return check(&file),
         Some(Command::Schema) => {
--- a/crates/asterdale-daemon/src/frontend/tls/settings.rs
+++ b/crates/asterdale-daemon/src/frontend/tls/settings.rs
@@ -25,7 +25,8 @@
 /// What is wrong with them, with the path of the field.
 pub fn load(tls: &TlsSettings) -> Result<Arc<ServerConfig>, Vec<Fault>> {
     let chain = certificates("tls.certificate", &tls.certificate_path)?;
-    let key = PrivateKeyDer::from_pem_file(&tls.key_path).map_err(|e| fault("tls.key", &tls.key_path, e))?;
+    let key = PrivateKeyDer::from_pem_file(&tls.key_path)
+        .map_err(|e| fault("tls.key", &tls.key_path, e))?;
     let clients_fault = |e: &dyn Display| fault("tls.clients", &tls.client_ca_path, e);
     let mut roots = RootCertStore::empty();
     for root in certificates("tls.clients", &tls.client_ca_path)? {
--- /dev/null
+++ b/crates/asterdale-daemon/src/reload.rs
@@ -0,0 +1,84 @@
+//! Reads the start file again and applies what can change while the process serves: endpoints, identity parameters and
+//! keys, TLS certificates.
+
+use std::path::{Path, PathBuf};
+#[cfg(feature = "tls")]
+use std::sync::Arc;
+
+use asterdale_engine::issuer::KeyRefresh;
+use asterdale_engine::message::EngineMessage;
+use crossbeam_channel::Sender;
+
+use crate::error::InvalidFile;
+#[cfg(feature = "tls")]
+use crate::frontend::TlsAcceptor;
+use crate::start::faults::Fault;
+use crate::start::{self, KeySetSource, Start};
+
+/// Reads this start file, or the one that the environment names.
+///
+/// # Errors
+/// Everything that is wrong with it.
+pub fn read_start(start_file: Option<&Path>) -> Result<Start, Vec<Fault>> {
+    start_file.map_or_else(start::from_environment, start::from_file)
+}
+
+/// Why a reload changed nothing, or not everything.
+#[derive(Debug, thiserror::Error)]
+pub enum ReloadError {
+    /// The start file or a file that it names is invalid.
+    #[error("{0}")]
+    Invalid(#[from] InvalidFile),
+    /// The set of keys can't be read; everything else was applied.
+    #[error("{0}")]
+    KeySet(String),
+}
+
+/// Those that use settings which can change, except for the engine.
+pub struct Reload {
+    /// The start file; if absent, an environment variable names it.
+    pub start_file: Option<PathBuf>,
+    /// The actor that fetches keys from the issuer, if there is one.
+    pub issuer: Option<Sender<KeyRefresh>>,
+    #[cfg(feature = "tls")]
+    pub tls: Option<Arc<TlsAcceptor>>,
+}
+
+impl Reload {
+    /// Reads the start file and applies it. Returns `false` if the engine has ended.
+    ///
+    /// # Errors
+    /// If a file is invalid. Nothing has changed then, except where only the set of keys is.
+    pub fn run(&self, engine: &Sender<EngineMessage>) -> Result<bool, ReloadError> {
+        let start = read_start(self.start_file.as_deref()).map_err(InvalidFile)?;
+        #[cfg(feature = "tls")]
+        if let (Some(acceptor), Some(tls)) = (&self.tls, &start.tls) {
+            acceptor.reload(tls).map_err(InvalidFile)?;
+        }
+        self.apply(start, engine)
+    }
+
+    fn apply(&self, start: Start, engine: &Sender<EngineMessage>) -> Result<bool, ReloadError> {
+        let (parameters, key_source) = start
+            .identity
+            .map(|identity| (Box::new(identity.parameters), identity.key_source))
+            .unzip();
+        let mut is_engine_running = engine
+            .send(EngineMessage::Reloaded(start.endpoints, parameters))
+            .is_ok();
+        match (key_source, &self.issuer) {
+            (Some(KeySetSource::Issuer(source)), Some(issuer)) => {
+                // A full mailbox means that the actor has not read previous changes; the next SIGHUP repeats this one.
+                let _ = issuer.try_send(KeyRefresh::SetSource(source));
+            }
+            (Some(source), _) => {
+                if let Some(key_set) = source.read_file() {
+                    let key_set = key_set.map_err(ReloadError::KeySet)?;
+                    is_engine_running &= engine.send(EngineMessage::KeySet(key_set)).is_ok();
+                }
+            }
+            (None, _) => {}
+        }
+        Ok(is_engine_running)
+    }
+}
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -667,7 +667,7 @@
             .contains("frontend: the address is still in use")
     });
     drop(holder);
-    until("serving", || backend.log().contains("host: serving"));
+    until("serving", || backend.log().contains("daemon: serving"));
     backend.runtime.up();
     let mut edge = backend.connect();
     edge.task(1, "page", A, &[]);
