--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -412,3 +412,6 @@
         })
     }
 }
+
+#[cfg(all(test, feature = "fleet"))]
+mod stored;
--- a/crates/asterdale-daemon/src/upgrade/mod.rs
+++ b/crates/asterdale-daemon/src/upgrade/mod.rs
@@ -630,3 +630,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod stored;
--- a/crates/asterdale-engine/src/state_transfer.rs
+++ b/crates/asterdale-engine/src/state_transfer.rs
@@ -478,3 +478,6 @@
         false
     }
 }
+
+#[cfg(test)]
+mod tests;
