--- a/crates/asterdale-daemon/src/assembly/error.rs
+++ b/crates/asterdale-daemon/src/assembly/error.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 #[cfg(feature = "tls")]
-use crate::error::InvalidFile;
+use crate::start::StartError;
 use crate::threads::SpawnError;
 
 /// Why the process can't serve.
@@ -17,8 +17,8 @@
     Thread(#[from] SpawnError),
     /// A file that the start file names is invalid.
     #[cfg(feature = "tls")]
-    #[error("{0}")]
-    Invalid(#[from] InvalidFile),
+    #[error(transparent)]
+    Invalid(#[from] StartError),
     #[error("frontend")]
     Frontend(#[source] io::Error),
     #[error("listen: {address}")]
--- a/crates/asterdale-daemon/src/assembly/frontends.rs
+++ b/crates/asterdale-daemon/src/assembly/frontends.rs
@@ -8,8 +8,6 @@
 
 use super::{ActorContext, AssemblyError};
 #[cfg(feature = "tls")]
-use crate::error::InvalidFile;
-#[cfg(feature = "tls")]
 use crate::frontend::TlsAcceptor;
 use crate::frontend::{
     self, EventLoop, FrontendGroup, FrontendHandle, FrontendPorts, ListenerSettings, Writer,
@@ -30,7 +28,7 @@
         tls: None,
     }];
     if let Some(tls) = &start.tls {
-        let acceptor = TlsAcceptor::new(tls).map_err(InvalidFile)?;
+        let acceptor = TlsAcceptor::new(tls)?;
         listeners.push(ListenerSettings {
             address: tls.listen,
             first_connection: FIRST_TLS_CONNECTION,
--- a/crates/asterdale-daemon/src/assembly/identity.rs
+++ b/crates/asterdale-daemon/src/assembly/identity.rs
@@ -7,6 +7,7 @@
 use crossbeam_channel::{bounded, Sender};
 
 use super::{ActorContext, AssemblyError};
+use crate::error::with_sources;
 use crate::start::{KeySetSource, Start};
 use crate::threads::spawn;
 
@@ -61,7 +62,7 @@
         // The engine's mailbox is open: it is created and run by the caller of `start`.
         Some(Ok(key_set)) => drop(context.engine.send(EngineMessage::KeySet(key_set))),
         Some(Err(e)) => {
-            slog::error!(context.log.lines, "identity: key set not loaded"; "error" => e);
+            slog::error!(context.log.lines, "identity: key set not loaded"; "error" => with_sources(&e));
         }
         None => {}
     }
--- a/crates/asterdale-daemon/src/cli.rs
+++ b/crates/asterdale-daemon/src/cli.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
 
-use crate::serve::{report_faults, serve, ServeOptions};
+use crate::serve::{report_start_error, serve, ServeOptions};
 use crate::start;
 use crate::{keys, token};
 
@@ -126,7 +126,7 @@
 
 /// The schema of the start file, as text.
 pub fn schema() -> String {
-    let schema = schemars::schema_for!(start::file::File);
+    let schema = schemars::schema_for!(start::file::StartFile);
     serde_json::to_string_pretty(&schema).unwrap_or_default()
 }
 
@@ -145,7 +145,7 @@
             );
             ExitCode::SUCCESS
         }
-        Err(faults) => report_faults(&faults),
+        Err(error) => report_start_error(&error),
     }
 }
 
--- a/crates/asterdale-daemon/src/frontend/tls/settings.rs
+++ b/crates/asterdale-daemon/src/frontend/tls/settings.rs
@@ -9,21 +9,19 @@
 use rustls::server::{NoServerSessionStorage, WebPkiClientVerifier};
 use rustls::{RootCertStore, ServerConfig};
 
-use crate::start::faults::Fault;
-use crate::start::TlsSettings;
+use crate::start::error::{Fault, Problem};
+use crate::start::{StartError, TlsSettings};
 
-fn fault(path: &str, file: &str, error: impl Display) -> Vec<Fault> {
-    vec![Fault {
-        path: path.to_owned(),
-        message: format!("{file}: {error}"),
-    }]
+fn fault(path: &str, file: &str, error: impl Display) -> StartError {
+    let (file, reason) = (file.to_owned(), error.to_string());
+    Fault::new(path, Problem::UnusableFile { file, reason }).into()
 }
 
 /// Reads the files of this section of the start file.
 ///
 /// # Errors
 /// What is wrong with them, with the path of the field.
-pub fn load(tls: &TlsSettings) -> Result<Arc<ServerConfig>, Vec<Fault>> {
+pub fn load(tls: &TlsSettings) -> Result<Arc<ServerConfig>, StartError> {
     let chain = certificates("tls.certificate", &tls.certificate_path)?;
     let key = PrivateKeyDer::from_pem_file(&tls.key_path)
         .map_err(|e| fault("tls.key", &tls.key_path, e))?;
@@ -49,7 +47,7 @@
 }
 
 /// The certificates of a PEM file, at least one.
-fn certificates(path: &str, file: &str) -> Result<Vec<CertificateDer<'static>>, Vec<Fault>> {
+fn certificates(path: &str, file: &str) -> Result<Vec<CertificateDer<'static>>, StartError> {
     let certificates = CertificateDer::pem_file_iter(Path::new(file))
         .and_then(Iterator::collect::<Result<Vec<_>, _>>)
         .map_err(|e| fault(path, file, e))?;
--- a/crates/asterdale-daemon/src/reload.rs
+++ b/crates/asterdale-daemon/src/reload.rs
@@ -9,17 +9,15 @@
 use asterdale_engine::message::EngineMessage;
 use crossbeam_channel::Sender;
 
-use crate::error::InvalidFile;
 #[cfg(feature = "tls")]
 use crate::frontend::TlsAcceptor;
-use crate::start::faults::Fault;
-use crate::start::{self, KeySetSource, Start};
+use crate::start::{self, KeySetSource, ReadKeySetError, Start, StartError};
 
 /// Reads this start file, or the one that the environment names.
 ///
 /// # Errors
 /// Everything that is wrong with it.
-pub fn read_start(start_file: Option<&Path>) -> Result<Start, Vec<Fault>> {
+pub fn read_start(start_file: Option<&Path>) -> Result<Start, StartError> {
     start_file.map_or_else(start::from_environment, start::from_file)
 }
 
@@ -27,11 +25,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
     /// The start file or a file that it names is invalid.
-    #[error("{0}")]
-    Invalid(#[from] InvalidFile),
+    #[error(transparent)]
+    Invalid(#[from] StartError),
     /// The set of keys can't be read; everything else was applied.
-    #[error("{0}")]
-    KeySet(String),
+    #[error(transparent)]
+    KeySet(#[from] ReadKeySetError),
 }
 
 /// Those that use settings which can change, except for the engine.
@@ -50,10 +48,10 @@
     /// # Errors
     /// If a file is invalid. Nothing has changed then, except where only the set of keys is.
     pub fn run(&self, engine: &Sender<EngineMessage>) -> Result<bool, ReloadError> {
-        let start = read_start(self.start_file.as_deref()).map_err(InvalidFile)?;
+        let start = read_start(self.start_file.as_deref())?;
         #[cfg(feature = "tls")]
         if let (Some(acceptor), Some(tls)) = (&self.tls, &start.tls) {
-            acceptor.reload(tls).map_err(InvalidFile)?;
+            acceptor.reload(tls)?;
         }
         self.apply(start, engine)
     }
@@ -73,7 +71,7 @@
             }
             (Some(source), _) => {
                 if let Some(key_set) = source.read_file() {
-                    let key_set = key_set.map_err(ReloadError::KeySet)?;
+                    let key_set = key_set?;
                     is_engine_running &= engine.send(EngineMessage::KeySet(key_set)).is_ok();
                 }
             }
--- a/crates/asterdale-daemon/src/serve.rs
+++ b/crates/asterdale-daemon/src/serve.rs
@@ -8,7 +8,7 @@
 use crate::assembly;
 use crate::error::with_sources;
 use crate::reload::read_start;
-use crate::start::faults::Fault;
+use crate::start::StartError;
 
 /// Exit code of a process that ends by a panic; the one that Rust uses for a panic of the main thread.
 const EXIT_PANIC: i32 = 101;
@@ -27,8 +27,9 @@
 }
 
 /// Prints what is wrong with a start file on standard error, a line each, and returns the exit code for it.
-pub fn report_faults(faults: &[Fault]) -> ExitCode {
-    faults
+pub fn report_start_error(error: &StartError) -> ExitCode {
+    error
+        .faults()
         .iter()
         .for_each(|fault| eprintln!("asterdale: {fault}"));
     ExitCode::from(EXIT_INVALID_START)
@@ -39,7 +40,7 @@
     exit_on_panic();
     let start = match read_start(options.start_file.as_deref()) {
         Ok(start) => start,
-        Err(faults) => return report_faults(&faults),
+        Err(error) => return report_start_error(&error),
     };
     let level = options.log_level.unwrap_or(slog::Level::Info);
     let (log, guard) = Log::to_stderr(&start.name, options.json_log, level);
@@ -63,7 +64,7 @@
     let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         #[cfg(feature = "journal")]
-        if asterdale_journal::store::is_spared() {
+        if asterdale_journal::store::is_catching_panics() {
             return;
         }
         default_hook(panic);
--- a/crates/asterdale-daemon/src/upgrade/stored.rs
+++ b/crates/asterdale-daemon/src/upgrade/stored.rs
@@ -2,7 +2,7 @@
 //! a guardian: the numbers by which frames carry them are theirs. `tests/fixtures/frames/README.md` says how the file was
 //! made.
 
-use asterdale::parameters::Outcome;
+use asterdale::events::Outcome;
 use asterdale_engine::message::{IdempotencyKey, Reply, ResponseRoute};
 use asterdale_engine::state_transfer::MirroredEvent;
 use asterdale_hot_restart::frame::{encode, Incoming};
@@ -14,7 +14,10 @@
 use super::*;
 
 const FRAMES: &[u8] = include_bytes!("../../tests/fixtures/frames/meanings.bin");
-const WAY: ResponseRoute = (1 << 40, 513);
+const WAY: ResponseRoute = ResponseRoute {
+    connection: 1 << 40,
+    request: 513,
+};
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Failed,
@@ -28,21 +31,24 @@
 
 /// A reply of each kind, by the number that stands for the kind.
 fn replies() -> Vec<(u32, Reply)> {
-    let denied = |kind| Reply::Denied { kind, wait_ms: 7 };
+    let denied = |kind| Reply::Denied {
+        kind,
+        retry_after_ms: 7,
+    };
     vec![
         (0, Reply::Served(b"sold for 7".as_slice().into())),
         (
             1,
             Reply::Rejected {
-                last: true,
-                stay_away_ms: 900,
+                is_final: true,
+                retry_after_ms: 900,
             },
         ),
         (
             1,
             Reply::Rejected {
-                last: false,
-                stay_away_ms: 901,
+                is_final: false,
+                retry_after_ms: 901,
             },
         ),
         (2, Reply::Overloaded),
@@ -70,23 +76,24 @@
         (
             0,
             MirroredEvent::KeyRetained {
-                mark: mark(),
-                owner: (7, 9),
-                until: 1_700_000_005_000.25,
+                key: mark(),
+                owner: 7,
+                body_digest: 9,
+                until_ms: 1_700_000_005_000.25,
             },
         ),
         (
             1,
             MirroredEvent::TaskStarted {
                 id,
-                mark: Some((mark(), 7)),
+                key: Some((mark(), 7)),
             },
         ),
-        (1, MirroredEvent::TaskStarted { id, mark: None }),
+        (1, MirroredEvent::TaskStarted { id, key: None }),
         (
             2,
             MirroredEvent::TaskEnded {
-                mark: mark(),
+                key: mark(),
                 owner: 7,
                 result: Some(b"sold".as_slice().into()),
             },
@@ -94,7 +101,7 @@
         (
             2,
             MirroredEvent::TaskEnded {
-                mark: mark(),
+                key: mark(),
                 owner: 7,
                 result: None,
             },
@@ -102,7 +109,7 @@
         (
             3,
             MirroredEvent::KeyDropped {
-                mark: mark(),
+                key: mark(),
                 owner: 7,
             },
         ),
@@ -216,9 +223,9 @@
     let mut next = || from_before(stored.next().unwrap(), &line, 2).unwrap();
     for expected in OUTCOMES {
         let EngineMessage::CallEnded {
-            who,
+            task: who,
             outcome,
-            took_ms,
+            duration_ms: took_ms,
             body,
         } = next()
         else {
@@ -254,9 +261,11 @@
         (&request.body[..], request.token.as_deref()),
         (&b"body"[..], Some(&b"token"[..]))
     );
-    assert_eq!((request.client.connection(), request.request), WAY);
+    assert_eq!(request.route(), WAY);
     assert!(matches!(next(), EngineMessage::Abort(way) if way == WAY));
-    assert!(matches!(next(), EngineMessage::ConnectionClosed(connection) if connection == WAY.0));
+    assert!(
+        matches!(next(), EngineMessage::ConnectionClosed(connection) if connection == WAY.connection)
+    );
 }
 
 /// A process starts its successor with these, and finds it by nothing else: they stay as long as any release that may be
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -590,7 +590,7 @@
     assert!(status.success(), "{log}");
     let count = |name: &str| counter(&log, name);
     assert_eq!((count("tasks_taken"), count("tasks_open")), (3, 0));
-    let answered = ["finished", "joined", "rejected", "abandoned", "left"];
+    let answered = ["served", "joined", "rejected", "failed", "aborted"];
     assert_eq!(
         answered.map(|how| count(&format!("tasks_{how}"))),
         [1, 0, 1, 1, 0]
@@ -608,14 +608,7 @@
     backend.runtime.command("start");
     backend.runtime.end(A, "PASS", b"");
     backend.counters_until(|count| {
-        let ends = [
-            "finished",
-            "joined",
-            "rejected",
-            "abandoned",
-            "left",
-            "open",
-        ];
+        let ends = ["served", "joined", "rejected", "failed", "aborted", "open"];
         let ends = ends.map(|how| count(&format!("tasks_{how}")));
         assert_eq!(ends.iter().sum::<u64>(), count("tasks_taken"));
         ends == [1, 0, 1, 0, 1, 0]
