--- a/crates/asterdale-daemon/src/assembly/actors.rs
+++ b/crates/asterdale-daemon/src/assembly/actors.rs
@@ -62,50 +62,51 @@
     Ok(records)
 }
 
-/// The engine's view of other processes, and of where claims are kept.
-pub struct FleetPorts {
+/// The engine's connections to other processes and to whoever keeps claims.
+#[derive(Default)]
+pub struct OwnershipPorts {
     /// The other processes of the fleet, where there is one.
-    pub view: Option<Arc<dyn FleetView>>,
-    /// Those who keep claims: the fleet's replicas or, without them, this process's journal.
+    pub fleet: Option<Arc<dyn FleetView>>,
+    /// Keeps claims: the fleet's replicas or, without them, this process's journal.
     #[cfg(any(feature = "fleet", feature = "journal"))]
     pub ownership: Option<Arc<dyn OwnershipClient>>,
 }
 
 /// Opens the journal and joins the fleet, where the start file has them.
-#[cfg_attr(
-    not(any(feature = "fleet", feature = "journal")),
-    expect(unused_variables, clippy::unnecessary_wraps)
-)]
+#[cfg(any(feature = "fleet", feature = "journal"))]
 pub fn start_journal_and_fleet(
     start: &Start,
     context: &ActorContext,
-) -> Result<FleetPorts, AssemblyError> {
+) -> Result<OwnershipPorts, AssemblyError> {
     #[cfg(feature = "journal")]
-    let (journal, journal_ownership) = crate::journal::begin(start, &context.engine, &context.log)
-        .map_err(|e| AssemblyError::Journal(e.into()))?;
+    let journal = crate::journal::start(start, &context.engine, &context.log)?;
     #[cfg(feature = "fleet")]
-    let (view, fleet_ownership) = crate::fleet::begin(
+    let fleet = crate::fleet::start(
         start,
         &context.engine,
         &context.log,
         #[cfg(feature = "journal")]
-        journal,
-    )
-    .map_err(|e| AssemblyError::Fleet(e.into()))?;
-    Ok(FleetPorts {
+        journal.journal,
+    )?;
+    Ok(OwnershipPorts {
         #[cfg(feature = "fleet")]
-        view,
+        fleet: fleet.view,
         #[cfg(not(feature = "fleet"))]
-        view: None,
+        fleet: None,
         #[cfg(all(feature = "journal", feature = "fleet"))]
-        ownership: fleet_ownership.or(journal_ownership),
+        ownership: fleet.ownership.or(journal.ownership),
         #[cfg(all(feature = "journal", not(feature = "fleet")))]
-        ownership: {
-            // Only a fleet needs the journal itself.
-            drop(journal);
-            journal_ownership
-        },
+        ownership: journal.ownership,
         #[cfg(all(feature = "fleet", not(feature = "journal")))]
-        ownership: fleet_ownership,
+        ownership: fleet.ownership,
     })
 }
+
+/// This build has neither.
+#[cfg(not(any(feature = "fleet", feature = "journal")))]
+pub fn start_journal_and_fleet(
+    _: &Start,
+    _: &ActorContext,
+) -> Result<OwnershipPorts, AssemblyError> {
+    Ok(OwnershipPorts::default())
+}
--- a/crates/asterdale-daemon/src/assembly/error.rs
+++ b/crates/asterdale-daemon/src/assembly/error.rs
@@ -1,5 +1,6 @@
 //! Why the process can't serve.
 
+#[cfg(feature = "upgrade")]
 use std::error::Error;
 use std::io;
 use std::net::SocketAddr;
@@ -38,8 +39,8 @@
     HotRestart(Box<dyn Error + Send + Sync>),
     #[cfg(feature = "journal")]
     #[error(transparent)]
-    Journal(Box<dyn Error + Send + Sync>),
+    Journal(#[from] crate::journal::JournalError),
     #[cfg(feature = "fleet")]
     #[error(transparent)]
-    Fleet(Box<dyn Error + Send + Sync>),
+    Fleet(#[from] crate::fleet::FleetError),
 }
--- a/crates/asterdale-daemon/src/assembly/mod.rs
+++ b/crates/asterdale-daemon/src/assembly/mod.rs
@@ -75,16 +75,16 @@
     let registry = actors::start_registry(&start, &context)?;
     let frontends = frontends.start(sockets)?;
     let records = actors::start_records(&start, &context)?;
-    let fleet = actors::start_journal_and_fleet(&start, &context)?;
+    let others = actors::start_journal_and_fleet(&start, &context)?;
     let ports = EnginePorts {
         records,
         frontends: Arc::new(frontends),
         registry,
         runtime_link,
         issuer: callers.issuer,
-        fleet: fleet.view,
+        fleet: others.fleet,
         #[cfg(any(feature = "fleet", feature = "journal"))]
-        ownership: fleet.ownership,
+        ownership: others.ownership,
         counters: context.counters.clone(),
         log: log.clone(),
     };
--- a/crates/asterdale-daemon/src/upgrade/stored.rs
+++ b/crates/asterdale-daemon/src/upgrade/stored.rs
@@ -77,8 +77,7 @@
             0,
             MirroredEvent::KeyRetained {
                 key: mark(),
-                owner: 7,
-                body_digest: 9,
+                owner: (7, 9),
                 until_ms: 1_700_000_005_000.25,
             },
         ),
--- a/crates/asterdale-testkit/src/proofs/takeover.rs
+++ b/crates/asterdale-testkit/src/proofs/takeover.rs
@@ -130,7 +130,7 @@
         let log = self.many.log(n);
         log.iter()
             .rev()
-            .find(|line| line.contains("this keeper leads"))
+            .find(|line| line.contains("this replica leads"))
             .is_some_and(|line| !line.contains("no more"))
     }
 
