--- a/crates/asterdale-engine/src/access.rs
+++ b/crates/asterdale-engine/src/access.rs
@@ -1,128 +1,110 @@
-//! The two gates that a task passes, as the table of tasks has them: [`crate::callers`] asks, and here its verdicts
-//! meet marks, fingerprints and what is open.
+//! The two identity checks of a request: who is calling, and whether the caller may have this request now.
 
 use std::sync::Arc;
 
 use asterdale_identity::failpoint::{self, Failpoint};
-use asterdale_identity::{Ask, Caller, Kind as Said, Seat, Why};
+use asterdale_identity::{Ask, Caller, Kind as DenialKind, Seat, Why};
 
-use crate::log::{Kind, Log};
-use crate::message::{request_id_text, IdempotencyKey, KeyRefresh, Reply, RequestId, TaskId};
-use crate::tasks::{Slot, Tasks};
-
-fn log_denied(log: &Log, id: &RequestId, stage: &str, tenant: &str, why: Why) {
-    static AWAY: Kind = Kind::new();
-    if log.allows(&AWAY) {
-        slog::warn!(log.lines, "identity: a caller is turned away";
-            "id" => request_id_text(id), "stage" => stage, "tenant" => tenant, "why" => ?why);
-    }
-}
+use crate::log::Kind;
+use crate::message::{
+    request_id_text, IdempotencyKey, KeyRefresh, Reply, RequestHead, RequestId, TaskId,
+};
+use crate::tasks::{TaskRecord, Tasks};
 
 impl Tasks {
-    /// The first gate: who is calling. The mark is the tenant's from then on. Nothing of the module is touched.
-    pub fn identify_caller(
+    /// The first check: authenticates the caller. The idempotency key is its tenant's from then on. No state of the
+    /// policies changes.
+    ///
+    /// # Errors
+    /// The reply to a caller that is not authenticated.
+    pub fn authenticate(
         &mut self,
-        ask: Ask<'_>,
-        (id, stage): (RequestId, usize),
-        mark: &mut Option<IdempotencyKey>,
+        credentials: Ask<'_>,
+        head: &mut RequestHead,
     ) -> Result<Option<Arc<Caller>>, Reply> {
-        let now = self.now;
         let Some(identity) = &mut self.identity_gate.identity else {
             return Ok(None);
         };
-        match identity.identify(now, ask) {
+        let denied = match identity.identify(self.now, credentials) {
             Ok(caller) => {
-                if let Some(mark) = mark
-                    .as_mut()
-                    .filter(|_| !failpoint::is_active(Failpoint::Mark))
-                {
-                    mark.tenant = caller.tenant;
-                }
-                Ok(Some(caller))
-            }
-            Err(denied) => {
-                if let (Why::KeyUnknown, Some(issuer)) = (denied.why, &self.identity_gate.issuer) {
-                    let _ = issuer.try_send(KeyRefresh::Requested);
+                let key = head.idempotency_key.as_mut();
+                if let Some(key) = key.filter(|_| !failpoint::is_active(Failpoint::Mark)) {
+                    key.tenant = caller.tenant;
                 }
-                log_denied(
-                    &self.log,
-                    &id,
-                    &self.settings.class_names[stage],
-                    "",
-                    denied.why,
-                );
-                let reply = self.identity_gate.denial_reply(denied);
-                // A caller that can't be judged is told that this try never ran. That is so; but of a key under
-                // which something has run, whoever's it is, nothing is said that could be taken for more.
-                let unable = denied.why.kind() == Said::Unable;
-                Err(
-                    if unable && self.known_somewhere(mark.as_ref(), ask.arrived_ms) {
-                        Reply::Failed
-                    } else {
-                        reply
-                    },
-                )
+                return Ok(Some(caller));
             }
+            Err(denied) => denied,
+        };
+        if let (Why::KeyUnknown, Some(issuer)) = (denied.why, &self.identity_gate.key_refresh) {
+            // A full channel means that a refresh is requested already.
+            let _ = issuer.try_send(KeyRefresh::Requested);
+        }
+        self.log_denied(&head.id, head.class, "", denied.why);
+        let reply = self.identity_gate.denial_reply(denied);
+        // A caller that cannot be judged now is told that this attempt never ran, which is true. But under a key that
+        // anybody's request has used, nothing is said that could be read as more than that.
+        let is_unable = denied.why.kind() == DenialKind::Unable;
+        let key = head.idempotency_key.as_ref();
+        if is_unable && self.is_repeat_of_any_tenant(key, credentials.arrived_ms) {
+            return Err(Reply::Failed);
         }
+        Err(reply)
     }
 
-    /// Whether any tenant's task is remembered under this mark.
-    fn known_somewhere(&self, mark: Option<&IdempotencyKey>, arrived: f64) -> bool {
-        let (Some(mark), Some(identity)) = (mark, &self.identity_gate.identity) else {
+    /// Whether a task of any tenant is retained under this key.
+    fn is_repeat_of_any_tenant(&self, key: Option<&IdempotencyKey>, arrived_at: f64) -> bool {
+        let (Some(key), Some(identity)) = (key, &self.identity_gate.identity) else {
             return false;
         };
         (0..identity.rights().tenants()).any(|tenant| {
-            self.idempotency.is_repeat(
-                &IdempotencyKey {
-                    tenant,
-                    ..mark.clone()
-                },
-                arrived,
-            )
+            let key = IdempotencyKey {
+                tenant,
+                ..key.clone()
+            };
+            self.idempotency.is_repeat(&key, arrived_at)
         })
     }
 
-    /// The second gate: whether this caller may have this task now.
-    pub fn permit_request(
+    /// The second check: whether the caller may have this request now.
+    ///
+    /// # Errors
+    /// The reply to a caller that may not.
+    pub fn authorize(
         &mut self,
         caller: Option<&Caller>,
-        (id, stage): (RequestId, usize),
-        hint_ms: Option<f64>,
-        repeat: bool,
+        head: &RequestHead,
+        is_repeat: bool,
     ) -> Result<Option<Seat>, Reply> {
         let (Some(identity), Some(caller)) = (&mut self.identity_gate.identity, caller) else {
             return Ok(None);
         };
         identity
-            .permit(self.now, caller, stage, hint_ms, repeat)
+            .permit(self.now, caller, head.class, head.cost_hint_ms, is_repeat)
             .map_err(|denied| {
-                let tenant = &caller.claims.tenant;
-                log_denied(
-                    &self.log,
-                    &id,
-                    &self.settings.class_names[stage],
-                    tenant,
-                    denied.why,
-                );
+                self.log_denied(&head.id, head.class, &caller.claims.tenant, denied.why);
                 self.identity_gate.denial_reply(denied)
             })
     }
 
-    /// Tasks that wait for an answer, have not been started, and whose caller is revoked by now; with what to
-    /// tell him.
+    fn log_denied(&self, id: &RequestId, class: usize, tenant: &str, reason: Why) {
+        static DENIED: Kind = Kind::new();
+        if self.log.allows(&DENIED) {
+            slog::warn!(self.log.lines, "identity: caller denied";
+                "id" => request_id_text(id), "class" => &self.settings.class_names[class],
+                "tenant" => tenant, "reason" => ?reason);
+        }
+    }
+
+    /// Tasks that wait for a reply, have not started, and whose caller is revoked by now, with the reply to each.
     pub fn revoked_tasks(&self) -> Vec<(TaskId, Reply)> {
         let Some(identity) = &self.identity_gate.identity else {
             return Vec::new();
         };
-        let revoked = |slot: &Slot| {
-            let caller = slot
-                .caller
-                .as_ref()
-                .filter(|_| slot.back.is_some() && !slot.started)?;
-            Some((
-                slot.number,
-                self.identity_gate.denial_reply(identity.revoked(caller)?.into()),
-            ))
+        let revoked = |record: &TaskRecord| {
+            let is_queued = record.responder.is_some() && !record.started;
+            let caller = record.caller.as_ref().filter(|_| is_queued)?;
+            let denied = identity.revoked(caller)?.into();
+            Some((record.number, self.identity_gate.denial_reply(denied)))
         };
         self.slots.iter().flatten().filter_map(revoked).collect()
     }
--- a/crates/asterdale-engine/src/clock.rs
+++ b/crates/asterdale-engine/src/clock.rs
@@ -6,31 +6,33 @@
 pub fn unix_ms() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0.0, |since| since.as_secs_f64() * 1000.0)
+        .map_or(0.0, |since_epoch| since_epoch.as_secs_f64() * 1000.0)
 }
 
-/// The module's time: Unix time at the start, from then on by a clock that never steps.
+/// A clock that shows Unix time at its start, and from then on never steps.
 pub(crate) struct Clock {
-    unix: f64,
-    began: Instant,
+    start_unix_ms: f64,
+    start: Instant,
 }
 
 impl Clock {
-    /// One that begins now.
+    /// A clock that starts now.
     pub(crate) fn start() -> Clock {
         Clock {
-            unix: unix_ms(),
-            began: Instant::now(),
+            start_unix_ms: unix_ms(),
+            start: Instant::now(),
         }
     }
 
+    /// The time, in milliseconds.
     pub(crate) fn now(&self) -> f64 {
-        self.unix + self.began.elapsed().as_secs_f64() * 1000.0
+        self.start_unix_ms + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Goes on from this time: another process's clock, which must not step for its tasks.
+    /// Continues from this time: another process's clock, which must not step for its tasks.
     #[cfg(feature = "hot-restart")]
     pub(crate) fn set(&mut self, now: f64) {
-        (self.unix, self.began) = (now, Instant::now());
+        self.start_unix_ms = now;
+        self.start = Instant::now();
     }
 }
--- a/crates/asterdale-engine/src/counters.rs
+++ b/crates/asterdale-engine/src/counters.rs
@@ -1,32 +1,32 @@
-//! Counts of what the program takes in, sends and answers. Any thread adds; they are read when printed.
+//! Counters of requests, calls, connections and resources. Any thread adds; they are read when they are printed.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// One count.
+/// One counter.
 #[derive(Default)]
 pub struct Count(AtomicU64);
 
 impl Count {
-    /// One more.
+    /// Adds one.
     pub fn add(&self) {
         self.0.fetch_add(1, Relaxed);
     }
-    /// One less: for what is present.
+    /// Subtracts one, for a gauge of what is present.
     pub fn sub(&self) {
         self.0.fetch_sub(1, Relaxed);
     }
-    /// The count now.
+    /// The value now.
     pub fn get(&self) -> u64 {
         self.0.load(Relaxed)
     }
-    /// A size that is known anew.
+    /// Sets a gauge.
     pub fn set(&self, value: usize) {
         self.0.store(value as u64, Relaxed);
     }
 }
 
-/// The memory of this process, as Linux tells it.
+/// The resident memory of this process by Linux's account, in KiB; 0 where there is none.
 pub fn resident_kib() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -36,7 +36,7 @@
 
 macro_rules! counters {
     ($($(#[$text:meta])* $name:ident,)*) => {
-        /// All counts, by name.
+        /// All counters, by name.
         #[derive(Default)]
         pub struct Counters {
             $($(#[$text])* pub $name: Count,)*
@@ -52,114 +52,116 @@
 }
 
 counters! {
-    /// Tasks that came whole and sensible, and went to the module.
+    /// Requests that were accepted as complete and valid, and passed to the policies.
     tasks_taken,
-    /// Finished with the result of their own run.
+    /// Requests that were served with the result of their own run.
     tasks_served,
-    /// Finished with the result of another try.
+    /// Requests that were served with the result of another attempt.
     tasks_joined,
-    /// Answered that the outcome is not known.
+    /// Requests that were answered `Unknown`.
     tasks_unknown,
-    /// Turned away before the module: no keeper had a place for them, or they may have run. Not among the taken.
+    /// Requests that were rejected before the policies saw them, as no ownership replica had capacity or they may have
+    /// run. They are not among `tasks_taken`.
     tasks_ownership_rejected,
-    /// Taken over from a backend that is gone.
+    /// Requests that were taken over from a backend that is gone.
     tasks_taken_over,
-    /// Rejected by the module.
+    /// Requests that the policies rejected.
     tasks_rejected,
-    /// Abandoned: by the module, or as their run failed.
+    /// Requests that failed: by the policies, or with their run.
     tasks_failed,
-    /// Given up by the edge node or with their connection, before an answer.
+    /// Requests whose edge node gave up or whose connection closed before their reply.
     tasks_aborted,
-    /// Without an answer now.
+    /// Requests that are unanswered now.
     tasks_open,
-    /// Answered with 400: a field was missing or senseless.
+    /// Requests that were answered 400: a parameter is missing or invalid.
     tasks_malformed,
-    /// Turned away with 401: who is calling is not known, or revoked.
+    /// Requests that were answered 401: the caller is not authenticated, or revoked.
     callers_unknown,
-    /// Turned away with 403: known, and not allowed.
+    /// Requests that were answered 403: the caller is authenticated and not authorized.
     callers_forbidden,
-    /// Turned away with 429: over what the caller's role may have at once or in a second.
+    /// Requests that were answered 429: the caller's role is over its concurrency or rate quota.
     callers_over,
-    /// Turned away with 503: there are no keys, too old ones, or too many new tokens through one edge node.
+    /// Requests that were answered 503: there are no keys, outdated keys, or too many new tokens through one edge node.
     callers_unable,
-    /// Held tasks answered with 401 as their caller was revoked meanwhile.
+    /// Queued requests that were answered 401 as their caller was revoked meanwhile.
     tasks_revoked,
-    /// Sets of keys that were adopted.
+    /// Key sets that were adopted.
     keys_adopted,
-    /// Sets of keys that were refused, and the last good one stayed.
+    /// Key sets that were rejected, so that the last good one stayed in use.
     keys_refused,
-    /// Times that the issuer gave no set.
+    /// Fetches of a key set that failed.
     issuer_failed,
-    /// Signatures checked.
+    /// Signatures that were checked.
     signatures,
-    /// Proven tokens remembered now.
+    /// Verified tokens that are cached now.
     tokens_cached,
-    /// Answered with OVERLOADED: more open requests than a connection may carry, or fingerprints than are kept.
+    /// Requests that were answered `Overloaded`: more open requests than a connection may carry, or more idempotency
+    /// keys than are retained.
     requests_overloaded,
-    /// Passed over: opened under the number of one that is open.
+    /// Requests that were discarded: opened under the number of an open one.
     requests_duplicate,
-    /// Runs started at the runtime.
+    /// Runs that were started at the runtime.
     runs_started,
-    /// Runs that ended well, badly, or were killed or void.
+    /// Runs that ended with a result.
     runs_passed,
-    /// Ended with FAIL.
+    /// Runs that ended with FAIL.
     runs_failed,
-    /// Ended with KILLED or NOOP, or turned down with a nack.
+    /// Runs that ended with KILLED or NOOP, or whose start was rejected.
     runs_killed,
-    /// Calls sent to the records service.
+    /// Calls to the records service that were sent.
     calls_sent,
-    /// Those that went well.
+    /// Calls that succeeded.
     calls_passed,
-    /// Those that ended otherwise.
+    /// Calls that ended otherwise.
     calls_failed,
-    /// Those that this process had no descriptor or port for: they never ran.
+    /// Calls that this process had no descriptor or port for: they never ran.
     calls_unmade,
-    /// Calls left out.
+    /// Calls that were skipped.
     calls_skipped,
-    /// Health checks answered.
+    /// Health checks.
     checks,
-    /// Reports to the registry that counted.
+    /// Reports to the registry that were accepted.
     reports,
-    /// Reports that did not.
+    /// Reports to the registry that failed.
     reports_failed,
-    /// Connections accepted.
+    /// Connections that were accepted.
     connections_accepted,
-    /// Connections open now.
+    /// Connections that are open now.
     connections_open,
-    /// Closed as they carried nothing.
+    /// Connections that were closed as idle.
     connections_idle,
-    /// Ended as the certificate that they were opened with did.
+    /// Connections that were closed as the certificate they were opened with expired.
     connections_lapsed,
-    /// Ended as they brought no whole request that made sense.
+    /// Connections that were closed as they brought no complete valid request.
     connections_silent,
-    /// Given up, with nothing open on them, for others.
+    /// Connections without open requests that were closed to make room for others.
     connections_given_up,
-    /// Ended by bytes that can't be read.
+    /// Connections that were closed as they sent malformed bytes.
     connections_malformed,
-    /// Ended as requests that had begun took too much memory.
+    /// Connections that were closed as their incomplete requests took too much memory.
     connections_over_memory,
-    /// Ended by a peer that reset them or stopped reading.
+    /// Connections that a peer reset or stopped reading.
     connections_broken,
     /// Times that accepting paused for want of descriptors.
     accept_pauses,
     /// Times that the system refused a descriptor for a connection, which then waited.
     accepts_refused,
-    /// Connections whose way back was full, so that answers waited.
+    /// Connections whose send buffer was full, so that replies waited.
     connections_slow,
     /// Times that the system refused a thread.
     threads_refused,
-    /// Links made to the runtime.
+    /// Links to the runtime that were made.
     links,
-    /// Times that the start file was read again.
+    /// Times that the start file was reloaded.
     reloads,
-    /// Times that it could not be, and the old one stayed.
+    /// Times that a reload failed, and the old settings stayed.
     reloads_failed,
-    /// Lines from the runtime that can't be read.
+    /// Malformed lines from the runtime.
     runtime_lines_malformed,
-    /// Fingerprints and results kept now.
+    /// Idempotency keys that are retained now.
     idempotency_keys,
-    /// Bytes of the results kept now.
+    /// The size of the results that are retained now, in bytes.
     result_bytes,
-    /// Memory of this process now, in KiB; 0 where the system does not tell.
+    /// The resident memory of this process now, in KiB; 0 where the system does not say.
     memory_kib,
 }
--- a/crates/asterdale-engine/src/draining.rs
+++ b/crates/asterdale-engine/src/draining.rs
@@ -1,4 +1,4 @@
-//! The notice to leave, and the way out.
+//! Graceful shutdown: the signal to drain, and the end of the connections.
 
 use std::time::{Duration, Instant};
 
@@ -7,58 +7,68 @@
 use crate::engine::Engine;
 use crate::message::{EngineMessage, RegistryCommand};
 
-/// For answers to get out and connections to end, before the process is killed: the module is told a notice
-/// that is shorter by this, or by a quarter of a very short one.
-const WAY_OUT_MS: f64 = 300.0;
-/// While leaving, connections that came last are let end after so long: a request crosses a close no longer.
-const HUSH: Duration = Duration::from_millis(50);
+/// The part of the termination grace that is left for replies to get out and connections to end. Of a very short grace
+/// it is a quarter.
+const CLOSE_ALLOWANCE_MS: f64 = 300.0;
+/// The share of that allowance which the engine itself waits; the rest is for the end of the process.
+const CLOSE_WAIT_SHARE: f64 = 0.8;
+/// The interval at which answered connections are closed: longer than a request takes to cross a close.
+const CLOSE_INTERVAL: Duration = Duration::from_millis(50);
+/// The longest wait for a message while connections end.
+const MESSAGE_WAIT: Duration = Duration::from_millis(2);
 
 impl Engine {
+    /// Starts a graceful shutdown, unless one is under way.
     pub(crate) fn drain(&mut self) {
         if self.drain_deadline.is_some() {
             return;
         }
-        let left_ms = self.termination_grace_ms - self.close_allowance_ms();
-        slog::info!(self.tasks.log.lines, "host: leaving"; "answers_within_ms" => left_ms);
-        self.drain_deadline = Some(Instant::now() + Duration::from_millis(left_ms as u64));
+        let remaining_ms = self.termination_grace_ms - self.close_allowance_ms();
+        slog::info!(self.tasks.log.lines, "engine: draining"; "answers_within_ms" => remaining_ms);
+        self.drain_deadline = Some(Instant::now() + Duration::from_millis(remaining_ms as u64));
         self.registry.send(RegistryCommand::Drain);
         self.start_server(false, 0.0);
         #[cfg(feature = "ownership")]
-        self.tasks.ownership.leaves_by(self.tasks.now + left_ms);
+        self.tasks
+            .ownership
+            .drain_until(self.tasks.now + remaining_ms);
         if let Some(server) = &mut self.server {
-            server.drain(self.tasks.now, left_ms, &mut self.tasks);
+            server.drain(self.tasks.now, remaining_ms, &mut self.tasks);
         }
     }
 
-    /// After all that was read is answered: lets the connections end, and waits for them.
+    /// Once everything that was read is answered: closes the connections, and waits for their end. `true` when the
+    /// process may exit.
     pub(crate) fn close_connections(&mut self, mailbox: &Receiver<EngineMessage>) -> bool {
         self.tasks.frontends.stop_listening();
-        let last = Instant::now() + Duration::from_millis((0.8 * self.close_allowance_ms()) as u64);
-        let mut hush = Instant::now();
-        while self.tasks.frontends.open_connections() > 0 && Instant::now() < last {
-            // Again and again: connections that were accepted last have had time to bring their request.
-            if Instant::now() >= hush {
+        let wait_ms = CLOSE_WAIT_SHARE * self.close_allowance_ms();
+        let deadline = Instant::now() + Duration::from_millis(wait_ms as u64);
+        let mut next_close = Instant::now();
+        while self.tasks.frontends.open_connections() > 0 && Instant::now() < deadline {
+            // Repeatedly, so that connections that were accepted last have had time to bring their request.
+            if Instant::now() >= next_close {
                 self.tasks.frontends.end_answered_connections();
-                hush += HUSH;
+                next_close += CLOSE_INTERVAL;
             }
-            if let Ok(mail) = mailbox.recv_timeout(Duration::from_millis(2)) {
-                self.handle(mail);
+            if let Ok(message) = mailbox.recv_timeout(MESSAGE_WAIT) {
+                self.handle(message);
             }
             self.tasks.now = self.clock.now();
             if self.tasks.now >= self.tasks.next_tick_at {
                 self.tick();
             }
             #[cfg(feature = "ownership")]
-            self.custody_tick();
+            self.ownership_tick();
         }
         #[cfg(feature = "ownership")]
-        self.tasks.ownership.leave();
-        let open = self.tasks.frontends.open_connections();
-        slog::info!(self.tasks.log.lines, "host: left"; "connections" => open);
+        self.tasks.ownership.release_all();
+        slog::info!(self.tasks.log.lines, "engine: drained";
+            "connections" => self.tasks.frontends.open_connections());
         true
     }
 
+    /// The part of the termination grace that replies and connections need after the last answer, in milliseconds.
     pub(crate) fn close_allowance_ms(&self) -> f64 {
-        WAY_OUT_MS.min(self.termination_grace_ms / 4.0)
+        CLOSE_ALLOWANCE_MS.min(self.termination_grace_ms / 4.0)
     }
 }
--- /dev/null
+++ b/crates/asterdale-engine/src/engine/admission.rs
@@ -0,0 +1,232 @@
+//! The way of a request into the engine: identity, idempotency, ownership, and then the policies.
+
+use asterdale::parameters::{Arrival, Idempotency};
+use asterdale_identity::{Ask, Caller, Seat};
+use std::sync::Arc;
+
+use super::Engine;
+use crate::clock::unix_ms;
+use crate::message::{Reply, Request, Responder};
+#[cfg(feature = "ownership")]
+use crate::ownership::OwnedTask;
+use crate::tasks::{TaskRecord, Tasks};
+
+/// Edge nodes whose requests the policies tell apart. Beyond that their indexes are given out anew, so that made-up
+/// numbers cannot fill the memory. There are far fewer edge nodes, and what the policies count for each fades within
+/// seconds.
+const MAX_EDGE_NODES: usize = 4096;
+
+/// What is known of a request when it is received.
+struct Arrived {
+    request: Request,
+    /// How long ago the edge node received it, in milliseconds.
+    age_ms: f64,
+    /// How long it lay unread in this process's sockets, in milliseconds.
+    unread_ms: f64,
+    caller: Option<Arc<Caller>>,
+    body_digest: u64,
+    is_repeat: bool,
+    #[cfg(feature = "ownership")]
+    ownership: Option<OwnedTask>,
+}
+
+impl Arrived {
+    fn new(request: Request) -> Arrived {
+        // The edge node's stamp is by the Unix clock; no other time is compared with it.
+        let age_ms = (unix_ms() - request.head.start_ms).max(0.0);
+        // A stamp that is earlier than the last read of its connection is wrong, and would be taken for a backlog.
+        let unread_ms = age_ms.min(request.received_at.elapsed().as_secs_f64() * 1000.0);
+        Arrived {
+            request,
+            age_ms,
+            unread_ms,
+            caller: None,
+            body_digest: 0,
+            is_repeat: false,
+            #[cfg(feature = "ownership")]
+            ownership: None,
+        }
+    }
+
+    /// How long the client still waits, in milliseconds, if it has said so.
+    fn remaining_ms(&self) -> Option<f64> {
+        let timeout_ms = self.request.head.timeout_ms;
+        timeout_ms.map(|timeout_ms| (timeout_ms - self.age_ms).max(0.0))
+    }
+}
+
+impl Tasks {
+    /// Authenticates the caller, and checks that the request fits what is known of its id and its key.
+    ///
+    /// # Errors
+    /// The reply to a request that goes no further.
+    fn identify(&mut self, arrived: &mut Arrived) -> Result<(), Reply> {
+        let request = &mut arrived.request;
+        let credentials = Ask {
+            token: request.token.as_deref(),
+            certificate: request.certificate.as_deref(),
+            edge: request.head.edge_node,
+            arrived_ms: self.now - arrived.unread_ms,
+        };
+        arrived.caller = self.authenticate(credentials, &mut request.head)?;
+        if self.by_id.contains_key(&request.head.id) {
+            self.counters.tasks_malformed.add();
+            return Err(Reply::Malformed);
+        }
+        arrived.body_digest = self.idempotency.digest(&request.body);
+        let Some(key) = &request.head.idempotency_key else {
+            return Ok(());
+        };
+        if self.idempotency.has_other_body(key, arrived.body_digest) {
+            // Another request under a known key: the result under that key is not this one's.
+            self.counters.tasks_malformed.add();
+            return Err(Reply::Malformed);
+        }
+        arrived.is_repeat = self.idempotency.is_repeat(key, self.now - arrived.age_ms);
+        Ok(())
+    }
+
+    /// Checks the idempotency table's capacity and the caller's quota.
+    ///
+    /// # Errors
+    /// The reply to a request that goes no further.
+    fn reserve(&mut self, arrived: &Arrived) -> Result<Option<Seat>, Reply> {
+        let head = &arrived.request.head;
+        let idempotency = self.settings.decisions.classes[head.class].idempotency;
+        let needs_entry = idempotency == Idempotency::Keyed && !arrived.is_repeat;
+        if needs_entry && self.idempotency.is_full() {
+            // It could not be retained, and so must not run.
+            self.counters.requests_overloaded.add();
+            return Err(Reply::Overloaded);
+        }
+        self.authorize(arrived.caller.as_deref(), head, arrived.is_repeat)
+    }
+
+    /// The replicated ownership of a request that is no repeat here, where its class has that.
+    #[cfg(feature = "ownership")]
+    fn ownership_of_arrived(&self, arrived: &Arrived) -> Option<OwnedTask> {
+        let head = &arrived.request.head;
+        let key = head
+            .idempotency_key
+            .as_ref()
+            .filter(|_| !arrived.is_repeat)?;
+        let caller = arrived.caller.as_deref();
+        let tenant = caller.map_or("", |caller| &caller.claims.tenant);
+        let deadline_ms = self.settings.decisions.classes[head.class].deadline_ms;
+        let left_ms = head.timeout_ms.unwrap_or(deadline_ms) - arrived.age_ms;
+        self.ownership_of(head, key, tenant, left_ms, &arrived.request.body)
+    }
+
+    /// The task of an admitted request.
+    fn new_record(&mut self, arrived: Arrived, quota_seat: Option<Seat>) -> TaskRecord {
+        self.last_number += 1;
+        let request = arrived.request;
+        TaskRecord {
+            number: self.last_number,
+            id: request.head.id,
+            class: request.head.class,
+            body: request.body,
+            body_digest: arrived.body_digest,
+            responder: Some(Responder {
+                client: request.client,
+                request: request.request,
+            }),
+            idempotency_key: request.head.idempotency_key,
+            caller: arrived.caller,
+            quota_seat,
+            started: false,
+            must_not_start: false,
+            #[cfg(feature = "ownership")]
+            ownership: arrived.ownership,
+            pending_call: None,
+            last_command: None,
+        }
+    }
+}
+
+impl Engine {
+    /// Receives a request from a frontend.
+    pub(super) fn receive(&mut self, request: Request) {
+        self.admit(request, false);
+    }
+
+    /// Receives a request again that the ownership replicas were asked about.
+    #[cfg(feature = "ownership")]
+    pub(crate) fn receive_looked_up(&mut self, request: Request) {
+        self.admit(request, true);
+    }
+
+    fn admit(&mut self, request: Request, is_looked_up: bool) {
+        let tasks = &mut self.tasks;
+        if tasks.by_route.contains_key(&request.route()) {
+            // Two replies under one number could not be told apart: the first request keeps it.
+            tasks.counters.requests_duplicate.add();
+            return request.client.discard_request();
+        }
+        let mut arrived = Arrived::new(request);
+        if let Err(reply) = tasks.identify(&mut arrived) {
+            return arrived.request.answer(reply);
+        }
+        #[cfg(feature = "ownership")]
+        {
+            arrived.ownership = tasks.ownership_of_arrived(&arrived);
+            if let (Some(owned), false) = (&arrived.ownership, is_looked_up) {
+                return tasks.look_up(arrived.request, &owned.key);
+            }
+        }
+        #[cfg(not(feature = "ownership"))]
+        debug_assert!(!is_looked_up, "there is nobody to ask");
+        let quota_seat = match tasks.reserve(&arrived) {
+            Ok(quota_seat) => quota_seat,
+            Err(reply) => return arrived.request.answer(reply),
+        };
+        self.hand_to_policies(arrived, quota_seat);
+    }
+
+    fn hand_to_policies(&mut self, arrived: Arrived, quota_seat: Option<Seat>) {
+        self.tasks.counters.tasks_taken.add();
+        self.tasks.counters.tasks_open.add();
+        let arrival = self.arrival(&arrived);
+        let record = self.tasks.new_record(arrived, quota_seat);
+        self.tasks.arriving = Some(record);
+        // Requests come before the runtime is up only by an outdated endpoint list. Until the runtime says otherwise,
+        // the server counts as one that has just started.
+        self.start_server(true, 0.0);
+        if let Some(server) = &mut self.server {
+            server.receive(self.tasks.now, arrival, &mut self.tasks);
+        }
+    }
+
+    /// A request as the policies see it.
+    fn arrival(&mut self, arrived: &Arrived) -> Arrival {
+        let head = &arrived.request.head;
+        let caller = self.edge_node_index(head.edge_node);
+        let tasks = &self.tasks;
+        let remaining_ms = arrived.remaining_ms();
+        #[cfg(feature = "ownership")]
+        let remaining_ms = match &arrived.ownership {
+            Some(owned) => Some(owned.remaining_ms(tasks.now)),
+            None => remaining_ms,
+        };
+        Arrival {
+            class: head.class,
+            tenant: tasks
+                .identity_gate
+                .tenant_index(arrived.caller.as_deref(), head.tenant),
+            caller,
+            unread_ms: arrived.unread_ms,
+            remaining_ms,
+            cost_hint_ms: head.cost_hint_ms,
+            memory_kb: head.memory_kb,
+            is_repeat: arrived.is_repeat,
+        }
+    }
+
+    fn edge_node_index(&mut self, edge_node: u32) -> usize {
+        if self.edge_node_indexes.len() >= MAX_EDGE_NODES {
+            self.edge_node_indexes.clear();
+        }
+        let next = self.edge_node_indexes.len();
+        *self.edge_node_indexes.entry(edge_node).or_insert(next)
+    }
+}
--- /dev/null
+++ b/crates/asterdale-engine/src/engine/mod.rs
@@ -0,0 +1,295 @@
+//! The engine: the one actor that owns the server's policies and the task table. Messages become calls on the policies;
+//! their actions take effect at once. It decides nothing by itself.
+
+mod admission;
+mod cancellation;
+mod queued_events;
+mod settings;
+
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use asterdale::parameters::Gauges;
+use asterdale::Server;
+use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
+
+pub use self::settings::{EnginePorts, EngineSettings};
+pub use crate::clock::unix_ms;
+use crate::clock::Clock;
+use crate::counters::resident_kib;
+use crate::health_check::HealthCheck;
+use crate::idempotency::IdempotencyTable;
+use crate::identity_gate::IdentityGate;
+use crate::mailbox::MailboxSender;
+use crate::message::{
+    Endpoints, EngineMessage, FleetView, LocalStatus, RegistryCommand, RuntimeLinkCommand, TaskId,
+};
+#[cfg(feature = "ownership")]
+use crate::ownership::OwnershipTable;
+#[cfg(feature = "hot-restart")]
+use crate::paused::PausedState;
+use crate::tasks::{Tasks, TasksInit};
+
+/// Gauges are requested this long before the tick that uses them: several times what the answer takes.
+const GAUGES_LEAD_MS: f64 = 1.5;
+/// Gauges older than this count as unknown. They are averages over half a second, and come at every tick.
+const GAUGES_STALE_MS: f64 = 500.0;
+/// The interval at which expired state is dropped.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// The longest wait for a message, in milliseconds, so that deadlines by the wall clock are seen in time.
+const MAX_WAIT_MS: f64 = 50.0;
+
+/// The actor.
+pub struct Engine {
+    /// The policies; `None` until the runtime is up or the first request has come.
+    pub(crate) server: Option<Server>,
+    pub(crate) tasks: Tasks,
+    pub(crate) clock: Clock,
+    pub(crate) gauges: Gauges,
+    /// When the gauges came, in engine time.
+    pub(crate) gauges_at: f64,
+    /// Indexes of the edge nodes for the policies, by the nodes' numbers.
+    pub(crate) edge_node_indexes: HashMap<u32, usize>,
+    /// Deep health checks that wait for the runtime, by their tag.
+    pub(crate) health_checks: HashMap<TaskId, HealthCheck>,
+    /// The last call to the records service got a response, whatever it said.
+    pub(crate) records_reachable: bool,
+    /// When to request gauges, in engine time.
+    pub(crate) gauges_due_at: f64,
+    pub(crate) termination_grace_ms: f64,
+    pub(crate) endpoints: Endpoints,
+    pub(crate) registry: MailboxSender<RegistryCommand>,
+    pub(crate) runtime_link: Sender<RuntimeLinkCommand>,
+    fleet: Option<Arc<dyn FleetView>>,
+    /// The runtime's uptime when it last said it, in milliseconds.
+    pub(crate) runtime_uptime_ms: Option<f64>,
+    /// Until when this backend is warming up, once the policies have started.
+    pub(crate) warming_up_until: f64,
+    /// When everything must be answered, once this process drains.
+    pub(crate) drain_deadline: Option<Instant>,
+    /// Whether the work belongs to another process, or is about to.
+    #[cfg(feature = "hot-restart")]
+    pub(crate) paused: PausedState,
+}
+
+impl Engine {
+    /// An engine without any task.
+    pub fn new(init: EngineSettings, ports: EnginePorts) -> Engine {
+        let clock = Clock::start();
+        let classes = &init.settings.decisions.classes;
+        let longest_deadline_ms = classes
+            .iter()
+            .map(|class| class.deadline_ms)
+            .fold(0.0, f64::max);
+        let seed = init.settings.decisions.seed;
+        let tasks = Tasks::new(TasksInit {
+            now: clock.now(),
+            settings: init.settings,
+            idempotency: IdempotencyTable::new(init.memory_bytes, longest_deadline_ms, seed),
+            identity_gate: IdentityGate::new(init.identity, ports.issuer, &ports.counters),
+            #[cfg(feature = "ownership")]
+            ownership: OwnershipTable::new(ports.ownership),
+            records: ports.records,
+            frontends: ports.frontends,
+            counters: ports.counters,
+            log: ports.log,
+        });
+        Engine {
+            server: None,
+            tasks,
+            clock,
+            gauges: Gauges::default(),
+            gauges_at: 0.0,
+            edge_node_indexes: HashMap::new(),
+            health_checks: HashMap::new(),
+            records_reachable: true,
+            gauges_due_at: f64::INFINITY,
+            termination_grace_ms: init.termination_grace_ms,
+            endpoints: init.endpoints,
+            registry: ports.registry,
+            runtime_link: ports.runtime_link,
+            fleet: ports.fleet,
+            runtime_uptime_ms: None,
+            warming_up_until: f64::INFINITY,
+            drain_deadline: None,
+            #[cfg(feature = "hot-restart")]
+            paused: PausedState::default(),
+        }
+    }
+
+    /// Handles a message, or defers it, or forwards it to the process that has the work.
+    #[cfg(feature = "hot-restart")]
+    pub(crate) fn dispatch(&mut self, message: EngineMessage, mailbox: &Receiver<EngineMessage>) {
+        let message = if self.paused.is_paused() {
+            self.forward_to_successor(message)
+        } else {
+            Some(message)
+        };
+        match message {
+            Some(EngineMessage::HotRestart(step)) => self.hot_restart_step(step, mailbox),
+            Some(message) => self.handle(message),
+            None => {}
+        }
+    }
+
+    #[cfg(not(feature = "hot-restart"))]
+    fn dispatch(&mut self, message: EngineMessage, _: &Receiver<EngineMessage>) {
+        self.handle(message);
+    }
+
+    /// Handles messages until the process has shut down gracefully, or nobody can send any more.
+    pub fn run(&mut self, mailbox: &Receiver<EngineMessage>) {
+        let mut next_sweep = Instant::now() + SWEEP_INTERVAL;
+        loop {
+            let next_event_at = self.tasks.next_tick_at.min(self.gauges_due_at);
+            let wait_ms = (next_event_at - self.clock.now()).clamp(0.0, MAX_WAIT_MS);
+            match mailbox.recv_timeout(Duration::from_micros((wait_ms * 1000.0) as u64)) {
+                Ok(message) => self.dispatch(message, mailbox),
+                Err(RecvTimeoutError::Timeout) => {}
+                Err(RecvTimeoutError::Disconnected) => return,
+            }
+            #[cfg(feature = "hot-restart")]
+            if self.paused.is_paused() && self.guard_successor(mailbox) {
+                return;
+            }
+            self.run_timers();
+            let now = Instant::now();
+            if now >= next_sweep {
+                next_sweep = now + SWEEP_INTERVAL;
+                self.sweep();
+            }
+            let is_drained = self.drain_deadline.is_some_and(|deadline| now >= deadline);
+            if is_drained && self.close_connections(mailbox) {
+                return;
+            }
+        }
+    }
+
+    /// Requests gauges and ticks, where either is due.
+    fn run_timers(&mut self) {
+        self.tasks.now = self.clock.now();
+        if self.tasks.now >= self.gauges_due_at {
+            self.request_gauges();
+        }
+        if self.tasks.now >= self.tasks.next_tick_at {
+            self.tick();
+        }
+        #[cfg(feature = "ownership")]
+        self.ownership_tick();
+    }
+
+    /// Drops expired idempotency entries and health checks, and sends again what may be sent by now.
+    fn sweep(&mut self) {
+        self.exchange_status();
+        self.tasks.idempotency.sweep(self.tasks.now);
+        self.tasks.resend_pending();
+        self.expire_health_checks();
+    }
+
+    /// Publishes this process's status to the fleet, and tells the policies how many others there are.
+    fn exchange_status(&mut self) {
+        let Some(fleet) = &self.fleet else { return };
+        let load_percent = self
+            .gauges
+            .cpu
+            .map_or(0.0, |cpu| (cpu * 100.0).clamp(0.0, 100.0));
+        let draining = self.drain_deadline.is_some();
+        fleet.publish_status(LocalStatus {
+            accepts_work: self.tasks.is_healthy && !draining,
+            warming_up: self.tasks.now < self.warming_up_until,
+            draining,
+            load: load_percent as u8,
+        });
+        if let Some(server) = &mut self.server {
+            server.set_peers(fleet.peer_counts());
+        }
+    }
+
+    /// Handles a message, and then what the policies' actions have queued.
+    pub(crate) fn handle(&mut self, message: EngineMessage) {
+        self.tasks.now = self.clock.now();
+        match message {
+            EngineMessage::Request(request) => self.receive(*request),
+            EngineMessage::HealthCheck {
+                client,
+                request,
+                deep,
+            } => self.health_check(client, request, deep),
+            EngineMessage::Abort(route) => self.abort_request(route),
+            EngineMessage::ConnectionClosed(connection) => self.abort_connection(connection),
+            EngineMessage::RuntimeConnected(commands) => self.runtime_connected(commands),
+            EngineMessage::RuntimeDisconnected => self.runtime_disconnected(),
+            EngineMessage::RuntimeNotice(notice) => self.runtime_notice(notice),
+            EngineMessage::CallEnded {
+                task,
+                outcome,
+                duration_ms,
+                body,
+            } => self.call_ended(task, outcome, duration_ms, &body),
+            EngineMessage::KeySet(set) => self.adopt_key_set(&set),
+            EngineMessage::Reloaded(endpoints, identity) => {
+                self.tasks.identity_gate.reload(identity, &self.tasks.log);
+                self.endpoints_changed(endpoints);
+            }
+            #[cfg(feature = "ownership")]
+            EngineMessage::OwnershipAnswer(number, answer) => {
+                self.ownership_answered(number, &answer);
+            }
+            #[cfg(feature = "ownership")]
+            EngineMessage::OwnerlessRequests(offered) => self.take_over(offered),
+            EngineMessage::Drain => self.drain(),
+            EngineMessage::PrintCounters => self.print_counters(),
+            #[cfg(feature = "hot-restart")]
+            EngineMessage::HotRestart(_) => {} // `dispatch` has handled it
+        }
+        self.settle();
+    }
+
+    /// Starts the policies, unless they have started. `uptime_ms` is the runtime's.
+    pub(crate) fn start_server(&mut self, slow_start: bool, uptime_ms: f64) {
+        if self.server.is_some() {
+            return;
+        }
+        let now = self.tasks.now;
+        let mut settings = self.tasks.settings.decisions.clone();
+        settings.slow_start |= slow_start;
+        // The signal to shut down may wait as long as replies may before it is handled: the grace began earlier.
+        settings.drain_grace_ms = (settings.drain_grace_ms - self.close_allowance_ms()).max(0.0);
+        slog::info!(self.tasks.log.lines, "engine: server started";
+            "slow_start" => settings.slow_start, "runtime_uptime_ms" => uptime_ms);
+        // Slow start begins with the runtime.
+        let (elapsed_ms, warming_up_until) = if settings.slow_start {
+            let elapsed_ms = uptime_ms.clamp(0.0, settings.slow_start_ms);
+            (elapsed_ms, now - elapsed_ms + settings.slow_start_ms)
+        } else {
+            (0.0, now)
+        };
+        self.warming_up_until = warming_up_until;
+        self.server = Some(Server::start(settings, now - elapsed_ms, &mut self.tasks));
+    }
+
+    /// Ticks the policies.
+    pub(crate) fn tick(&mut self) {
+        let (now, tasks) = (self.tasks.now, &mut self.tasks);
+        // While the link is made anew the last gauges still say more than none; stale ones say nothing.
+        if now >= self.gauges_at + GAUGES_STALE_MS {
+            self.gauges = Gauges::default();
+        }
+        if let Some(server) = &mut self.server {
+            server.tick(now, self.gauges, tasks);
+        }
+        self.settle();
+        self.gauges_due_at = self.tasks.next_tick_at - GAUGES_LEAD_MS;
+    }
+
+    /// Logs all counters.
+    pub fn print_counters(&self) {
+        let (tasks, counters) = (&self.tasks, &self.tasks.counters);
+        counters.idempotency_keys.set(tasks.idempotency.len());
+        counters.result_bytes.set(tasks.idempotency.bytes());
+        counters.memory_kib.set(resident_kib());
+        tasks.identity_gate.update_counters();
+        slog::info!(tasks.log.lines, "counters: {}", counters);
+    }
+}
--- a/crates/asterdale-engine/src/exchange.rs
+++ b/crates/asterdale-engine/src/exchange.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 exchange on a non-blocking connection of its own: a request goes out, and one reply comes back. Dropping
-//! it closes the connection, which gives the request up.
+//! One HTTP/1.1 exchange on a non-blocking connection of its own: one request, one response. Dropping it closes the
+//! connection, which abandons the request.
 
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -9,43 +9,53 @@
 
 use crate::http::{Collector, Reply};
 
+/// The size of a read, in bytes: responses are seldom longer.
+const CHUNK_BYTES: usize = 4096;
+
 /// An exchange under way.
 pub(crate) struct Exchange {
     stream: TcpStream,
-    connected: bool,
-    /// What is not written of the request.
+    is_connected: bool,
+    /// The part of the request that is not written.
     unwritten: Vec<u8>,
     reply: Collector,
 }
 
 impl Exchange {
-    /// Begins to connect. The poll tells by this token when [`Exchange::go_on`] is to be called.
+    /// Starts to connect. The poll says by this token when [`Exchange::go_on`] is to be called.
+    ///
+    /// # Errors
+    /// The system refuses a connection, or its registration.
     pub(crate) fn begin(
         poll: &Poll,
         token: Token,
-        at: SocketAddr,
+        address: SocketAddr,
         request: Vec<u8>,
     ) -> io::Result<Exchange> {
-        let mut stream = TcpStream::connect(at)?;
+        let mut stream = TcpStream::connect(address)?;
+        // Without it the exchange is slower, no more.
         let _ = stream.set_nodelay(true);
         poll.registry()
             .register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
         Ok(Exchange {
             stream,
-            connected: false,
+            is_connected: false,
             unwritten: request,
             reply: Collector::default(),
         })
     }
 
-    /// The connection was made: from then on the peer may have read something.
+    /// Whether the connection was made: from then on the peer may have read something.
     pub(crate) fn connected(&self) -> bool {
-        self.connected
+        self.is_connected
     }
 
-    /// Goes on as far as it can without waiting; the reply, once it is whole.
+    /// Goes on as far as it can without blocking; the response, once it is complete.
+    ///
+    /// # Errors
+    /// The connection fails, or the response is malformed.
     pub(crate) fn go_on(&mut self) -> io::Result<Option<Reply>> {
-        if !self.connected && !self.connect()? {
+        if !self.is_connected && !self.connect()? {
             return Ok(None);
         }
         if !self.write()? {
@@ -54,23 +64,25 @@
         self.read()
     }
 
+    /// Whether the connection is made.
     fn connect(&mut self) -> io::Result<bool> {
         if let Some(e) = self.stream.take_error()? {
             return Err(e);
         }
         match self.stream.peer_addr() {
-            Ok(_) => self.connected = true,
+            Ok(_) => self.is_connected = true,
             Err(e) if e.kind() == io::ErrorKind::NotConnected => {}
             Err(e) => return Err(e),
         }
-        Ok(self.connected)
+        Ok(self.is_connected)
     }
 
+    /// Whether the request is written.
     fn write(&mut self) -> io::Result<bool> {
         while !self.unwritten.is_empty() {
             match self.stream.write(&self.unwritten) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(count) => drop(self.unwritten.drain(..count)),
+                Ok(written) => drop(self.unwritten.drain(..written)),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(false),
                 Err(e) => return Err(e),
@@ -80,12 +92,12 @@
     }
 
     fn read(&mut self) -> io::Result<Option<Reply>> {
-        let mut chunk = [0; 4096];
+        let mut chunk = [0; CHUNK_BYTES];
         loop {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(count) => {
-                    if let Some(reply) = self.reply.take(&chunk[..count])? {
+                Ok(length) => {
+                    if let Some(reply) = self.reply.take(&chunk[..length])? {
                         return Ok(Some(reply));
                     }
                 }
--- a/crates/asterdale-engine/src/http.rs
+++ b/crates/asterdale-engine/src/http.rs
@@ -1,20 +1,27 @@
-//! The little HTTP/1.1 that is spoken beside the main protocol: one call on a connection, and its reply.
+//! The small part of HTTP/1.1 that is spoken to the records service, the registry and the issuer: one request a
+//! connection, and its response.
 
 use std::io::{self, Read};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// No head may be longer, and no body: the platform's bodies are a few KiB.
-const MOST: usize = 64 * 1024;
-/// No tag that is kept is longer.
-const MOST_TAG: usize = 128;
+/// The longest head, and the longest body, in bytes: the services' bodies are a few KiB.
+const MAX_PART_BYTES: usize = 64 * 1024;
+/// The longest entity tag that is retained, in bytes: a longer one would make the next request long.
+const MAX_TAG_BYTES: usize = 128;
+/// The most header fields of a response.
+const MAX_HEADERS: usize = 32;
+/// The size of a read, in bytes: responses are seldom longer.
+const CHUNK_BYTES: usize = 4096;
+/// The shortest read timeout: zero would mean none.
+const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// A reply.
+/// A response.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// Its status.
+    /// Its status code.
     pub status: u16,
-    /// It carries `Op-Not-Begun: 1`.
+    /// It carries `Op-Not-Begun: 1`: the request had no effect.
     pub not_begun: bool,
     /// Its entity tag, if it has a short one.
     pub tag: Option<Vec<u8>>,
@@ -22,41 +29,49 @@
     pub body: Vec<u8>,
 }
 
-fn bad(what: &'static str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
+fn malformed(reason: &'static str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
-/// The bytes of one reply, as they come.
+/// The bytes of one response, as they come.
 #[derive(Default)]
 pub struct Collector {
-    got: Vec<u8>,
+    received: Vec<u8>,
 }
 
 impl Collector {
-    /// Takes these; the reply, once it is whole. What comes after it is nobody's.
+    /// Takes more bytes; the response, once it is complete. Bytes after it are ignored.
+    ///
+    /// # Errors
+    /// The response is malformed or too long.
     pub fn take(&mut self, bytes: &[u8]) -> io::Result<Option<Reply>> {
-        self.got.extend_from_slice(bytes);
-        match parse(&self.got)? {
-            None if self.got.len() > 2 * MOST => Err(bad("a reply too long")),
+        self.received.extend_from_slice(bytes);
+        match parse(&self.received)? {
+            None if self.received.len() > 2 * MAX_PART_BYTES => {
+                Err(malformed("the response is too long"))
+            }
             reply => Ok(reply),
         }
     }
 }
 
-/// Reads one reply, until `end` at the latest. What comes after it is nobody's.
-pub fn reply(mut stream: &TcpStream, end: Instant) -> io::Result<Reply> {
-    let mut got = Collector::default();
-    let mut chunk = [0; 4096];
+/// Reads one response, until this deadline. Bytes after it are ignored.
+///
+/// # Errors
+/// The deadline passes, the connection fails, or the response is malformed.
+pub fn reply(mut stream: &TcpStream, deadline: Instant) -> io::Result<Reply> {
+    let mut collector = Collector::default();
+    let mut chunk = [0; CHUNK_BYTES];
     loop {
-        let left = end.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Err(io::ErrorKind::TimedOut.into());
         }
-        stream.set_read_timeout(Some(left.max(Duration::from_millis(1))))?;
+        stream.set_read_timeout(Some(remaining.max(MIN_READ_TIMEOUT)))?;
         match stream.read(&mut chunk) {
             Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-            Ok(n) => {
-                if let Some(reply) = got.take(&chunk[..n])? {
+            Ok(length) => {
+                if let Some(reply) = collector.take(&chunk[..length])? {
                     return Ok(reply);
                 }
             }
@@ -69,119 +84,81 @@
     }
 }
 
-/// The reply that these bytes begin with, once it is whole. Interim replies before it are passed over.
-fn parse(mut got: &[u8]) -> io::Result<Option<Reply>> {
+/// The response that these bytes start with, once it is complete. Interim responses before it are skipped.
+fn parse(mut received: &[u8]) -> io::Result<Option<Reply>> {
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; 32];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
-        let at = match head.parse(got) {
-            Ok(httparse::Status::Complete(at)) => at,
-            Ok(httparse::Status::Partial) if got.len() > MOST => {
-                return Err(bad("a head too long"))
+        let head_length = match head.parse(received) {
+            Ok(httparse::Status::Complete(length)) => length,
+            Ok(httparse::Status::Partial) if received.len() > MAX_PART_BYTES => {
+                return Err(malformed("the head is too long"))
             }
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(bad("no HTTP")),
+            Err(_) => return Err(malformed("the response is not HTTP/1.1")),
         };
+        let rest = &received[head_length..];
         let status = head.code.unwrap_or(0);
-        if (100..200).contains(&status) && status != 101 {
-            got = &got[at..];
+        if is_interim(status) {
+            received = rest;
             continue;
         }
-        let fields = |name: &'static str| {
-            let all = head
-                .headers
-                .iter()
-                .filter(move |h| h.name.eq_ignore_ascii_case(name));
-            all.map(|h| h.value.trim_ascii())
-        };
-        if fields("transfer-encoding").next().is_some() {
-            return Err(bad("a body in chunks"));
-        }
-        let length =
-            length(fields("content-length"), status).ok_or_else(|| bad("no sure length"))?;
-        let Some(body) = got.get(at..at + length) else {
-            return Ok(None);
-        };
-        let not_begun = fields("op-not-begun").next() == Some(b"1");
-        // One that is longer would make the next request long: it goes without.
-        let tag = fields("etag")
-            .next()
-            .filter(|tag| tag.len() <= MOST_TAG)
-            .map(<[u8]>::to_vec);
-        return Ok(Some(Reply {
-            status,
-            not_begun,
-            tag,
-            body: body.to_vec(),
-        }));
+        return complete(&head, status, rest);
+    }
+}
+
+/// Whether another response follows. 101 switches protocols: nothing follows it.
+fn is_interim(status: u16) -> bool {
+    (100..200).contains(&status) && status != 101
+}
+
+/// The response with this head, if its body is complete.
+fn complete(
+    head: &httparse::Response<'_, '_>,
+    status: u16,
+    rest: &[u8],
+) -> io::Result<Option<Reply>> {
+    let fields = |name: &'static str| {
+        let named = head
+            .headers
+            .iter()
+            .filter(move |field| field.name.eq_ignore_ascii_case(name));
+        named.map(|field| field.value.trim_ascii())
+    };
+    if fields("transfer-encoding").next().is_some() {
+        return Err(malformed("the body is chunked"));
     }
+    let length = body_length(fields("content-length"), status)
+        .ok_or_else(|| malformed("the body's length is unclear"))?;
+    let Some(body) = rest.get(..length) else {
+        return Ok(None);
+    };
+    let mut tags = fields("etag");
+    Ok(Some(Reply {
+        status,
+        not_begun: fields("op-not-begun").next() == Some(b"1"),
+        tag: tags
+            .next()
+            .filter(|tag| tag.len() <= MAX_TAG_BYTES)
+            .map(<[u8]>::to_vec),
+        body: body.to_vec(),
+    }))
 }
 
-/// The length of the body: digits alone, and the same in all fields that tell it.
-fn length<'a>(mut told: impl Iterator<Item = &'a [u8]>, status: u16) -> Option<usize> {
-    let Some(first) = told.next() else {
+/// The length of the body: digits alone, and the same in every field that says it.
+fn body_length<'a>(mut lengths: impl Iterator<Item = &'a [u8]>, status: u16) -> Option<usize> {
+    let Some(first) = lengths.next() else {
         return (status == 204 || status == 304).then_some(0);
     };
-    if told.any(|other| other != first) || !first.iter().all(u8::is_ascii_digit) {
+    if lengths.any(|other| other != first) || !first.iter().all(u8::is_ascii_digit) {
         return None;
     }
     std::str::from_utf8(first)
         .ok()?
         .parse()
         .ok()
-        .filter(|&n| n <= MOST)
+        .filter(|&length| length <= MAX_PART_BYTES)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_reply_is_whole_at_its_last_byte_and_not_before() {
-        let text = b"HTTP/1.1 503 Busy\r\nOp-Not-Begun: 1\r\ncontent-length: 3\r\n\r\nabc";
-        for cut in 0..text.len() {
-            assert!(parse(&text[..cut]).unwrap().is_none(), "cut at {cut}");
-        }
-        let wanted = Reply {
-            status: 503,
-            not_begun: true,
-            tag: None,
-            body: b"abc".to_vec(),
-        };
-        assert_eq!(parse(text).unwrap(), Some(wanted));
-    }
-
-    #[test]
-    fn a_reply_without_a_sure_end_is_an_error() {
-        for text in [
-            "HTTP/1.1 200 OK\r\n\r\nabc",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc",
-            "HTTP/1.1 200 OK\r\nContent-Length: +3\r\n\r\nabc",
-            "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 1\r\n\r\nabc",
-            "HTTP/1.1 101 Other\r\n\r\n",
-            "SMTP ready\r\n\r\n",
-        ] {
-            assert!(parse(text.as_bytes()).is_err(), "{text:?}");
-        }
-        assert_eq!(
-            parse(b"HTTP/1.1 204 Done\r\n\r\n").unwrap().unwrap().status,
-            204
-        );
-    }
-
-    #[test]
-    fn interim_replies_before_it_and_noise_after_it_are_no_part_of_it() {
-        let text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n\
-            HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Le\xff";
-        let wanted = Reply {
-            status: 200,
-            not_begun: false,
-            tag: None,
-            body: b"ok".to_vec(),
-        };
-        assert_eq!(parse(text).unwrap(), Some(wanted));
-        assert_eq!(parse(&text[..40]).unwrap(), None);
-    }
-}
+mod tests;
--- a/crates/asterdale-engine/src/identity_gate.rs
+++ b/crates/asterdale-engine/src/identity_gate.rs
@@ -1,149 +1,149 @@
-//! The gate: who is calling, and whether he may. [`asterdale_identity`] decides; here its verdicts become
-//! replies, counts and lines. Where identity is off nobody is asked, and nothing is kept.
+//! The identity gate: turns the verdicts of [`asterdale_identity`] into replies, counters and log lines. Where identity
+//! is off, every caller passes and nothing is stored.
 
 use std::sync::Arc;
 
 use asterdale_identity::keyring::Offered;
 use asterdale_identity::rights::Denied;
-use asterdale_identity::{Caller, Facts, Identity, Kind as Said, Seat, Why};
+use asterdale_identity::{Caller, Facts, Identity, Kind as DenialKind, Seat, Why};
 use crossbeam_channel::Sender;
 
 use crate::counters::Counters;
 use crate::log::{Kind, Log};
 use crate::message::{KeyRefresh, Reply};
 
-/// Advice to a caller that can't be judged now, in milliseconds: about when a set may have come.
-const AGAIN: f64 = 1000.0;
+/// Advice to a caller that cannot be authenticated for want of keys, in milliseconds: by then a key set may have come.
+const NO_KEYS_RETRY_AFTER_MS: f64 = 1000.0;
+/// The longest advice to a caller over a quota, in milliseconds.
+const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
 
 /// The gate.
 pub struct IdentityGate {
     pub(crate) identity: Option<Identity>,
     counters: Arc<Counters>,
-    /// Hears of keys that no set has held.
-    pub(crate) issuer: Option<Sender<KeyRefresh>>,
+    /// Is told of keys that no set has held.
+    pub(crate) key_refresh: Option<Sender<KeyRefresh>>,
 }
 
 impl IdentityGate {
-    /// A gate that asks this; an open one where there is none.
+    /// A gate with this identity policy; an open one without any.
     pub fn new(
         identity: Option<Identity>,
-        issuer: Option<Sender<KeyRefresh>>,
+        key_refresh: Option<Sender<KeyRefresh>>,
         counters: &Arc<Counters>,
     ) -> IdentityGate {
         IdentityGate {
             identity,
-            issuer,
             counters: counters.clone(),
+            key_refresh,
         }
     }
 
-    /// The start file was read again. A gate can't be opened or closed that way: what it let in would lose its
+    /// The start file was read again. Identity cannot be turned on or off that way: requests in flight would lose their
     /// tenant, or have none.
-    pub fn reload(&mut self, facts: Option<Box<Facts>>, log: &Log) {
-        let why = match (&mut self.identity, facts) {
-            (Some(identity), Some(facts)) => match identity.retold(*facts) {
+    pub fn reload(&mut self, settings: Option<Box<Facts>>, log: &Log) {
+        let error = match (&mut self.identity, settings) {
+            (Some(identity), Some(settings)) => match identity.retold(*settings) {
                 Ok(()) => return,
-                Err(why) => why,
+                Err(error) => error.to_string(),
             },
             (None, None) => return,
-            _ => "identity is turned on or off by a start only".to_owned(),
+            _ => "identity can only be turned on or off by a restart".to_owned(),
         };
         self.counters.reloads_failed.add();
-        slog::error!(log.lines, "identity: what the start file says of it is passed over"; "why" => why);
+        slog::error!(log.lines, "identity: reload rejected"; "error" => error);
     }
 
-    /// Offers a set of keys; `true` if it is another one than before.
+    /// Offers a key set. `true` if it replaced the one before.
     pub fn adopt_key_set(&mut self, now: f64, set: &[u8], log: &Log) -> bool {
-        static REFUSED: Kind = Kind::new();
+        static REJECTED: Kind = Kind::new();
         let Some(identity) = &mut self.identity else {
             return false;
         };
         match identity.offer(now, set) {
             Ok(Offered::Adopted) => {
                 self.counters.keys_adopted.add();
-                slog::info!(log.lines, "identity: a set of keys is adopted"; "seq" => identity.ring().seq());
+                slog::info!(log.lines, "identity: key set adopted"; "sequence" => identity.ring().seq());
                 true
             }
             Ok(Offered::Same) => false,
-            Err(why) => {
+            Err(error) => {
                 self.counters.keys_refused.add();
-                if log.allows(&REFUSED) {
-                    slog::error!(log.lines, "identity: a set of keys is refused, the last one stays";
-                        "why" => ?why, "seq" => identity.ring().seq());
+                if log.allows(&REJECTED) {
+                    slog::error!(log.lines, "identity: key set rejected, the last one stays in use";
+                        "error" => ?error, "sequence" => identity.ring().seq());
                 }
                 false
             }
         }
     }
 
-    /// What a process that goes on needs.
+    /// The state that another process needs to continue.
     #[cfg(feature = "hot-restart")]
     pub fn export(&self) -> Option<asterdale_identity::Passed> {
         self.identity.as_ref().map(Identity::pass)
     }
 
-    /// Goes on where another process stood. Nothing may have been asked here yet.
+    /// The identity policy, which may continue another process's state before its first verdict.
     #[cfg(feature = "hot-restart")]
-    pub fn import(&mut self, now: f64, passed: asterdale_identity::Passed) -> Result<(), String> {
-        match &mut self.identity {
-            Some(identity) => identity.continue_from(now, passed),
-            None => Err("identity is on in the state, and off in the start file".to_owned()),
-        }
+    pub fn identity_mut(&mut self) -> Option<&mut Identity> {
+        self.identity.as_mut()
     }
 
-    /// Whose place this is, and by which role.
+    /// The tenant and the role whose quota this seat takes up.
     #[cfg(feature = "hot-restart")]
     pub fn seat_key(&self, seat: &Seat) -> Option<(u32, String)> {
         self.identity.as_ref().map(|identity| identity.place(seat))
     }
 
-    /// Takes up a place that a task has had already.
+    /// Takes up a seat that a transferred task had.
     #[cfg(feature = "hot-restart")]
-    pub fn restore_seat(&mut self, place: &(u32, String)) -> Option<Seat> {
-        self.identity.as_mut()?.replace(place)
+    pub fn restore_seat(&mut self, seat_key: &(u32, String)) -> Option<Seat> {
+        self.identity.as_mut()?.replace(seat_key)
     }
 
-    /// The customer that a caller's requests count for. Where callers are known that is by what they have proven, and
-    /// not by what the edge node says.
-    pub fn tenant_index(&self, caller: Option<&Caller>, said: u32) -> usize {
+    /// The tenant, for the policies, that a caller's requests count for. Where callers are authenticated that is their
+    /// own, whatever the edge node claims.
+    pub fn tenant_index(&self, caller: Option<&Caller>, claimed_tenant: u32) -> usize {
         match (&self.identity, caller) {
             (Some(identity), Some(caller)) => identity.customer(caller.tenant),
-            _ => said as usize,
+            _ => claimed_tenant as usize,
         }
     }
 
-    /// A task is over: its place is given back here, and nowhere else.
+    /// A task is over: its seat is given back here and nowhere else.
     pub fn release_seat(&mut self, seat: Option<Seat>) {
         if let (Some(identity), Some(seat)) = (&mut self.identity, seat) {
             identity.leave(seat);
         }
     }
 
-    /// Counts what is kept.
+    /// Sets the counters of what identity costs.
     pub fn update_counters(&self) {
         if let Some(identity) = &self.identity {
-            let (checked, kept) = identity.cost();
-            self.counters.signatures.set(checked as usize);
-            self.counters.tokens_cached.set(kept);
+            let (signatures, tokens) = identity.cost();
+            self.counters.signatures.set(signatures as usize);
+            self.counters.tokens_cached.set(tokens);
         }
     }
 
+    /// The reply to a denied caller, which is counted.
     pub(crate) fn denial_reply(&self, denied: Denied) -> Reply {
         let kind = denied.why.kind();
         match kind {
-            Said::Unknown => self.counters.callers_unknown.add(),
-            Said::Forbidden => self.counters.callers_forbidden.add(),
-            Said::Over => self.counters.callers_over.add(),
-            Said::Unable => self.counters.callers_unable.add(),
+            DenialKind::Unknown => self.counters.callers_unknown.add(),
+            DenialKind::Forbidden => self.counters.callers_forbidden.add(),
+            DenialKind::Over => self.counters.callers_over.add(),
+            DenialKind::Unable => self.counters.callers_unable.add(),
         }
-        let wait_ms = match denied.why {
-            Why::NoKeys => AGAIN,
-            Why::Rate | Why::Busy => denied.wait_ms.clamp(1.0, 60_000.0).ceil(),
+        let retry_after_ms = match denied.why {
+            Why::NoKeys => NO_KEYS_RETRY_AFTER_MS,
+            Why::Rate | Why::Busy => denied.wait_ms.clamp(1.0, MAX_RETRY_AFTER_MS).ceil(),
             _ => 0.0,
         };
         Reply::Denied {
             kind,
-            retry_after_ms: wait_ms as u64,
+            retry_after_ms: retry_after_ms as u64,
         }
     }
 }
--- a/crates/asterdale-engine/src/issuer.rs
+++ b/crates/asterdale-engine/src/issuer.rs
@@ -1,5 +1,5 @@
-//! The issuer's actor: fetches the set of keys over HTTP, on a connection a time, and hands it to the host. When
-//! to ask is decided by [`Refresh`]; whether a set counts, by the keyring.
+//! The issuer's actor: fetches the key set over HTTP and passes it to the engine. When to fetch is decided by
+//! [`Refresh`]; whether a set is accepted, by the keyring.
 
 use std::io::{self, IoSlice};
 use std::net::TcpStream;
@@ -15,87 +15,140 @@
 use crate::message::EngineMessage;
 use crate::vectored_write;
 
-/// No issuer is waited for longer: the last set serves meanwhile.
-const PATIENCE: Duration = Duration::from_secs(2);
-
 pub use crate::message::{KeyRefresh, KeySource};
 
-/// Fetches until the mailbox closes.
+/// The timeout of a fetch: the last set stays in use meanwhile.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest wait for a command, in milliseconds, so that it fits a `Duration` whatever the interval.
+const MAX_WAIT_MS: f64 = 3.6e6;
+
+/// A key set, and the entity tag to ask for a newer one with.
+struct FetchedSet {
+    set: Vec<u8>,
+    tag: Option<Vec<u8>>,
+}
+
+/// The engine is gone, and this actor ends.
+struct EngineGone;
+
+struct Fetcher<'a> {
+    source: KeySource,
+    seed: u64,
+    start: Instant,
+    refresh: Refresh,
+    tag: Option<Vec<u8>>,
+    /// The last fetch succeeded.
+    is_available: bool,
+    engine: &'a Sender<EngineMessage>,
+    counters: &'a Counters,
+    log: &'a Log,
+}
+
+/// Fetches key sets until nobody can send commands any more, or the engine is gone. The seed spreads the fetches of
+/// many processes.
 pub fn fetch(
-    mut place: KeySource,
+    source: KeySource,
     seed: u64,
-    nudges: &Receiver<KeyRefresh>,
-    host: &Sender<EngineMessage>,
+    commands: &Receiver<KeyRefresh>,
+    engine: &Sender<EngineMessage>,
     counters: &Arc<Counters>,
     log: &Log,
 ) {
-    static FAILED: Kind = Kind::new();
-    static AGAIN_WELL: Kind = Kind::new();
-    let began = Instant::now();
-    let now = || began.elapsed().as_secs_f64() * 1000.0;
-    let mut refresh = Refresh::new(now(), place.interval_ms, seed);
-    let (mut tag, mut well) = (None, true);
+    let start = Instant::now();
+    let mut fetcher = Fetcher {
+        refresh: Refresh::new(elapsed_ms(start), source.interval_ms, seed),
+        source,
+        seed,
+        start,
+        tag: None,
+        is_available: true,
+        engine,
+        counters,
+        log,
+    };
     loop {
-        let wait = (refresh.next_at() - now()).clamp(0.0, 3.6e6);
-        match nudges.recv_timeout(Duration::from_micros((wait * 1000.0) as u64)) {
-            Ok(KeyRefresh::Requested) => {
-                refresh.wanted();
-                continue;
-            }
-            Ok(KeyRefresh::SetSource(to)) => {
-                if to != place {
-                    (refresh, tag) = (Refresh::new(now(), to.interval_ms, seed), None);
-                    place = to;
+        let wait_ms = (fetcher.refresh.next_at() - fetcher.now()).clamp(0.0, MAX_WAIT_MS);
+        match commands.recv_timeout(Duration::from_micros((wait_ms * 1000.0) as u64)) {
+            Ok(KeyRefresh::Requested) => fetcher.refresh.wanted(),
+            Ok(KeyRefresh::SetSource(source)) => fetcher.set_source(source),
+            Err(RecvTimeoutError::Timeout) => {
+                if fetcher.fetch_once().is_err() {
+                    return;
                 }
-                continue;
             }
-            Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        refresh.asked(now());
-        let got = get(&place, tag.as_deref());
-        refresh.turned_out(now(), got.is_ok());
-        match got {
-            Ok(got) => {
-                if !std::mem::replace(&mut well, true) && log.allows(&AGAIN_WELL) {
-                    slog::info!(log.lines, "issuer: gives sets again");
-                }
-                let Some((set, its_tag)) = got else { continue };
-                tag = its_tag;
-                if host.send(EngineMessage::KeySet(set)).is_err() {
-                    return;
-                }
-            }
+    }
+}
+
+fn elapsed_ms(start: Instant) -> f64 {
+    start.elapsed().as_secs_f64() * 1000.0
+}
+
+impl Fetcher<'_> {
+    fn now(&self) -> f64 {
+        elapsed_ms(self.start)
+    }
+
+    fn set_source(&mut self, source: KeySource) {
+        if source != self.source {
+            self.refresh = Refresh::new(self.now(), source.interval_ms, self.seed);
+            self.tag = None;
+            self.source = source;
+        }
+    }
+
+    fn fetch_once(&mut self) -> Result<(), EngineGone> {
+        static FAILED: Kind = Kind::new();
+        static AVAILABLE: Kind = Kind::new();
+        self.refresh.asked(self.now());
+        let fetched = get(&self.source, self.tag.as_deref());
+        self.refresh.turned_out(self.now(), fetched.is_ok());
+        let fetched = match fetched {
+            Ok(fetched) => fetched,
             Err(e) => {
-                counters.issuer_failed.add();
-                if std::mem::replace(&mut well, false) && log.allows(&FAILED) {
-                    slog::warn!(log.lines, "issuer: no set, the last one serves"; "why" => %e);
+                self.counters.issuer_failed.add();
+                if std::mem::replace(&mut self.is_available, false) && self.log.allows(&FAILED) {
+                    slog::warn!(self.log.lines, "issuer: key set fetch failed, the last set stays in use";
+                        "error" => %e);
                 }
+                return Ok(());
             }
+        };
+        if !std::mem::replace(&mut self.is_available, true) && self.log.allows(&AVAILABLE) {
+            slog::info!(self.log.lines, "issuer: key set fetched again");
         }
+        let Some(FetchedSet { set, tag }) = fetched else {
+            return Ok(());
+        };
+        self.tag = tag;
+        self.engine
+            .send(EngineMessage::KeySet(set))
+            .map_err(|_| EngineGone)
     }
 }
 
-type Fetched = (Vec<u8>, Option<Vec<u8>>);
-
-/// One conditional request: the set and its tag, or nothing where it has not changed.
-fn get(place: &KeySource, tag: Option<&[u8]>) -> io::Result<Option<Fetched>> {
-    let end = Instant::now() + PATIENCE;
-    let stream = TcpStream::connect_timeout(&place.address, PATIENCE)?;
-    stream.set_write_timeout(Some(PATIENCE))?;
+/// One conditional request, on a connection of its own: the set, or nothing where it has not changed.
+fn get(source: &KeySource, tag: Option<&[u8]>) -> io::Result<Option<FetchedSet>> {
+    let deadline = Instant::now() + FETCH_TIMEOUT;
+    let stream = TcpStream::connect_timeout(&source.address, FETCH_TIMEOUT)?;
+    stream.set_write_timeout(Some(FETCH_TIMEOUT))?;
     stream.set_nodelay(true)?;
     let head = format!(
         "GET {} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n",
-        place.path, place.address
+        source.path, source.address
     );
-    let pieces = match tag {
+    let slices = match tag {
         Some(tag) => [head.as_bytes(), b"If-None-Match: ", tag, b"\r\n\r\n"],
         None => [head.as_bytes(), b"\r\n", b"", b""],
     };
-    vectored_write::write(&stream, &mut pieces.map(IoSlice::new)).map_err(|(_, e)| e)?;
-    let reply = http::reply(&stream, end)?;
+    vectored_write::write(&stream, &mut slices.map(IoSlice::new)).map_err(|(_, error)| error)?;
+    let reply = http::reply(&stream, deadline)?;
     match reply.status {
-        200 => Ok(Some((reply.body, reply.tag))),
+        200 => Ok(Some(FetchedSet {
+            set: reply.body,
+            tag: reply.tag,
+        })),
         304 if tag.is_some() => Ok(None),
         other => Err(io::Error::other(format!("status {other}"))),
     }
--- a/crates/asterdale-engine/src/lib.rs
+++ b/crates/asterdale-engine/src/lib.rs
@@ -1,20 +1,23 @@
-//! The engine: one actor owns the server's decisions, its tasks and fingerprints; others keep the links to the
-//! runtime, the records service and the registry. Fronts bring tasks as [`mail::Mail`] and take answers as
-//! [`mail::Reply`]; which protocol they speak is theirs alone.
+//! The engine: one actor owns the server's policies and the task table; others hold the links to the runtime, the
+//! records service, the registry and the key issuer. Frontends send requests as [`message::EngineMessage`] and get
+//! replies as [`message::Reply`]; the protocol they speak is theirs alone.
 //!
-//! Floors, from below: `mail` (plain data, which imports nothing of the engine) and what all share (`counters`, `log`,
-//! `clock`, `gather`, `http`, `exchange`, `post`); the links (`runtime`, `records`, `registry`, `issuer`), the table of `fingerprints`
-//! and `callers`; `tasks` and its `gate`; `host`, the module's actor; and what else that actor does, a file a concern:
-//! `below` (the runtime's word, calls, checks), `custody` (work that others keep), `leaving`,
-//! `passing`. None names one above it.
+//! Layers, from the lowest:
+//! - [`message`]: plain data and ports, which import nothing of the engine;
+//! - shared parts: [`counters`], [`log`], `clock`, [`vectored_write`], [`http`], `exchange`, [`mailbox`];
+//! - the links, an actor each: [`runtime`], [`records`], [`registry`], [`issuer`];
+//! - state: `idempotency`, `identity_gate`, `health_check`, `paused`, the state part of `ownership`;
+//! - `tasks`, the task table, and `access`, its identity checks;
+//! - [`engine`], the actor, and what else it does, a module a concern: `runtime_events`, `draining`, `ownership`,
+//!   [`state_transfer`].
 
 mod access;
-mod checks;
 mod clock;
 pub mod counters;
 mod draining;
 pub mod engine;
 mod exchange;
+mod health_check;
 pub mod http;
 mod idempotency;
 mod identity_gate;
--- a/crates/asterdale-engine/src/log.rs
+++ b/crates/asterdale-engine/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: lines to standard error, never waited for, and no flood of one kind of fault.
+//! The log: lines to standard error that are never waited for, and at most one a second of one kind of fault.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::Instant;
@@ -6,19 +6,24 @@
 use slog::{o, Drain, Level, LevelFilter, Logger};
 use slog_async::AsyncGuard;
 
-/// Where lines go.
+/// Lines that wait to be written.
+const QUEUED_LINES: usize = 256;
+/// The least time between two lines about one kind of fault, in milliseconds.
+const MIN_INTERVAL_MS: u64 = 1000;
+
+/// The log.
 #[derive(Clone)]
 pub struct Log {
-    /// For a change of state, which is rare by itself.
+    /// Takes lines. Faults that may repeat ask [`Log::allows`] first.
     pub lines: Logger,
-    born: Instant,
+    start: Instant,
 }
 
 impl Log {
-    /// A log whose lines are written by a thread of its own; what it can't keep up with is dropped and
-    /// counted there. The guard's end writes what is left.
+    /// A log whose lines are written by a thread of its own. Lines that it cannot keep up with are dropped, and their
+    /// number is logged. Dropping the guard writes what is left and joins the thread.
     pub fn to_stderr(name: &str, json: bool, level: Level) -> (Log, AsyncGuard) {
-        // A standard error that takes nothing must not end the program.
+        // A closed standard error must not end the program.
         if json {
             return Log::through(
                 slog_json::Json::default(std::io::stderr()).ignore_res(),
@@ -39,30 +44,31 @@
         D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
     {
         let (drain, guard) = slog_async::Async::new(drain)
-            .chan_size(256)
+            .chan_size(QUEUED_LINES)
             .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
             .build_with_guard();
-        // Before the channel, so that lines that are not wanted cost no place in it.
+        // The filter comes before the queue, so that lines below the level take no place in it.
         let drain = LevelFilter::new(drain.ignore_res(), level).ignore_res();
         let lines = Logger::root(drain, o!("backend" => name.to_owned()));
         (
             Log {
                 lines,
-                born: Instant::now(),
+                start: Instant::now(),
             },
             guard,
         )
     }
 
-    /// Whether a fault of this kind may have a line now: one a second.
+    /// Whether a fault of this kind may be logged now: it may once a second.
     pub fn allows(&self, kind: &Kind) -> bool {
-        let now = self.born.elapsed().as_millis() as u64 + 1000;
+        let now = self.start.elapsed().as_millis() as u64 + MIN_INTERVAL_MS;
         let last = kind.0.load(Relaxed);
-        now >= last + 1000 && kind.0.compare_exchange(last, now, Relaxed, Relaxed).is_ok()
+        now >= last + MIN_INTERVAL_MS && kind.0.compare_exchange(last, now, Relaxed, Relaxed).is_ok()
     }
 }
 
-/// A kind of fault that could come in floods.
+/// When a fault that may repeat often was logged last, in milliseconds since [`MIN_INTERVAL_MS`] before the log's
+/// start; 0 for never.
 pub struct Kind(AtomicU64);
 
 impl Default for Kind {
@@ -72,7 +78,7 @@
 }
 
 impl Kind {
-    /// One that has had no line yet.
+    /// A fault that was never logged.
     pub const fn new() -> Kind {
         Kind(AtomicU64::new(0))
     }
--- /dev/null
+++ b/crates/asterdale-engine/src/message/engine.rs
@@ -0,0 +1,76 @@
+//! Messages to the engine.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use asterdale::parameters::Outcome;
+use crossbeam_channel::Sender;
+
+#[cfg(feature = "hot-restart")]
+use super::hot_restart::HotRestartStep;
+use super::links::RuntimeNotice;
+use super::request::{Connection, Request, ResponseRoute, TaskId};
+
+/// A message to the engine.
+pub enum EngineMessage {
+    /// A complete request.
+    Request(Box<Request>),
+    /// A health check.
+    HealthCheck {
+        /// The connection that the response goes to.
+        client: Arc<dyn Connection>,
+        /// Its number on that connection.
+        request: u16,
+        /// It checks that the runtime gets work done.
+        deep: bool,
+    },
+    /// The edge node no longer waits for this request.
+    Abort(ResponseRoute),
+    /// The connection with this number is closed.
+    ConnectionClosed(u64),
+    /// There is a link to the runtime, which accepts command lines here.
+    RuntimeConnected(Sender<String>),
+    /// The link to the runtime is closed.
+    RuntimeDisconnected,
+    /// A line from the runtime.
+    RuntimeNotice(RuntimeNotice),
+    /// A call to the records service has ended.
+    CallEnded {
+        /// The task that made it.
+        task: TaskId,
+        /// How it ended.
+        outcome: Outcome,
+        /// How long it took, in milliseconds.
+        duration_ms: f64,
+        /// The response's body.
+        body: Vec<u8>,
+    },
+    /// A key set, as a file or the issuer has it.
+    KeySet(Vec<u8>),
+    /// The start file was read again: the services' addresses and the identity settings from now on.
+    Reloaded(Endpoints, Option<Box<asterdale_identity::Facts>>),
+    /// A step of a hot restart.
+    #[cfg(feature = "hot-restart")]
+    HotRestart(HotRestartStep),
+    /// The answer to an ownership request with this number.
+    #[cfg(feature = "ownership")]
+    OwnershipAnswer(u64, asterdale_ownership::Answer),
+    /// Requests without an owner, which this process may take over.
+    #[cfg(feature = "ownership")]
+    OwnerlessRequests(Vec<asterdale_ownership::Work>),
+    /// Shut down gracefully.
+    Drain,
+    /// Print the counters.
+    PrintCounters,
+}
+
+/// The addresses of the services that the engine depends on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Endpoints {
+    /// The runtime.
+    pub runtime: SocketAddr,
+    /// The registry.
+    pub registry: SocketAddr,
+    /// The records service.
+    pub records: SocketAddr,
+}
--- /dev/null
+++ b/crates/asterdale-engine/src/message/hot_restart.rs
@@ -0,0 +1,92 @@
+//! Messages of a hot restart, between the engines of the old and the new process.
+
+use std::sync::Arc;
+
+use asterdale::parameters::Outcome;
+use crossbeam_channel::Sender;
+
+use super::request::{IdempotencyKey, Reply, Request, RequestId, ResponseRoute, TaskId};
+
+/// A step of a hot restart, as the engine carries it out.
+pub enum HotRestartStep {
+    /// Send the state for a trial restore, and continue.
+    Rehearse(Sender<Vec<u8>>),
+    /// Stop, and send the state.
+    Freeze(Sender<Vec<u8>>),
+    /// Continue: the work stays in this process.
+    Thaw,
+    /// The work belongs to the new process: forward to it whatever arrives here.
+    Commit(Box<dyn SuccessorLink>),
+    /// The new process's reply to a request that was forwarded, or whose task was transferred.
+    PeerReply(ResponseRoute, Reply),
+    /// An event of the new process.
+    Mirrored(MirroredEvent),
+    /// The new process has ended: take the work back.
+    Resume,
+    /// Exit once the connections have ended: no process needs this one as a guard any more.
+    Exit,
+    /// The old process guards this one no longer.
+    GuardEnded,
+}
+
+/// The old process's link to the new one.
+pub trait SuccessorLink: Send {
+    /// A request has arrived. Its `received_at` says how long it may have been unread.
+    fn forward_request(&mut self, route: ResponseRoute, request: &Request);
+    /// A health check has arrived.
+    fn forward_health_check(&mut self, route: ResponseRoute, deep: bool);
+    /// The client has given up a request, or (`None`) all requests of a connection.
+    fn forward_abort(&mut self, connection: u64, request: Option<u16>);
+    /// A call that was made here has ended.
+    fn forward_call_result(
+        &mut self,
+        task: TaskId,
+        outcome: Outcome,
+        duration_ms: f64,
+        body: &[u8],
+    );
+    /// All connections have ended and all idempotency windows have closed: this process is a guard no longer.
+    fn guard_ended(&mut self);
+}
+
+/// What the new process tells the old one before it takes effect, so that the old one could take the work back.
+#[derive(Clone, Debug, PartialEq)]
+pub enum MirroredEvent {
+    /// An idempotency key is retained.
+    KeyRetained {
+        /// The key.
+        key: IdempotencyKey,
+        /// Its task.
+        owner: TaskId,
+        /// The digest of the task's body.
+        body_digest: u64,
+        /// The end of its window, in the engine's time.
+        until_ms: f64,
+    },
+    /// A task that must not run twice is started.
+    TaskStarted {
+        /// Its request id.
+        id: RequestId,
+        /// Its idempotency key and its number, where it has a key.
+        key: Option<(IdempotencyKey, TaskId)>,
+    },
+    /// A task with an idempotency key has ended.
+    TaskEnded {
+        /// The key.
+        key: IdempotencyKey,
+        /// Its task.
+        owner: TaskId,
+        /// Its result, if there is one.
+        result: Option<Arc<[u8]>>,
+    },
+    /// An idempotency key is dropped.
+    KeyDropped {
+        /// The key.
+        key: IdempotencyKey,
+        /// Its task.
+        owner: TaskId,
+    },
+}
+
+/// Receives what the old process must know, before it takes effect.
+pub type Mirror = Box<dyn FnMut(MirroredEvent) + Send>;
--- /dev/null
+++ b/crates/asterdale-engine/src/message/links.rs
@@ -0,0 +1,139 @@
+//! What the engine exchanges with the actors that hold the links to the runtime, the records service, the registry and
+//! the key issuer.
+
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+use super::request::{RequestId, TaskId};
+
+/// A call to the records service.
+pub struct Call {
+    /// The task that makes it.
+    pub task: TaskId,
+    /// The request id of that task.
+    pub id: RequestId,
+    /// The call's body.
+    pub body: Vec<u8>,
+    /// When it was requested.
+    pub requested_at: Instant,
+    /// How long it may take from then on.
+    pub timeout: Duration,
+    /// The claim of its task, where that is replicated: the records service rejects older fences.
+    #[cfg(feature = "ownership")]
+    pub fence: Option<CallFence>,
+}
+
+/// The claim that a call is made under.
+#[cfg(feature = "ownership")]
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CallFence {
+    /// The ownership key of the task, in hexadecimal digits.
+    pub key: String,
+    /// The fencing token of the claim.
+    pub fence: u64,
+}
+
+/// A command to the registry's actor.
+pub enum RegistryCommand {
+    /// Report this backend as draining from now on.
+    Drain,
+    /// The registry's address from now on.
+    SetAddress(SocketAddr),
+    /// Another process reports from now on, or this one again.
+    SetPaused(bool),
+}
+
+/// A command to the runtime's actor.
+pub enum RuntimeLinkCommand {
+    /// The runtime's address from now on.
+    SetAddress(SocketAddr),
+    /// Another process holds the link from now on, or this one again.
+    SetPaused(bool),
+}
+
+/// A line from the runtime.
+#[derive(Debug, PartialEq)]
+pub enum RuntimeNotice {
+    /// The reply to `sync`.
+    Ready {
+        /// The runtime started without warm state.
+        slow_start: bool,
+        /// How long ago it started, in milliseconds.
+        uptime_ms: f64,
+    },
+    /// A run has ended.
+    RunEnded {
+        /// The notice's sequence number.
+        sequence: u64,
+        /// The request id of the task.
+        id: RequestId,
+        /// How it ended.
+        outcome: RunOutcome,
+        /// Its result.
+        body: Vec<u8>,
+    },
+    /// A run waits for a call to the records service.
+    CallNeeded {
+        /// The notice's sequence number.
+        sequence: u64,
+        /// The request id of the task.
+        id: RequestId,
+        /// The call's body.
+        body: Vec<u8>,
+    },
+    /// The gauges.
+    Gauges {
+        /// The tag that they were requested with.
+        tag: String,
+        /// Their values, in the order of the settings' gauge names.
+        values: Vec<f64>,
+    },
+    /// The result of a deep health check.
+    HealthVerdict {
+        /// The tag that it was requested with.
+        tag: String,
+        /// Whether it passed.
+        healthy: bool,
+    },
+    /// A command was not executed.
+    Rejected {
+        /// The command's name.
+        command: String,
+        /// The request id that it was about.
+        id: Option<RequestId>,
+    },
+    /// A notice that has no meaning here but for its sequence number.
+    Ignored(Option<u64>),
+}
+
+/// How a run ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RunOutcome {
+    /// With a result.
+    Passed,
+    /// Without a result.
+    Failed,
+    /// It was stopped, or ended at a call.
+    Killed,
+    /// Nothing was started.
+    Noop,
+}
+
+/// Where the issuer publishes its key set.
+#[derive(Clone, Debug, PartialEq)]
+pub struct KeySource {
+    /// The issuer's address.
+    pub address: SocketAddr,
+    /// The path of the key set.
+    pub path: String,
+    /// The refresh interval, in milliseconds.
+    pub interval_ms: f64,
+}
+
+/// A command to the issuer's actor.
+pub enum KeyRefresh {
+    /// A token names a key that no set has held: there may be a newer set.
+    Requested,
+    /// Fetch the set here from now on.
+    SetSource(KeySource),
+}
--- /dev/null
+++ b/crates/asterdale-engine/src/message/mod.rs
@@ -0,0 +1,25 @@
+//! Messages between actors, and the ports through which the engine reaches the other parts of the process. Plain data
+//! and traits: nothing here imports an actor.
+
+mod engine;
+#[cfg(feature = "hot-restart")]
+mod hot_restart;
+mod links;
+mod ports;
+mod request;
+
+pub use engine::{Endpoints, EngineMessage};
+#[cfg(feature = "hot-restart")]
+pub use hot_restart::{HotRestartStep, Mirror, MirroredEvent, SuccessorLink};
+#[cfg(feature = "ownership")]
+pub use links::CallFence;
+pub use links::{
+    Call, KeyRefresh, KeySource, RegistryCommand, RunOutcome, RuntimeLinkCommand, RuntimeNotice,
+};
+#[cfg(feature = "ownership")]
+pub use ports::OwnershipClient;
+pub use ports::{FleetView, Frontends, LocalStatus};
+pub use request::{
+    request_id_text, Certificate, Connection, IdempotencyKey, Reply, Request, RequestHead,
+    RequestId, Responder, ResponseRoute, TaskId,
+};
--- /dev/null
+++ b/crates/asterdale-engine/src/ownership/answers.rs
@@ -0,0 +1,110 @@
+//! Answers of the ownership replicas: where each goes, and what a client is told of it.
+
+use asterdale::Handle;
+use asterdale_ownership::failpoint::{self, Failpoint};
+use asterdale_ownership::{Answer, Verdict};
+
+use super::table::Awaiting;
+use crate::counters::{Count, Counters};
+use crate::engine::Engine;
+use crate::message::{Reply, Responder};
+use crate::tasks::Tasks;
+
+/// The longest advice to retry that is passed on to a client, in milliseconds.
+const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
+
+/// The rejection of an attempt that never ran.
+pub(super) const fn rejected(retry_after_ms: u64) -> Reply {
+    Reply::Rejected {
+        is_final: false,
+        retry_after_ms,
+    }
+}
+
+/// The reply to the client of a request that this process may not run; `None` where the answer does not end it.
+pub(super) fn reply_to(answer: &Answer, lease_ms: f64) -> Option<Reply> {
+    let retry_after_ms = answer.ms.clamp(0.0, MAX_RETRY_AFTER_MS) as u64;
+    Some(match answer.verdict() {
+        Verdict::Passed => Reply::Served(answer.result.clone().into()),
+        Verdict::Failed => Reply::Failed,
+        Verdict::Unknown => Reply::Unknown { retry_after_ms },
+        Verdict::Full => rejected(retry_after_ms),
+        Verdict::Differs => Reply::Malformed,
+        Verdict::Over => rejected(lease_ms as u64),
+        _ => return None,
+    })
+}
+
+/// Injected fault of a proof: a request that runs on another backend is taken for a free one.
+pub(super) fn lock_is_ignored(verdict: Verdict) -> bool {
+    failpoint::is_active(Failpoint::Lock) && verdict == Verdict::Open
+}
+
+/// The counter of a reply that is not the result of an own run.
+fn counter_of<'a>(counters: &'a Counters, reply: &Reply) -> &'a Count {
+    match reply {
+        Reply::Rejected { .. } => &counters.tasks_rejected,
+        Reply::Unknown { .. } => &counters.tasks_unknown,
+        _ => &counters.tasks_failed,
+    }
+}
+
+impl Tasks {
+    /// Answers a task, and counts the reply if somebody waited for it.
+    pub(super) fn answer_and_count(&mut self, task: Handle, reply: Reply) {
+        let counters = self.counters.clone();
+        let counter = counter_of(&counters, &reply);
+        if self.answer(task, reply) {
+            counter.add();
+        }
+    }
+
+    /// Answers a client whose task the policies have released.
+    pub(super) fn answer_detached(&self, responder: Responder, reply: Reply) {
+        self.counters.tasks_open.sub();
+        match &reply {
+            Reply::Served(_) => self.counters.tasks_served.add(),
+            other => counter_of(&self.counters, other).add(),
+        }
+        responder.answer(reply);
+    }
+}
+
+impl Engine {
+    /// The answer to the ownership request with this number.
+    pub(crate) fn ownership_answered(&mut self, number: u64, answer: &Answer) {
+        let ownership = &mut self.tasks.ownership;
+        let Some(awaiting) = ownership.awaiting.remove(&number) else {
+            return;
+        };
+        match awaiting {
+            Awaiting::Lookup {
+                request,
+                idempotency_key,
+                key,
+                ..
+            } => {
+                ownership.lookups.remove(&request.route());
+                self.lookup_answered(*request, &idempotency_key, &key, answer);
+            }
+            Awaiting::Poll(idempotency_key) => self.poll_answered(&idempotency_key, answer),
+            Awaiting::Claim { task, .. } => self.claim_answered(task, answer),
+            Awaiting::Outcome(ended) => self.outcome_answered(*ended, answer),
+            Awaiting::HandOff {
+                idempotency_key,
+                key,
+                responder,
+                fallback,
+            } => {
+                let reply = reply_to(answer, 0.0).unwrap_or(fallback);
+                match answer.verdict() {
+                    Verdict::Kept | Verdict::Open => {
+                        self.tasks.handed_off(&idempotency_key, &key, responder);
+                    }
+                    _ => self.tasks.answer_detached(responder, reply),
+                }
+            }
+            Awaiting::Nothing => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/asterdale-engine/src/ownership/lookup.rs
@@ -0,0 +1,174 @@
+//! The look-up of a keyed request before the policies see it.
+
+use asterdale::parameters::Idempotency;
+use asterdale_ownership::{Answer, Verdict, Want};
+
+use super::answers::{lock_is_ignored, reply_to};
+use super::record::{Claim, OwnedTask, OwnershipKey};
+use super::table::{Awaiting, REMOTE_OWNER};
+use crate::engine::Engine;
+use crate::idempotency::Owner;
+use crate::message::{IdempotencyKey, Reply, Request, RequestHead, ResponseRoute};
+use crate::tasks::Tasks;
+
+/// Requests to the replicas that are under way at once. Beyond that, keyed requests are rejected.
+const MAX_AWAITING: usize = 8192;
+
+impl Tasks {
+    /// The ownership of a request under this idempotency key, if its class has replicated ownership. `left_ms` is how
+    /// long its client still waits; `tenant` is empty where callers are not authenticated.
+    pub(crate) fn ownership_of(
+        &self,
+        head: &RequestHead,
+        key: &IdempotencyKey,
+        tenant: &str,
+        left_ms: f64,
+        body: &[u8],
+    ) -> Option<OwnedTask> {
+        let client = self.ownership.client.as_ref()?;
+        let class = &self.settings.decisions.classes[key.class];
+        if class.idempotency != Idempotency::Keyed || client.replicates_class(key.class).is_none() {
+            return None;
+        }
+        let bytes = [
+            self.settings.class_names[key.class].as_bytes(),
+            tenant.as_bytes(),
+            &key.bytes,
+        ]
+        .join(&0);
+        let attempt_deadline = self.now + left_ms.clamp(0.0, class.deadline_ms.max(0.0));
+        Some(OwnedTask {
+            key: OwnershipKey {
+                bytes,
+                body_digest: client.body_digest(body),
+            },
+            claim: Claim::None,
+            sends_fence: client.sends_fences(),
+            is_takeover: false,
+            attempt_deadline,
+            request_deadline: (self.now + class.deadline_ms).max(attempt_deadline),
+            cost_hint_ms: head.cost_hint_ms.unwrap_or(0.0),
+            memory_kb: head.memory_kb,
+        })
+    }
+
+    /// Looks up a request, which waits for the answer.
+    pub(crate) fn look_up(&mut self, request: Request, key: &OwnershipKey) {
+        let route = request.route();
+        if self.ownership.lookups.contains_key(&route) {
+            self.counters.requests_duplicate.add();
+            return request.client.discard_request();
+        }
+        if self.ownership.awaiting.len() >= MAX_AWAITING {
+            self.counters.requests_overloaded.add();
+            return request.answer(Reply::Overloaded);
+        }
+        let Some(idempotency_key) = request.head.idempotency_key.clone() else {
+            return;
+        };
+        let want = Want::Look(key.bytes.clone(), key.body_digest);
+        let awaiting = Awaiting::Lookup {
+            request: Box::new(request),
+            idempotency_key,
+            key: key.clone(),
+            since: self.now,
+        };
+        let number = self.ownership.request(want, awaiting);
+        self.ownership.lookups.insert(route, number);
+    }
+
+    /// The clients of requests that are being looked up no longer wait.
+    pub(crate) fn cancel_lookups(&mut self, is_cancelled: impl Fn(ResponseRoute) -> bool) {
+        let numbers: Vec<u64> = self
+            .ownership
+            .lookups
+            .iter()
+            .filter(|(route, _)| is_cancelled(**route))
+            .map(|(_, &number)| number)
+            .collect();
+        for number in numbers {
+            if let Some(request) = self.take_lookup(number) {
+                request.answer(Reply::CallerGone);
+            }
+        }
+    }
+
+    /// Ends a look-up before its answer; its request.
+    pub(super) fn take_lookup(&mut self, number: u64) -> Option<Request> {
+        let Some(Awaiting::Lookup { request, .. }) = self.ownership.awaiting.remove(&number) else {
+            return None;
+        };
+        self.ownership.lookups.remove(&request.route());
+        if let Some(client) = &self.ownership.client {
+            client.cancel(number);
+        }
+        Some(*request)
+    }
+
+    /// A request runs, or has ended, on another backend: the idempotency table knows it from now on, so that the
+    /// policies join it as they join any repeat.
+    fn learn_remote_run(
+        &mut self,
+        request: &Request,
+        idempotency_key: &IdempotencyKey,
+        key: &OwnershipKey,
+        answer: &Answer,
+    ) {
+        if self.idempotency.is_repeat(idempotency_key, self.now) {
+            return;
+        }
+        let (now, window_ms) = (self.now, self.retry_window_ms(idempotency_key.class));
+        let owner = Owner {
+            task: REMOTE_OWNER,
+            body_digest: self.idempotency.digest(&request.body),
+        };
+        let joined =
+            self.idempotency
+                .retain(idempotency_key.clone(), owner, now + window_ms, None);
+        self.notify_joined(joined, None);
+        self.ownership
+            .follow_remote_run(now, idempotency_key, key, window_ms);
+        if let Some(reply) = reply_to(answer, 0.0) {
+            self.remote_run_ended(idempotency_key, &reply);
+        }
+    }
+
+    /// How long repeats of this request class are known, in milliseconds.
+    pub(super) fn retry_window_ms(&self, class: usize) -> f64 {
+        self.settings.decisions.classes[class].retry_window_ms
+    }
+}
+
+impl Engine {
+    /// The answer to a look-up.
+    pub(super) fn lookup_answered(
+        &mut self,
+        request: Request,
+        idempotency_key: &IdempotencyKey,
+        key: &OwnershipKey,
+        answer: &Answer,
+    ) {
+        let tasks = &mut self.tasks;
+        let verdict = answer.verdict();
+        let is_known = matches!(verdict, Verdict::Open | Verdict::Passed | Verdict::Failed);
+        if is_known && !lock_is_ignored(verdict) {
+            if tasks.idempotency.is_full() {
+                tasks.counters.requests_overloaded.add();
+                return request.answer(Reply::Overloaded);
+            }
+            tasks.learn_remote_run(&request, idempotency_key, key, answer);
+            return self.receive_looked_up(request);
+        }
+        match reply_to(answer, tasks.ownership.lease_ms()) {
+            Some(reply) if verdict != Verdict::Open => {
+                if reply == Reply::Malformed {
+                    tasks.counters.tasks_malformed.add();
+                } else {
+                    tasks.counters.tasks_ownership_rejected.add();
+                }
+                request.answer(reply);
+            }
+            _ => self.receive_looked_up(request),
+        }
+    }
+}
--- /dev/null
+++ b/crates/asterdale-engine/src/ownership/outcomes.rs
@@ -0,0 +1,147 @@
+//! Outcomes: the reply of a run leaves once its outcome is replicated.
+
+use std::sync::Arc;
+
+use asterdale::Handle;
+use asterdale_ownership::failpoint::{self, Failpoint};
+use asterdale_ownership::{Answer, Verdict, Want};
+
+use super::record::OwnedTask;
+use super::table::{Awaiting, DetachedClient, EndedRun, REMOTE_OWNER};
+use crate::engine::Engine;
+use crate::message::Reply;
+use crate::tasks::Tasks;
+
+impl Tasks {
+    /// The ownership of a task whose run is over, if this process owns it.
+    fn take_granted(&mut self, task: Handle) -> Option<OwnedTask> {
+        self.task_mut(task)?
+            .ownership
+            .take_if(|owned| owned.granted_fence().is_some())
+    }
+
+    /// A run has ended with a result. If this process owns the task, the outcome is replicated; the reply then waits
+    /// for that, and is the task's no longer.
+    pub(crate) fn replicate_outcome(&mut self, task: Handle, result: &Arc<[u8]>) {
+        let Some(owned) = self.take_granted(task) else {
+            return;
+        };
+        let Some(record) = self.task_mut(task) else {
+            return;
+        };
+        let (Some(fence), Some(idempotency_key), number) = (
+            owned.granted_fence(),
+            record.idempotency_key.clone(),
+            record.number,
+        ) else {
+            return;
+        };
+        let mut responder = None;
+        if failpoint::is_active(Failpoint::Outcome) {
+            if self.answer_served(task, result.clone()) {
+                self.counters.tasks_served.add();
+            }
+        } else {
+            record.idempotency_key = None;
+            responder = record.responder.take();
+        }
+        if let Some(responder) = &responder {
+            self.by_route.remove(&responder.route());
+        }
+        self.ownership.takeovers -= usize::from(owned.is_takeover);
+        let want = Want::End(owned.key.bytes.clone(), fence, Some(result.to_vec()));
+        let ended = EndedRun {
+            idempotency_key,
+            task: number,
+            key: owned.key,
+            result: result.clone(),
+            responder,
+            deadline: owned.attempt_deadline,
+        };
+        self.ownership
+            .request(want, Awaiting::Outcome(Box::new(ended)));
+    }
+
+    /// A run is over without a result that could be replicated. `never_ran`: nothing was started.
+    pub(crate) fn end_ownership(&mut self, task: Handle, never_ran: bool) {
+        let Some(owned) = self.take_granted(task) else {
+            return;
+        };
+        self.ownership.takeovers -= usize::from(owned.is_takeover);
+        let Some(fence) = owned.granted_fence() else {
+            return;
+        };
+        if !never_ran {
+            let want = Want::End(owned.key.bytes, fence, None);
+            self.ownership.request(want, Awaiting::Nothing);
+        } else if let Some(client) = &self.ownership.client {
+            client.claim_unused(owned.key.bytes, fence);
+        }
+    }
+
+    /// The policies release a task. A run whose end was not seen has ended without a result, as it has for those who
+    /// repeat it here; while this process drains, another backend may do better and takes it over.
+    pub(crate) fn release_ownership(&mut self, task: Handle) {
+        let Some(owned) = self
+            .task_mut(task)
+            .and_then(|record| record.ownership.take())
+        else {
+            return;
+        };
+        self.ownership.takeovers -= usize::from(owned.is_takeover);
+        if let (Some(fence), None) = (owned.granted_fence(), self.ownership.drain_deadline) {
+            let want = Want::End(owned.key.bytes, fence, None);
+            self.ownership.request(want, Awaiting::Nothing);
+        }
+    }
+}
+
+impl Engine {
+    /// The answer to the outcome of a run.
+    pub(super) fn outcome_answered(&mut self, ended: EndedRun, answer: &Answer) {
+        let tasks = &mut self.tasks;
+        if answer.verdict() == Verdict::Fenced {
+            return tasks.outcome_fenced(ended);
+        }
+        let EndedRun {
+            idempotency_key,
+            task,
+            result,
+            responder,
+            ..
+        } = ended;
+        let joined =
+            tasks
+                .idempotency
+                .complete(&idempotency_key, task, tasks.now, Some(result.clone()));
+        tasks.notify_joined(joined, Some(&result));
+        if let Some(responder) = responder {
+            tasks.answer_detached(responder, Reply::Served(result));
+        }
+    }
+}
+
+impl Tasks {
+    /// Another backend has taken the task over: its outcome counts, and those who wait here wait for that.
+    fn outcome_fenced(&mut self, ended: EndedRun) {
+        let (now, window_ms) = (self.now, self.retry_window_ms(ended.idempotency_key.class));
+        let is_reassigned =
+            self.idempotency
+                .reassign(&ended.idempotency_key, ended.task, REMOTE_OWNER);
+        if !is_reassigned && ended.responder.is_none() {
+            return;
+        }
+        let run = self.ownership.follow_remote_run(
+            now,
+            &ended.idempotency_key,
+            &ended.key,
+            window_ms,
+        );
+        run.detached
+            .extend(ended.responder.map(|responder| DetachedClient {
+                responder,
+                deadline: ended.deadline,
+                ran_here: true,
+            }));
+    }
+}
--- /dev/null
+++ b/crates/asterdale-engine/src/ownership/remote.rs
@@ -0,0 +1,152 @@
+//! Runs on other backends that clients of this one wait for.
+
+use asterdale::Handle;
+use asterdale_ownership::{Answer, Verdict, Want};
+
+use super::answers::{rejected, reply_to};
+use super::table::{Awaiting, DetachedClient, ANSWER_MARGIN_MS, POLL_INTERVAL_MS, REMOTE_OWNER};
+use crate::engine::Engine;
+use crate::message::{IdempotencyKey, Reply, Responder, TaskId};
+use crate::tasks::Tasks;
+
+/// A run that two polls in a row have found without an owner is given up: its clients may try again.
+const OWNERLESS_TIMEOUT_MS: f64 = 1.5 * POLL_INTERVAL_MS;
+/// Advice to clients that are told `Unknown`: after this time the next poll has been answered.
+pub(super) const POLL_RETRY_AFTER_MS: u64 = POLL_INTERVAL_MS as u64;
+
+impl Tasks {
+    /// Answers a task that waited in vain for a remote run, if there is a reply of its own for it.
+    pub(crate) fn answer_without_remote_result(&mut self, task: Handle) -> bool {
+        let Some(number) = self.task(task).map(|record| record.number) else {
+            return false;
+        };
+        let Some(reply) = self.ownership.replies.remove(&number) else {
+            return false;
+        };
+        self.answer_and_count(task, reply);
+        true
+    }
+
+    /// This process takes over a run that tasks here have joined: they wait for its own run from now on.
+    pub(crate) fn rejoin_after_takeover(
+        &mut self,
+        key: &IdempotencyKey,
+        joined: Vec<TaskId>,
+    ) -> Vec<TaskId> {
+        let Some(run) = self.ownership.remote_runs.get(key) else {
+            return joined;
+        };
+        if run.detached.is_empty() {
+            self.ownership.remote_runs.remove(key);
+        }
+        for task in joined {
+            self.idempotency.join(key, task);
+        }
+        Vec::new()
+    }
+
+    /// A remote run is over as far as this process can tell: everybody who waits for it gets this reply.
+    pub(super) fn remote_run_ended(&mut self, key: &IdempotencyKey, reply: &Reply) {
+        let Some(run) = self.ownership.remote_runs.remove(key) else {
+            return;
+        };
+        for client in run.detached {
+            self.answer_client_of_remote_run(client, reply);
+        }
+        match reply {
+            Reply::Served(result) => {
+                let joined =
+                    self.idempotency
+                        .complete(key, REMOTE_OWNER, self.now, Some(result.clone()));
+                self.notify_joined(joined, Some(result));
+            }
+            Reply::Failed => {
+                let joined = self.idempotency.complete(key, REMOTE_OWNER, self.now, None);
+                self.notify_joined(joined, None);
+            }
+            _ => {
+                // A repeat that comes later is told what is known then.
+                let joined = self.idempotency.forget(key, REMOTE_OWNER);
+                // A task that the policies have released gets no reply from here.
+                let waiting = joined
+                    .iter()
+                    .filter(|task| self.by_number.contains_key(task));
+                self.ownership
+                    .replies
+                    .extend(waiting.map(|task| (*task, reply.clone())));
+                self.notify_joined(joined, None);
+            }
+        }
+    }
+
+    fn answer_client_of_remote_run(&self, client: DetachedClient, reply: &Reply) {
+        let says_never_ran = matches!(reply, Reply::Rejected { .. });
+        let reply = if says_never_ran && client.ran_here {
+            Reply::Unknown {
+                retry_after_ms: POLL_RETRY_AFTER_MS,
+            }
+        } else {
+            reply.clone()
+        };
+        self.answer_detached(client.responder, reply);
+    }
+
+    /// Polls the remote runs that are due, and gives up those whose window has closed. Returns the clients that are
+    /// about to give up.
+    pub(super) fn poll_remote_runs(&mut self) -> Vec<Responder> {
+        let now = self.now;
+        let (mut polls, mut closed, mut late) = (Vec::new(), Vec::new(), Vec::new());
+        for (idempotency_key, run) in &mut self.ownership.remote_runs {
+            let (waiting, leaving): (Vec<_>, Vec<_>) = std::mem::take(&mut run.detached)
+                .into_iter()
+                .partition(|client| now <= client.deadline - ANSWER_MARGIN_MS);
+            run.detached = waiting;
+            late.extend(leaving.into_iter().map(|client| client.responder));
+            if now > run.window_end {
+                closed.push(idempotency_key.clone());
+            } else if !run.is_polling && now >= run.next_poll_at {
+                run.is_polling = true;
+                polls.push((idempotency_key.clone(), run.key.clone()));
+            }
+        }
+        for (idempotency_key, key) in polls {
+            let want = Want::Look(key.bytes, key.body_digest);
+            self.ownership
+                .request(want, Awaiting::Poll(idempotency_key));
+        }
+        for idempotency_key in closed {
+            self.remote_run_ended(&idempotency_key, &Reply::Unknown { retry_after_ms: 0 });
+        }
+        late
+    }
+}
+
+impl Engine {
+    /// The answer to a poll.
+    pub(super) fn poll_answered(&mut self, key: &IdempotencyKey, answer: &Answer) {
+        let tasks = &mut self.tasks;
+        let now = tasks.now;
+        let Some(run) = tasks.ownership.remote_runs.get_mut(key) else {
+            return;
+        };
+        run.is_polling = false;
+        run.next_poll_at = now + POLL_INTERVAL_MS;
+        match answer.verdict() {
+            Verdict::Open => run.ownerless_since = None,
+            Verdict::Nothing => {
+                let since = *run.ownerless_since.get_or_insert(now);
+                if now - since >= OWNERLESS_TIMEOUT_MS {
+                    // Its owner is gone, or released it before it started. What waits here never ran and may try
+                    // again: it is then a first attempt, or joins the backend that took it over.
+                    tasks.remote_run_ended(key, &rejected(0));
+                }
+            }
+            Verdict::Passed | Verdict::Failed | Verdict::Unknown => {
+                if let Some(reply) = reply_to(answer, 0.0) {
+                    tasks.remote_run_ended(key, &reply);
+                }
+            }
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/asterdale-engine/src/ownership/takeover.rs
@@ -0,0 +1,132 @@
+//! Takeover: requests whose owner is gone pass through the policies here like any arrival.
+
+use std::hash::Hasher as _;
+
+use asterdale::parameters::Arrival;
+use asterdale_ownership::Work;
+use siphasher::sip::SipHasher13;
+
+use super::record::{Claim, OwnedTask, OwnershipKey};
+use crate::engine::Engine;
+use crate::message::{IdempotencyKey, RequestId, TaskId};
+use crate::tasks::TaskRecord;
+
+/// Tasks in hand that were taken over, for each core: a backend that takes over remains one that serves.
+const TAKEOVERS_PER_CORE: f64 = 2.0;
+/// The least memory that is reserved for a task that is taken over, in KiB: the policies take no zero.
+const MIN_MEMORY_KB: f64 = 0.1;
+
+impl Engine {
+    /// Takes over requests without an owner, as long as there is capacity.
+    pub(crate) fn take_over(&mut self, offered: Vec<Work>) {
+        for work in offered {
+            if self.takeover_capacity() == 0 {
+                return;
+            }
+            self.take_over_one(work);
+        }
+    }
+
+    fn take_over_one(&mut self, work: Work) {
+        let tasks = &mut self.tasks;
+        let mut names = tasks.settings.class_names.iter();
+        let Some(class) = names.position(|name| *name == work.stage) else {
+            return;
+        };
+        let idempotency_key = idempotency_key_of(&work, class);
+        let is_known = tasks.idempotency.is_repeat(&idempotency_key, tasks.now);
+        let is_followed = tasks.ownership.remote_runs.contains_key(&idempotency_key);
+        if is_known && !is_followed || tasks.idempotency.is_full() {
+            return;
+        }
+        tasks.last_number += 1;
+        let number = tasks.last_number;
+        let Some(id) = new_request_id(tasks.settings.decisions.seed, number, &work.id) else {
+            return;
+        };
+        let arrival = arrival_of(&work, class);
+        let body_digest = tasks.idempotency.digest(&work.body);
+        let deadline = tasks.now + work.due_ms;
+        tasks.ownership.takeovers += 1;
+        tasks.arriving = Some(TaskRecord {
+            number,
+            id,
+            class,
+            body: work.body,
+            body_digest,
+            responder: None,
+            idempotency_key: Some(idempotency_key),
+            caller: None,
+            quota_seat: None,
+            started: false,
+            must_not_start: false,
+            ownership: Some(OwnedTask {
+                key: OwnershipKey {
+                    bytes: work.key,
+                    body_digest: work.sign,
+                },
+                claim: Claim::None,
+                sends_fence: true,
+                is_takeover: true,
+                attempt_deadline: deadline,
+                request_deadline: deadline,
+                cost_hint_ms: work.hint_ms,
+                memory_kb: work.kb,
+            }),
+            pending_call: None,
+            last_command: None,
+        });
+        if let Some(server) = &mut self.server {
+            server.receive(self.tasks.now, arrival, &mut self.tasks);
+        }
+    }
+
+    /// How many requests would be taken over now: as many as the cores are idle for, and a few for each at most.
+    pub(super) fn takeover_capacity(&self) -> u32 {
+        let tasks = &self.tasks;
+        let is_draining = tasks.ownership.drain_deadline.is_some();
+        if !tasks.is_healthy || is_draining || self.server.is_none() {
+            return 0;
+        }
+        let cores = tasks.settings.decisions.cores;
+        let idle_cores = cores * (1.0 - self.gauges.cpu.unwrap_or(1.0)).clamp(0.0, 1.0);
+        let unused = (TAKEOVERS_PER_CORE * cores - tasks.ownership.takeovers as f64).max(0.0);
+        (TAKEOVERS_PER_CORE * idle_cores)
+            .min(unused)
+            .ceil()
+            .max(0.0) as u32
+    }
+}
+
+/// The idempotency key of a request, which is the third part of its ownership key.
+fn idempotency_key_of(work: &Work, class: usize) -> IdempotencyKey {
+    let mut parts = work.key.splitn(3, |byte| *byte == 0);
+    IdempotencyKey {
+        class,
+        tenant: 0,
+        bytes: parts.nth(2).unwrap_or_default().into(),
+    }
+}
+
+fn arrival_of(work: &Work, class: usize) -> Arrival {
+    Arrival {
+        class,
+        tenant: 0,
+        caller: 0,
+        unread_ms: 0.0,
+        remaining_ms: Some(work.due_ms),
+        cost_hint_ms: Some(work.hint_ms).filter(|ms| *ms > 0.0),
+        memory_kb: work.kb.max(MIN_MEMORY_KB),
+        is_repeat: false,
+    }
+}
+
+/// A request id that no edge node has given out: a hash of the earlier one, the settings' seed and the task's number.
+fn new_request_id(seed: u64, number: TaskId, earlier: &[u8]) -> Option<RequestId> {
+    let mut hasher = SipHasher13::new_with_keys(seed, number);
+    hasher.write(earlier);
+    format!("{:016x}", hasher.finish())
+        .into_bytes()
+        .try_into()
+        .ok()
+}
--- a/crates/asterdale-engine/src/paused.rs
+++ b/crates/asterdale-engine/src/paused.rs
@@ -1,4 +1,5 @@
-//! What a host knows that has given its work away, or is about to: plain state, which [`crate::passing`] works on.
+//! What an engine knows that has given its work to another process, or is about to: plain state, which
+//! [`crate::state_transfer`] works on.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,32 +8,35 @@
     Connection, EngineMessage, IdempotencyKey, RequestId, ResponseRoute, SuccessorLink, TaskId,
 };
 
-/// What a guardian knows beyond its own state.
+/// What the old process knows of the new one while it could take the work back.
 #[derive(Default)]
 pub(crate) struct Guard {
-    /// Requests that were forwarded, and are not answered.
+    /// Requests that were forwarded and are not answered.
     pub(crate) forwarded: HashMap<ResponseRoute, Arc<dyn Connection>>,
-    /// Tasks that the other has started.
+    /// Tasks that the new process has started.
     pub(crate) started_by_successor: HashMap<RequestId, Option<(IdempotencyKey, TaskId)>>,
-    /// The last window that it knows of ends then.
+    /// When the last idempotency window closes, in engine time.
     pub(crate) guard_until: f64,
+    /// The link to the new process.
     pub(crate) successor: Option<Box<dyn SuccessorLink>>,
 }
 
-/// What a host that has given its work away, or is about to, does with its mail.
+/// Whether an engine decides nothing, and what it does with messages then.
 #[derive(Default)]
 pub struct PausedState {
+    /// The state was sent, and nobody has accepted it yet.
     pub(crate) is_frozen: bool,
-    /// Mail that waits while it is not sure whose the work is.
+    /// Messages that came while frozen.
     pub(crate) deferred: Vec<EngineMessage>,
-    pub(crate) guarding: Option<Guard>,
-    /// It is to leave.
+    /// The work belongs to the new process.
+    pub(crate) guard: Option<Guard>,
+    /// The signal to shut down has come.
     pub(crate) must_exit: bool,
 }
 
 impl PausedState {
     /// Whether nothing may be decided here.
     pub fn is_paused(&self) -> bool {
-        self.is_frozen || self.guarding.is_some()
+        self.is_frozen || self.guard.is_some()
     }
 }
--- /dev/null
+++ b/crates/asterdale-engine/src/records/mod.rs
@@ -0,0 +1,220 @@
+//! The actor of the records service: one thread makes all calls, each on a connection of its own, and blocks on none of
+//! them.
+
+mod protocol;
+
+use std::collections::{BTreeSet, HashMap};
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use asterdale::parameters::Outcome;
+use crossbeam_channel::Sender;
+use mio::{Events, Poll, Token};
+
+use self::protocol::{connect_outcome, exchange_outcome, reply_outcome, request_bytes};
+use crate::counters::Counters;
+use crate::exchange::Exchange;
+use crate::log::{Kind, Log};
+use crate::mailbox::{self, MailboxReceiver, MailboxSender};
+use crate::message::{request_id_text, Call, EngineMessage};
+
+/// The longest timeout of a call, whatever the policies allow it.
+const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(60);
+/// The mailbox's token; calls have the numbers below it.
+const MAILBOX: Token = Token(usize::MAX);
+/// Events that one poll takes; there are seldom more calls out.
+const EVENTS_PER_POLL: usize = 64;
+
+/// A call, and the address to make it to.
+struct AddressedCall {
+    address: SocketAddr,
+    call: Call,
+}
+
+/// The sender of calls.
+pub struct Records {
+    address: SocketAddr,
+    calls: MailboxSender<AddressedCall>,
+    counters: Arc<Counters>,
+}
+
+/// The actor.
+pub struct RecordsClientActor {
+    poll: Poll,
+    mailbox: MailboxReceiver<AddressedCall>,
+    engine: Sender<EngineMessage>,
+    counters: Arc<Counters>,
+    log: Log,
+    open: HashMap<usize, OpenCall>,
+    /// The deadlines of the open calls.
+    deadlines: BTreeSet<(Instant, usize)>,
+    next_number: usize,
+}
+
+/// A call under way.
+struct OpenCall {
+    call: Call,
+    exchange: Exchange,
+    deadline: Instant,
+}
+
+/// The engine is gone, and this actor ends.
+struct EngineGone;
+
+/// A sender of calls to this address, and the actor that makes them. Nothing is connected before the first call.
+///
+/// # Errors
+/// The system refuses a poll.
+pub fn new(
+    address: SocketAddr,
+    engine: Sender<EngineMessage>,
+    counters: Arc<Counters>,
+    log: Log,
+) -> io::Result<(Records, RecordsClientActor)> {
+    let poll = Poll::new()?;
+    let (calls, mailbox) = mailbox::open(&poll, MAILBOX)?;
+    let records = Records {
+        address,
+        calls,
+        counters: counters.clone(),
+    };
+    let actor = RecordsClientActor {
+        poll,
+        mailbox,
+        engine,
+        counters,
+        log,
+        open: HashMap::new(),
+        deadlines: BTreeSet::new(),
+        next_number: 0,
+    };
+    Ok((records, actor))
+}
+
+impl Records {
+    /// The service's address from now on. Calls that are out end where they are.
+    pub fn set_address(&mut self, address: SocketAddr) {
+        self.address = address;
+    }
+
+    /// Makes a call; its end comes as a message. `false` if it could not be made.
+    pub fn call(&self, mut call: Call) -> bool {
+        call.timeout = call.timeout.min(MAX_CALL_TIMEOUT);
+        self.counters.calls_sent.add();
+        self.calls.send(AddressedCall {
+            address: self.address,
+            call,
+        })
+    }
+}
+
+impl RecordsClientActor {
+    /// Makes calls until the engine is gone.
+    pub fn serve(mut self) {
+        let mut events = Events::with_capacity(EVENTS_PER_POLL);
+        while self.turn(&mut events).is_ok() {}
+    }
+
+    /// One turn of the loop. All events of the turn are handled even where the first finds that the engine is gone.
+    fn turn(&mut self, events: &mut Events) -> Result<(), EngineGone> {
+        let next_deadline = self.deadlines.first();
+        let wait = next_deadline
+            .map(|&(deadline, _)| deadline.saturating_duration_since(Instant::now()));
+        // Interrupted, it looks again; nothing else can go wrong with a poll that was made.
+        let _ = self.poll.poll(events, wait);
+        let calls: Vec<_> = self.mailbox.take().collect();
+        let mut result = calls.into_iter().try_for_each(|call| self.start(call));
+        for event in &*events {
+            result = result.and(self.advance(event.token().0));
+        }
+        let now = Instant::now();
+        while let Some(&(_, number)) = self
+            .deadlines
+            .first()
+            .filter(|&&(deadline, _)| deadline <= now)
+        {
+            result = result.and(self.end(number, Outcome::TimedOut, Vec::new()));
+        }
+        result
+    }
+
+    /// Connects. A connection carries one call: on one that is reused, late bytes could be read as the response to the
+    /// next call; and one that the service has closed fails at its next call just like one whose call has run.
+    fn start(&mut self, AddressedCall { address, call }: AddressedCall) -> Result<(), EngineGone> {
+        let number = self.next_number;
+        // Numbers repeat after a lifetime of calls, and are never the mailbox's.
+        self.next_number = (self.next_number + 1) % MAILBOX.0;
+        let deadline = call.requested_at + call.timeout;
+        let request = request_bytes(address, &call, deadline);
+        match Exchange::begin(&self.poll, Token(number), address, request) {
+            Ok(exchange) => {
+                self.deadlines.insert((deadline, number));
+                let open = OpenCall {
+                    call,
+                    exchange,
+                    deadline,
+                };
+                self.open.insert(number, open);
+                Ok(())
+            }
+            Err(e) => {
+                let outcome = connect_outcome(&e);
+                if outcome == Outcome::Unreachable && e.kind() != io::ErrorKind::ConnectionRefused {
+                    self.report_unmade(&call, &e);
+                }
+                self.report_end(&call, outcome, Vec::new())
+            }
+        }
+    }
+
+    /// The system refused this process what a connection takes.
+    fn report_unmade(&self, call: &Call, error: &io::Error) {
+        static UNMADE: Kind = Kind::new();
+        self.counters.calls_unmade.add();
+        if self.log.allows(&UNMADE) {
+            slog::error!(self.log.lines, "records: call could not be made"; "error" => %error,
+                "id" => request_id_text(&call.id), "open_calls" => self.open.len());
+        }
+    }
+
+    /// The connection of this call is readable or writable.
+    fn advance(&mut self, number: usize) -> Result<(), EngineGone> {
+        let Some(open) = self.open.get_mut(&number) else {
+            return Ok(());
+        };
+        match open.exchange.go_on() {
+            Ok(None) => Ok(()),
+            Ok(Some(reply)) => self.end(number, reply_outcome(&reply), reply.body),
+            Err(e) => {
+                let outcome = if open.exchange.connected() {
+                    exchange_outcome(&e)
+                } else {
+                    connect_outcome(&e)
+                };
+                self.end(number, outcome, Vec::new())
+            }
+        }
+    }
+
+    /// Ends a call, and with its exchange its connection. Nothing else does.
+    fn end(&mut self, number: usize, outcome: Outcome, body: Vec<u8>) -> Result<(), EngineGone> {
+        let Some(open) = self.open.remove(&number) else {
+            return Ok(());
+        };
+        self.deadlines.remove(&(open.deadline, number));
+        self.report_end(&open.call, outcome, body)
+    }
+
+    fn report_end(&self, call: &Call, outcome: Outcome, body: Vec<u8>) -> Result<(), EngineGone> {
+        let duration_ms = call.requested_at.elapsed().as_secs_f64() * 1000.0;
+        let ended = EngineMessage::CallEnded {
+            task: call.task,
+            outcome,
+            duration_ms,
+            body,
+        };
+        self.engine.send(ended).map_err(|_| EngineGone)
+    }
+}
--- /dev/null
+++ b/crates/asterdale-engine/src/records/protocol.rs
@@ -0,0 +1,84 @@
+//! A call as HTTP, and what its end proves.
+
+use std::io;
+use std::net::SocketAddr;
+use std::time::Instant;
+
+use asterdale::parameters::Outcome;
+
+use crate::http::Reply;
+use crate::message::{request_id_text, Call};
+
+/// Linux's errors of a process or a machine that has no descriptor or no buffer left.
+const ENFILE: i32 = 23;
+const EMFILE: i32 = 24;
+const ENOBUFS: i32 = 105;
+
+/// The header fields of a call whose task is claimed: by them the service applies it once, and rejects older claims.
+#[cfg(feature = "ownership")]
+fn fence_fields(call: &Call) -> String {
+    call.fence.as_ref().map_or_else(String::new, |fence| {
+        format!("Op-Key: {}\r\nOp-Fence: {}\r\n", fence.key, fence.fence)
+    })
+}
+
+#[cfg(not(feature = "ownership"))]
+const fn fence_fields(_: &Call) -> &'static str {
+    ""
+}
+
+/// A call as the service reads it. It says how long this process still waits.
+pub(super) fn request_bytes(address: SocketAddr, call: &Call, deadline: Instant) -> Vec<u8> {
+    let wait_ms = deadline
+        .saturating_duration_since(Instant::now())
+        .as_millis()
+        .max(1);
+    let mut bytes = format!(
+        "POST /records/op HTTP/1.1\r\nHost: {address}\r\nOp-Of: {}\r\nOp-Wait-Ms: {wait_ms}\r\n{}\
+         Content-Length: {}\r\n\r\n",
+        request_id_text(&call.id),
+        fence_fields(call),
+        call.body.len()
+    )
+    .into_bytes();
+    bytes.extend_from_slice(&call.body);
+    bytes
+}
+
+/// What a response proves.
+pub(super) fn reply_outcome(reply: &Reply) -> Outcome {
+    match (reply.status, reply.not_begun) {
+        (200, _) => Outcome::Ok,
+        (503, true) => Outcome::Rejected,
+        (409, true) => Outcome::Stale,
+        (504, _) => Outcome::TimedOut,
+        _ => Outcome::Failed,
+    }
+}
+
+/// What the failure of connecting proves: that nothing ran only where the connection was refused, or where this process
+/// had no resources for it.
+pub(super) fn connect_outcome(error: &io::Error) -> Outcome {
+    match error.kind() {
+        io::ErrorKind::ConnectionRefused => Outcome::Unreachable,
+        _ if lacks_resources(error) => Outcome::Unreachable,
+        _ => exchange_outcome(error),
+    }
+}
+
+/// Whether the system refused a descriptor, a port or memory for a connection.
+fn lacks_resources(error: &io::Error) -> bool {
+    error.kind() == io::ErrorKind::AddrNotAvailable
+        || matches!(error.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
+}
+
+/// What the failure of a connection during a call proves: nothing about whether it ran.
+pub(super) fn exchange_outcome(error: &io::Error) -> Outcome {
+    match error.kind() {
+        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => Outcome::TimedOut,
+        _ => Outcome::Reset,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/asterdale-engine/src/runtime_events/health.rs
@@ -0,0 +1,54 @@
+//! Health checks. Shallow ones get the policies' verdict; deep ones ask the runtime where that verdict says nothing.
+
+use std::sync::Arc;
+
+use crate::engine::Engine;
+use crate::health_check::HealthCheck;
+use crate::message::{Connection, Reply, Responder};
+use crate::runtime::protocol;
+
+impl Engine {
+    pub(crate) fn health_check(&mut self, client: Arc<dyn Connection>, request: u16, deep: bool) {
+        let tasks = &mut self.tasks;
+        let responder = Responder { client, request };
+        tasks.counters.checks.add();
+        if !deep || tasks.health_is_cached || !tasks.is_healthy {
+            return responder.answer(Reply::HealthChecked(tasks.is_healthy));
+        }
+        if tasks.runtime.commands.is_none() || tasks.runtime.is_replaying {
+            return responder.answer(Reply::HealthChecked(false));
+        }
+        tasks.last_number += 1;
+        let tag = tasks.last_number;
+        self.health_checks.insert(tag, HealthCheck::new(responder));
+        tasks.send(protocol::self_test(&tag.to_string()));
+    }
+
+    /// The runtime's verdict on a deep health check.
+    pub(super) fn health_verdict(&mut self, tag: &str, is_healthy: bool) {
+        let check = tag
+            .parse()
+            .ok()
+            .and_then(|tag: u64| self.health_checks.remove(&tag));
+        if let Some(check) = check {
+            check.answer(is_healthy);
+        }
+    }
+
+    /// No verdict will come: the deep health checks fail.
+    pub(crate) fn fail_health_checks(&mut self) {
+        for (_, check) in self.health_checks.drain() {
+            check.answer(false);
+        }
+    }
+
+    /// Deep health checks that nobody waits for any more fail.
+    pub(crate) fn expire_health_checks(&mut self) {
+        for (_, check) in self
+            .health_checks
+            .extract_if(|_, check| check.is_expired())
+        {
+            check.answer(false);
+        }
+    }
+}
--- /dev/null
+++ b/crates/asterdale-engine/src/runtime_events/link.rs
@@ -0,0 +1,199 @@
+//! The link to the runtime: its start, its replay, its moves, and the gauges that prove what has arrived.
+
+use crossbeam_channel::Sender;
+
+use super::{FLUSH_TAG, REPLAY_TAG};
+use crate::engine::Engine;
+use crate::log::Kind;
+use crate::message::{Endpoints, RegistryCommand, RequestId, RunOutcome, RuntimeLinkCommand};
+use crate::runtime::protocol;
+use crate::tasks::TaskRecord;
+
+/// A runtime that owes gauges at this many ticks in a row (3 s) may have lost its link unnoticed. A new link does no
+/// harm. Counted in ticks: while the machine pauses there are none, and the runtime owes nothing.
+const MAX_SILENT_TICKS: u32 = 300;
+/// A runtime that is slow to answer is not asked for gauges again within this time.
+const GAUGES_TIMEOUT_MS: f64 = 500.0;
+/// Before the link moves to another address, the proof that all commands arrived is waited for this long.
+const MOVE_TIMEOUT_MS: f64 = 300.0;
+/// A runtime whose uptime is lower than before by more than this is another process: uptimes are rounded.
+const RESTART_SLACK_MS: f64 = 1000.0;
+/// A notice whose sequence number is further ahead than this is malformed: two links do not miss that many.
+const MAX_SEQUENCE_GAP: u64 = 1_000_000;
+
+impl Engine {
+    /// Requests the gauges, a moment before the tick that uses them.
+    pub(crate) fn request_gauges(&mut self) {
+        self.gauges_due_at = f64::INFINITY;
+        let now = self.tasks.now;
+        let link = &mut self.tasks.runtime;
+        if now >= link.move_deadline {
+            link.move_deadline = f64::INFINITY;
+            link.commands = None;
+        }
+        let has_outstanding = link.gauges_requested != link.gauges_received;
+        let is_owed = if link.is_replaying {
+            link.is_ready
+        } else {
+            has_outstanding
+        };
+        link.silent_ticks = if is_owed { link.silent_ticks + 1 } else { 0 };
+        if link.silent_ticks >= MAX_SILENT_TICKS {
+            link.silent_ticks = 0;
+            link.commands = None; // the link ends, and its actor makes a new one
+        }
+        let is_due = !has_outstanding || now >= link.gauges_requested_at + GAUGES_TIMEOUT_MS;
+        if link.commands.is_some() && !link.is_replaying && is_due {
+            link.gauges_requested_at = now;
+            let line = protocol::gauges(&link.gauges_requested.to_string());
+            link.gauges_requested += 1;
+            self.tasks.send(line);
+        }
+    }
+
+    /// There is a new link.
+    pub(crate) fn runtime_connected(&mut self, commands: Sender<String>) {
+        let link = &mut self.tasks.runtime;
+        // Where the link has ended already, the message that says so follows.
+        let _ = commands.try_send(protocol::sync(link.last_notice));
+        link.commands = Some(commands);
+        link.is_replaying = true;
+        link.is_ready = false;
+        link.move_deadline = f64::INFINITY;
+    }
+
+    /// There is no link any more.
+    pub(crate) fn runtime_disconnected(&mut self) {
+        self.tasks.runtime.commands = None;
+        self.fail_health_checks();
+    }
+
+    /// The runtime is up and sends the notices that were missed. What was sent when the last link broke may have
+    /// arrived or not. Nothing else is sent until the answer to the gauges request, which follows the missed notices:
+    /// so no run that has ended is started again. A runtime that is not up would reject an earlier request.
+    pub(super) fn runtime_ready(&mut self, slow_start: bool, uptime_ms: f64) {
+        let earlier_uptime_ms = self.runtime_uptime_ms.replace(uptime_ms);
+        let is_replaced = earlier_uptime_ms
+            .is_some_and(|earlier_ms| uptime_ms + RESTART_SLACK_MS < earlier_ms);
+        if self.server.is_none() {
+            self.start_server(slow_start, uptime_ms);
+        } else if earlier_uptime_ms.is_none() || is_replaced {
+            self.runtime_started(slow_start, uptime_ms);
+        }
+        if is_replaced {
+            self.runtime_replaced();
+        }
+        let link = &mut self.tasks.runtime;
+        link.is_ready = true;
+        link.silent_ticks = 0;
+        if let Some(commands) = &link.commands {
+            // Where the link has ended already, the message that says so follows.
+            let _ = commands.try_send(protocol::gauges(REPLAY_TAG));
+        }
+    }
+
+    /// The runtime has said how it started, and the policies have started before.
+    fn runtime_started(&mut self, slow_start: bool, uptime_ms: f64) {
+        let now = self.tasks.now;
+        let settings = &self.tasks.settings.decisions;
+        let slow_start = slow_start || settings.slow_start;
+        slog::info!(self.tasks.log.lines, "engine: runtime started";
+            "slow_start" => slow_start, "runtime_uptime_ms" => uptime_ms);
+        self.warming_up_until = if slow_start {
+            now - uptime_ms + settings.slow_start_ms
+        } else {
+            now
+        };
+        if let Some(server) = &mut self.server {
+            server.runtime_started(slow_start, now - uptime_ms);
+        }
+    }
+
+    /// Another runtime process has taken the place of the one before. It numbers its notices anew; what the earlier one
+    /// was sent may have run, and its end will never be known.
+    fn runtime_replaced(&mut self) {
+        static REPLACED: Kind = Kind::new();
+        let may_have_run = |record: &&TaskRecord| {
+            let command = record.last_command.as_ref();
+            record.started && command.is_none_or(|command| command.handed_to_link)
+        };
+        let lost: Vec<RequestId> = self
+            .tasks
+            .slots
+            .iter()
+            .flatten()
+            .filter(may_have_run)
+            .map(|record| record.id)
+            .collect();
+        if self.tasks.log.allows(&REPLACED) {
+            slog::error!(self.tasks.log.lines, "runtime: process replaced"; "runs_lost" => lost.len());
+        }
+        self.tasks.runtime.last_notice = 0;
+        for id in lost {
+            self.run_ended(&id, RunOutcome::Failed, Vec::new());
+        }
+    }
+
+    /// Gauges have come with this tag: what that proves.
+    pub(super) fn gauges_answered(&mut self, tag: &str) {
+        let link = &mut self.tasks.runtime;
+        match tag.parse::<u64>() {
+            Ok(number) => link.gauges_received = link.gauges_received.max(number + 1),
+            Err(_) if tag == REPLAY_TAG => {
+                // All missed notices are read.
+                link.is_replaying = false;
+                self.tasks.resend_on_new_link();
+            }
+            Err(_) if tag == FLUSH_TAG => {
+                // All commands on the link that is to end have arrived.
+                link.gauges_requested += 1;
+                link.gauges_received = link.gauges_requested;
+                link.move_deadline = f64::INFINITY;
+                link.commands = None;
+            }
+            Err(_) => {}
+        }
+    }
+
+    /// The start file was read again: calls and reports go to the new addresses from now on. The link to the runtime
+    /// moves once all commands on the old one have arrived; later commands wait for the new one.
+    pub(crate) fn endpoints_changed(&mut self, endpoints: Endpoints) {
+        let earlier = std::mem::replace(&mut self.endpoints, endpoints);
+        self.tasks.counters.reloads.add();
+        slog::info!(self.tasks.log.lines, "engine: start file reloaded"; "runtime" => %endpoints.runtime,
+            "records" => %endpoints.records, "registry" => %endpoints.registry);
+        self.tasks.records.set_address(endpoints.records);
+        if earlier.registry != endpoints.registry {
+            self.registry
+                .send(RegistryCommand::SetAddress(endpoints.registry));
+        }
+        if earlier.runtime == endpoints.runtime {
+            return;
+        }
+        // The runtime's actor lives as long as this one.
+        let _ = self
+            .runtime_link
+            .send(RuntimeLinkCommand::SetAddress(endpoints.runtime));
+        if self.tasks.runtime.is_replaying {
+            // A link that is moving continues to; one that takes no commands yet has nothing to lose.
+            if !self.tasks.runtime.move_deadline.is_finite() {
+                self.tasks.runtime.commands = None;
+            }
+        } else if self.tasks.send(protocol::gauges(FLUSH_TAG)) {
+            self.tasks.runtime.is_replaying = true;
+            self.tasks.runtime.move_deadline = self.tasks.now + MOVE_TIMEOUT_MS;
+        }
+    }
+
+    /// Whether a notice is read for the first time, whichever link it came over. It is known from then on.
+    pub(super) fn is_first_notice(&mut self, sequence: u64) -> bool {
+        let last = self.tasks.runtime.last_notice;
+        if sequence > last.saturating_add(MAX_SEQUENCE_GAP) {
+            // Taken for the last, it would have all true ones skipped as known.
+            self.tasks.counters.runtime_lines_malformed.add();
+            return false;
+        }
+        self.tasks.runtime.last_notice = last.max(sequence);
+        sequence > last
+    }
+}
--- /dev/null
+++ b/crates/asterdale-engine/src/state_transfer/guard.rs
@@ -0,0 +1,158 @@
+//! The old process once the work belongs to the new one: it forwards between its connections and the new engine, and
+//! learns what it needs to take the work back.
+
+use std::time::{Duration, Instant};
+
+use crossbeam_channel::{Receiver, RecvTimeoutError};
+
+use crate::engine::Engine;
+use crate::idempotency::Owner;
+use crate::message::{EngineMessage, MirroredEvent, Reply, Responder, ResponseRoute};
+use crate::paused::Guard;
+
+/// The interval at which answered connections are closed once the work is the new process's.
+const CLOSE_INTERVAL: Duration = Duration::from_millis(50);
+/// The guard stays this long after the last idempotency window that it knows of, in milliseconds.
+const GUARD_MARGIN_MS: f64 = 1000.0;
+
+impl Engine {
+    /// Forwards a message to the new process. Returns one that is for this process all the same.
+    pub(crate) fn forward_to_successor(&mut self, message: EngineMessage) -> Option<EngineMessage> {
+        let Some(Guard {
+            forwarded,
+            successor: Some(successor),
+            ..
+        }) = &mut self.paused.guard
+        else {
+            if matches!(message, EngineMessage::HotRestart(_)) {
+                return Some(message);
+            }
+            self.paused.deferred.push(message);
+            return None;
+        };
+        match message {
+            EngineMessage::Request(request) => {
+                let route = request.route();
+                if forwarded.contains_key(&route) || self.tasks.by_route.contains_key(&route) {
+                    request.client.discard_request();
+                } else {
+                    successor.forward_request(route, &request);
+                    forwarded.insert(route, request.client);
+                }
+            }
+            EngineMessage::HealthCheck {
+                client,
+                request,
+                deep,
+            } => {
+                let responder = Responder { client, request };
+                successor.forward_health_check(responder.route(), deep);
+                forwarded.insert(responder.route(), responder.client);
+            }
+            EngineMessage::Abort(route) => {
+                successor.forward_abort(route.connection, Some(route.request));
+            }
+            EngineMessage::ConnectionClosed(connection) => {
+                successor.forward_abort(connection, None);
+            }
+            EngineMessage::CallEnded {
+                task,
+                outcome,
+                duration_ms,
+                body,
+            } => successor.forward_call_result(task, outcome, duration_ms, &body),
+            EngineMessage::Drain => self.paused.must_exit = true,
+            EngineMessage::PrintCounters | EngineMessage::HotRestart(_) => return Some(message),
+            // The addresses, the link and the keys are the new process's.
+            EngineMessage::RuntimeConnected(_)
+            | EngineMessage::RuntimeDisconnected
+            | EngineMessage::RuntimeNotice(_)
+            | EngineMessage::KeySet(_)
+            | EngineMessage::Reloaded(..) => {}
+            // A process that can be restarted hot belongs to no fleet.
+            #[cfg(feature = "ownership")]
+            EngineMessage::OwnershipAnswer(..) | EngineMessage::OwnerlessRequests(_) => {}
+        }
+        None
+    }
+
+    /// A reply of the new process: to a task that was transferred, or to a request that was forwarded.
+    pub(super) fn relay_reply(&mut self, route: ResponseRoute, reply: Reply) {
+        if let Some(task) = self.tasks.by_route.get(&route).copied() {
+            self.tasks.answer(task, reply);
+            return;
+        }
+        let Some(guard) = &mut self.paused.guard else {
+            return;
+        };
+        if let Some(client) = guard.forwarded.remove(&route) {
+            client.answer(route.request, reply);
+        }
+    }
+
+    /// Learns an event of the new process. Tasks that joined an earlier attempt are the new process's: they are not
+    /// told of its end here.
+    pub(super) fn apply_mirrored(&mut self, event: MirroredEvent) {
+        let Some(guard) = &mut self.paused.guard else {
+            return;
+        };
+        let tasks = &mut self.tasks;
+        match event {
+            MirroredEvent::KeyRetained {
+                key,
+                owner,
+                body_digest,
+                until_ms,
+            } => {
+                guard.guard_until = guard.guard_until.max(until_ms);
+                tasks.last_number = tasks.last_number.max(owner);
+                let owner = Owner {
+                    task: owner,
+                    body_digest,
+                };
+                tasks.idempotency.retain(key, owner, until_ms, None);
+            }
+            MirroredEvent::TaskStarted { id, key } => {
+                let number = key.as_ref().map_or(0, |(_, owner)| *owner);
+                tasks.last_number = tasks.last_number.max(number);
+                guard.started_by_successor.insert(id, key);
+            }
+            MirroredEvent::TaskEnded { key, owner, result } => {
+                tasks.idempotency.complete(&key, owner, tasks.now, result);
+            }
+            MirroredEvent::KeyDropped { key, owner } => {
+                tasks.idempotency.forget(&key, owner);
+            }
+        }
+    }
+
+    /// Handles messages while nothing may be decided here. `true` once the process may exit.
+    pub(crate) fn guard_successor(&mut self, mailbox: &Receiver<EngineMessage>) -> bool {
+        let mut next_close = Instant::now();
+        while self.paused.is_paused() {
+            match mailbox.recv_timeout(CLOSE_INTERVAL) {
+                Ok(message) => self.dispatch(message, mailbox),
+                Err(RecvTimeoutError::Timeout) => {}
+                Err(RecvTimeoutError::Disconnected) => return true,
+            }
+            self.tasks.now = self.clock.now();
+            let Some(guard) = &mut self.paused.guard else {
+                continue;
+            };
+            let open = self.tasks.frontends.open_connections();
+            let is_over = open == 0 && self.tasks.now > guard.guard_until + GUARD_MARGIN_MS;
+            if self.paused.must_exit || is_over {
+                if let Some(successor) = &mut guard.successor {
+                    successor.guard_ended();
+                }
+                slog::info!(self.tasks.log.lines, "hot restart: old process exits"; "connections" => open);
+                return true;
+            }
+            if Instant::now() >= next_close {
+                next_close = Instant::now() + CLOSE_INTERVAL;
+                self.tasks.frontends.end_answered_connections();
+            }
+        }
+        false
+    }
+}
--- /dev/null
+++ b/crates/asterdale-engine/src/state_transfer/restore.rs
@@ -0,0 +1,187 @@
+//! The state of an engine, exported and restored.
+
+use std::sync::Arc;
+
+use asterdale::{Actions, Server};
+use asterdale_identity::failpoint::{self, Failpoint};
+
+use super::format::{TransferredLink, TransferredState, TransferredTask};
+use crate::engine::{Engine, EnginePorts, EngineSettings};
+use crate::message::{Connection, Mirror, Responder};
+use crate::tasks::{TaskRecord, Tasks};
+
+/// The highest index of a task's handle that is accepted. The table has room for all below it: a made-up handle must
+/// not take the memory.
+const MAX_TASK_INDEX: usize = 1 << 24;
+
+/// Why a state cannot be restored.
+#[derive(Debug, thiserror::Error)]
+pub enum RestoreError {
+    /// The bytes are no state.
+    #[error("the state cannot be read")]
+    Malformed(#[from] rmp_serde::decode::Error),
+    /// The policies' part cannot be restored.
+    #[error("the policies' state cannot be restored: {0:?}")]
+    Policies(asterdale::snapshot::Error),
+    /// The start file has another number of request classes.
+    #[error("the start file has {expected} request classes, the state has {found}")]
+    ClassCount {
+        /// In the start file.
+        expected: usize,
+        /// In the state.
+        found: usize,
+    },
+    /// Callers are authenticated in the state only.
+    #[error("identity is on in the state, and off in the start file")]
+    IdentityOff,
+    /// The identity part cannot be restored.
+    #[error("the identity state cannot be restored: {0}")]
+    Identity(String),
+    /// A task's class or handle is out of range.
+    #[error("task {number} of the state is invalid")]
+    InvalidTask {
+        /// The task's number.
+        number: u64,
+    },
+}
+
+/// Restores the policies, if they had started.
+fn restore_server(
+    snapshot: Option<Vec<u8>>,
+    classes: usize,
+) -> Result<Option<Server>, RestoreError> {
+    let Some(snapshot) = snapshot else {
+        return Ok(None);
+    };
+    let server = Server::restore(&snapshot).map_err(RestoreError::Policies)?;
+    if server.class_count() != classes {
+        return Err(RestoreError::ClassCount {
+            expected: classes,
+            found: server.class_count(),
+        });
+    }
+    Ok(Some(server))
+}
+
+/// Checks that an engine with this many request classes could restore this state.
+///
+/// # Errors
+/// It could not.
+pub fn check_state(state: &[u8], classes: usize) -> Result<(), RestoreError> {
+    let state = TransferredState::decode(state)?;
+    restore_server(state.server, classes).map(drop)
+}
+
+impl Engine {
+    /// The state as bytes.
+    pub(super) fn export(&self) -> Vec<u8> {
+        let tasks = &self.tasks;
+        let transferred = tasks.by_number.values().filter_map(|handle| {
+            let record = tasks.task(*handle)?;
+            Some(TransferredTask::new(*handle, record, tasks))
+        });
+        let state = TransferredState {
+            now: tasks.now,
+            server: self.server.as_ref().map(Server::snapshot),
+            last_number: tasks.last_number,
+            tasks: transferred.collect(),
+            idempotency: tasks
+                .idempotency
+                .export(failpoint::is_active(Failpoint::Unpassed)),
+            identity: tasks.identity_gate.export(),
+            edge_node_indexes: self.edge_node_indexes.clone(),
+            link: TransferredLink {
+                last_notice: tasks.runtime.last_notice,
+                gauges_requested: tasks.runtime.gauges_requested,
+                gauges_received: tasks.runtime.gauges_received,
+            },
+            is_healthy: tasks.is_healthy,
+            health_is_cached: tasks.health_is_cached,
+        };
+        state.encode()
+    }
+
+    /// An engine that continues the state of another process. `client` makes a connection that answers over one of the
+    /// other process's, by its number. The mirror is told what the other process must know.
+    ///
+    /// # Errors
+    /// The state is malformed, or does not fit the start file.
+    pub fn restore(
+        settings: EngineSettings,
+        ports: EnginePorts,
+        state: &[u8],
+        client: &dyn Fn(u64) -> Arc<dyn Connection>,
+        mirror: Option<Mirror>,
+    ) -> Result<Engine, RestoreError> {
+        let state = TransferredState::decode(state)?;
+        let classes = settings.settings.class_names.len();
+        let server = restore_server(state.server, classes)?;
+        let mut engine = Engine::new(settings, ports);
+        engine.clock.set(state.now);
+        let tasks = &mut engine.tasks;
+        tasks.now = state.now;
+        tasks.last_number = state.last_number;
+        tasks.idempotency.import(state.idempotency);
+        if let Some(identity) = state.identity {
+            let policy = tasks.identity_gate.identity_mut();
+            policy
+                .ok_or(RestoreError::IdentityOff)?
+                .continue_from(state.now, identity)
+                .map_err(RestoreError::Identity)?;
+        }
+        for task in state.tasks {
+            if task.class >= classes || task.handle.index() > MAX_TASK_INDEX {
+                return Err(RestoreError::InvalidTask {
+                    number: task.number,
+                });
+            }
+            tasks.restore_task(task, client);
+        }
+        tasks.runtime.last_notice = state.link.last_notice;
+        tasks.runtime.gauges_requested = state.link.gauges_requested;
+        tasks.runtime.gauges_received = state.link.gauges_received;
+        tasks.is_healthy = state.is_healthy;
+        tasks.health_is_cached = state.health_is_cached;
+        tasks.mirror = mirror.filter(|_| !failpoint::is_active(Failpoint::Unmirrored));
+        tasks.next_tick_at = state.now;
+        engine.edge_node_indexes = state.edge_node_indexes;
+        engine.server = server;
+        Ok(engine)
+    }
+
+    /// A summary of the policies' state for the log; `None` before they have started.
+    pub fn summary(&self) -> Option<asterdale::snapshot::Summary> {
+        self.server.as_ref().map(Server::summary)
+    }
+}
+
+impl Tasks {
+    fn restore_task(&mut self, task: TransferredTask, client: &dyn Fn(u64) -> Arc<dyn Connection>) {
+        let seat_key = task.seat_key.as_ref();
+        let quota_seat = seat_key.and_then(|key| self.identity_gate.restore_seat(key));
+        let responder = task.route.map(|route| Responder {
+            client: client(route.connection),
+            request: route.request,
+        });
+        self.arriving = Some(TaskRecord {
+            number: task.number,
+            id: task.id,
+            class: task.class,
+            body: task.body,
+            body_digest: task.body_digest,
+            responder,
+            idempotency_key: task.idempotency_key,
+            caller: task.caller.map(Arc::new),
+            quota_seat,
+            started: task.started,
+            must_not_start: task.must_not_start,
+            #[cfg(feature = "ownership")]
+            ownership: None, // a process that can be restarted hot belongs to no fleet
+            pending_call: task.pending_call,
+            last_command: task.last_command,
+        });
+        self.counters.tasks_taken.add();
+        self.counters.tasks_open.add();
+        self.accepted(task.handle);
+    }
+}
--- /dev/null
+++ b/crates/asterdale-engine/src/state_transfer/steps.rs
@@ -0,0 +1,162 @@
+//! The steps of a hot restart in the old process.
+
+use std::time::{Duration, Instant};
+
+use asterdale::Handle;
+use crossbeam_channel::{Receiver, Sender};
+
+use crate::engine::Engine;
+use crate::message::{
+    EngineMessage, HotRestartStep, RegistryCommand, Reply, RuntimeLinkCommand, SuccessorLink,
+};
+use crate::paused::Guard;
+use crate::runtime::protocol;
+use crate::runtime_events::FLUSH_TAG;
+use crate::tasks::TaskRecord;
+
+/// The proof that all commands to the runtime have arrived is waited for this long, before the state is made without.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
+
+impl Engine {
+    /// Carries out one step.
+    pub(crate) fn hot_restart_step(
+        &mut self,
+        step: HotRestartStep,
+        mailbox: &Receiver<EngineMessage>,
+    ) {
+        match step {
+            // A draining process has no state to give: the channel is dropped, which says so.
+            HotRestartStep::Rehearse(_) | HotRestartStep::Freeze(_)
+                if self.drain_deadline.is_some() => {}
+            HotRestartStep::Rehearse(to) => {
+                // Nobody receives it where the rehearsal was given up.
+                let _ = to.send(self.export());
+            }
+            HotRestartStep::Freeze(to) => self.freeze(&to, mailbox),
+            HotRestartStep::Thaw => {
+                self.paused.is_frozen = false;
+                self.tasks.next_tick_at = self.tasks.next_tick_at.min(self.clock.now());
+                self.reclaim_link();
+                self.handle_deferred(mailbox);
+            }
+            HotRestartStep::Commit(successor) => self.commit_to_successor(successor, mailbox),
+            HotRestartStep::PeerReply(route, reply) => self.relay_reply(route, reply),
+            HotRestartStep::Mirrored(event) => self.apply_mirrored(event),
+            HotRestartStep::Resume => self.resume(mailbox),
+            HotRestartStep::Exit => {
+                if let Some(guard) = &mut self.paused.guard {
+                    guard.guard_until = f64::NEG_INFINITY;
+                }
+            }
+            HotRestartStep::GuardEnded => self.tasks.mirror = None,
+        }
+    }
+
+    fn handle_deferred(&mut self, mailbox: &Receiver<EngineMessage>) {
+        for message in std::mem::take(&mut self.paused.deferred) {
+            self.dispatch(message, mailbox);
+        }
+    }
+
+    /// Stops, and sends the state. What was sent to the runtime has arrived by then, or counts as unproven; what the
+    /// runtime says meanwhile is in the state. Nothing is started: the link takes no commands.
+    fn freeze(&mut self, to: &Sender<Vec<u8>>, mailbox: &Receiver<EngineMessage>) {
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        if self.tasks.runtime.commands.is_some() && !self.tasks.runtime.is_replaying {
+            self.tasks.send(protocol::gauges(FLUSH_TAG));
+        }
+        self.tasks.runtime.is_replaying = true;
+        while self.tasks.runtime.commands.is_some() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match mailbox.recv_timeout(remaining) {
+                Ok(message @ EngineMessage::RuntimeNotice(_)) => self.dispatch(message, mailbox),
+                Ok(message) => self.paused.deferred.push(message),
+                Err(_) => break,
+            }
+        }
+        self.tasks.runtime.commands = None;
+        // The runtime's actor lives as long as this one.
+        let _ = self.runtime_link.send(RuntimeLinkCommand::SetPaused(true));
+        self.fail_health_checks();
+        self.paused.is_frozen = true;
+        self.tasks.now = self.clock.now();
+        // Nobody receives it where the hot restart was given up; a thaw follows then.
+        let _ = to.send(self.export());
+    }
+
+    /// The link is this process's again. What may not have arrived is sent again on the new one.
+    fn reclaim_link(&mut self) {
+        self.tasks.runtime.is_replaying = true;
+        // The runtime's actor lives as long as this one.
+        let _ = self.runtime_link.send(RuntimeLinkCommand::SetPaused(false));
+    }
+
+    /// The work belongs to the new process from now on, and this one guards it.
+    fn commit_to_successor(
+        &mut self,
+        successor: Box<dyn SuccessorLink>,
+        mailbox: &Receiver<EngineMessage>,
+    ) {
+        let last_window_end = self.tasks.idempotency.last_window_end();
+        self.paused.is_frozen = false;
+        self.paused.guard = Some(Guard {
+            successor: Some(successor),
+            guard_until: last_window_end.max(self.tasks.now),
+            ..Guard::default()
+        });
+        self.registry.send(RegistryCommand::SetPaused(true));
+        self.tasks.frontends.set_paused(true);
+        self.tasks.frontends.end_answered_connections();
+        slog::info!(self.tasks.log.lines, "hot restart: committed to the new process";
+            "summary" => ?self.summary());
+        self.handle_deferred(mailbox);
+    }
+
+    /// Takes the work back. What the new process has started is not started again: its clients are told that it failed,
+    /// and the results come with the notices that were missed.
+    fn resume(&mut self, mailbox: &Receiver<EngineMessage>) {
+        let Some(guard) = self.paused.guard.take() else {
+            return;
+        };
+        slog::error!(self.tasks.log.lines, "hot restart: new process ended, work taken back";
+            "started_there" => guard.started_by_successor.len(), "unanswered" => guard.forwarded.len());
+        self.tasks.now = self.clock.now();
+        for (route, client) in guard.forwarded {
+            client.answer(route.request, Reply::Failed);
+        }
+        self.tasks.started_by_successor = guard.started_by_successor;
+        self.tasks.frontends.set_paused(false);
+        self.registry.send(RegistryCommand::SetPaused(false));
+        self.reclaim_link();
+        self.end_tasks_of_successor();
+        self.tasks.next_tick_at = self.tasks.now;
+        self.handle_deferred(mailbox);
+    }
+
+    /// Ends the tasks that were not started here and that the new process has answered or started.
+    fn end_tasks_of_successor(&mut self) {
+        let tasks = &mut self.tasks;
+        let is_over = |record: &TaskRecord| {
+            let is_started_there = tasks.started_by_successor.contains_key(&record.id);
+            !record.started && (record.responder.is_none() || is_started_there)
+        };
+        let over: Vec<Handle> = tasks
+            .by_number
+            .values()
+            .copied()
+            .filter(|task| tasks.task(*task).is_some_and(is_over))
+            .collect();
+        // All are answered before the policies are told of the first: what it frees must start none of the others.
+        for task in &over {
+            if let Some(record) = tasks.task_mut(*task) {
+                record.must_not_start = true;
+            }
+            tasks.answer_failed(*task);
+        }
+        for task in over {
+            if let Some(server) = &mut self.server {
+                task.caller_gone(server, self.tasks.now, &mut self.tasks);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/asterdale-engine/src/tasks/mod.rs
@@ -0,0 +1,12 @@
+//! The task table: every request that the server's policies know, with its body, its responder and its state. The
+//! policies' actions take effect here; nothing is decided.
+
+mod actions;
+mod commands;
+mod completion;
+mod link;
+mod record;
+mod table;
+
+pub use record::{PendingCall, SentCommand, TaskRecord};
+pub use table::{Tasks, TasksInit};
--- /dev/null
+++ b/crates/asterdale-engine/src/tasks/table.rs
@@ -0,0 +1,185 @@
+//! The task table itself: lookups and answers.
+
+use std::collections::{HashMap, VecDeque};
+use std::sync::Arc;
+
+use asterdale::Handle;
+use asterdale_parameters::Settings;
+
+use super::link::RuntimeLink;
+use super::record::{LogFields, TaskRecord};
+use crate::counters::Counters;
+use crate::idempotency::IdempotencyTable;
+use crate::identity_gate::IdentityGate;
+use crate::log::Log;
+#[cfg(feature = "hot-restart")]
+use crate::message::{IdempotencyKey, Mirror};
+use crate::message::{request_id_text, Frontends, Reply, RequestId, ResponseRoute, TaskId};
+#[cfg(feature = "ownership")]
+use crate::ownership::OwnershipTable;
+use crate::records::Records;
+
+/// What a task table starts with.
+pub struct TasksInit {
+    /// The engine's time, in milliseconds.
+    pub now: f64,
+    /// Settings of the policies.
+    pub settings: Arc<Settings>,
+    /// The idempotency keys.
+    pub idempotency: IdempotencyTable,
+    /// Authentication and authorization of callers.
+    pub identity_gate: IdentityGate,
+    /// Replicated ownership.
+    #[cfg(feature = "ownership")]
+    pub ownership: OwnershipTable,
+    /// Makes calls to the records service.
+    pub records: Records,
+    /// All connections.
+    pub frontends: Arc<dyn Frontends>,
+    /// Counters.
+    pub counters: Arc<Counters>,
+    /// The log.
+    pub log: Log,
+}
+
+/// All state but that of the policies: what their actions act on.
+pub struct Tasks {
+    /// Settings of the policies.
+    pub settings: Arc<Settings>,
+    /// The engine's time at the message that is being handled, in milliseconds.
+    pub now: f64,
+    /// When the policies want their next tick.
+    pub next_tick_at: f64,
+    /// The tasks, by the index of their handle.
+    pub slots: Vec<Option<TaskRecord>>,
+    /// Handles of the tasks that are not over, by request id.
+    pub by_id: HashMap<RequestId, Handle>,
+    /// The same by task number.
+    pub by_number: HashMap<TaskId, Handle>,
+    /// Handles of the tasks that are not answered, by route.
+    pub by_route: HashMap<ResponseRoute, Handle>,
+    /// The last task number given out.
+    pub last_number: TaskId,
+    /// The task that is being received, until the policies give it a handle.
+    pub arriving: Option<TaskRecord>,
+    /// The idempotency keys.
+    pub idempotency: IdempotencyTable,
+    /// Authentication and authorization of callers.
+    pub identity_gate: IdentityGate,
+    /// Tasks that joined an earlier attempt whose end is known, with its result. Like the two queues below, they are
+    /// reported to the policies once the policies have returned.
+    pub joined_results: VecDeque<(TaskId, Option<Arc<[u8]>>)>,
+    /// Tasks whose call could not be made.
+    pub calls_not_made: VecDeque<TaskId>,
+    /// Tasks that were not started.
+    pub runs_not_started: VecDeque<TaskId>,
+    /// Receives what the old process must know, should this one end.
+    #[cfg(feature = "hot-restart")]
+    pub mirror: Option<Mirror>,
+    /// Tasks that the new process started before this one took its work back.
+    #[cfg(feature = "hot-restart")]
+    pub started_by_successor: HashMap<RequestId, Option<(IdempotencyKey, TaskId)>>,
+    /// Replicated ownership.
+    #[cfg(feature = "ownership")]
+    pub ownership: OwnershipTable,
+    /// The link to the runtime.
+    pub runtime: RuntimeLink,
+    /// Makes calls to the records service.
+    pub records: Records,
+    /// All connections.
+    pub frontends: Arc<dyn Frontends>,
+    /// The policies' verdict: health checks pass.
+    pub is_healthy: bool,
+    /// The verdict holds for deep health checks as well; else the runtime is asked.
+    pub health_is_cached: bool,
+    /// Counters.
+    pub counters: Arc<Counters>,
+    /// The log.
+    pub log: Log,
+}
+
+impl Tasks {
+    /// An empty table.
+    pub fn new(init: TasksInit) -> Tasks {
+        Tasks {
+            settings: init.settings,
+            now: init.now,
+            next_tick_at: f64::INFINITY,
+            slots: Vec::new(),
+            by_id: HashMap::new(),
+            by_number: HashMap::new(),
+            by_route: HashMap::new(),
+            last_number: 0,
+            arriving: None,
+            idempotency: init.idempotency,
+            identity_gate: init.identity_gate,
+            joined_results: VecDeque::new(),
+            calls_not_made: VecDeque::new(),
+            runs_not_started: VecDeque::new(),
+            #[cfg(feature = "hot-restart")]
+            mirror: None,
+            #[cfg(feature = "hot-restart")]
+            started_by_successor: HashMap::new(),
+            #[cfg(feature = "ownership")]
+            ownership: init.ownership,
+            runtime: RuntimeLink::default(),
+            records: init.records,
+            frontends: init.frontends,
+            is_healthy: true,
+            health_is_cached: true,
+            counters: init.counters,
+            log: init.log,
+        }
+    }
+
+    /// The task of this handle.
+    pub fn task(&self, task: Handle) -> Option<&TaskRecord> {
+        self.slots.get(task.index())?.as_ref()
+    }
+
+    /// The task of this handle, to be changed.
+    pub fn task_mut(&mut self, task: Handle) -> Option<&mut TaskRecord> {
+        self.slots.get_mut(task.index())?.as_mut()
+    }
+
+    /// What a log line says of a task; empty for one that is over.
+    pub fn log_fields(&self, task: Option<Handle>) -> LogFields {
+        let Some(record) = task.and_then(|task| self.task(task)) else {
+            return LogFields::default();
+        };
+        LogFields {
+            id: request_id_text(&record.id).to_owned(),
+            class: self.settings.class_names[record.class].clone(),
+            tenant: record
+                .caller
+                .as_ref()
+                .map_or_else(String::new, |caller| caller.claims.tenant.clone()),
+        }
+    }
+
+    /// Answers a task that is still waited for; no other place does. `false` if nobody waits for it.
+    pub fn answer(&mut self, task: Handle, reply: Reply) -> bool {
+        let Some(responder) = self
+            .task_mut(task)
+            .and_then(|record| record.responder.take())
+        else {
+            return false;
+        };
+        self.by_route.remove(&responder.route());
+        self.counters.tasks_open.sub();
+        responder.answer(reply);
+        true
+    }
+
+    /// Answers a task with a result. `false` if nobody waits for it.
+    pub fn answer_served(&mut self, task: Handle, result: Arc<[u8]>) -> bool {
+        self.answer(task, Reply::Served(result))
+    }
+
+    /// Answers a task, if it is still waited for, that it failed.
+    pub fn answer_failed(&mut self, task: Handle) {
+        if self.answer(task, Reply::Failed) {
+            self.counters.tasks_failed.add();
+        }
+    }
+}
