--- a/crates/asterdale-daemon/src/fleet.rs
+++ b/crates/asterdale-daemon/src/fleet.rs
@@ -4,6 +4,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
+use asterdale::events::PeerCounts;
 use asterdale_engine::engine::unix_ms;
 use asterdale_engine::log::Log;
 use asterdale_engine::message::{EngineMessage, FleetView, LocalStatus, OwnershipClient};
@@ -23,14 +24,12 @@
 struct Others(Talk);
 
 impl FleetView for Others {
-    fn peer_counts(&self) -> Option<(f64, f64)> {
+    fn peer_counts(&self) -> Option<PeerCounts> {
         let there = self.0.summary.there();
         let own = u32::from(self.0.summary.is_warm());
-        (there > 0).then(|| {
-            (
-                f64::from(there - 1),
-                f64::from(self.0.summary.warm().saturating_sub(own)),
-            )
+        (there > 0).then(|| PeerCounts {
+            present: f64::from(there - 1),
+            ready: f64::from(self.0.summary.warm().saturating_sub(own)),
         })
     }
 
--- a/crates/asterdale-daemon/src/journal.rs
+++ b/crates/asterdale-daemon/src/journal.rs
@@ -408,3 +408,6 @@
         })
     }
 }
+
+#[cfg(all(test, feature = "fleet"))]
+mod stored;
--- a/crates/asterdale-daemon/src/main.rs
+++ b/crates/asterdale-daemon/src/main.rs
@@ -31,7 +31,7 @@
 use asterdale_engine::counters::Counters;
 use asterdale_engine::engine::{unix_ms, EngineSettings};
 use asterdale_engine::issuer::{self, KeyRefresh};
-use asterdale_engine::log::{Kind, Log};
+use asterdale_engine::log::{error_chain, Kind, Log};
 use asterdale_engine::message::{EngineMessage, Frontends};
 use asterdale_engine::{records, registry, runtime, Engine, EnginePorts};
 use asterdale_identity::Identity;
@@ -295,7 +295,7 @@
         start.peers.runtime,
     );
     spawn("runtime", move || {
-        runtime::link(at, &moved, &host, &counted, &lines)
+        runtime::run(at, &moved, &host, &counted, &lines)
     })?;
     let (list, reporter) = registry::new(
         start.peers.registry,
@@ -371,7 +371,8 @@
         Some(taken) => {
             let (stages, epoch) = (begin.settings.class_names.len(), taken.epoch);
             let host =
-                Engine::restore(begin, around, &taken.state, &taken.client(), taken.mirror())?;
+                Engine::restore(begin, around, &taken.state, &taken.client(), taken.mirror())
+                    .map_err(|e| error_chain(&e))?;
             slog::info!(log.lines, "upgrade: this process goes on"; "process" => std::process::id(), "epoch" => epoch, "gist" => ?host.summary());
             spawn("hearing", move || taken.hear(&mail, stages))?;
             host
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -387,7 +387,7 @@
     backend.runtime.up();
     let mut edge = backend.connect();
     backend.signal("-TERM");
-    until("the notice", || backend.log().contains("host: leaving"));
+    until("the notice", || backend.log().contains("engine: draining"));
     std::thread::sleep(std::time::Duration::from_millis(750)); // the way out is 300 ms of the second
     edge.task(1, "page", A, &[]);
     assert_eq!(edge.status(1), "503");
@@ -489,7 +489,9 @@
     let backend = Backend::start();
     let mut edge = backend.connect();
     backend.runtime.broken(|_| {
-        until("the break", || backend.log().contains("runtime: no link"));
+        until("the break", || {
+            backend.log().contains("runtime: link failed")
+        });
         edge.task(1, "bid", A, &[KEY]);
         backend.counters_until(|count| count("runs_started") == 1);
     });
@@ -576,7 +578,7 @@
     backend.runtime.command("start");
     backend.runtime.command("start");
     backend.signal("-TERM");
-    until("the notice", || backend.log().contains("host: leaving"));
+    until("the notice", || backend.log().contains("engine: draining"));
     // What comes after the grace is rejected; what runs may end; what never ends is abandoned in time.
     std::thread::sleep(std::time::Duration::from_millis(5)); // stamps are whole milliseconds
     edge.task(3, "page", C, &[]);
@@ -590,7 +592,7 @@
     assert!(status.success(), "{log}");
     let count = |name: &str| counter(&log, name);
     assert_eq!((count("tasks_taken"), count("tasks_open")), (3, 0));
-    let answered = ["finished", "joined", "rejected", "abandoned", "left"];
+    let answered = ["served", "joined", "rejected", "failed", "aborted"];
     assert_eq!(
         answered.map(|how| count(&format!("tasks_{how}"))),
         [1, 0, 1, 1, 0]
@@ -608,14 +610,7 @@
     backend.runtime.command("start");
     backend.runtime.end(A, "PASS", b"");
     backend.counters_until(|count| {
-        let ends = [
-            "finished",
-            "joined",
-            "rejected",
-            "abandoned",
-            "left",
-            "open",
-        ];
+        let ends = ["served", "joined", "rejected", "failed", "aborted", "open"];
         let ends = ends.map(|how| count(&format!("tasks_{how}")));
         assert_eq!(ends.iter().sum::<u64>(), count("tasks_taken"));
         ends == [1, 0, 1, 0, 1, 0]
--- a/crates/asterdale-engine/src/engine/admission.rs
+++ b/crates/asterdale-engine/src/engine/admission.rs
@@ -1,6 +1,7 @@
 //! The way of a request into the engine: identity, idempotency, ownership, and then the policies.
 
-use asterdale::parameters::{Arrival, Idempotency};
+use asterdale::events::Arrival;
+use asterdale::parameters::Idempotency;
 use asterdale_identity::{Ask, Caller, Seat};
 use std::sync::Arc;
 
--- a/crates/asterdale-engine/src/engine/cancellation.rs
+++ b/crates/asterdale-engine/src/engine/cancellation.rs
@@ -39,8 +39,7 @@
     /// The client of this request no longer waits.
     pub(super) fn abort_request(&mut self, route: ResponseRoute) {
         #[cfg(feature = "ownership")]
-        self.tasks
-            .cancel_lookups(|looked_up| looked_up == route);
+        self.tasks.cancel_lookups(|looked_up| looked_up == route);
         self.abort_task(route);
     }
 
--- a/crates/asterdale-engine/src/engine/mod.rs
+++ b/crates/asterdale-engine/src/engine/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale::parameters::Gauges;
+use asterdale::events::Gauges;
 use asterdale::Server;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 
--- a/crates/asterdale-engine/src/engine/queued_events.rs
+++ b/crates/asterdale-engine/src/engine/queued_events.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use asterdale::parameters::Outcome;
+use asterdale::events::Outcome;
 use asterdale::{Actions, Handle};
 
 use super::Engine;
--- a/crates/asterdale-engine/src/health_check.rs
+++ b/crates/asterdale-engine/src/health_check.rs
@@ -28,7 +28,9 @@
     }
 
     /// Answers it.
-    pub fn answer(self, is_healthy: bool) {
-        self.responder.answer(Reply::HealthChecked(is_healthy));
+    pub fn answer(&self, is_healthy: bool) {
+        self.responder
+            .clone()
+            .answer(Reply::HealthChecked(is_healthy));
     }
 }
--- a/crates/asterdale-engine/src/idempotency.rs
+++ b/crates/asterdale-engine/src/idempotency.rs
@@ -192,9 +192,8 @@
         now: f64,
         result: Option<Arc<[u8]>>,
     ) -> Vec<TaskId> {
-        let is_pending = |entry: &&mut Entry| {
-            entry.owner == owner && matches!(entry.state, EntryState::Pending)
-        };
+        let is_pending =
+            |entry: &&mut Entry| entry.owner == owner && matches!(entry.state, EntryState::Pending);
         let Some(entry) = self.entries.get_mut(key).filter(is_pending) else {
             return Vec::new();
         };
--- a/crates/asterdale-engine/src/log.rs
+++ b/crates/asterdale-engine/src/log.rs
@@ -63,10 +63,23 @@
     pub fn allows(&self, kind: &Kind) -> bool {
         let now = self.start.elapsed().as_millis() as u64 + MIN_INTERVAL_MS;
         let last = kind.0.load(Relaxed);
-        now >= last + MIN_INTERVAL_MS && kind.0.compare_exchange(last, now, Relaxed, Relaxed).is_ok()
+        now >= last + MIN_INTERVAL_MS
+            && kind.0.compare_exchange(last, now, Relaxed, Relaxed).is_ok()
     }
 }
 
+/// An error with its sources, on one line.
+pub fn error_chain(error: &dyn std::error::Error) -> String {
+    let mut text = error.to_string();
+    let mut source = error.source();
+    while let Some(error) = source {
+        text.push_str(": ");
+        text.push_str(&error.to_string());
+        source = error.source();
+    }
+    text
+}
+
 /// When a fault that may repeat often was logged last, in milliseconds since [`MIN_INTERVAL_MS`] before the log's
 /// start; 0 for never.
 pub struct Kind(AtomicU64);
--- a/crates/asterdale-engine/src/message/engine.rs
+++ b/crates/asterdale-engine/src/message/engine.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use asterdale::parameters::Outcome;
+use asterdale::events::Outcome;
 use crossbeam_channel::Sender;
 
 #[cfg(feature = "hot-restart")]
--- a/crates/asterdale-engine/src/message/hot_restart.rs
+++ b/crates/asterdale-engine/src/message/hot_restart.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use asterdale::parameters::Outcome;
+use asterdale::events::Outcome;
 use crossbeam_channel::Sender;
 
 use super::request::{IdempotencyKey, Reply, Request, RequestId, ResponseRoute, TaskId};
--- a/crates/asterdale-engine/src/message/ports.rs
+++ b/crates/asterdale-engine/src/message/ports.rs
@@ -1,5 +1,6 @@
 //! Ports: how the engine sees the frontends, the fleet and the ownership service.
 
+use asterdale::events::PeerCounts;
 #[cfg(feature = "ownership")]
 use asterdale_ownership::Want;
 
@@ -32,9 +33,9 @@
 
 /// The other processes of the fleet. What it says is a hint, never a lock.
 pub trait FleetView: Send + Sync {
-    /// The number of other live processes, and of those among them that accept work and are warm. `None` where that
-    /// is unknown, or where this process sees only a minority of the fleet.
-    fn peer_counts(&self) -> Option<(f64, f64)>;
+    /// The other processes that are there. `None` where that is unknown, or where this process sees only a minority of
+    /// the fleet.
+    fn peer_counts(&self) -> Option<PeerCounts>;
     /// Publishes this process's status. Never blocks.
     fn publish_status(&self, status: LocalStatus);
 }
--- a/crates/asterdale-engine/src/ownership/claims.rs
+++ b/crates/asterdale-engine/src/ownership/claims.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 use std::sync::Arc;
 
-use asterdale::parameters::Outcome;
+use asterdale::events::Outcome;
 use asterdale::{Actions, Handle};
 use asterdale_ownership::failpoint::{self, Failpoint};
 use asterdale_ownership::{Answer, Verdict, Want, Work};
@@ -202,8 +202,7 @@
             return;
         };
         let (is_takeover, key) = (owned.is_takeover, owned.key.bytes.clone());
-        let is_wanted =
-            (record.responder.is_some() || is_takeover) && !record.must_not_start;
+        let is_wanted = (record.responder.is_some() || is_takeover) && !record.must_not_start;
         if !is_wanted || !client.may_act() {
             client.claim_unused(key, fence);
             return self.never_started(task, rejected(0));
--- a/crates/asterdale-engine/src/ownership/lookup.rs
+++ b/crates/asterdale-engine/src/ownership/lookup.rs
@@ -122,9 +122,9 @@
             task: REMOTE_OWNER,
             body_digest: self.idempotency.digest(&request.body),
         };
-        let joined =
-            self.idempotency
-                .retain(idempotency_key.clone(), owner, now + window_ms, None);
+        let joined = self
+            .idempotency
+            .retain(idempotency_key.clone(), owner, now + window_ms, None);
         self.notify_joined(joined, None);
         self.ownership
             .follow_remote_run(now, idempotency_key, key, window_ms);
--- a/crates/asterdale-engine/src/ownership/mod.rs
+++ b/crates/asterdale-engine/src/ownership/mod.rs
@@ -19,5 +19,5 @@
 mod takeover;
 mod tick;
 
-pub use record::{Claim, OwnedTask, OwnershipKey};
+pub use record::OwnedTask;
 pub use table::OwnershipTable;
--- a/crates/asterdale-engine/src/ownership/outcomes.rs
+++ b/crates/asterdale-engine/src/ownership/outcomes.rs
@@ -131,12 +131,9 @@
         if !is_reassigned && ended.responder.is_none() {
             return;
         }
-        let run = self.ownership.follow_remote_run(
-            now,
-            &ended.idempotency_key,
-            &ended.key,
-            window_ms,
-        );
+        let run =
+            self.ownership
+                .follow_remote_run(now, &ended.idempotency_key, &ended.key, window_ms);
         run.detached
             .extend(ended.responder.map(|responder| DetachedClient {
                 responder,
--- a/crates/asterdale-engine/src/ownership/takeover.rs
+++ b/crates/asterdale-engine/src/ownership/takeover.rs
@@ -2,7 +2,7 @@
 
 use std::hash::Hasher as _;
 
-use asterdale::parameters::Arrival;
+use asterdale::events::Arrival;
 use asterdale_ownership::Work;
 use siphasher::sip::SipHasher13;
 
--- a/crates/asterdale-engine/src/ownership/tick.rs
+++ b/crates/asterdale-engine/src/ownership/tick.rs
@@ -24,8 +24,8 @@
     fn late_tasks(&self) -> Vec<LateTask> {
         let late = |record: &TaskRecord| {
             let owned = record.ownership.as_ref()?;
-            let is_late = record.responder.is_some()
-                && self.now > owned.attempt_deadline - ANSWER_MARGIN_MS;
+            let is_late =
+                record.responder.is_some() && self.now > owned.attempt_deadline - ANSWER_MARGIN_MS;
             if !is_late {
                 return None;
             }
--- a/crates/asterdale-engine/src/records/mod.rs
+++ b/crates/asterdale-engine/src/records/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale::parameters::Outcome;
+use asterdale::events::Outcome;
 use crossbeam_channel::Sender;
 use mio::{Events, Poll, Token};
 
@@ -120,8 +120,8 @@
     /// One turn of the loop. All events of the turn are handled even where the first finds that the engine is gone.
     fn turn(&mut self, events: &mut Events) -> Result<(), EngineGone> {
         let next_deadline = self.deadlines.first();
-        let wait = next_deadline
-            .map(|&(deadline, _)| deadline.saturating_duration_since(Instant::now()));
+        let wait =
+            next_deadline.map(|&(deadline, _)| deadline.saturating_duration_since(Instant::now()));
         // Interrupted, it looks again; nothing else can go wrong with a poll that was made.
         let _ = self.poll.poll(events, wait);
         let calls: Vec<_> = self.mailbox.take().collect();
--- a/crates/asterdale-engine/src/records/protocol.rs
+++ b/crates/asterdale-engine/src/records/protocol.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use asterdale::parameters::Outcome;
+use asterdale::events::Outcome;
 
 use crate::http::Reply;
 use crate::message::{request_id_text, Call};
--- a/crates/asterdale-engine/src/records/protocol/tests.rs
+++ b/crates/asterdale-engine/src/records/protocol/tests.rs
@@ -30,7 +30,10 @@
 #[test]
 fn only_refused_connections_prove_that_nothing_ran() {
     use io::ErrorKind::*;
-    assert_eq!(connect_outcome(&ConnectionRefused.into()), Outcome::Unreachable);
+    assert_eq!(
+        connect_outcome(&ConnectionRefused.into()),
+        Outcome::Unreachable
+    );
     for kind in [
         ConnectionReset,
         BrokenPipe,
@@ -39,7 +42,10 @@
         TimedOut,
         WouldBlock,
     ] {
-        assert!(!connect_outcome(&kind.into()).never_ran() && !exchange_outcome(&kind.into()).never_ran());
+        assert!(
+            !connect_outcome(&kind.into()).never_ran()
+                && !exchange_outcome(&kind.into()).never_ran()
+        );
     }
     assert!(!exchange_outcome(&ConnectionRefused.into()).never_ran());
 }
--- a/crates/asterdale-engine/src/runtime/mod.rs
+++ b/crates/asterdale-engine/src/runtime/mod.rs
@@ -11,7 +11,7 @@
 use crossbeam_channel::{bounded, Receiver, Sender};
 
 use crate::counters::Counters;
-use crate::log::{Kind, Log};
+use crate::log::{error_chain, Kind, Log};
 use crate::message::{EngineMessage, RuntimeLinkCommand};
 use crate::vectored_write;
 
@@ -110,7 +110,7 @@
                 Err(e) => (LinkError::Connect(e), false),
             };
             if !is_reported && self.log.allows(&FAILED) {
-                slog::warn!(self.log.lines, "runtime: link failed"; "error" => chain(&error));
+                slog::warn!(self.log.lines, "runtime: link failed"; "error" => error_chain(&error));
                 is_reported = true;
             }
             if !is_settled {
@@ -187,18 +187,6 @@
     }
 }
 
-/// An error with its sources, on one line.
-fn chain(error: &dyn std::error::Error) -> String {
-    let mut text = error.to_string();
-    let mut source = error.source();
-    while let Some(error) = source {
-        text.push_str(": ");
-        text.push_str(&error.to_string());
-        source = error.source();
-    }
-    text
-}
-
 /// Starts the writer of all links, one after the other. It is there before the first link, so that no link can fail for
 /// want of a thread; until the system grants one, there is no link. The thread ends when its sender is dropped.
 fn spawn_writer(counters: &Counters, log: &Log) -> Sender<WriterJob> {
--- a/crates/asterdale-engine/src/runtime/protocol/tests.rs
+++ b/crates/asterdale-engine/src/runtime/protocol/tests.rs
@@ -17,7 +17,8 @@
             body: vec![0, 255]
         })
     );
-    let killed = br#"{"t":"end","no":5,"rid":"9b1f03aa5c7e2d41","status":"KILLED","time_ms":1,"new":[]}"#;
+    let killed =
+        br#"{"t":"end","no":5,"rid":"9b1f03aa5c7e2d41","status":"KILLED","time_ms":1,"new":[]}"#;
     assert_eq!(
         parse(killed),
         Some(RuntimeNotice::RunEnded {
--- a/crates/asterdale-engine/src/runtime_events/health.rs
+++ b/crates/asterdale-engine/src/runtime_events/health.rs
@@ -44,11 +44,12 @@
 
     /// Deep health checks that nobody waits for any more fail.
     pub(crate) fn expire_health_checks(&mut self) {
-        for (_, check) in self
-            .health_checks
-            .extract_if(|_, check| check.is_expired())
-        {
-            check.answer(false);
-        }
+        self.health_checks.retain(|_, check| {
+            let is_expired = check.is_expired();
+            if is_expired {
+                check.answer(false);
+            }
+            !is_expired
+        });
     }
 }
--- a/crates/asterdale-engine/src/runtime_events/link.rs
+++ b/crates/asterdale-engine/src/runtime_events/link.rs
@@ -73,8 +73,8 @@
     /// so no run that has ended is started again. A runtime that is not up would reject an earlier request.
     pub(super) fn runtime_ready(&mut self, slow_start: bool, uptime_ms: f64) {
         let earlier_uptime_ms = self.runtime_uptime_ms.replace(uptime_ms);
-        let is_replaced = earlier_uptime_ms
-            .is_some_and(|earlier_ms| uptime_ms + RESTART_SLACK_MS < earlier_ms);
+        let is_replaced =
+            earlier_uptime_ms.is_some_and(|earlier_ms| uptime_ms + RESTART_SLACK_MS < earlier_ms);
         if self.server.is_none() {
             self.start_server(slow_start, uptime_ms);
         } else if earlier_uptime_ms.is_none() || is_replaced {
--- a/crates/asterdale-engine/src/runtime_events/notices.rs
+++ b/crates/asterdale-engine/src/runtime_events/notices.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use asterdale::parameters::{Gauges, Outcome};
+use asterdale::events::{Gauges, Outcome};
 use asterdale::Actions;
 
 use crate::engine::Engine;
--- a/crates/asterdale-engine/src/state_transfer/format.rs
+++ b/crates/asterdale-engine/src/state_transfer/format.rs
@@ -50,10 +50,7 @@
             class: record.class,
             body: record.body.clone(),
             body_digest: record.body_digest,
-            route: record
-                .responder
-                .as_ref()
-                .map(|responder| responder.route()),
+            route: record.responder.as_ref().map(|responder| responder.route()),
             idempotency_key: record.idempotency_key.clone(),
             caller: record.caller.as_deref().cloned(),
             seat_key: seat.and_then(|seat| tasks.identity_gate.seat_key(seat)),
--- a/crates/asterdale-engine/src/state_transfer/restore.rs
+++ b/crates/asterdale-engine/src/state_transfer/restore.rs
@@ -21,8 +21,8 @@
     #[error("the state cannot be read")]
     Malformed(#[from] rmp_serde::decode::Error),
     /// The policies' part cannot be restored.
-    #[error("the policies' state cannot be restored: {0:?}")]
-    Policies(asterdale::snapshot::Error),
+    #[error("the policies' state cannot be restored")]
+    Policies(#[from] asterdale::snapshot::InvalidSnapshot),
     /// The start file has another number of request classes.
     #[error("the start file has {expected} request classes, the state has {found}")]
     ClassCount {
@@ -53,7 +53,7 @@
     let Some(snapshot) = snapshot else {
         return Ok(None);
     };
-    let server = Server::restore(&snapshot).map_err(RestoreError::Policies)?;
+    let server = Server::restore(&snapshot)?;
     if server.class_count() != classes {
         return Err(RestoreError::ClassCount {
             expected: classes,
--- /dev/null
+++ b/crates/asterdale-engine/src/state_transfer/tests.rs
@@ -0,0 +1,391 @@
+//! The state of a hot restart that an earlier release wrote is restored: open tasks, idempotency entries and their
+//! results, keys and the link to the runtime come out as they went in. The stored fields are compared by name as well,
+//! so that a change is seen even where reading and writing change together.
+//! `tests/fixtures/hot_restart/README.md` says how the file was made.
+
+use asterdale_identity::mint::Secret;
+use asterdale_identity::rights::{Role, Tenant};
+use asterdale_identity::Identity;
+use asterdale_parameters::Settings;
+use crossbeam_channel::unbounded;
+use serde_json::{json, Value};
+use std::sync::Arc;
+
+use super::check_state;
+use super::format::TransferredState;
+use crate::counters::Counters;
+use crate::engine::{Engine, EnginePorts, EngineSettings};
+use crate::idempotency::EntryState;
+use crate::log::Log;
+use crate::message::{
+    Connection, Endpoints, Frontends, IdempotencyKey, Reply, RequestId, ResponseRoute, TaskId,
+};
+use crate::tasks::PendingCall;
+use crate::{mailbox, records};
+
+const STATE: &[u8] = include_bytes!("../../tests/fixtures/hot_restart/state.msgpack");
+
+/// Seed of the tests' digests, which the stored state overrides.
+const SEED: u64 = 42;
+/// The engine's time when the first engine started.
+const START_MS: f64 = 1e12;
+
+/// No connections.
+struct NoFrontends;
+
+impl Frontends for NoFrontends {
+    fn close_idle(&self, _: f64) {}
+    fn open_connections(&self) -> usize {
+        0
+    }
+    fn stop_listening(&self) {}
+    fn end_answered_connections(&self) {}
+    fn set_paused(&self, _: bool) {}
+}
+
+/// A connection that takes every answer.
+struct DiscardingConnection(u64);
+
+impl Connection for DiscardingConnection {
+    fn connection_id(&self) -> u64 {
+        self.0
+    }
+    fn answer(self: Arc<Self>, _: u16, _: Reply) {}
+    fn discard_request(&self) {}
+}
+
+/// Two cores, a request class that may run again and one with idempotency keys.
+fn settings() -> Settings {
+    let class = |name: &str, repeat: &str| {
+        json!({"name": name, "repeat": repeat, "objectiveNs": 500e6, "deadlineNs": 2000e6, "worth": 1.0,
+            "lateShare": 0.2, "memorySpanNs": 5000e6})
+    };
+    let start = json!({
+        "extra": {"cores": 2, "memoryKb": 90_000, "blowup": 16, "entryKb": 10, "below": "shared",
+            "callsOut": 10, "classCalls": [true, true], "worthWithout": [0.5, 0.0],
+            "upstreams": 2, "ownStats": ["core_use"]},
+        "guarantees": {"startCapacity": 0.25, "coldNs": 1000e6, "overloadFactor": 5.0},
+        "tickNs": 5e6, "servers": 2, "overShareWorth": 0.1,
+        "lanes": [class("read", "repeatable"), class("bid", "by_key")],
+        "tenants": [{"name": "house", "allowancePerS": 50.0}],
+    });
+    asterdale_parameters::from_json(SEED, &start)
+}
+
+/// Callers must show a token.
+fn identity() -> Identity {
+    let text = |text: &str| text.to_owned();
+    let role = Role {
+        name: text("clerk"),
+        stages: vec![0, 1],
+        open: 99,
+        per_s: 1000.0,
+        burst: 1000.0,
+        hint_ms: f64::INFINITY,
+    };
+    let identity_settings = asterdale_identity::Facts {
+        seed: 5,
+        issuer: text("issuer"),
+        audience: text("asterdale"),
+        roots: vec![Secret::from_seed([99; 32], "root").public()],
+        most_age_ms: f64::INFINITY,
+        skew_ms: 500.0,
+        cache: 64,
+        per_edge: 1000.0,
+        in_all: 1000.0,
+        roles: vec![role],
+        tenants: vec![Tenant {
+            name: text("house"),
+            customer: 0,
+            roles: vec![text("clerk")],
+        }],
+        certificates: Vec::new(),
+    };
+    Identity::new(START_MS, identity_settings).unwrap()
+}
+
+/// What an engine starts with; nobody reads what it says.
+fn start() -> (EngineSettings, EnginePorts) {
+    let address = ([127, 0, 0, 1], 9).into();
+    let endpoints = Endpoints {
+        runtime: address,
+        registry: address,
+        records: address,
+    };
+    let engine_settings = EngineSettings {
+        settings: Arc::new(settings()),
+        memory_bytes: 64 << 20,
+        termination_grace_ms: 5000.0,
+        endpoints,
+        identity: Some(identity()),
+    };
+    let counters = Arc::new(Counters::default());
+    let (log, _) = Log::to_stderr("test", true, slog::Level::Critical);
+    let (records, _) = records::new(address, unbounded().0, counters.clone(), log.clone()).unwrap();
+    let (registry, _) = mailbox::open(&mio::Poll::new().unwrap(), mio::Token(0)).unwrap();
+    let ports = EnginePorts {
+        records,
+        frontends: Arc::new(NoFrontends),
+        registry,
+        runtime_link: unbounded().0,
+        issuer: None,
+        fleet: None,
+        #[cfg(feature = "ownership")]
+        ownership: None,
+        counters,
+        log,
+    };
+    (engine_settings, ports)
+}
+
+fn restored(state: &[u8]) -> Engine {
+    let (engine_settings, ports) = start();
+    let client = |connection| -> Arc<dyn Connection> { Arc::new(DiscardingConnection(connection)) };
+    Engine::restore(engine_settings, ports, state, &client, None).unwrap()
+}
+
+fn decode(state: &[u8]) -> TransferredState {
+    TransferredState::decode(state).unwrap()
+}
+
+/// A state as a tree of names and values; lists whose order means nothing are put in order.
+fn tree(state: &[u8]) -> Value {
+    let mut tree = serde_json::to_value(decode(state)).unwrap();
+    for list in ["/tasks", "/remembered/entries"] {
+        let list = tree
+            .pointer_mut(list)
+            .and_then(Value::as_array_mut)
+            .unwrap();
+        list.sort_by_key(Value::to_string);
+    }
+    tree
+}
+
+fn id(n: u8) -> RequestId {
+    *format!("00000000000000{n:02}")
+        .as_bytes()
+        .first_chunk()
+        .unwrap()
+}
+
+fn key(text: &[u8]) -> IdempotencyKey {
+    IdempotencyKey {
+        class: 1,
+        tenant: 0,
+        bytes: text.into(),
+    }
+}
+
+#[test]
+fn stored_state_fits_only_as_many_request_classes() {
+    assert!(check_state(STATE, 2).is_ok());
+    assert!(check_state(STATE, 3).is_err());
+    assert!(check_state(&STATE[..STATE.len() - 1], 2).is_err());
+}
+
+#[test]
+fn stored_state_is_written_again_byte_for_byte() {
+    assert!(decode(STATE).encode() == STATE, "the bytes differ");
+}
+
+#[test]
+fn restored_engine_exports_the_same_state() {
+    assert_eq!(tree(&restored(STATE).export()), tree(STATE));
+}
+
+#[test]
+fn open_tasks_of_a_stored_state_are_restored() {
+    let mut engine = restored(STATE);
+    let summary = engine.summary().unwrap();
+    assert_eq!(
+        (summary.tasks, summary.limit, summary.call_window),
+        (6, 2.0, 2.0)
+    );
+    assert_eq!(
+        (
+            engine.tasks.last_number,
+            engine.tasks.by_number.len(),
+            engine.tasks.by_route.len()
+        ),
+        (8, 6, 6)
+    );
+    assert_eq!(
+        (engine.tasks.is_healthy, engine.tasks.health_is_cached),
+        (true, false)
+    );
+    let link = &engine.tasks.runtime;
+    assert_eq!(
+        (
+            link.last_notice,
+            link.gauges_requested,
+            link.gauges_received
+        ),
+        (3, 1, 0)
+    );
+    assert_eq!(
+        (engine.tasks.now, engine.edge_node_indexes.get(&17)),
+        (1_000_000_000_001.304_3, Some(&0))
+    );
+    let mut task = |number: TaskId| {
+        let handle = engine.tasks.by_number[&number];
+        assert_eq!(engine.tasks.by_id[&id(number as u8)], handle);
+        assert_eq!(
+            engine.tasks.by_route[&ResponseRoute::from((1 << 33, number as u16))],
+            handle
+        );
+        engine.tasks.slots[handle.index()].take().unwrap()
+    };
+    let at_call = task(3);
+    assert_eq!(
+        (at_call.class, &at_call.body[..], at_call.idempotency_key),
+        (1, &b"bid 3"[..], Some(key(b"key-3")))
+    );
+    assert_eq!(
+        (
+            at_call.started,
+            at_call.must_not_start,
+            at_call.last_command.is_some()
+        ),
+        (true, false, false)
+    );
+    let call = PendingCall {
+        notice: 3,
+        body: b"stock?".to_vec(),
+    };
+    assert_eq!(at_call.pending_call, Some(call));
+    assert_eq!(at_call.body_digest, 4_609_995_455_783_861_838);
+    let caller = at_call.caller.unwrap();
+    assert_eq!(
+        (caller.tenant, caller.key.as_deref(), &caller.claims.sub[..]),
+        (0, Some("k2"), "desk")
+    );
+    assert_eq!(
+        (&caller.claims.jti[..], caller.claims.exp, caller.claims.iat),
+        ("token-1", 2e9, Some(1e9))
+    );
+    assert!(
+        at_call.quota_seat.is_some() && task(4).quota_seat.is_none(),
+        "a task that joined another takes up no quota"
+    );
+    let running = task(6);
+    assert_eq!(
+        (running.class, running.started, running.idempotency_key),
+        (0, true, None)
+    );
+    let command = running.last_command.unwrap();
+    assert_eq!(
+        (
+            command.next_gauges,
+            command.handed_to_link,
+            command.may_be_resent(false)
+        ),
+        (1, true, true)
+    );
+    let line = r#"{"t":"start","rid":"0000000000000006","route":"read","b64":"cmVhZCA2"}"#;
+    assert_eq!(command.line, format!("{line}\n"));
+    let queued = task(8);
+    assert_eq!(
+        (
+            queued.started,
+            queued.last_command.is_some(),
+            queued.pending_call
+        ),
+        (false, false, None)
+    );
+}
+
+#[test]
+fn idempotency_entries_of_a_stored_state_are_restored() {
+    let mut engine = restored(STATE);
+    let entries = &mut engine.tasks.idempotency;
+    assert_eq!((entries.len(), entries.bytes()), (4, "sold for 7".len()));
+    // The secret is the stored one: a repeat has the digest of the task that it repeats.
+    assert_eq!(entries.digest(b"bid 1"), 15_236_941_030_769_685_157);
+    assert!(entries.has_other_body(&key(b"key-1"), entries.digest(b"bid 2")));
+    assert!(entries.is_repeat(&key(b"key-1"), 1_000_000_005_010.0));
+    assert!(!entries.is_repeat(&key(b"key-1"), 1_000_000_005_011.0));
+    assert!(
+        matches!(entries.join(&key(b"key-1"), 99), EntryState::Served(result) if &result[..] == b"sold for 7")
+    );
+    assert!(matches!(
+        entries.join(&key(b"key-2"), 99),
+        EntryState::Failed
+    ));
+    assert!(matches!(
+        entries.join(&key(b"key-7"), 99),
+        EntryState::Pending
+    ));
+    let waiting = entries.complete(&key(b"key-3"), 3, 1e12, Some(b"sold".as_slice().into()));
+    assert_eq!(
+        waiting,
+        [4],
+        "the repeat that had joined still waits for it"
+    );
+}
+
+#[test]
+fn keys_of_a_stored_state_are_restored() {
+    use asterdale_identity::keyring::Phase;
+    let engine = restored(STATE);
+    let ring = engine.tasks.identity_gate.identity.as_ref().unwrap().ring();
+    assert_eq!(
+        (ring.seq(), ring.phase("k2", START_MS + 1.0)),
+        (Some(1), Some(Phase::Active))
+    );
+    assert_eq!(
+        ring.key("k2"),
+        Some(&Secret::from_seed([2; 32], "k2").public())
+    );
+}
+
+#[test]
+fn stored_fields_keep_their_names() {
+    let tree = tree(STATE);
+    let names = |path: &str| -> Vec<String> {
+        let mut names: Vec<String> = tree
+            .pointer(path)
+            .and_then(Value::as_object)
+            .unwrap()
+            .keys()
+            .cloned()
+            .collect();
+        names.sort();
+        names
+    };
+    let state = [
+        "callers",
+        "good",
+        "identity",
+        "link",
+        "now",
+        "remembered",
+        "serial",
+        "server",
+        "stored",
+        "tasks",
+    ];
+    assert_eq!(names(""), state);
+    let task = [
+        "body", "caller", "handle", "id", "mark", "place", "sent", "serial", "sign", "stage",
+        "started", "void", "wants", "way",
+    ];
+    assert_eq!(names("/tasks/0"), task);
+    assert_eq!(
+        names("/tasks/0/sent"),
+        ["adrift", "before", "handed", "harmless", "line"]
+    );
+    assert_eq!(names("/tasks/0/caller"), ["claims", "key", "tenant"]);
+    assert_eq!(names("/remembered"), ["entries", "secret"]);
+    assert_eq!(
+        names("/remembered/entries/0/0"),
+        ["stage", "tenant", "text"]
+    );
+    let entry = ["fate", "fresh_ms", "owner", "sign", "until", "waiting"];
+    assert_eq!(names("/remembered/entries/0/1"), entry);
+    assert_eq!(names("/identity"), ["ring", "tenants"]);
+    assert_eq!(names("/identity/ring"), ["seen", "set"]);
+    assert_eq!(
+        names("/identity/ring/seen/k2"),
+        ["bytes", "last", "revoked"]
+    );
+}
--- a/crates/asterdale-engine/src/tasks/actions.rs
+++ b/crates/asterdale-engine/src/tasks/actions.rs
@@ -131,12 +131,8 @@
         let Some(pending) = &record.pending_call else {
             return;
         };
-        let (number, id, body, class) = (
-            record.number,
-            record.id,
-            pending.body.clone(),
-            record.class,
-        );
+        let (number, id, body, class) =
+            (record.number, record.id, pending.body.clone(), record.class);
         #[cfg(feature = "ownership")]
         let Ok(fence) = self.call_fence(task) else {
             return self.calls_not_made.push_back(number);
--- a/crates/asterdale-engine/src/tasks/mod.rs
+++ b/crates/asterdale-engine/src/tasks/mod.rs
@@ -8,5 +8,7 @@
 mod record;
 mod table;
 
-pub use record::{PendingCall, SentCommand, TaskRecord};
+#[cfg(feature = "hot-restart")]
+pub use record::SentCommand;
+pub use record::{PendingCall, TaskRecord};
 pub use table::{Tasks, TasksInit};
--- a/crates/asterdale-engine/src/tasks/table.rs
+++ b/crates/asterdale-engine/src/tasks/table.rs
@@ -12,9 +12,9 @@
 use crate::idempotency::IdempotencyTable;
 use crate::identity_gate::IdentityGate;
 use crate::log::Log;
+use crate::message::{request_id_text, Frontends, Reply, RequestId, ResponseRoute, TaskId};
 #[cfg(feature = "hot-restart")]
 use crate::message::{IdempotencyKey, Mirror};
-use crate::message::{request_id_text, Frontends, Reply, RequestId, ResponseRoute, TaskId};
 #[cfg(feature = "ownership")]
 use crate::ownership::OwnershipTable;
 use crate::records::Records;
