--- a/crates/asterdale-daemon/src/main.rs
+++ b/crates/asterdale-daemon/src/main.rs
@@ -42,8 +42,7 @@
 use signal_hook::iterator::Signals;
 
 use edge::{Door, Edge};
-use start::faults::Fault;
-use start::{Source, Start};
+use start::{KeySetSource, Start, StartError};
 #[cfg(feature = "tls")]
 use tls::Doorkeeper;
 
@@ -108,7 +107,7 @@
         tls: None,
     }];
     if let Some(tls) = &start.tls {
-        let doorkeeper = Doorkeeper::new(tls).map_err(|faults| one_line(&faults))?;
+        let doorkeeper = Doorkeeper::new(tls).map_err(|e| e.to_string())?;
         doors.push(Door {
             listen: tls.listen,
             first: 1 << 48,
@@ -128,14 +127,6 @@
     }])
 }
 
-fn one_line(faults: &[Fault]) -> String {
-    faults
-        .iter()
-        .map(ToString::to_string)
-        .collect::<Vec<_>>()
-        .join("; ")
-}
-
 /// What has to hear of a start file that is read again, but for the host.
 struct Rereading {
     file: Option<PathBuf>,
@@ -150,26 +141,28 @@
 impl Rereading {
     /// Reads it, and hands on what can change while the program serves.
     fn read(&self, host: &Sender<EngineMessage>) -> Result<bool, String> {
-        let start = told(self.file.as_deref()).map_err(|faults| one_line(&faults))?;
+        let start = told(self.file.as_deref()).map_err(|e| e.to_string())?;
         #[cfg(feature = "tls")]
         if let (Some(doorkeeper), Some(tls)) = (&self.doorkeeper, &start.tls) {
-            doorkeeper.reload(tls).map_err(|faults| one_line(&faults))?;
+            doorkeeper.reload(tls).map_err(|e| e.to_string())?;
         }
         let keys = start
             .identity
             .as_ref()
-            .map(|identity| identity.keys.clone());
-        let facts = start.identity.map(|identity| Box::new(identity.facts));
+            .map(|identity| identity.key_source.clone());
+        let facts = start.identity.map(|identity| Box::new(identity.parameters));
         let mut sent = host
-            .send(EngineMessage::Reloaded(start.peers, facts))
+            .send(EngineMessage::Reloaded(start.endpoints, facts))
             .is_ok();
         match (keys, &self.issuer) {
-            (Some(Source::Issuer(place)), Some(issuer)) => {
+            (Some(KeySetSource::Issuer(place)), Some(issuer)) => {
                 drop(issuer.try_send(KeyRefresh::SetSource(place)))
             }
             (Some(source), _) => {
-                if let Some(set) = source.read() {
-                    sent &= host.send(EngineMessage::KeySet(set?)).is_ok();
+                if let Some(set) = source.read_file() {
+                    sent &= host
+                        .send(EngineMessage::KeySet(set.map_err(|e| e.to_string())?))
+                        .is_ok();
                 }
             }
             _ => {}
@@ -196,8 +189,9 @@
                 let Some(control) = again.control.clone() else {
                     continue;
                 };
-                if let Err(why) = spawn("upgrade", move || drop(upgrade::ask(&control, "", |_| ())))
-                {
+                if let Err(why) = spawn("upgrade", move || {
+                    drop(upgrade::request_upgrade(&control, "", |_| ()))
+                }) {
                     counters.threads_refused.add();
                     slog::error!(log.lines, "upgrade: not begun"; "why" => why);
                 }
@@ -233,7 +227,7 @@
     #[cfg_attr(not(feature = "upgrade"), expect(unused_mut))]
     let mut doors = doors(&start)?;
     #[cfg(feature = "upgrade")]
-    let mut taken = upgrade::take(start.facts.class_names.len(), start.descriptors)?;
+    let mut taken = upgrade::inherit(start.settings.class_names.len(), start.max_descriptors)?;
     #[cfg(feature = "upgrade")]
     if let Some(taken) = &taken {
         // No two connections of processes that know of each other have the same number.
@@ -264,7 +258,10 @@
     let mut listeners = Vec::new();
     for door in &doors {
         #[cfg(feature = "upgrade")]
-        if let Some(listener) = taken.as_mut().and_then(|taken| taken.listener(door.listen)) {
+        if let Some(listener) = taken
+            .as_mut()
+            .and_then(|taken| taken.take_listener(door.listen))
+        {
             listeners.push(listener);
             continue;
         }
@@ -283,7 +280,7 @@
         #[cfg(feature = "tls")]
         doorkeeper: doors.iter().find_map(|door| door.tls.clone()),
         #[cfg(feature = "upgrade")]
-        control: start.control.as_ref().map(PathBuf::from),
+        control: start.control_socket.as_ref().map(PathBuf::from),
     };
     spawn("signals", move || {
         signals(caught, &host, &again, &counted, &lines)
@@ -292,13 +289,13 @@
         mail.clone(),
         counters.clone(),
         log.clone(),
-        start.peers.runtime,
+        start.endpoints.runtime,
     );
     spawn("runtime", move || {
         runtime::run(at, &moved, &host, &counted, &lines)
     })?;
     let (list, reporter) = registry::new(
-        start.peers.registry,
+        start.endpoints.registry,
         start.name.clone(),
         counters.clone(),
         log.clone(),
@@ -316,7 +313,7 @@
         })?;
     }
     let (records, caller) = records::new(
-        start.peers.records,
+        start.endpoints.records,
         mail.clone(),
         counters.clone(),
         log.clone(),
@@ -352,10 +349,10 @@
         log: log.clone(),
     };
     let Start {
-        facts,
-        memory,
+        settings: facts,
+        memory_bytes: memory,
         stop_ms,
-        peers,
+        endpoints: peers,
         ..
     } = start;
     let begin = EngineSettings {
@@ -370,11 +367,18 @@
         None => Engine::new(begin, around),
         Some(taken) => {
             let (stages, epoch) = (begin.settings.class_names.len(), taken.epoch);
-            let host =
-                Engine::restore(begin, around, &taken.state, &taken.client(), taken.mirror())
-                    .map_err(|e| error_chain(&e))?;
+            let host = Engine::restore(
+                begin,
+                around,
+                &taken.state,
+                &taken.remote_connections(),
+                taken.mirror_to_old_process(),
+            )
+            .map_err(|e| error_chain(&e))?;
             slog::info!(log.lines, "upgrade: this process goes on"; "process" => std::process::id(), "epoch" => epoch, "gist" => ?host.summary());
-            spawn("hearing", move || taken.hear(&mail, stages))?;
+            spawn("hearing", move || {
+                taken.relay_from_old_process(&mail, stages)
+            })?;
             host
         }
     };
@@ -386,7 +390,7 @@
     #[cfg(feature = "upgrade")]
     if let Some(guardian) = guardian {
         // It left in order: there is nothing to take back.
-        guardian.release();
+        guardian.send_release();
     }
     Ok(())
 }
@@ -395,22 +399,22 @@
 #[cfg(feature = "upgrade")]
 fn control(
     start: &Start,
-    taken: Option<&upgrade::Taken>,
+    taken: Option<&upgrade::Inherited>,
     listeners: &[TcpListener],
     mail: &Sender<EngineMessage>,
     log: &Log,
-) -> Result<Option<upgrade::Line>, String> {
-    let guardian = taken.map(upgrade::Taken::line);
-    let Some(path) = &start.control else {
+) -> Result<Option<upgrade::FrameWriter>, String> {
+    let guardian = taken.map(upgrade::Inherited::old_process);
+    let Some(path) = &start.control_socket else {
         return Ok(guardian);
     };
     let path = PathBuf::from(path);
     let told = |e: std::io::Error| format!("upgrade: {e}");
     let socket = match taken {
         Some(taken) => taken.control.try_clone().map_err(told)?,
-        None => upgrade::bind(&path)?,
+        None => upgrade::bind_control_socket(&path)?,
     };
-    let control = upgrade::Control {
+    let control = upgrade::ControlServer {
         path,
         socket,
         listeners: listeners
@@ -419,8 +423,8 @@
             .collect::<Result<_, _>>()
             .map_err(told)?,
         epoch: taken.map_or(1, |taken| taken.epoch),
-        guardian: guardian.clone(),
-        host: mail.clone(),
+        previous_process: guardian.clone(),
+        engine: mail.clone(),
         log: log.clone(),
     };
     spawn("control", move || control.serve())?;
@@ -438,10 +442,10 @@
     let Some(identity) = &start.identity else {
         return Ok((None, None));
     };
-    let seed = identity.facts.seed;
-    let gate =
-        Identity::new(unix_ms(), identity.facts.clone()).map_err(|e| format!("identity: {e}"))?;
-    if let Source::Issuer(place) = &identity.keys {
+    let seed = identity.parameters.seed;
+    let gate = Identity::new(unix_ms(), identity.parameters.clone())
+        .map_err(|e| format!("identity: {e}"))?;
+    if let KeySetSource::Issuer(place) = &identity.key_source {
         let (nudges, nudged) = bounded(WORDS);
         let (host, counted, lines, place) =
             (mail.clone(), counters.clone(), log.clone(), place.clone());
@@ -450,9 +454,9 @@
         })?;
         return Ok((Some(gate), Some(nudges)));
     }
-    match identity.keys.read() {
+    match identity.key_source.read_file() {
         Some(Ok(set)) => drop(mail.send(EngineMessage::KeySet(set))),
-        Some(Err(why)) => slog::error!(log.lines, "identity: no set of keys"; "why" => why),
+        Some(Err(why)) => slog::error!(log.lines, "identity: no set of keys"; "why" => %why),
         None => {}
     }
     Ok((Some(gate), None))
@@ -463,7 +467,7 @@
     let usual = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         #[cfg(feature = "journal")]
-        if asterdale_journal::store::is_spared() {
+        if asterdale_journal::store::is_catching_panics() {
             return;
         }
         usual(panic);
@@ -471,7 +475,7 @@
     }));
 }
 
-fn told(file: Option<&Path>) -> Result<Start, Vec<Fault>> {
+fn told(file: Option<&Path>) -> Result<Start, StartError> {
     file.map_or_else(start::from_environment, start::from_file)
 }
 
@@ -487,8 +491,9 @@
 }
 
 /// Tells what is wrong, a line each.
-fn tell(faults: &[Fault]) -> ExitCode {
-    faults
+fn tell(error: &StartError) -> ExitCode {
+    error
+        .faults()
         .iter()
         .for_each(|fault| eprintln!("asterdale: {fault}"));
     ExitCode::from(2)
@@ -498,7 +503,7 @@
     end_on_panic();
     let start = match told(how.file.as_deref()) {
         Ok(start) => start,
-        Err(faults) => return tell(&faults),
+        Err(error) => return tell(&error),
     };
     let (log, guard) = Log::to_stderr(
         &start.name,
--- a/crates/asterdale-daemon/src/upgrade/wire.rs
+++ b/crates/asterdale-daemon/src/upgrade/wire.rs
@@ -12,7 +12,7 @@
 use asterdale_hot_restart::frame::{encode, Incoming, PART};
 use asterdale_hot_restart::message::frame::What;
 use asterdale_hot_restart::message::{Release, Reply as ReplyFrame, State, Way as WayFrame};
-use asterdale_identity::Kind;
+use asterdale_identity::DenialStatus;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -25,13 +25,13 @@
 
 /// One end of a connection between two processes. Whoever writes holds it for one frame.
 #[derive(Clone)]
-pub struct Line {
+pub struct FrameWriter {
     stream: Arc<UnixStream>,
     writing: Arc<Mutex<()>>,
 }
 
 /// What comes in over it.
-pub struct Hearing {
+pub struct FrameReader {
     stream: Arc<UnixStream>,
     incoming: Incoming,
     /// Descriptors that came with what was read.
@@ -39,16 +39,16 @@
 }
 
 /// Both directions of a connection.
-pub fn open(stream: UnixStream) -> io::Result<(Line, Hearing)> {
+pub fn open(stream: UnixStream) -> io::Result<(FrameWriter, FrameReader)> {
     stream.set_write_timeout(Some(PATIENCE))?;
     let stream = Arc::new(stream);
-    let line = Line {
+    let line = FrameWriter {
         stream: stream.clone(),
         writing: Arc::default(),
     };
     Ok((
         line,
-        Hearing {
+        FrameReader {
             stream,
             incoming: Incoming::default(),
             descriptors: Vec::new(),
@@ -56,7 +56,7 @@
     ))
 }
 
-impl Line {
+impl FrameWriter {
     /// Writes a frame. Once this has returned well it lies in the other's buffer, whatever becomes of this process.
     pub fn send(&self, what: What) -> io::Result<()> {
         let bytes = encode(what);
@@ -102,7 +102,7 @@
     }
 
     /// Tells a guardian that it is not needed any more.
-    pub fn release(&self) {
+    pub fn send_release(&self) {
         let _ = self.send(What::Release(Release {}));
     }
 
@@ -112,7 +112,7 @@
     }
 }
 
-impl Hearing {
+impl FrameReader {
     /// How long to wait for more; `None` for ever.
     pub fn within(&self, time: Option<Duration>) -> io::Result<()> {
         self.stream
@@ -214,10 +214,10 @@
             retry_after_ms: wait_ms,
         } => {
             let kind = match kind {
-                Kind::Unknown => 7,
-                Kind::Forbidden => 8,
-                Kind::Over => 9,
-                Kind::Unable => 10,
+                DenialStatus::Unauthenticated => 7,
+                DenialStatus::Forbidden => 8,
+                DenialStatus::QuotaExceeded => 9,
+                DenialStatus::Unavailable => 10,
             };
             (kind, *wait_ms, Vec::new())
         }
@@ -247,10 +247,10 @@
         4 => Reply::Malformed,
         5 => Reply::CallerGone,
         6 => Reply::HealthChecked(number == 1),
-        7 => denied(Kind::Unknown),
-        8 => denied(Kind::Forbidden),
-        9 => denied(Kind::Over),
-        10 => denied(Kind::Unable),
+        7 => denied(DenialStatus::Unauthenticated),
+        8 => denied(DenialStatus::Forbidden),
+        9 => denied(DenialStatus::QuotaExceeded),
+        10 => denied(DenialStatus::Unavailable),
         _ => Reply::Failed,
     };
     Some((way(frame.way)?, reply))
@@ -282,10 +282,10 @@
             Reply::CallerGone,
             Reply::HealthChecked(true),
             Reply::HealthChecked(false),
-            denied(Kind::Unknown),
-            denied(Kind::Forbidden),
-            denied(Kind::Over),
-            denied(Kind::Unable),
+            denied(DenialStatus::Unauthenticated),
+            denied(DenialStatus::Forbidden),
+            denied(DenialStatus::QuotaExceeded),
+            denied(DenialStatus::Unavailable),
         ] {
             assert_eq!(
                 super::reply(reply_frame((1 << 40, 9).into(), &reply)),
--- a/crates/asterdale-engine/src/access.rs
+++ b/crates/asterdale-engine/src/access.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use asterdale_identity::failpoint::{self, Failpoint};
-use asterdale_identity::{Ask, Caller, Kind as DenialKind, Seat, Why};
+use asterdale_identity::{Caller, ConcurrencyPermit, Credentials, DenialReason, DenialStatus};
 
 use crate::log::Kind;
 use crate::message::{
@@ -19,13 +19,13 @@
     /// The reply to a caller that is not authenticated.
     pub fn authenticate(
         &mut self,
-        credentials: Ask<'_>,
+        credentials: Credentials<'_>,
         head: &mut RequestHead,
     ) -> Result<Option<Arc<Caller>>, Reply> {
         let Some(identity) = &mut self.identity_gate.identity else {
             return Ok(None);
         };
-        let denied = match identity.identify(self.now, credentials) {
+        let denied = match identity.authenticate(self.now, credentials) {
             Ok(caller) => {
                 let key = head.idempotency_key.as_mut();
                 if let Some(key) = key.filter(|_| !failpoint::is_active(Failpoint::Mark)) {
@@ -35,17 +35,19 @@
             }
             Err(denied) => denied,
         };
-        if let (Why::KeyUnknown, Some(issuer)) = (denied.why, &self.identity_gate.key_refresh) {
+        if let (DenialReason::KeyUnknown, Some(issuer)) =
+            (denied.reason, &self.identity_gate.key_refresh)
+        {
             // A full channel means that a refresh is requested already.
             let _ = issuer.try_send(KeyRefresh::Requested);
         }
-        self.log_denied(&head.id, head.class, "", denied.why);
+        self.log_denied(&head.id, head.class, "", denied.reason);
         let reply = self.identity_gate.denial_reply(denied);
         // A caller that cannot be judged now is told that this attempt never ran, which is true. But under a key that
         // anybody's request has used, nothing is said that could be read as more than that.
-        let is_unable = denied.why.kind() == DenialKind::Unable;
+        let is_unable = denied.reason.status() == DenialStatus::Unavailable;
         let key = head.idempotency_key.as_ref();
-        if is_unable && self.is_repeat_of_any_tenant(key, credentials.arrived_ms) {
+        if is_unable && self.is_repeat_of_any_tenant(key, credentials.received_ms) {
             return Err(Reply::Failed);
         }
         Err(reply)
@@ -56,7 +58,7 @@
         let (Some(key), Some(identity)) = (key, &self.identity_gate.identity) else {
             return false;
         };
-        (0..identity.rights().tenants()).any(|tenant| {
+        (0..identity.authorizer().tenant_count()).any(|tenant| {
             let key = IdempotencyKey {
                 tenant,
                 ..key.clone()
@@ -74,19 +76,19 @@
         caller: Option<&Caller>,
         head: &RequestHead,
         is_repeat: bool,
-    ) -> Result<Option<Seat>, Reply> {
+    ) -> Result<Option<ConcurrencyPermit>, Reply> {
         let (Some(identity), Some(caller)) = (&mut self.identity_gate.identity, caller) else {
             return Ok(None);
         };
         identity
-            .permit(self.now, caller, head.class, head.cost_hint_ms, is_repeat)
+            .authorize(self.now, caller, head.class, head.cost_hint_ms, is_repeat)
             .map_err(|denied| {
-                self.log_denied(&head.id, head.class, &caller.claims.tenant, denied.why);
+                self.log_denied(&head.id, head.class, &caller.claims.tenant, denied.reason);
                 self.identity_gate.denial_reply(denied)
             })
     }
 
-    fn log_denied(&self, id: &RequestId, class: usize, tenant: &str, reason: Why) {
+    fn log_denied(&self, id: &RequestId, class: usize, tenant: &str, reason: DenialReason) {
         static DENIED: Kind = Kind::new();
         if self.log.allows(&DENIED) {
             slog::warn!(self.log.lines, "identity: caller denied";
@@ -103,7 +105,7 @@
         let revoked = |record: &TaskRecord| {
             let is_queued = record.responder.is_some() && !record.started;
             let caller = record.caller.as_ref().filter(|_| is_queued)?;
-            let denied = identity.revoked(caller)?.into();
+            let denied = identity.revocation(caller)?.into();
             Some((record.number, self.identity_gate.denial_reply(denied)))
         };
         self.slots.iter().flatten().filter_map(revoked).collect()
--- a/crates/asterdale-engine/src/engine/admission.rs
+++ b/crates/asterdale-engine/src/engine/admission.rs
@@ -2,7 +2,7 @@
 
 use asterdale::events::Arrival;
 use asterdale::parameters::Idempotency;
-use asterdale_identity::{Ask, Caller, Seat};
+use asterdale_identity::{Caller, ConcurrencyPermit, Credentials};
 use std::sync::Arc;
 
 use super::Engine;
@@ -63,11 +63,11 @@
     /// The reply to a request that goes no further.
     fn identify(&mut self, arrived: &mut Arrived) -> Result<(), Reply> {
         let request = &mut arrived.request;
-        let credentials = Ask {
+        let credentials = Credentials {
             token: request.token.as_deref(),
             certificate: request.certificate.as_deref(),
-            edge: request.head.edge_node,
-            arrived_ms: self.now - arrived.unread_ms,
+            edge_node: request.head.edge_node,
+            received_ms: self.now - arrived.unread_ms,
         };
         arrived.caller = self.authenticate(credentials, &mut request.head)?;
         if self.by_id.contains_key(&request.head.id) {
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     /// The reply to a request that goes no further.
-    fn reserve(&mut self, arrived: &Arrived) -> Result<Option<Seat>, Reply> {
+    fn reserve(&mut self, arrived: &Arrived) -> Result<Option<ConcurrencyPermit>, Reply> {
         let head = &arrived.request.head;
         let idempotency = self.settings.decisions.classes[head.class].idempotency;
         let needs_entry = idempotency == Idempotency::Keyed && !arrived.is_repeat;
@@ -119,7 +119,11 @@
     }
 
     /// The task of an admitted request.
-    fn new_record(&mut self, arrived: Arrived, quota_seat: Option<Seat>) -> TaskRecord {
+    fn new_record(
+        &mut self,
+        arrived: Arrived,
+        quota_seat: Option<ConcurrencyPermit>,
+    ) -> TaskRecord {
         self.last_number += 1;
         let request = arrived.request;
         TaskRecord {
@@ -184,7 +188,7 @@
         self.hand_to_policies(arrived, quota_seat);
     }
 
-    fn hand_to_policies(&mut self, arrived: Arrived, quota_seat: Option<Seat>) {
+    fn hand_to_policies(&mut self, arrived: Arrived, quota_seat: Option<ConcurrencyPermit>) {
         self.tasks.counters.tasks_taken.add();
         self.tasks.counters.tasks_open.add();
         let arrival = self.arrival(&arrived);
--- a/crates/asterdale-engine/src/identity_gate.rs
+++ b/crates/asterdale-engine/src/identity_gate.rs
@@ -3,9 +3,11 @@
 
 use std::sync::Arc;
 
-use asterdale_identity::keyring::Offered;
-use asterdale_identity::rights::Denied;
-use asterdale_identity::{Caller, Facts, Identity, Kind as DenialKind, Seat, Why};
+use asterdale_identity::authorization::Denial;
+use asterdale_identity::keyring::KeySetOutcome;
+use asterdale_identity::{
+    Caller, ConcurrencyPermit, DenialReason, DenialStatus, Identity, IdentitySettings,
+};
 use crossbeam_channel::Sender;
 
 use crate::counters::Counters;
@@ -41,9 +43,9 @@
 
     /// The start file was read again. Identity cannot be turned on or off that way: requests in flight would lose their
     /// tenant, or have none.
-    pub fn reload(&mut self, settings: Option<Box<Facts>>, log: &Log) {
+    pub fn reload(&mut self, settings: Option<Box<IdentitySettings>>, log: &Log) {
         let error = match (&mut self.identity, settings) {
-            (Some(identity), Some(settings)) => match identity.retold(*settings) {
+            (Some(identity), Some(settings)) => match identity.reconfigure(*settings) {
                 Ok(()) => return,
                 Err(error) => error.to_string(),
             },
@@ -60,18 +62,18 @@
         let Some(identity) = &mut self.identity else {
             return false;
         };
-        match identity.offer(now, set) {
-            Ok(Offered::Adopted) => {
+        match identity.offer_key_set(now, set) {
+            Ok(KeySetOutcome::Adopted) => {
                 self.counters.keys_adopted.add();
-                slog::info!(log.lines, "identity: key set adopted"; "sequence" => identity.ring().seq());
+                slog::info!(log.lines, "identity: key set adopted"; "sequence" => identity.keyring().sequence());
                 true
             }
-            Ok(Offered::Same) => false,
+            Ok(KeySetOutcome::Unchanged) => false,
             Err(error) => {
                 self.counters.keys_refused.add();
                 if log.allows(&REJECTED) {
                     slog::error!(log.lines, "identity: key set rejected, the last one stays in use";
-                        "error" => ?error, "sequence" => identity.ring().seq());
+                        "error" => ?error, "sequence" => identity.keyring().sequence());
                 }
                 false
             }
@@ -80,8 +82,8 @@
 
     /// The state that another process needs to continue.
     #[cfg(feature = "hot-restart")]
-    pub fn export(&self) -> Option<asterdale_identity::Passed> {
-        self.identity.as_ref().map(Identity::pass)
+    pub fn export(&self) -> Option<asterdale_identity::IdentityState> {
+        self.identity.as_ref().map(Identity::export_state)
     }
 
     /// The identity policy, which may continue another process's state before its first verdict.
@@ -92,29 +94,31 @@
 
     /// The tenant and the role whose quota this seat takes up.
     #[cfg(feature = "hot-restart")]
-    pub fn seat_key(&self, seat: &Seat) -> Option<(u32, String)> {
-        self.identity.as_ref().map(|identity| identity.place(seat))
+    pub fn seat_key(&self, seat: &ConcurrencyPermit) -> Option<(u32, String)> {
+        self.identity
+            .as_ref()
+            .map(|identity| identity.permit_owner(seat))
     }
 
     /// Takes up a seat that a transferred task had.
     #[cfg(feature = "hot-restart")]
-    pub fn restore_seat(&mut self, seat_key: &(u32, String)) -> Option<Seat> {
-        self.identity.as_mut()?.replace(seat_key)
+    pub fn restore_seat(&mut self, seat_key: &(u32, String)) -> Option<ConcurrencyPermit> {
+        self.identity.as_mut()?.reacquire(seat_key)
     }
 
     /// The tenant, for the policies, that a caller's requests count for. Where callers are authenticated that is their
     /// own, whatever the edge node claims.
     pub fn tenant_index(&self, caller: Option<&Caller>, claimed_tenant: u32) -> usize {
         match (&self.identity, caller) {
-            (Some(identity), Some(caller)) => identity.customer(caller.tenant),
+            (Some(identity), Some(caller)) => identity.scheduling_tenant(caller.tenant),
             _ => claimed_tenant as usize,
         }
     }
 
     /// A task is over: its seat is given back here and nowhere else.
-    pub fn release_seat(&mut self, seat: Option<Seat>) {
+    pub fn release_seat(&mut self, seat: Option<ConcurrencyPermit>) {
         if let (Some(identity), Some(seat)) = (&mut self.identity, seat) {
-            identity.leave(seat);
+            identity.release(seat);
         }
     }
 
@@ -128,17 +132,19 @@
     }
 
     /// The reply to a denied caller, which is counted.
-    pub(crate) fn denial_reply(&self, denied: Denied) -> Reply {
-        let kind = denied.why.kind();
+    pub(crate) fn denial_reply(&self, denied: Denial) -> Reply {
+        let kind = denied.reason.status();
         match kind {
-            DenialKind::Unknown => self.counters.callers_unknown.add(),
-            DenialKind::Forbidden => self.counters.callers_forbidden.add(),
-            DenialKind::Over => self.counters.callers_over.add(),
-            DenialKind::Unable => self.counters.callers_unable.add(),
+            DenialStatus::Unauthenticated => self.counters.callers_unknown.add(),
+            DenialStatus::Forbidden => self.counters.callers_forbidden.add(),
+            DenialStatus::QuotaExceeded => self.counters.callers_over.add(),
+            DenialStatus::Unavailable => self.counters.callers_unable.add(),
         }
-        let retry_after_ms = match denied.why {
-            Why::NoKeys => NO_KEYS_RETRY_AFTER_MS,
-            Why::Rate | Why::Busy => denied.wait_ms.clamp(1.0, MAX_RETRY_AFTER_MS).ceil(),
+        let retry_after_ms = match denied.reason {
+            DenialReason::NoUsableKeySet => NO_KEYS_RETRY_AFTER_MS,
+            DenialReason::RateQuota | DenialReason::SignatureBudget => {
+                denied.retry_after_ms.clamp(1.0, MAX_RETRY_AFTER_MS).ceil()
+            }
             _ => 0.0,
         };
         Reply::Denied {
--- a/crates/asterdale-engine/src/issuer.rs
+++ b/crates/asterdale-engine/src/issuer.rs
@@ -1,12 +1,12 @@
 //! The issuer's actor: fetches the key set over HTTP and passes it to the engine. When to fetch is decided by
-//! [`Refresh`]; whether a set is accepted, by the keyring.
+//! [`RefreshSchedule`]; whether a set is accepted, by the keyring.
 
 use std::io::{self, IoSlice};
 use std::net::TcpStream;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale_identity::refresh::Refresh;
+use asterdale_identity::refresh::RefreshSchedule;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 
 use crate::counters::Counters;
@@ -35,7 +35,7 @@
     source: KeySource,
     seed: u64,
     start: Instant,
-    refresh: Refresh,
+    refresh: RefreshSchedule,
     tag: Option<Vec<u8>>,
     /// The last fetch succeeded.
     is_available: bool,
@@ -56,7 +56,7 @@
 ) {
     let start = Instant::now();
     let mut fetcher = Fetcher {
-        refresh: Refresh::new(elapsed_ms(start), source.interval_ms, seed),
+        refresh: RefreshSchedule::new(elapsed_ms(start), source.interval_ms, seed),
         source,
         seed,
         start,
@@ -67,9 +67,9 @@
         log,
     };
     loop {
-        let wait_ms = (fetcher.refresh.next_at() - fetcher.now()).clamp(0.0, MAX_WAIT_MS);
+        let wait_ms = (fetcher.refresh.next_request_ms() - fetcher.now()).clamp(0.0, MAX_WAIT_MS);
         match commands.recv_timeout(Duration::from_micros((wait_ms * 1000.0) as u64)) {
-            Ok(KeyRefresh::Requested) => fetcher.refresh.wanted(),
+            Ok(KeyRefresh::Requested) => fetcher.refresh.request_early(),
             Ok(KeyRefresh::SetSource(source)) => fetcher.set_source(source),
             Err(RecvTimeoutError::Timeout) => {
                 if fetcher.fetch_once().is_err() {
@@ -92,7 +92,7 @@
 
     fn set_source(&mut self, source: KeySource) {
         if source != self.source {
-            self.refresh = Refresh::new(self.now(), source.interval_ms, self.seed);
+            self.refresh = RefreshSchedule::new(self.now(), source.interval_ms, self.seed);
             self.tag = None;
             self.source = source;
         }
@@ -101,9 +101,9 @@
     fn fetch_once(&mut self) -> Result<(), EngineGone> {
         static FAILED: Kind = Kind::new();
         static AVAILABLE: Kind = Kind::new();
-        self.refresh.asked(self.now());
+        self.refresh.on_request(self.now());
         let fetched = get(&self.source, self.tag.as_deref());
-        self.refresh.turned_out(self.now(), fetched.is_ok());
+        self.refresh.on_response(self.now(), fetched.is_ok());
         let fetched = match fetched {
             Ok(fetched) => fetched,
             Err(e) => {
--- a/crates/asterdale-engine/src/message/engine.rs
+++ b/crates/asterdale-engine/src/message/engine.rs
@@ -48,7 +48,7 @@
     /// A key set, as a file or the issuer has it.
     KeySet(Vec<u8>),
     /// The start file was read again: the services' addresses and the identity settings from now on.
-    Reloaded(Endpoints, Option<Box<asterdale_identity::Facts>>),
+    Reloaded(Endpoints, Option<Box<asterdale_identity::IdentitySettings>>),
     /// A step of a hot restart.
     #[cfg(feature = "hot-restart")]
     HotRestart(HotRestartStep),
@@ -57,7 +57,7 @@
     OwnershipAnswer(u64, asterdale_ownership::Answer),
     /// Requests without an owner, which this process may take over.
     #[cfg(feature = "ownership")]
-    OwnerlessRequests(Vec<asterdale_ownership::Work>),
+    OwnerlessRequests(Vec<asterdale_ownership::KeyedRequest>),
     /// Shut down gracefully.
     Drain,
     /// Print the counters.
--- a/crates/asterdale-engine/src/message/ports.rs
+++ b/crates/asterdale-engine/src/message/ports.rs
@@ -2,7 +2,7 @@
 
 use asterdale::events::PeerCounts;
 #[cfg(feature = "ownership")]
-use asterdale_ownership::Want;
+use asterdale_ownership::OwnershipRequest;
 
 /// All connections of the frontends together.
 pub trait Frontends: Send + Sync {
@@ -49,7 +49,7 @@
     /// A digest of a request body, equal in all processes.
     fn body_digest(&self, body: &[u8]) -> u64;
     /// Sends a request; its answer comes as a message with this number.
-    fn request(&self, number: u64, want: Want);
+    fn request(&self, number: u64, want: OwnershipRequest);
     /// The answer to this request is no longer needed.
     fn cancel(&self, number: u64);
     /// The claim with this fence was never started.
--- a/crates/asterdale-engine/src/message/request.rs
+++ b/crates/asterdale-engine/src/message/request.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 pub use asterdale_identity::Certificate;
-use asterdale_identity::Kind;
+use asterdale_identity::DenialStatus;
 
 /// A request's id as edge nodes write it: 16 hexadecimal digits.
 pub type RequestId = [u8; 16];
@@ -148,7 +148,7 @@
     /// The caller is not authenticated or not authorized.
     Denied {
         /// The kind of denial.
-        kind: Kind,
+        kind: DenialStatus,
         /// Advice to come again after this many milliseconds; 0 for no advice.
         retry_after_ms: u64,
     },
--- a/crates/asterdale-engine/src/ownership/answers.rs
+++ b/crates/asterdale-engine/src/ownership/answers.rs
@@ -25,19 +25,19 @@
 pub(super) fn reply_to(answer: &Answer, lease_ms: f64) -> Option<Reply> {
     let retry_after_ms = answer.ms.clamp(0.0, MAX_RETRY_AFTER_MS) as u64;
     Some(match answer.verdict() {
-        Verdict::Passed => Reply::Served(answer.result.clone().into()),
+        Verdict::Completed => Reply::Served(answer.result.clone().into()),
         Verdict::Failed => Reply::Failed,
-        Verdict::Unknown => Reply::Unknown { retry_after_ms },
-        Verdict::Full => rejected(retry_after_ms),
-        Verdict::Differs => Reply::Malformed,
-        Verdict::Over => rejected(lease_ms as u64),
+        Verdict::OutcomeUnknown => Reply::Unknown { retry_after_ms },
+        Verdict::RetryLater => rejected(retry_after_ms),
+        Verdict::DigestMismatch => Reply::Malformed,
+        Verdict::EpochEnded => rejected(lease_ms as u64),
         _ => return None,
     })
 }
 
 /// Injected fault of a proof: a request that runs on another backend is taken for a free one.
 pub(super) fn lock_is_ignored(verdict: Verdict) -> bool {
-    failpoint::is_active(Failpoint::Lock) && verdict == Verdict::Open
+    failpoint::is_active(Failpoint::Lock) && verdict == Verdict::InProgress
 }
 
 /// The counter of a reply that is not the result of an own run.
@@ -98,7 +98,7 @@
             } => {
                 let reply = reply_to(answer, 0.0).unwrap_or(fallback);
                 match answer.verdict() {
-                    Verdict::Kept | Verdict::Open => {
+                    Verdict::Recorded | Verdict::InProgress => {
                         self.tasks.handed_off(&idempotency_key, &key, responder);
                     }
                     _ => self.tasks.answer_detached(responder, reply),
--- a/crates/asterdale-engine/src/ownership/claims.rs
+++ b/crates/asterdale-engine/src/ownership/claims.rs
@@ -6,7 +6,7 @@
 use asterdale::events::Outcome;
 use asterdale::{Actions, Handle};
 use asterdale_ownership::failpoint::{self, Failpoint};
-use asterdale_ownership::{Answer, Verdict, Want, Work};
+use asterdale_ownership::{Answer, KeyedRequest, OwnershipRequest, Verdict};
 
 use super::answers::{lock_is_ignored, rejected, reply_to};
 use super::record::{Claim, OwnedTask};
@@ -41,15 +41,15 @@
         record: &TaskRecord,
         owned: &OwnedTask,
         client: &dyn OwnershipClient,
-    ) -> Work {
-        Work {
+    ) -> KeyedRequest {
+        KeyedRequest {
             key: owned.key.bytes.clone(),
-            stage: self.settings.class_names[record.class].clone(),
-            id: record.id.to_vec(),
-            sign: owned.key.body_digest,
+            class: self.settings.class_names[record.class].clone(),
+            execution_id: record.id.to_vec(),
+            body_digest: owned.key.body_digest,
             body: record.body.clone(),
-            due_ms: owned.remaining_ms(self.now),
-            window_ms: self.retry_window_ms(record.class).clamp(0.0, MAX_WIRE_MS),
+            deadline_ms: owned.remaining_ms(self.now),
+            retry_window_ms: self.retry_window_ms(record.class).clamp(0.0, MAX_WIRE_MS),
             hint_ms: owned.cost_hint_ms.clamp(0.0, MAX_WIRE_MS),
             kb: owned.memory_kb,
             fenced: client.replicates_class(record.class).unwrap_or(false),
@@ -78,7 +78,8 @@
             task: record.number,
             since: self.now,
         };
-        self.ownership.request(Want::Claim(work), awaiting);
+        self.ownership
+            .request(OwnershipRequest::Claim(work), awaiting);
         self.set_claim(task, Claim::Requested);
         false
     }
@@ -164,12 +165,12 @@
             return tasks.start(task);
         }
         match verdict {
-            Verdict::Yours => self.claim_granted(task, answer.number),
-            Verdict::Open => {
+            Verdict::Granted => self.claim_granted(task, answer.number),
+            Verdict::InProgress => {
                 tasks.set_claim(task, Claim::Remote);
                 tasks.wait_for_remote_run(task);
             }
-            Verdict::Passed => {
+            Verdict::Completed => {
                 let result: Arc<[u8]> = answer.result.clone().into();
                 tasks.set_claim(task, Claim::Remote);
                 if tasks.answer_served(task, result.clone()) {
--- a/crates/asterdale-engine/src/ownership/handoff.rs
+++ b/crates/asterdale-engine/src/ownership/handoff.rs
@@ -1,7 +1,7 @@
 //! Hand-off: a draining process gives queued tasks to other backends instead of rejecting them.
 
 use asterdale::Handle;
-use asterdale_ownership::Want;
+use asterdale_ownership::OwnershipRequest;
 
 use super::record::{Claim, OwnershipKey};
 use super::table::{Awaiting, DetachedClient};
@@ -51,7 +51,8 @@
                 retry_after_ms: retry_after_ms as u64,
             },
         };
-        self.ownership.request(Want::Pass(work), awaiting);
+        self.ownership
+            .request(OwnershipRequest::HandOver(work), awaiting);
         true
     }
 
--- a/crates/asterdale-engine/src/ownership/lookup.rs
+++ b/crates/asterdale-engine/src/ownership/lookup.rs
@@ -1,7 +1,7 @@
 //! The look-up of a keyed request before the policies see it.
 
 use asterdale::parameters::Idempotency;
-use asterdale_ownership::{Answer, Verdict, Want};
+use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
 
 use super::answers::{lock_is_ignored, reply_to};
 use super::record::{Claim, OwnedTask, OwnershipKey};
@@ -66,7 +66,7 @@
         let Some(idempotency_key) = request.head.idempotency_key.clone() else {
             return;
         };
-        let want = Want::Look(key.bytes.clone(), key.body_digest);
+        let want = OwnershipRequest::Lookup(key.bytes.clone(), key.body_digest);
         let awaiting = Awaiting::Lookup {
             request: Box::new(request),
             idempotency_key,
@@ -150,7 +150,10 @@
     ) {
         let tasks = &mut self.tasks;
         let verdict = answer.verdict();
-        let is_known = matches!(verdict, Verdict::Open | Verdict::Passed | Verdict::Failed);
+        let is_known = matches!(
+            verdict,
+            Verdict::InProgress | Verdict::Completed | Verdict::Failed
+        );
         if is_known && !lock_is_ignored(verdict) {
             if tasks.idempotency.is_full() {
                 tasks.counters.requests_overloaded.add();
@@ -160,7 +163,7 @@
             return self.receive_looked_up(request);
         }
         match reply_to(answer, tasks.ownership.lease_ms()) {
-            Some(reply) if verdict != Verdict::Open => {
+            Some(reply) if verdict != Verdict::InProgress => {
                 if reply == Reply::Malformed {
                     tasks.counters.tasks_malformed.add();
                 } else {
--- a/crates/asterdale-engine/src/ownership/outcomes.rs
+++ b/crates/asterdale-engine/src/ownership/outcomes.rs
@@ -4,7 +4,7 @@
 
 use asterdale::Handle;
 use asterdale_ownership::failpoint::{self, Failpoint};
-use asterdale_ownership::{Answer, Verdict, Want};
+use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
 
 use super::record::OwnedTask;
 use super::table::{Awaiting, DetachedClient, EndedRun, REMOTE_OWNER};
@@ -49,7 +49,8 @@
             self.by_route.remove(&responder.route());
         }
         self.ownership.takeovers -= usize::from(owned.is_takeover);
-        let want = Want::End(owned.key.bytes.clone(), fence, Some(result.to_vec()));
+        let want =
+            OwnershipRequest::Complete(owned.key.bytes.clone(), fence, Some(result.to_vec()));
         let ended = EndedRun {
             idempotency_key,
             task: number,
@@ -72,7 +73,7 @@
             return;
         };
         if !never_ran {
-            let want = Want::End(owned.key.bytes, fence, None);
+            let want = OwnershipRequest::Complete(owned.key.bytes, fence, None);
             self.ownership.request(want, Awaiting::Nothing);
         } else if let Some(client) = &self.ownership.client {
             client.claim_unused(owned.key.bytes, fence);
@@ -90,7 +91,7 @@
         };
         self.ownership.takeovers -= usize::from(owned.is_takeover);
         if let (Some(fence), None) = (owned.granted_fence(), self.ownership.drain_deadline) {
-            let want = Want::End(owned.key.bytes, fence, None);
+            let want = OwnershipRequest::Complete(owned.key.bytes, fence, None);
             self.ownership.request(want, Awaiting::Nothing);
         }
     }
--- a/crates/asterdale-engine/src/ownership/remote.rs
+++ b/crates/asterdale-engine/src/ownership/remote.rs
@@ -1,7 +1,7 @@
 //! Runs on other backends that clients of this one wait for.
 
 use asterdale::Handle;
-use asterdale_ownership::{Answer, Verdict, Want};
+use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
 
 use super::answers::{rejected, reply_to};
 use super::table::{Awaiting, DetachedClient, ANSWER_MARGIN_MS, POLL_INTERVAL_MS, REMOTE_OWNER};
@@ -110,7 +110,7 @@
             }
         }
         for (idempotency_key, key) in polls {
-            let want = Want::Look(key.bytes, key.body_digest);
+            let want = OwnershipRequest::Lookup(key.bytes, key.body_digest);
             self.ownership
                 .request(want, Awaiting::Poll(idempotency_key));
         }
@@ -132,8 +132,8 @@
         run.is_polling = false;
         run.next_poll_at = now + POLL_INTERVAL_MS;
         match answer.verdict() {
-            Verdict::Open => run.ownerless_since = None,
-            Verdict::Nothing => {
+            Verdict::InProgress => run.ownerless_since = None,
+            Verdict::NotFound => {
                 let since = *run.ownerless_since.get_or_insert(now);
                 if now - since >= OWNERLESS_TIMEOUT_MS {
                     // Its owner is gone, or released it before it started. What waits here never ran and may try
@@ -141,7 +141,7 @@
                     tasks.remote_run_ended(key, &rejected(0));
                 }
             }
-            Verdict::Passed | Verdict::Failed | Verdict::Unknown => {
+            Verdict::Completed | Verdict::Failed | Verdict::OutcomeUnknown => {
                 if let Some(reply) = reply_to(answer, 0.0) {
                     tasks.remote_run_ended(key, &reply);
                 }
--- a/crates/asterdale-engine/src/ownership/table.rs
+++ b/crates/asterdale-engine/src/ownership/table.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use asterdale_ownership::Want;
+use asterdale_ownership::OwnershipRequest;
 
 use super::record::OwnershipKey;
 use crate::message::{
@@ -127,7 +127,7 @@
     }
 
     /// Sends a request; its number.
-    pub(super) fn request(&mut self, want: Want, awaiting: Awaiting) -> u64 {
+    pub(super) fn request(&mut self, want: OwnershipRequest, awaiting: Awaiting) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         self.awaiting.insert(number, awaiting);
--- a/crates/asterdale-engine/src/ownership/takeover.rs
+++ b/crates/asterdale-engine/src/ownership/takeover.rs
@@ -3,7 +3,7 @@
 use std::hash::Hasher as _;
 
 use asterdale::events::Arrival;
-use asterdale_ownership::Work;
+use asterdale_ownership::KeyedRequest;
 use siphasher::sip::SipHasher13;
 
 use super::record::{Claim, OwnedTask, OwnershipKey};
@@ -18,7 +18,7 @@
 
 impl Engine {
     /// Takes over requests without an owner, as long as there is capacity.
-    pub(crate) fn take_over(&mut self, offered: Vec<Work>) {
+    pub(crate) fn take_over(&mut self, offered: Vec<KeyedRequest>) {
         for work in offered {
             if self.takeover_capacity() == 0 {
                 return;
@@ -27,10 +27,10 @@
         }
     }
 
-    fn take_over_one(&mut self, work: Work) {
+    fn take_over_one(&mut self, work: KeyedRequest) {
         let tasks = &mut self.tasks;
         let mut names = tasks.settings.class_names.iter();
-        let Some(class) = names.position(|name| *name == work.stage) else {
+        let Some(class) = names.position(|name| *name == work.class) else {
             return;
         };
         let idempotency_key = idempotency_key_of(&work, class);
@@ -41,12 +41,13 @@
         }
         tasks.last_number += 1;
         let number = tasks.last_number;
-        let Some(id) = new_request_id(tasks.settings.decisions.seed, number, &work.id) else {
+        let Some(id) = new_request_id(tasks.settings.decisions.seed, number, &work.execution_id)
+        else {
             return;
         };
         let arrival = arrival_of(&work, class);
         let body_digest = tasks.idempotency.digest(&work.body);
-        let deadline = tasks.now + work.due_ms;
+        let deadline = tasks.now + work.deadline_ms;
         tasks.ownership.takeovers += 1;
         tasks.arriving = Some(TaskRecord {
             number,
@@ -63,7 +64,7 @@
             ownership: Some(OwnedTask {
                 key: OwnershipKey {
                     bytes: work.key,
-                    body_digest: work.sign,
+                    body_digest: work.body_digest,
                 },
                 claim: Claim::None,
                 sends_fence: true,
@@ -99,7 +100,7 @@
 }
 
 /// The idempotency key of a request, which is the third part of its ownership key.
-fn idempotency_key_of(work: &Work, class: usize) -> IdempotencyKey {
+fn idempotency_key_of(work: &KeyedRequest, class: usize) -> IdempotencyKey {
     let mut parts = work.key.splitn(3, |byte| *byte == 0);
     IdempotencyKey {
         class,
@@ -108,13 +109,13 @@
     }
 }
 
-fn arrival_of(work: &Work, class: usize) -> Arrival {
+fn arrival_of(work: &KeyedRequest, class: usize) -> Arrival {
     Arrival {
         class,
         tenant: 0,
         caller: 0,
         unread_ms: 0.0,
-        remaining_ms: Some(work.due_ms),
+        remaining_ms: Some(work.deadline_ms),
         cost_hint_ms: Some(work.hint_ms).filter(|ms| *ms > 0.0),
         memory_kb: work.kb.max(MIN_MEMORY_KB),
         is_repeat: false,
--- a/crates/asterdale-engine/src/state_transfer/format.rs
+++ b/crates/asterdale-engine/src/state_transfer/format.rs
@@ -104,7 +104,7 @@
     pub(super) tasks: Vec<TransferredTask>,
     #[serde(rename = "remembered")]
     pub(super) idempotency: ExportedTable,
-    pub(super) identity: Option<asterdale_identity::Passed>,
+    pub(super) identity: Option<asterdale_identity::IdentityState>,
     #[serde(rename = "callers")]
     pub(super) edge_node_indexes: HashMap<u32, usize>,
     pub(super) link: TransferredLink,
--- a/crates/asterdale-engine/src/state_transfer/restore.rs
+++ b/crates/asterdale-engine/src/state_transfer/restore.rs
@@ -14,7 +14,7 @@
 /// not take the memory.
 const MAX_TASK_INDEX: usize = 1 << 24;
 
-/// Why a state cannot be restored.
+/// DenialReason a state cannot be restored.
 #[derive(Debug, thiserror::Error)]
 pub enum RestoreError {
     /// The bytes are no state.
@@ -126,7 +126,7 @@
             let policy = tasks.identity_gate.identity_mut();
             policy
                 .ok_or(RestoreError::IdentityOff)?
-                .continue_from(state.now, identity)
+                .restore_state(state.now, identity)
                 .map_err(RestoreError::Identity)?;
         }
         for task in state.tasks {
--- /dev/null
+++ b/crates/asterdale-fastcgi/src/request_assembler.rs
@@ -0,0 +1,211 @@
+//! State machine that assembles the requests of one connection from its records.
+
+use std::collections::HashMap;
+
+use crate::error::ProtocolError;
+use crate::record_reader::Record;
+use crate::{protocol_status, record_type};
+
+/// Memory limit for the incomplete requests of one connection, in bytes. The platform's 32 concurrent requests need
+/// less. The limit keeps many connections that open requests and never complete them from exhausting the memory.
+const MAX_PENDING_BYTES: usize = 96 * 1024;
+/// The platform's limit for a request body, in bytes.
+const MAX_BODY_BYTES: usize = 2 * 1024;
+/// The role FCGI_RESPONDER, the only one that is implemented.
+const ROLE_RESPONDER: u16 = 1;
+/// The flag FCGI_KEEP_CONN of BEGIN_REQUEST.
+const FLAG_KEEP_CONNECTION: u8 = 1;
+
+/// A request whose parameters and body have been received completely.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct CompleteRequest {
+    /// The encoded parameters, see [`crate::Params`].
+    pub params: Vec<u8>,
+    /// The body.
+    pub body: Vec<u8>,
+    /// Whether the connection stays open after the response.
+    pub keep_connection: bool,
+}
+
+struct PendingRequest {
+    request: CompleteRequest,
+    params_complete: bool,
+    body_complete: bool,
+}
+
+/// The result of handling one record.
+#[derive(Debug, PartialEq, Eq)]
+pub enum AssemblyEvent {
+    /// Nothing to do: more records are needed, or the record has no meaning in this state.
+    Pending,
+    /// The request of this id is complete.
+    Complete(u16, CompleteRequest),
+    /// The peer cancels the request of this id, which was complete before.
+    Abort(u16),
+    /// The caller must send END_REQUEST for this id with this protocol status now.
+    EndRequest(u16, u8),
+    /// The body of this request is too long, and may never end. The request is dropped; the caller should not read on.
+    BodyTooLong(u16),
+    /// The caller must answer this GET_VALUES query now.
+    GetValues(Vec<u8>),
+    /// The caller must answer this unknown management record type now.
+    UnknownType(u8),
+}
+
+/// The incomplete requests of one connection.
+#[derive(Default)]
+pub struct RequestAssembler {
+    pending: HashMap<u16, PendingRequest>,
+    /// Bytes of the pending parameters and bodies.
+    pending_bytes: usize,
+}
+
+impl RequestAssembler {
+    /// The number of incomplete requests.
+    pub fn pending_count(&self) -> usize {
+        self.pending.len()
+    }
+
+    /// The memory that the incomplete requests take, in bytes.
+    pub fn pending_bytes(&self) -> usize {
+        self.pending_bytes
+    }
+
+    /// Handles the next record. A new request is answered as overloaded unless `accepts_request`.
+    ///
+    /// # Errors
+    /// A violation of the protocol, or of the memory limit. The connection cannot be used any further.
+    pub fn handle_record(
+        &mut self,
+        record: Record<'_>,
+        accepts_request: bool,
+    ) -> Result<AssemblyEvent, ProtocolError> {
+        let Record {
+            record_type,
+            request_id,
+            content,
+        } = record;
+        if request_id == 0 {
+            return Ok(management_event(record_type, content));
+        }
+        match record_type {
+            record_type::BEGIN_REQUEST => self.begin(request_id, content, accepts_request),
+            record_type::ABORT_REQUEST => Ok(self.abort(request_id)),
+            record_type::PARAMS => self.append_params(request_id, content),
+            record_type::STDIN => self.append_body(request_id, content),
+            _ => Ok(AssemblyEvent::Pending),
+        }
+    }
+
+    fn begin(
+        &mut self,
+        request_id: u16,
+        content: &[u8],
+        accepts_request: bool,
+    ) -> Result<AssemblyEvent, ProtocolError> {
+        let &[role_high, role_low, flags, ..] = content else {
+            return Err(ProtocolError::TruncatedRecord(record_type::BEGIN_REQUEST));
+        };
+        if u16::from_be_bytes([role_high, role_low]) != ROLE_RESPONDER {
+            let status = protocol_status::UNKNOWN_ROLE;
+            return Ok(AssemblyEvent::EndRequest(request_id, status));
+        }
+        if self.pending.contains_key(&request_id) {
+            return Err(ProtocolError::DuplicateRequestId(request_id));
+        }
+        if !accepts_request {
+            let status = protocol_status::OVERLOADED;
+            return Ok(AssemblyEvent::EndRequest(request_id, status));
+        }
+        let request = CompleteRequest {
+            keep_connection: flags & FLAG_KEEP_CONNECTION != 0,
+            ..CompleteRequest::default()
+        };
+        let pending = PendingRequest {
+            request,
+            params_complete: false,
+            body_complete: false,
+        };
+        self.pending.insert(request_id, pending);
+        Ok(AssemblyEvent::Pending)
+    }
+
+    /// An incomplete request was never passed on, so nothing ran and its END_REQUEST is due at once. A complete one is
+    /// the caller's.
+    fn abort(&mut self, request_id: u16) -> AssemblyEvent {
+        match self.remove(request_id) {
+            Some(_) => AssemblyEvent::EndRequest(request_id, protocol_status::COMPLETE),
+            None => AssemblyEvent::Abort(request_id),
+        }
+    }
+
+    fn append_params(
+        &mut self,
+        request_id: u16,
+        content: &[u8],
+    ) -> Result<AssemblyEvent, ProtocolError> {
+        let Some(pending) = self.pending.get_mut(&request_id) else {
+            return Ok(AssemblyEvent::Pending);
+        };
+        if !pending.params_complete {
+            pending.params_complete = content.is_empty();
+            pending.request.params.extend_from_slice(content);
+            self.pending_bytes += content.len();
+        }
+        self.complete_or_check_limit(request_id)
+    }
+
+    fn append_body(
+        &mut self,
+        request_id: u16,
+        content: &[u8],
+    ) -> Result<AssemblyEvent, ProtocolError> {
+        let Some(pending) = self.pending.get_mut(&request_id) else {
+            return Ok(AssemblyEvent::Pending);
+        };
+        if !pending.body_complete {
+            pending.body_complete = content.is_empty();
+            if pending.request.body.len() + content.len() > MAX_BODY_BYTES {
+                self.remove(request_id);
+                return Ok(AssemblyEvent::BodyTooLong(request_id));
+            }
+            pending.request.body.extend_from_slice(content);
+            self.pending_bytes += content.len();
+        }
+        self.complete_or_check_limit(request_id)
+    }
+
+    /// Returns the request once both of its streams have ended, which they may in either order.
+    fn complete_or_check_limit(&mut self, request_id: u16) -> Result<AssemblyEvent, ProtocolError> {
+        let is_complete = self
+            .pending
+            .get(&request_id)
+            .is_some_and(|pending| pending.params_complete && pending.body_complete);
+        if is_complete {
+            return Ok(self
+                .remove(request_id)
+                .map_or(AssemblyEvent::Pending, |request| {
+                    AssemblyEvent::Complete(request_id, request)
+                }));
+        }
+        if self.pending_bytes > MAX_PENDING_BYTES {
+            return Err(ProtocolError::TooManyPendingBytes);
+        }
+        Ok(AssemblyEvent::Pending)
+    }
+
+    fn remove(&mut self, request_id: u16) -> Option<CompleteRequest> {
+        let request = self.pending.remove(&request_id)?.request;
+        self.pending_bytes -= request.params.len() + request.body.len();
+        Some(request)
+    }
+}
+
+/// The event for a record of request id 0. Record types that belong to a request are ignored there.
+fn management_event(record_type: u8, content: &[u8]) -> AssemblyEvent {
+    match record_type {
+        record_type::GET_VALUES => AssemblyEvent::GetValues(content.to_vec()),
+        record_type::BEGIN_REQUEST..=record_type::STDIN => AssemblyEvent::Pending,
+        unknown => AssemblyEvent::UnknownType(unknown),
+    }
+}
--- a/crates/asterdale-transport/src/custody.rs
+++ b/crates/asterdale-transport/src/ownership.rs
@@ -7,10 +7,13 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use asterdale_membership::seal::Seal;
-use asterdale_ownership::keeper::{Shown, Start};
-use asterdale_ownership::message::{decode, member, What};
-use asterdale_ownership::{Action, Answer, Keeper, Owner, Save, Saved, Terms, Told, Want, Work};
+use asterdale_membership::authentication::MessageAuthenticator;
+use asterdale_ownership::message::{decode, member, MessageBody};
+use asterdale_ownership::replica::{ReplicaConfig, ReplicaStatus};
+use asterdale_ownership::{
+    Action, Answer, KeyedRequest, Owner, OwnershipEvent, OwnershipRequest, OwnershipSettings,
+    Replica, StorageWrite, StoredState,
+};
 use crossbeam_channel::{bounded, Receiver, Sender};
 
 use crate::links::Links;
@@ -29,21 +32,21 @@
 const WAY_OUT: Duration = Duration::from_millis(50);
 
 /// A keeper's disk.
-pub trait Shelf: Send {
+pub trait ReplicaStorage: Send {
     /// Has all of this there, in order; comes back once that is so, or can't be.
-    fn save(&mut self, saves: Vec<Save>) -> Result<(), String>;
+    fn save(&mut self, saves: Vec<StorageWrite>) -> Result<(), String>;
 }
 
 /// A keeper's disk, and what was found on it.
 #[derive(Clone)]
-pub struct Disk {
+pub struct ReplicaDisk {
     /// What was found: nothing that may not be believed.
-    pub saved: Saved,
+    pub saved: StoredState,
     /// Where the rest goes.
-    pub shelf: Arc<Mutex<dyn Shelf>>,
+    pub storage: Arc<Mutex<dyn ReplicaStorage>>,
 }
 
-impl std::fmt::Debug for Disk {
+impl std::fmt::Debug for ReplicaDisk {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Disk")
     }
@@ -51,15 +54,15 @@
 
 /// Where work in hand is kept, and how.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct OwnershipActorSettings {
     /// This process's disk, should it be a keeper and have one.
-    pub disk: Option<Disk>,
+    pub disk: Option<ReplicaDisk>,
     /// The keepers, by name and where they are reached; the same list in all processes.
-    pub keepers: Vec<(String, SocketAddr)>,
+    pub replicas: Vec<(String, SocketAddr)>,
     /// What the fleet agrees on.
-    pub terms: Terms,
+    pub parameters: OwnershipSettings,
     /// The Unix time, in seconds.
-    pub unix_s: u64,
+    pub unix_time_s: u64,
 }
 
 /// Which process this is, and the fleet's key.
@@ -68,34 +71,34 @@
     pub name: String,
     pub node: u64,
     pub at: SocketAddr,
-    pub seal: Seal,
+    pub seal: MessageAuthenticator,
     pub seed: u64,
 }
 
 /// What the program hears.
-pub enum Heard {
+pub enum OwnershipNotification {
     /// What came of something that it wanted.
-    Verdict(u64, Answer),
+    Answered(u64, Answer),
     /// Orphans that it may take.
-    Offered(Vec<Work>),
+    OwnerlessRequests(Vec<KeyedRequest>),
     /// A line for the log.
-    Told(Told),
+    Log(OwnershipEvent),
     /// A keeper's disk failed: it is none any more.
-    Unsaved(String),
+    StorageFailed(String),
 }
 
 enum Order {
-    Want(u64, Want),
+    Want(u64, OwnershipRequest),
     Forget(u64),
     Dropped(Vec<u8>, u64),
     Room(u32),
     Leave(Sender<()>),
-    Show(Sender<Shown>),
+    Show(Sender<ReplicaStatus>),
 }
 
 /// Custody, as others hold it.
 #[derive(Clone)]
-pub struct Custody {
+pub struct OwnershipHandle {
     orders: Sender<Order>,
     began: Instant,
     /// Until when the lease holds, in microseconds since the start.
@@ -103,29 +106,29 @@
     lease_ms: f64,
 }
 
-impl Custody {
+impl OwnershipHandle {
     /// Wants something of the keepers, under this number.
-    pub fn want(&self, number: u64, want: Want) {
+    pub fn request(&self, number: u64, want: OwnershipRequest) {
         let _ = self.orders.send(Order::Want(number, want));
     }
 
     /// Nobody waits for it any more.
-    pub fn forget(&self, number: u64) {
+    pub fn cancel(&self, number: u64) {
         let _ = self.orders.send(Order::Forget(number));
     }
 
     /// What was claimed by this fence was never started.
-    pub fn dropped(&self, key: Vec<u8>, fence: u64) {
+    pub fn drop_claim(&self, key: Vec<u8>, fence: u64) {
         let _ = self.orders.send(Order::Dropped(key, fence));
     }
 
     /// Orphans that would be taken now.
-    pub fn room(&self, room: u32) {
+    pub fn set_takeover_capacity(&self, room: u32) {
         let _ = self.orders.send(Order::Room(room));
     }
 
     /// Whether the lease holds at this moment, by a clock that goes on while the process stands still.
-    pub fn may_act(&self) -> bool {
+    pub fn is_lease_valid(&self) -> bool {
         (self.began.elapsed().as_micros() as u64) < self.until.load(Ordering::SeqCst)
     }
 
@@ -144,7 +147,7 @@
     }
 
     /// What this process holds as a keeper.
-    pub fn shown(&self) -> Option<Shown> {
+    pub fn replica_status(&self) -> Option<ReplicaStatus> {
         let (to, shown) = bounded(1);
         self.orders.send(Order::Show(to)).ok()?;
         shown.recv_timeout(PATIENCE).ok()
@@ -152,34 +155,34 @@
 }
 
 struct Actor {
-    keeper: Option<Keeper>,
+    keeper: Option<Replica>,
     owner: Owner,
     began: Instant,
     at: SocketAddr,
-    seal: Seal,
+    seal: MessageAuthenticator,
     links: Links,
     until: Arc<AtomicU64>,
-    shelf: Option<Arc<Mutex<dyn Shelf>>>,
+    shelf: Option<Arc<Mutex<dyn ReplicaStorage>>>,
     saved_at: Instant,
 }
 
 /// Begins. `heard` is called with each word, in order, by the thread of the state machines: it must not wait.
 pub(crate) fn begin(
-    place: Place,
+    place: OwnershipActorSettings,
     me: Me,
     links: Links,
     letters: Receiver<Vec<u8>>,
-    heard: impl Fn(Heard) + Send + 'static,
-) -> std::io::Result<Custody> {
+    heard: impl Fn(OwnershipNotification) + Send + 'static,
+) -> std::io::Result<OwnershipHandle> {
     // Orders come from one thread, which owes an answer for each: their number is bounded there.
     let (orders, ordered) = crossbeam_channel::unbounded();
     let began = Instant::now();
     let until = Arc::new(AtomicU64::new(0));
-    let Place {
+    let OwnershipActorSettings {
         disk,
-        keepers,
-        terms,
-        unix_s,
+        replicas: keepers,
+        parameters: terms,
+        unix_time_s: unix_s,
     } = place;
     let myself = member(&me.name, me.node, me.at);
     let owner = Owner::new(
@@ -195,17 +198,19 @@
     let (until_told, at, seed) = (until.clone(), me.at, me.seed);
     crate::spawn("custody", move || {
         // The library's memory is this thread's alone.
-        let (saved, shelf) = disk.map(|Disk { saved, shelf }| (saved, shelf)).unzip();
-        let start = Start {
-            me: myself,
-            keepers,
-            terms,
-            seal: seal.clone(),
+        let (saved, shelf) = disk
+            .map(|ReplicaDisk { saved, storage }| (saved, storage))
+            .unzip();
+        let start = ReplicaConfig {
+            member: myself,
+            replicas: keepers,
+            settings: terms,
+            authenticator: seal.clone(),
             seed,
             unix_s,
-            saved,
+            stored: saved,
         };
-        let keeper = keeps.then(|| Keeper::new(0.0, start));
+        let keeper = keeps.then(|| Replica::new(0.0, start));
         let actor = Actor {
             keeper,
             owner,
@@ -219,7 +224,7 @@
         };
         actor.serve(&letters, &ordered, heard);
     })?;
-    Ok(Custody {
+    Ok(OwnershipHandle {
         orders,
         began,
         until,
@@ -236,14 +241,14 @@
         mut self,
         letters: &Receiver<Vec<u8>>,
         orders: &Receiver<Order>,
-        heard: impl Fn(Heard),
+        heard: impl Fn(OwnershipNotification),
     ) {
         loop {
             let next = self
                 .keeper
                 .as_ref()
-                .map_or(f64::INFINITY, Keeper::next)
-                .min(self.owner.next());
+                .map_or(f64::INFINITY, Replica::next_wake_ms)
+                .min(self.owner.next_wake_ms());
             let wait = ((next - self.now()) / 1e3).clamp(0.0, LONGEST.as_secs_f64());
             let timer = crossbeam_channel::after(Duration::from_secs_f64(wait));
             let mut actions = Vec::new();
@@ -267,17 +272,17 @@
             let now = self.now();
             if let Some(keeper) = &mut self.keeper {
                 actions.extend(keeper.flush(now));
-                if keeper.next() <= now {
+                if keeper.next_wake_ms() <= now {
                     actions.extend(keeper.wake(now));
                 }
             }
             actions.extend(self.owner.flush(now));
-            if self.owner.next() <= now {
+            if self.owner.next_wake_ms() <= now {
                 actions.extend(self.owner.wake(now));
             }
             if self.saved_at.elapsed() >= MARK && self.keeper.is_some() {
                 // A disk that is not marked of late is not believed by the next process.
-                actions.push(Action::Save(Vec::new()));
+                actions.push(Action::Persist(Vec::new()));
             }
             self.act(actions, &heard);
         }
@@ -289,8 +294,8 @@
             return;
         };
         match (what, &mut self.keeper) {
-            (What::Answers(answers), _) => actions.extend(self.owner.answers(now, answers)),
-            (what, Some(keeper)) => actions.extend(keeper.letter(now, &from, at, what)),
+            (MessageBody::Answers(answers), _) => actions.extend(self.owner.receive(now, answers)),
+            (what, Some(keeper)) => actions.extend(keeper.receive(now, &from, at, what)),
             _ => {}
         }
     }
@@ -298,22 +303,26 @@
     fn order(&mut self, order: Order, actions: &mut Vec<Action>) {
         let now = self.now();
         match order {
-            Order::Want(number, want) => self.owner.want(number, want),
-            Order::Forget(number) => self.owner.forget(number),
-            Order::Dropped(key, fence) => self.owner.drop_claim(key, fence),
-            Order::Room(room) => self.owner.room(room),
+            Order::Want(number, want) => self.owner.submit(number, want),
+            Order::Forget(number) => self.owner.stop_waiting(number),
+            Order::Dropped(key, fence) => self.owner.release_claim(key, fence),
+            Order::Room(room) => self.owner.set_capacity(room),
             Order::Leave(over) => {
-                actions.extend(self.owner.leave(now));
+                actions.extend(self.owner.shut_down(now));
                 let _ = over.try_send(());
             }
             Order::Show(to) => {
-                let shown = self.keeper.as_ref().map(Keeper::shown).unwrap_or_default();
+                let shown = self
+                    .keeper
+                    .as_ref()
+                    .map(Replica::status)
+                    .unwrap_or_default();
                 let _ = to.try_send(shown);
             }
         }
     }
 
-    fn act(&mut self, actions: Vec<Action>, heard: &impl Fn(Heard)) {
+    fn act(&mut self, actions: Vec<Action>, heard: &impl Fn(OwnershipNotification)) {
         let mut all: VecDeque<Action> = actions.into();
         while let Some(action) = all.pop_front() {
             match action {
@@ -328,7 +337,7 @@
                     all.extend(more);
                 }
                 Action::Send(to, letter) => self.links.send(to, letter),
-                Action::Save(saves) => {
+                Action::Persist(saves) => {
                     let Some(shelf) = &self.shelf else { continue };
                     let saved = shelf
                         .lock()
@@ -338,16 +347,22 @@
                     if let Err(why) = saved {
                         // Whatever rests on it must not leave; nor may this process speak as that keeper again.
                         self.keeper = None;
-                        all.retain(|action| !matches!(action, Action::Send(..) | Action::Save(_)));
-                        heard(Heard::Unsaved(why));
+                        all.retain(|action| {
+                            !matches!(action, Action::Send(..) | Action::Persist(_))
+                        });
+                        heard(OwnershipNotification::StorageFailed(why));
                     }
                 }
-                Action::Tell(told) => heard(Heard::Told(told)),
-                Action::Verdict(number, answer) => heard(Heard::Verdict(number, answer)),
-                Action::Offered(works) => heard(Heard::Offered(works)),
+                Action::Report(told) => heard(OwnershipNotification::Log(told)),
+                Action::Answer(number, answer) => {
+                    heard(OwnershipNotification::Answered(number, answer))
+                }
+                Action::OfferOwnerless(works) => {
+                    heard(OwnershipNotification::OwnerlessRequests(works))
+                }
             }
         }
-        let until = self.owner.lease_until().max(0.0);
+        let until = self.owner.lease_until_ms().max(0.0);
         self.until.store((until * 1e3) as u64, Ordering::SeqCst);
     }
 }
