--- a/crates/asterdale-daemon/src/assembly/mod.rs
+++ b/crates/asterdale-daemon/src/assembly/mod.rs
@@ -66,6 +66,7 @@
             #[cfg(feature = "tls")]
             tls: listeners.iter().find_map(|listener| listener.tls.clone()),
         },
+        #[cfg(feature = "upgrade")]
         control_socket: start.control_socket.as_ref().map(PathBuf::from),
         counters: context.counters.clone(),
         log: log.clone(),
--- a/crates/asterdale-daemon/src/journal/mod.rs
+++ b/crates/asterdale-daemon/src/journal/mod.rs
@@ -49,6 +49,10 @@
 #[derive(Default)]
 pub struct OpenJournal {
     /// The journal, for the fleet.
+    #[cfg_attr(
+        not(feature = "fleet"),
+        expect(dead_code, reason = "without a fleet nobody needs it")
+    )]
     pub journal: Option<Journal>,
     /// The journal as it keeps claims, for the engine; absent if replicas keep them.
     pub ownership: Option<Arc<dyn OwnershipClient>>,
--- a/crates/asterdale-daemon/src/signals.rs
+++ b/crates/asterdale-daemon/src/signals.rs
@@ -1,6 +1,7 @@
 //! Turns signals into messages to the engine, a reload or a hot restart.
 
 use std::io;
+#[cfg(feature = "upgrade")]
 use std::path::PathBuf;
 use std::sync::Arc;
 
@@ -34,7 +35,7 @@
     pub engine: Sender<EngineMessage>,
     pub reload: Reload,
     /// The control socket on which this process is asked for a hot restart.
-    #[cfg_attr(not(feature = "upgrade"), expect(dead_code))]
+    #[cfg(feature = "upgrade")]
     pub control_socket: Option<PathBuf>,
     pub counters: Arc<Counters>,
     pub log: Log,
