--- a/crates/asterdale-engine/src/access.rs
+++ b/crates/asterdale-engine/src/access.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 
 use asterdale_identity::failpoint::{self, Failpoint};
-use asterdale_identity::{Caller, ConcurrencyPermit, Credentials, DenialReason, DenialStatus};
+use asterdale_identity::{
+    AccessRequest, Caller, ConcurrencyPermit, Credentials, DenialReason, DenialStatus,
+};
 
 use crate::log::Kind;
 use crate::message::{
@@ -80,8 +82,13 @@
         let (Some(identity), Some(caller)) = (&mut self.identity_gate.identity, caller) else {
             return Ok(None);
         };
+        let request = AccessRequest {
+            request_class: head.class,
+            declared_cost_ms: head.cost_hint_ms,
+            is_repeat,
+        };
         identity
-            .authorize(self.now, caller, head.class, head.cost_hint_ms, is_repeat)
+            .authorize(self.now, caller, &request)
             .map_err(|denied| {
                 self.log_denied(&head.id, head.class, &caller.claims.tenant, denied.reason);
                 self.identity_gate.denial_reply(denied)
--- a/crates/asterdale-engine/src/identity_gate.rs
+++ b/crates/asterdale-engine/src/identity_gate.rs
@@ -3,15 +3,14 @@
 
 use std::sync::Arc;
 
-use asterdale_identity::authorization::Denial;
 use asterdale_identity::keyring::KeySetOutcome;
 use asterdale_identity::{
-    Caller, ConcurrencyPermit, DenialReason, DenialStatus, Identity, IdentitySettings,
+    Caller, ConcurrencyPermit, Denial, DenialReason, DenialStatus, Identity, IdentitySettings,
 };
 use crossbeam_channel::Sender;
 
 use crate::counters::Counters;
-use crate::log::{Kind, Log};
+use crate::log::{error_chain, Kind, Log};
 use crate::message::{KeyRefresh, Reply};
 
 /// Advice to a caller that cannot be authenticated for want of keys, in milliseconds: by then a key set may have come.
@@ -47,7 +46,7 @@
         let error = match (&mut self.identity, settings) {
             (Some(identity), Some(settings)) => match identity.reconfigure(*settings) {
                 Ok(()) => return,
-                Err(error) => error.to_string(),
+                Err(error) => error_chain(&error),
             },
             (None, None) => return,
             _ => "identity can only be turned on or off by a restart".to_owned(),
@@ -125,9 +124,11 @@
     /// Sets the counters of what identity costs.
     pub fn update_counters(&self) {
         if let Some(identity) = &self.identity {
-            let (signatures, tokens) = identity.cost();
-            self.counters.signatures.set(signatures as usize);
-            self.counters.tokens_cached.set(tokens);
+            let signatures = identity.signatures_checked() as usize;
+            self.counters.signatures.set(signatures);
+            self.counters
+                .tokens_cached
+                .set(identity.cached_token_count());
         }
     }
 
--- a/crates/asterdale-engine/src/state_transfer/restore.rs
+++ b/crates/asterdale-engine/src/state_transfer/restore.rs
@@ -35,8 +35,8 @@
     #[error("identity is on in the state, and off in the start file")]
     IdentityOff,
     /// The identity part cannot be restored.
-    #[error("the identity state cannot be restored: {0}")]
-    Identity(String),
+    #[error("the identity state cannot be restored")]
+    Identity(#[from] asterdale_identity::IdentityError),
     /// A task's class or handle is out of range.
     #[error("task {number} of the state is invalid")]
     InvalidTask {
@@ -126,8 +126,7 @@
             let policy = tasks.identity_gate.identity_mut();
             policy
                 .ok_or(RestoreError::IdentityOff)?
-                .restore_state(state.now, identity)
-                .map_err(RestoreError::Identity)?;
+                .restore_state(state.now, identity)?;
         }
         for task in state.tasks {
             if task.class >= classes || task.handle.index() > MAX_TASK_INDEX {
