--- a/crates/asterdale-daemon/src/assembly/error.rs
+++ b/crates/asterdale-daemon/src/assembly/error.rs
@@ -31,8 +31,8 @@
     Registry(#[source] io::Error),
     #[error("records")]
     Records(#[source] io::Error),
-    #[error("identity: {0}")]
-    Identity(String),
+    #[error("identity")]
+    Identity(#[source] asterdale_identity::IdentityError),
     /// The state of the previous process can't be taken over, or the control socket can't be opened.
     #[cfg(feature = "upgrade")]
     #[error(transparent)]
--- a/crates/asterdale-daemon/src/journal/ownership.rs
+++ b/crates/asterdale-daemon/src/journal/ownership.rs
@@ -55,7 +55,7 @@
 
     fn request(&self, number: u64, request: OwnershipRequest) {
         self.journal.send(match request {
-            OwnershipRequest::Lookup(key, body_digest) => JournalCommand::Lookup {
+            OwnershipRequest::Lookup { key, body_digest } => JournalCommand::Lookup {
                 request: number,
                 key,
                 body_digest,
@@ -68,10 +68,10 @@
                 // A retry that arrives just before the end of its window may be read that much later.
                 window_ms: claimed.retry_window_ms + self.max_unread_ms,
             },
-            OwnershipRequest::Complete(key, claim, result) => JournalCommand::RecordOutcome {
+            OwnershipRequest::Complete { key, fence, result } => JournalCommand::RecordOutcome {
                 request: number,
                 key,
-                claim,
+                claim: fence,
                 result,
             },
             // Nobody else uses this journal, so there is no process to hand the request to. It is looked up, and then
--- a/crates/asterdale-engine/src/ownership/lookup.rs
+++ b/crates/asterdale-engine/src/ownership/lookup.rs
@@ -66,7 +66,10 @@
         let Some(idempotency_key) = request.head.idempotency_key.clone() else {
             return;
         };
-        let want = OwnershipRequest::Lookup(key.bytes.clone(), key.body_digest);
+        let want = OwnershipRequest::Lookup {
+            key: key.bytes.clone(),
+            body_digest: key.body_digest,
+        };
         let awaiting = Awaiting::Lookup {
             request: Box::new(request),
             idempotency_key,
--- a/crates/asterdale-engine/src/ownership/outcomes.rs
+++ b/crates/asterdale-engine/src/ownership/outcomes.rs
@@ -49,8 +49,11 @@
             self.by_route.remove(&responder.route());
         }
         self.ownership.takeovers -= usize::from(owned.is_takeover);
-        let want =
-            OwnershipRequest::Complete(owned.key.bytes.clone(), fence, Some(result.to_vec()));
+        let want = OwnershipRequest::Complete {
+            key: owned.key.bytes.clone(),
+            fence,
+            result: Some(result.to_vec()),
+        };
         let ended = EndedRun {
             idempotency_key,
             task: number,
@@ -73,7 +76,11 @@
             return;
         };
         if !never_ran {
-            let want = OwnershipRequest::Complete(owned.key.bytes, fence, None);
+            let want = OwnershipRequest::Complete {
+                key: owned.key.bytes,
+                fence,
+                result: None,
+            };
             self.ownership.request(want, Awaiting::Nothing);
         } else if let Some(client) = &self.ownership.client {
             client.claim_unused(owned.key.bytes, fence);
@@ -91,7 +98,11 @@
         };
         self.ownership.takeovers -= usize::from(owned.is_takeover);
         if let (Some(fence), None) = (owned.granted_fence(), self.ownership.drain_deadline) {
-            let want = OwnershipRequest::Complete(owned.key.bytes, fence, None);
+            let want = OwnershipRequest::Complete {
+                key: owned.key.bytes,
+                fence,
+                result: None,
+            };
             self.ownership.request(want, Awaiting::Nothing);
         }
     }
--- a/crates/asterdale-engine/src/ownership/remote.rs
+++ b/crates/asterdale-engine/src/ownership/remote.rs
@@ -110,7 +110,10 @@
             }
         }
         for (idempotency_key, key) in polls {
-            let want = OwnershipRequest::Lookup(key.bytes, key.body_digest);
+            let want = OwnershipRequest::Lookup {
+                key: key.bytes,
+                body_digest: key.body_digest,
+            };
             self.ownership
                 .request(want, Awaiting::Poll(idempotency_key));
         }
