--- a/crates/asterdale-daemon/src/fleet/command.rs
+++ b/crates/asterdale-daemon/src/fleet/command.rs
@@ -49,11 +49,11 @@
     },
 }
 
-fn watch(at: &At, every_ms: u64) -> Result<(), String> {
+fn watch(at: &At, every_ms: u64) -> Result<(), control::ControlError> {
     let mut held: BTreeMap<String, (u64, String)> = BTreeMap::new();
     loop {
         let shown = control::show(&at.control)?;
-        let all = std::iter::once(&shown.me).chain(&shown.members);
+        let all = std::iter::once(&shown.local).chain(&shown.members);
         let now: BTreeMap<_, _> = all
             .map(|m| (m.name.clone(), (m.generation, m.status.clone())))
             .collect();
@@ -117,14 +117,14 @@
                 shown.to_table()
             };
             println!("{text}");
-            if shown.certain {
+            if shown.has_majority {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
             }
         }),
         Command::Watch { at, every_ms } => watch(at, *every_ms).map(|()| ExitCode::SUCCESS),
-        Command::Keepers { at, json } => control::keepers(&at.control).map(|shown| {
+        Command::Keepers { at, json } => control::replica_status(&at.control).map(|shown| {
             println!(
                 "{}",
                 if *json {
--- a/crates/asterdale-daemon/src/fleet/mod.rs
+++ b/crates/asterdale-daemon/src/fleet/mod.rs
@@ -176,7 +176,7 @@
                 return;
             }
             OwnershipNotification::StorageFailed(error) => {
-                slog::error!(lines, "takeover: storage failed, this process is no replica any more"; "error" => error);
+                slog::error!(lines, "takeover: storage failed, this process is no replica any more"; "error" => %error);
                 return;
             }
         };
--- a/crates/asterdale-daemon/src/journal/replica.rs
+++ b/crates/asterdale-daemon/src/journal/replica.rs
@@ -6,7 +6,7 @@
 use asterdale_engine::log::Log;
 use asterdale_journal::replica_store::{ReplicaChange, ReplicaStore};
 use asterdale_ownership::{StorageWrite, StoredState};
-use asterdale_transport::ownership::{ReplicaDisk, ReplicaStorage};
+use asterdale_transport::ownership::{ReplicaDisk, ReplicaStorage, StorageError};
 
 use super::JournalError;
 use crate::start::Start;
@@ -21,12 +21,12 @@
 struct JournalReplicaStorage(ReplicaStore);
 
 impl ReplicaStorage for JournalReplicaStorage {
-    fn save(&mut self, writes: Vec<StorageWrite>) -> Result<(), String> {
+    fn save(&mut self, writes: Vec<StorageWrite>) -> Result<(), StorageError> {
         let mut changes = Vec::with_capacity(writes.len());
         for write in writes {
             add_changes(&mut changes, write);
         }
-        self.0.commit(&changes).map_err(|e| e.to_string())
+        self.0.commit(&changes).map_err(StorageError::new)
     }
 }
 
