--- a/crates/asterdale-ownership/src/table/tests.rs
+++ b/crates/asterdale-ownership/src/table/tests.rs
@@ -107,15 +107,15 @@
             .0,
         Verdict::DigestMismatch
     );
-    let end = |fence| {
+    let outcome = |fence| {
         CommandKind::Complete(Complete {
             key: b"k".to_vec(),
             fence,
             result: Some(b"sold".to_vec()),
         })
     };
-    assert_eq!(harness.execute(1, end(fence - 1)).0, Verdict::Fenced);
-    assert_eq!(harness.execute(1, end(fence)).0, Verdict::Recorded);
+    assert_eq!(harness.execute(1, outcome(fence - 1)).0, Verdict::Fenced);
+    assert_eq!(harness.execute(1, outcome(fence)).0, Verdict::Recorded);
     assert_eq!(
         harness.claim(2, second, request(b"k", 2, true)).0,
         Verdict::Completed
@@ -156,15 +156,21 @@
     let (verdict, newer) = harness.claim(2, second, request(b"fenced", 3, true));
     assert!(verdict == Verdict::Granted && newer > fence);
     // The first owner returns with both outcomes: too late for the fenced request, in time for the other.
-    let end = |key: &[u8], fence| {
+    let outcome = |key: &[u8], fence| {
         CommandKind::Complete(Complete {
             key: key.to_vec(),
             fence,
             result: Some(vec![1]),
         })
     };
-    assert_eq!(harness.execute(1, end(b"fenced", fence)).0, Verdict::Fenced);
-    assert_eq!(harness.execute(1, end(b"not", other)).0, Verdict::Recorded);
+    assert_eq!(
+        harness.execute(1, outcome(b"fenced", fence)).0,
+        Verdict::Fenced
+    );
+    assert_eq!(
+        harness.execute(1, outcome(b"not", other)).0,
+        Verdict::Recorded
+    );
     assert_eq!(
         harness.claim(2, second, request(b"not", 4, false)).0,
         Verdict::Completed
@@ -176,8 +182,8 @@
     let mut harness = Harness::new();
     let first = harness.join(1);
     harness.claim(1, first, request(b"k", 1, true));
-    let mut again = process(8);
-    again.name = "n1".to_owned();
+    let mut successor = process(8);
+    successor.name = "n1".to_owned();
     let command = Some(Command {
         seq: 1,
         kind: Some(CommandKind::Join(0)),
@@ -185,7 +191,7 @@
     harness.0.apply(LogEntry {
         elapsed_ms: 0.0,
         proposals: vec![Proposal {
-            from: Some(again),
+            from: Some(successor),
             command,
         }],
     });
@@ -199,12 +205,12 @@
         seq: 2,
         kind: Some(CommandKind::Renew(Renew { epoch, capacity: 0 })),
     });
-    let mut again = process(8);
-    again.name = "n1".to_owned();
+    let mut successor = process(8);
+    successor.name = "n1".to_owned();
     harness.0.apply(LogEntry {
         elapsed_ms: 0.0,
         proposals: vec![Proposal {
-            from: Some(again),
+            from: Some(successor),
             command: renew,
         }],
     });
@@ -249,12 +255,12 @@
     // A result without capacity is dropped, but the end of the request is recorded.
     let key = vec![0];
     let fence = harness.0.requests()[&key].fence;
-    let end = CommandKind::Complete(Complete {
+    let outcome = CommandKind::Complete(Complete {
         key: key.clone(),
         fence,
         result: Some(vec![0; 3000]),
     });
-    assert_eq!(harness.execute(1, end).0, Verdict::Recorded);
+    assert_eq!(harness.execute(1, outcome).0, Verdict::Recorded);
     assert_eq!(harness.0.requests()[&key].state, RequestState::Failed);
 }
 
@@ -264,30 +270,30 @@
     let (first, second) = (harness.join(1), harness.join(2));
     assert_eq!(
         harness
-            .execute(1, CommandKind::HandOver(request(b"held", 1, false)))
+            .execute(1, CommandKind::HandOver(request(b"queued", 1, false)))
             .0,
         Verdict::Recorded
     );
     assert_eq!(harness.0.claimable().count(), 1);
-    let (verdict, fence) = harness.claim(2, second, request(b"held", 2, false));
+    let (verdict, fence) = harness.claim(2, second, request(b"queued", 2, false));
     assert_eq!(
         (
             verdict,
-            harness.claim(1, first, request(b"held", 3, false)).0
+            harness.claim(1, first, request(b"queued", 3, false)).0
         ),
         (Verdict::Granted, Verdict::InProgress)
     );
-    let drop = |fence| {
+    let release = |fence| {
         CommandKind::Release(Release {
-            key: b"held".to_vec(),
+            key: b"queued".to_vec(),
             fence,
         })
     };
-    harness.execute(2, drop(fence - 1));
+    harness.execute(2, release(fence - 1));
     assert_eq!(harness.0.requests().len(), 1);
-    harness.execute(2, drop(fence));
+    harness.execute(2, release(fence));
     assert_eq!(
-        harness.claim(1, first, request(b"held", 4, false)).0,
+        harness.claim(1, first, request(b"queued", 4, false)).0,
         Verdict::Granted
     );
 }
--- a/crates/asterdale-ownership/tests/explore.rs
+++ b/crates/asterdale-ownership/tests/explore.rs
@@ -1,13 +1,13 @@
-//! One key, an owner, a taker and the keepers' agreed log, in every command of what may happen to what passes between them:
-//! a letter comes, is lost, comes twice or after a later one; time passes while an owner stands still; each owner may
-//! crash once, and come back as another process; the keepers' leader may change, which loses what it had not answered.
-//! That the log is agreed is the library's part (`group.rs` plays it by chance). What must hold:
+//! One key, two owners and the replicas' agreed log, in every order of events between them: a message is delivered, lost,
+//! duplicated, or overtaken by a later one; time passes while an owner is paused; each owner may crash and restart as
+//! another process; the leader may change, which loses the commands that it had not answered_results. That the log is agreed is
+//! the `raft` crate's part (`cluster/random_faults.rs` tests it at random). What must hold:
 //!
-//! 1. KeyedRequest that nobody fences is started once at the most, whoever starts it.
-//! 2. Of fenced work only the highest fence has its effect from then on, and fences are never given twice.
-//! 3. A key has one outcome, and whoever is answered hears that one.
-//! 4. A try that hears that it never ran was not started.
-//! 5. Whoever may act by his lease has an epoch that the book has not ended, unless another process has its name.
+//! 1. An unfenced request is started at most once, whoever starts it.
+//! 2. A fencing token is granted once, and from a call with a token on no call with an older one has an called_dependency.
+//! 3. A key has one outcome, and whoever is answered_results gets that one.
+//! 4. An attempt that is answered as never run was not started.
+//! 5. An owner that may act under its lease has an epoch that the table has not ended, unless its process was replaced.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashMap};
@@ -24,91 +24,91 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Steps of every command, twice: tens of thousands of states, in seconds.
-const DEPTH: usize = 5;
-/// Long ways that are drawn.
-const WAYS: u64 = 1500;
+/// Steps of which every order is tried, from two states: tens of thousands of states, in seconds.
+const MAX_DEPTH: usize = 5;
+/// Long running_fence that are drawn from seeds.
+const RUNS: u64 = 1500;
 const STEP_MS: f64 = 800.0;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Comes(usize),
-    Lost(usize),
-    Twice(usize),
-    /// Time passes for all; those who stand still are not woken.
-    Time,
-    Stop(usize),
-    GoOn(usize),
+    Deliver(usize),
+    Lose(usize),
+    Duplicate(usize),
+    /// Time passes for all; paused owners are not woken.
+    AdvanceTime,
+    Pause(usize),
+    Resume(usize),
     Crash(usize),
-    /// Wants to run the key, as a first try or a repeat.
-    CommandBatch(usize),
-    /// Looks at its lease, and starts; or is about to.
-    Starts(usize),
-    /// Its call reaches whoever has the effect.
-    Effect(usize),
-    Ends(usize),
-    /// Another keeper leads: letters to the one before are lost.
-    Leader,
+    /// The engine wants to run the key, for the first time or again.
+    SubmitClaim(usize),
+    /// The engine looks at the lease, and starts the claimed request if it may.
+    Start(usize),
+    /// Its call reaches the dependency.
+    CallDependency(usize),
+    RecordOutcome(usize),
+    /// Another replica leads: messages to the one before are lost.
+    ChangeLeader,
 }
 
-/// What an engine does with one try.
+/// What the engine of an owner does with the key.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Host {
-    /// Tries so far: each is another id.
-    tries: u64,
-    asked: Option<u64>,
-    /// It may start by this fence.
-    yours: Option<u64>,
-    runs: Option<u64>,
-    effect: bool,
-    /// What it has told the keepers, and waits for.
-    ending: Option<(u64, Vec<u8>)>,
+struct Engine {
+    /// Attempts so far: each is another execution.
+    attempts: u64,
+    /// The number of a claim without an answer.
+    claim_number: Option<u64>,
+    /// The token of a granted claim that has not been started.
+    granted_fence: Option<u64>,
+    running_fence: Option<u64>,
+    called_dependency: bool,
+    /// Number and result of an outcome that is being recorded.
+    recording: Option<(u64, Vec<u8>)>,
 }
 
 #[derive(Clone)]
 struct World {
-    now: f64,
-    book: OwnershipTable,
-    stamped: f64,
+    now_ms: f64,
+    table: OwnershipTable,
+    last_entry_ms: f64,
     owners: [Option<Owner>; 2],
-    hosts: [Host; 2],
-    stopped: [bool; 2],
+    engines: [Engine; 2],
+    paused: [bool; 2],
     crashed: [bool; 2],
-    /// To an owner, or to the keepers.
-    letters: Vec<(Option<usize>, Vec<u8>)>,
+    /// Messages in flight to an owner, or to the replicas.
+    messages: Vec<(Option<usize>, Vec<u8>)>,
     budget: BTreeMap<&'static str, u32>,
     fenced: bool,
     processes: u64,
-    // ---- What has happened ----
     fences: Vec<u64>,
     starts: Vec<(usize, u64)>,
-    /// The highest fence that had an effect, and how often that was not the same key's first.
-    highest: u64,
+    /// The highest fencing token that reached the dependency.
+    highest_fence: u64,
     outcome: Option<Vec<u8>>,
-    answered: Vec<Vec<u8>>,
+    answered_results: Vec<Vec<u8>>,
 }
 
-const KEEPERS: &str = "127.0.0.1:9000";
+const REPLICAS: &str = "127.0.0.1:9000";
 
 fn authenticator() -> MessageAuthenticator {
     MessageAuthenticator::new(b"key")
 }
 
-fn terms() -> OwnershipSettings {
+fn settings() -> OwnershipSettings {
     OwnershipSettings {
         max_retry_window_ms: 0.0,
         ..OwnershipSettings::default()
     }
 }
 
-fn owner(now: f64, n: usize, process: u64) -> Owner {
-    let at: SocketAddr = ([127, 0, 0, 1], 9001 + n as u16).into();
-    let keepers = vec![KEEPERS.parse().unwrap()];
+fn owner(now_ms: f64, n: usize, process: u64) -> Owner {
+    let address: SocketAddr = ([127, 0, 0, 1], 9001 + n as u16).into();
+    let replicas = vec![REPLICAS.parse().unwrap()];
     Owner::new(
-        now,
-        member(&format!("o{n}"), process, at),
-        keepers,
-        terms(),
+        now_ms,
+        member(&format!("o{n}"), process, address),
+        replicas,
+        settings(),
         authenticator(),
     )
 }
@@ -116,14 +116,14 @@
 impl World {
     fn new(fenced: bool) -> World {
         let mut world = World {
-            now: 0.0,
-            book: OwnershipTable::new(1, &[], terms()),
-            stamped: 0.0,
+            now_ms: 0.0,
+            table: OwnershipTable::new(1, &[], settings()),
+            last_entry_ms: 0.0,
             owners: [Some(owner(0.0, 0, 1)), Some(owner(0.0, 1, 2))],
-            hosts: Default::default(),
-            stopped: [false; 2],
+            engines: Default::default(),
+            paused: [false; 2],
             crashed: [false; 2],
-            letters: Vec::new(),
+            messages: Vec::new(),
             budget: [
                 ("lost", 1),
                 ("twice", 1),
@@ -137,15 +137,15 @@
             processes: 2,
             fences: Vec::new(),
             starts: Vec::new(),
-            highest: 0,
+            highest_fence: 0,
             outcome: None,
-            answered: Vec::new(),
+            answered_results: Vec::new(),
         };
         for n in 0..2 {
             world.wake(n);
         }
-        while !world.letters.is_empty() {
-            world.take(Step::Comes(0));
+        while !world.messages.is_empty() {
+            world.take_step(Step::Deliver(0));
         }
         assert!(world
             .owners
@@ -158,26 +158,26 @@
     fn act(&mut self, n: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(_, bytes) => self.letters.push((None, bytes)),
+                Action::Send(_, bytes) => self.messages.push((None, bytes)),
                 Action::Answer(number, answer) => {
-                    let host = &mut self.hosts[n];
+                    let engine = &mut self.engines[n];
                     let (verdict, fence) = (answer.verdict(), answer.number);
-                    if host.asked == Some(number) {
-                        host.asked = None;
+                    if engine.claim_number == Some(number) {
+                        engine.claim_number = None;
                         if verdict == Verdict::Granted {
-                            host.yours = Some(fence);
-                            assert!(!self.fences.contains(&fence), "a fence is given twice");
+                            engine.granted_fence = Some(fence);
+                            assert!(!self.fences.contains(&fence), "a token is granted twice");
                             self.fences.push(fence);
                         } else if verdict == Verdict::Completed {
-                            self.hear(answer.result);
+                            self.note_answer(answer.result);
                         }
                     } else if let Some((_, result)) =
-                        host.ending.take_if(|ending| ending.0 == number)
+                        engine.recording.take_if(|recording| recording.0 == number)
                     {
                         if verdict == Verdict::Recorded {
                             let known = self.outcome.get_or_insert_with(|| result.clone());
-                            assert_eq!(*known, result, "two outcomes are kept");
-                            self.hear(result);
+                            assert_eq!(*known, result, "two outcomes are recorded");
+                            self.note_answer(result);
                         }
                     }
                 }
@@ -186,27 +186,27 @@
         }
     }
 
-    fn hear(&mut self, result: Vec<u8>) {
+    fn note_answer(&mut self, result: Vec<u8>) {
         assert!(
-            self.answered.iter().all(|before| *before == result),
+            self.answered_results.iter().all(|before| *before == result),
             "two answers"
         );
-        self.answered.push(result);
+        self.answered_results.push(result);
     }
 
     fn wake(&mut self, n: usize) {
-        let now = self.now;
+        let now_ms = self.now_ms;
         if let Some(owner) = self.owners[n]
             .as_mut()
-            .filter(|owner| owner.next_wake_ms() <= now)
+            .filter(|owner| owner.next_wake_ms() <= now_ms)
         {
-            let actions = owner.wake(now);
+            let actions = owner.wake(now_ms);
             self.act(n, actions);
         }
     }
 
-    /// The keepers hear: what is proposed is agreed.
-    fn keepers(&mut self, bytes: &[u8]) {
+    /// The replicas receive commands: all that is proposed is agreed.
+    fn replicas_receive(&mut self, bytes: &[u8]) {
         let Some((from, _, MessageBody::Commands(asked))) = decode(&authenticator(), bytes) else {
             panic!("no command")
         };
@@ -215,23 +215,23 @@
             from: Some(from.clone()),
             command: Some(command),
         });
-        let answers = self.passes(proposals.collect());
+        let answers = self.apply(proposals.collect());
         let to = usize::from(from.port as u16 - 9001);
         let answers = answers.into_iter().map(|(_, answer)| answer).collect();
-        let keeper: Member = member("k", 99, KEEPERS.parse().unwrap());
-        let what = MessageBody::Answers(Answers {
+        let replica: Member = member("k", 99, REPLICAS.parse().unwrap());
+        let body = MessageBody::Answers(Answers {
             answers,
             leader: None,
             to: from.node,
         });
-        self.letters
-            .push((Some(to), encode(&authenticator(), &keeper, what)));
+        self.messages
+            .push((Some(to), encode(&authenticator(), &replica, body)));
     }
 
-    fn passes(&mut self, proposals: Vec<Proposal>) -> Vec<(Member, asterdale_ownership::Answer)> {
-        let elapsed_ms = self.now - self.stamped;
-        self.stamped = self.now;
-        self.book.apply(LogEntry {
+    fn apply(&mut self, proposals: Vec<Proposal>) -> Vec<(Member, asterdale_ownership::Answer)> {
+        let elapsed_ms = self.now_ms - self.last_entry_ms;
+        self.last_entry_ms = self.now_ms;
+        self.table.apply(LogEntry {
             elapsed_ms,
             proposals,
         })
@@ -239,144 +239,163 @@
 
     fn spend(&mut self, what: &'static str) -> bool {
         let left = self.budget.get_mut(what).unwrap();
-        let may = *left > 0;
+        let is_left = *left > 0;
         *left = left.saturating_sub(1);
-        may
+        is_left
     }
 
     fn steps(&self) -> Vec<Step> {
-        let mut all = vec![Step::Time, Step::Leader];
-        for n in 0..self.letters.len() {
-            let to = self.letters[n].0;
-            if to.is_none_or(|to| !self.stopped[to]) {
-                all.extend([Step::Comes(n), Step::Lost(n), Step::Twice(n)]);
+        let mut all = vec![Step::AdvanceTime, Step::ChangeLeader];
+        for n in 0..self.messages.len() {
+            let to = self.messages[n].0;
+            if to.is_none_or(|to| !self.paused[to]) {
+                all.extend([Step::Deliver(n), Step::Lose(n), Step::Duplicate(n)]);
             }
         }
         for n in 0..2 {
-            if self.stopped[n] {
-                all.push(Step::GoOn(n));
+            if self.paused[n] {
+                all.push(Step::Resume(n));
                 continue;
             }
-            all.extend([Step::Stop(n), Step::Crash(n)]);
-            let host = &self.hosts[n];
-            if host.asked.is_none() && host.yours.is_none() && host.runs.is_none() && host.tries < 2
+            all.extend([Step::Pause(n), Step::Crash(n)]);
+            let engine = &self.engines[n];
+            if engine.claim_number.is_none()
+                && engine.granted_fence.is_none()
+                && engine.running_fence.is_none()
+                && engine.attempts < 2
             {
-                all.push(Step::CommandBatch(n));
+                all.push(Step::SubmitClaim(n));
             }
-            if host.yours.is_some() {
-                all.push(Step::Starts(n));
+            if engine.granted_fence.is_some() {
+                all.push(Step::Start(n));
             }
-            if host.runs.is_some() && !host.effect {
-                all.push(Step::Effect(n));
+            if engine.running_fence.is_some() && !engine.called_dependency {
+                all.push(Step::CallDependency(n));
             }
-            if host.runs.is_some() && host.effect && host.ending.is_none() {
-                all.push(Step::Ends(n));
+            if engine.running_fence.is_some()
+                && engine.called_dependency
+                && engine.recording.is_none()
+            {
+                all.push(Step::RecordOutcome(n));
             }
         }
         all
     }
 
-    /// `false` if there is no such step any more.
-    fn take(&mut self, step: Step) -> bool {
+    /// Returns `false` if the step is not possible any more.
+    fn take_step(&mut self, step: Step) -> bool {
         match step {
-            Step::Comes(n) => {
-                let (to, bytes) = self.letters.remove(n);
+            Step::Deliver(n) => {
+                let (to, bytes) = self.messages.remove(n);
                 self.deliver(to, &bytes);
             }
-            Step::Lost(n) => {
-                self.letters.remove(n);
+            Step::Lose(n) => {
+                self.messages.remove(n);
                 return self.spend("lost");
             }
-            Step::Twice(n) => {
-                let (to, bytes) = self.letters[n].clone();
+            Step::Duplicate(n) => {
+                let (to, bytes) = self.messages[n].clone();
                 self.deliver(to, &bytes);
                 return self.spend("twice");
             }
-            Step::Time => {
-                self.now += STEP_MS;
-                self.passes(Vec::new());
+            Step::AdvanceTime => {
+                self.now_ms += STEP_MS;
+                self.apply(Vec::new());
                 (0..2)
-                    .filter(|n| !self.stopped[*n])
+                    .filter(|n| !self.paused[*n])
                     .collect::<Vec<_>>()
                     .into_iter()
                     .for_each(|n| self.wake(n));
                 return self.spend("time");
             }
-            Step::Stop(n) => {
-                self.stopped[n] = true;
+            Step::Pause(n) => {
+                self.paused[n] = true;
                 return self.spend("stop");
             }
-            Step::GoOn(n) => {
-                self.stopped[n] = false;
+            Step::Resume(n) => {
+                self.paused[n] = false;
                 self.wake(n);
             }
             Step::Crash(n) => {
-                self.processes += 1;
-                self.crashed[n] = true;
-                self.owners[n] = Some(owner(self.now, n, self.processes));
-                self.hosts[n] = Host {
-                    tries: self.hosts[n].tries,
-                    ..Host::default()
-                };
-                self.wake(n);
+                self.restart(n);
                 return self.spend("crash");
             }
-            Step::CommandBatch(n) => self.asks(n),
-            Step::Starts(n) => {
-                let Some(fence) = self.hosts[n].yours.take() else {
-                    return false;
-                };
-                let may = self.owners[n]
-                    .as_ref()
-                    .is_some_and(|owner| owner.lease_until_ms() > self.now);
-                if may {
-                    self.starts.push((n, fence));
-                    self.hosts[n].runs = Some(fence);
-                }
-            }
-            Step::Effect(n) => {
-                let Some(fence) = self.hosts[n].runs else {
-                    return false;
-                };
-                self.hosts[n].effect = true;
-                if fence < self.highest {
-                    self.hosts[n].runs = None; // refused: this run ends without a result
-                }
-                self.highest = self.highest.max(fence);
-            }
-            Step::Ends(n) => {
-                let Some(fence) = self.hosts[n].runs.take() else {
-                    return false;
-                };
-                let (now, host) = (self.now, &mut self.hosts[n]);
-                let result = format!("{n} {}", host.tries).into_bytes();
-                host.ending = Some((100 + host.tries, result.clone()));
-                let want = OwnershipRequest::Complete {
-                    key: b"key".to_vec(),
-                    fence,
-                    result: Some(result),
-                };
-                let number = 100 + host.tries;
-                if let Some(owner) = &mut self.owners[n] {
-                    owner.submit(number, want);
-                    let actions = owner.flush(now);
-                    self.act(n, actions);
-                }
-            }
-            Step::Leader => {
-                self.letters.retain(|(to, _)| to.is_some());
+            Step::SubmitClaim(n) => self.submit_claim(n),
+            Step::Start(n) => return self.start(n),
+            Step::CallDependency(n) => return self.call_dependency(n),
+            Step::RecordOutcome(n) => return self.record_outcome(n),
+            Step::ChangeLeader => {
+                self.messages.retain(|(to, _)| to.is_some());
                 return self.spend("leader");
             }
         }
         true
     }
 
-    fn asks(&mut self, n: usize) {
-        let (now, fenced, host) = (self.now, self.fenced, &mut self.hosts[n]);
-        host.tries += 1;
-        let number = host.tries;
-        (host.asked, host.effect) = (Some(number), false);
-        let work = KeyedRequest {
+    fn restart(&mut self, n: usize) {
+        self.processes += 1;
+        self.crashed[n] = true;
+        self.owners[n] = Some(owner(self.now_ms, n, self.processes));
+        self.engines[n] = Engine {
+            attempts: self.engines[n].attempts,
+            ..Engine::default()
+        };
+        self.wake(n);
+    }
+
+    fn start(&mut self, n: usize) -> bool {
+        let Some(fence) = self.engines[n].granted_fence.take() else {
+            return false;
+        };
+        let may_start = self.owners[n]
+            .as_ref()
+            .is_some_and(|owner| owner.lease_until_ms() > self.now_ms);
+        if may_start {
+            self.starts.push((n, fence));
+            self.engines[n].running_fence = Some(fence);
+        }
+        true
+    }
+
+    fn call_dependency(&mut self, n: usize) -> bool {
+        let Some(fence) = self.engines[n].running_fence else {
+            return false;
+        };
+        self.engines[n].called_dependency = true;
+        if fence < self.highest_fence {
+            self.engines[n].running_fence = None; // rejected: this run ends without a result
+        }
+        self.highest_fence = self.highest_fence.max(fence);
+        true
+    }
+
+    fn record_outcome(&mut self, n: usize) -> bool {
+        let Some(fence) = self.engines[n].running_fence.take() else {
+            return false;
+        };
+        let (now_ms, engine) = (self.now_ms, &mut self.engines[n]);
+        let result = format!("{n} {}", engine.attempts).into_bytes();
+        engine.recording = Some((100 + engine.attempts, result.clone()));
+        let outcome = OwnershipRequest::Complete {
+            key: b"key".to_vec(),
+            fence,
+            result: Some(result),
+        };
+        let number = 100 + engine.attempts;
+        if let Some(owner) = &mut self.owners[n] {
+            owner.submit(number, outcome);
+            let actions = owner.flush(now_ms);
+            self.act(n, actions);
+        }
+        true
+    }
+
+    fn submit_claim(&mut self, n: usize) {
+        let (now_ms, fenced, engine) = (self.now_ms, self.fenced, &mut self.engines[n]);
+        engine.attempts += 1;
+        let number = engine.attempts;
+        (engine.claim_number, engine.called_dependency) = (Some(number), false);
+        let request = KeyedRequest {
             key: b"key".to_vec(),
             class: "bid".to_owned(),
             execution_id: format!("{n:08x}{number:08x}").into_bytes(),
@@ -386,23 +405,23 @@
             ..KeyedRequest::default()
         };
         if let Some(owner) = &mut self.owners[n] {
-            owner.submit(number, OwnershipRequest::Claim(work));
-            let actions = owner.flush(now);
+            owner.submit(number, OwnershipRequest::Claim(request));
+            let actions = owner.flush(now_ms);
             self.act(n, actions);
         }
     }
 
     fn deliver(&mut self, to: Option<usize>, bytes: &[u8]) {
         let Some(to) = to else {
-            return self.keepers(bytes);
+            return self.replicas_receive(bytes);
         };
         let Some((_, _, MessageBody::Answers(answers))) = decode(&authenticator(), bytes) else {
             panic!("no answer")
         };
-        let now = self.now;
+        let now_ms = self.now_ms;
         if let Some(owner) = &mut self.owners[to] {
-            let mut actions = owner.receive(now, answers);
-            actions.extend(owner.flush(now));
+            let mut actions = owner.receive(now_ms, answers);
+            actions.extend(owner.flush(now_ms));
             self.act(to, actions);
         }
     }
@@ -413,17 +432,17 @@
         }
         let mut fences: Vec<u64> = self.starts.iter().map(|(_, fence)| *fence).collect();
         fences.dedup();
-        assert_eq!(fences.len(), self.starts.len(), "one fence, two starts");
+        assert_eq!(fences.len(), self.starts.len(), "one token, two starts");
         let alone = self
             .owners
             .iter()
             .flatten()
             .zip(self.crashed)
             .filter(|(_, crashed)| !crashed);
-        for (owner, _) in alone.filter(|(owner, _)| owner.lease_until_ms() > self.now) {
+        for (owner, _) in alone.filter(|(owner, _)| owner.lease_until_ms() > self.now_ms) {
             let epoch = owner.epoch().unwrap_or(0);
             assert!(
-                self.book.leases().contains_key(&epoch),
+                self.table.leases().contains_key(&epoch),
                 "a lease outlives its epoch"
             );
         }
@@ -433,17 +452,17 @@
         let mut hasher = DefaultHasher::new();
         let text = format!(
             "{:?} {:?} {:?} {:?}",
-            self.owners, self.hosts, self.stopped, self.budget
+            self.owners, self.engines, self.paused, self.budget
         );
         (
             text,
-            self.book.encode(),
-            &self.letters,
+            self.table.encode(),
+            &self.messages,
             &self.starts,
-            self.highest,
+            self.highest_fence,
         )
             .hash(&mut hasher);
-        (&self.outcome, &self.answered, self.now.to_bits()).hash(&mut hasher);
+        (&self.outcome, &self.answered_results, self.now_ms.to_bits()).hash(&mut hasher);
         hasher.finish()
     }
 }
@@ -454,11 +473,11 @@
     }
     for step in world.steps() {
         let mut next = world.clone();
-        if !next.take(step) {
+        if !next.take_step(step) {
             continue;
         }
         next.check();
-        // One that was met with as many steps left tells no more.
+        // A state that was explored with as many steps left shows nothing new.
         let left = seen.entry(next.digest()).or_insert(0);
         if *left < depth {
             *left = depth;
@@ -467,37 +486,37 @@
     }
 }
 
-/// The owner's try is always there first: what is of interest comes after it.
-fn asked(fenced: bool) -> World {
+/// The first step is always the first owner's claim: what is of interest comes after it.
+fn world_with_claim(fenced: bool) -> World {
     let mut world = World::new(fenced);
-    world.take(Step::CommandBatch(0));
+    world.take_step(Step::SubmitClaim(0));
     world
 }
 
 #[test]
-fn whatever_the_order_a_key_is_owned_once() {
+fn every_order_of_events_gives_one_owner() {
     for fenced in [true, false] {
         let mut seen = HashMap::new();
-        let mut world = asked(fenced);
-        explore(&world, DEPTH, &mut seen);
-        // And once it is this owner's, and has started.
-        while !world.letters.is_empty() {
-            world.take(Step::Comes(0));
+        let mut world = world_with_claim(fenced);
+        explore(&world, MAX_DEPTH, &mut seen);
+        // Again from the state in which the claim is granted and started.
+        while !world.messages.is_empty() {
+            world.take_step(Step::Deliver(0));
         }
-        world.take(Step::Starts(0));
+        world.take_step(Step::Start(0));
         assert_eq!(world.starts.len(), 1);
-        explore(&world, DEPTH, &mut seen);
+        explore(&world, MAX_DEPTH, &mut seen);
         eprintln!("fenced {fenced}: {} states", seen.len());
         assert!(seen.len() > 5_000, "{}", seen.len());
     }
 }
 
 #[test]
-fn nor_on_long_ways_drawn_from_seeds() {
-    let mut ends = 0;
-    for seed in 0..WAYS {
+fn long_random_runs_give_one_owner() {
+    let mut outcomes = 0;
+    for seed in 0..RUNS {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let mut world = asked(seed % 2 == 0);
+        let mut world = world_with_claim(seed % 2 == 0);
         world.budget = [
             ("lost", 6),
             ("twice", 6),
@@ -510,14 +529,17 @@
         for _ in 0..90 {
             let steps = world.steps();
             let step = steps[random.next_u32() as usize % steps.len()];
-            // A way on which what is drawn can't be goes on with another step.
+            // If the step that was drawn is not possible, another one is drawn.
             let mut next = world.clone();
-            if next.take(step) {
+            if next.take_step(step) {
                 next.check();
                 world = next;
             }
         }
-        ends += u32::from(world.outcome.is_some());
+        outcomes += u32::from(world.outcome.is_some());
     }
-    assert!(ends > 20, "hardly a way comes to an outcome: {ends}");
+    assert!(
+        outcomes > 20,
+        "hardly a run comes to an outcome: {outcomes}"
+    );
 }
--- a/crates/asterdale-ownership/tests/stored_letters.rs
+++ b/crates/asterdale-ownership/tests/stored_messages.rs
@@ -1,5 +1,5 @@
-//! Letters between keepers and owners that an earlier release wrote are read to the same messages, and are written
-//! again byte for byte: every kind, every order, every verdict, each field with a value of its own.
+//! Messages between replicas and owners that an earlier release wrote are read to the same values, and are written
+//! again byte for byte: every kind, every command, every verdict, each field with a value of its own.
 //! `fixtures/ownership/README.md` says how the file was made.
 
 use asterdale_membership::authentication::MessageAuthenticator;
@@ -11,7 +11,7 @@
 use asterdale_ownership::{Answer, KeyedRequest, Member, Verdict};
 use prost::Message as _;
 
-const LETTERS: &[u8] = include_bytes!("fixtures/ownership/letters.bin");
+const MESSAGES: &[u8] = include_bytes!("fixtures/ownership/letters.bin");
 const KEY: &[u8] = b"the key of the stored letters";
 
 fn sender() -> Member {
@@ -37,7 +37,7 @@
     }
 }
 
-/// One order of each kind.
+/// One command of each kind.
 fn commands() -> Vec<Command> {
     let kinds = [
         CommandKind::Join(41),
@@ -110,8 +110,8 @@
     (0..14).map(answer).collect()
 }
 
-/// The letters in the order of the file.
-fn letters() -> Vec<MessageBody> {
+/// The messages in the order of the file.
+fn messages() -> Vec<MessageBody> {
     vec![
         MessageBody::Hello(Hello {
             group: 1000,
@@ -148,7 +148,7 @@
 
 /// The file: each part behind its length in four bytes; the entry is the last.
 fn stored() -> Vec<&'static [u8]> {
-    let (mut rest, mut all) = (LETTERS, Vec::new());
+    let (mut rest, mut all) = (MESSAGES, Vec::new());
     while let Some((length, after)) = rest.split_first_chunk::<4>() {
         let (part, after) = after.split_at(u32::from_be_bytes(*length) as usize);
         all.push(part);
@@ -158,11 +158,11 @@
 }
 
 #[test]
-fn stored_letters_are_read_to_the_same_messages() {
+fn stored_messages_are_read() {
     let (authenticator, stored) = (MessageAuthenticator::new(KEY), stored());
-    assert_eq!(stored.len(), letters().len() + 1);
+    assert_eq!(stored.len(), messages().len() + 1);
     let at = ([10, 0, 0, 7], 4100).into();
-    for (bytes, expected) in stored.into_iter().zip(letters()) {
+    for (bytes, expected) in stored.into_iter().zip(messages()) {
         assert_eq!(
             decode(&authenticator, bytes),
             Some((sender(), at, expected))
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn every_stored_number_of_a_verdict_is_read() {
+fn every_stored_verdict_is_read() {
     let Some((_, _, MessageBody::Answers(answers))) =
         decode(&MessageAuthenticator::new(KEY), stored()[3])
     else {
@@ -186,15 +186,15 @@
 }
 
 #[test]
-fn a_stored_entry_of_the_log_is_read_to_the_same_orders() {
+fn stored_log_entry_is_read_and_written_again() {
     assert_eq!(LogEntry::decode(stored()[4]), Ok(entry()));
     assert_eq!(entry().encode_to_vec(), stored()[4]);
 }
 
 #[test]
-fn the_letters_are_written_to_the_stored_bytes() {
+fn messages_are_written_to_the_stored_bytes() {
     let authenticator = MessageAuthenticator::new(KEY);
-    for (bytes, what) in stored().into_iter().zip(letters()) {
+    for (bytes, what) in stored().into_iter().zip(messages()) {
         assert!(
             encode(&authenticator, &sender(), what.clone()) == bytes,
             "the bytes of {what:?} differ"
--- a/crates/asterdale-ownership/tests/stored_state.rs
+++ b/crates/asterdale-ownership/tests/stored_state.rs
@@ -16,11 +16,11 @@
 use protobuf::Message as _;
 use raft::eraftpb::{Entry as RaftEntry, EntryType, HardState, Snapshot};
 
-const FACE: &[u8] = include_bytes!("fixtures/ownership/face.bin");
-const HARD: &[u8] = include_bytes!("fixtures/ownership/hard.bin");
-const WHOLE: &[u8] = include_bytes!("fixtures/ownership/whole.bin");
+const IDENTITY: &[u8] = include_bytes!("fixtures/ownership/face.bin");
+const HARD_STATE: &[u8] = include_bytes!("fixtures/ownership/hard.bin");
+const SNAPSHOT: &[u8] = include_bytes!("fixtures/ownership/whole.bin");
 const ENTRIES: &[u8] = include_bytes!("fixtures/ownership/entries.bin");
-const BOOK: &[u8] = include_bytes!("fixtures/ownership/book.bin");
+const TABLE: &[u8] = include_bytes!("fixtures/ownership/book.bin");
 
 /// Fencing tokens and epochs of a group begin at its number times this.
 const NUMBERS_PER_GROUP: u64 = 1 << 30;
@@ -50,9 +50,9 @@
 
 fn stored() -> StoredState {
     StoredState {
-        identity: FACE.to_vec(),
-        hard_state: HARD.to_vec(),
-        snapshot: WHOLE.to_vec(),
+        identity: IDENTITY.to_vec(),
+        hard_state: HARD_STATE.to_vec(),
+        snapshot: SNAPSHOT.to_vec(),
         entries: entries(),
     }
 }
@@ -74,7 +74,7 @@
             founders
         }
     );
-    assert_eq!(identity.encode_to_vec(), FACE);
+    assert_eq!(identity.encode_to_vec(), IDENTITY);
 }
 
 #[test]
@@ -126,26 +126,26 @@
 
 #[test]
 fn stored_entries_give_the_same_table() {
-    let whole = Snapshot::parse_from_bytes(WHOLE).unwrap();
-    let hard = HardState::parse_from_bytes(HARD).unwrap();
+    let snapshot = Snapshot::parse_from_bytes(SNAPSHOT).unwrap();
+    let hard_state = HardState::parse_from_bytes(HARD_STATE).unwrap();
     assert_eq!(
         (
-            whole.get_metadata().index,
-            whole.get_metadata().term,
-            hard.commit
+            snapshot.get_metadata().index,
+            snapshot.get_metadata().term,
+            hard_state.commit
         ),
         (1, 1, 19)
     );
     assert_eq!(
         (
-            whole.write_to_bytes().unwrap(),
-            hard.write_to_bytes().unwrap()
+            snapshot.write_to_bytes().unwrap(),
+            hard_state.write_to_bytes().unwrap()
         ),
-        (WHOLE.to_vec(), HARD.to_vec())
+        (SNAPSHOT.to_vec(), HARD_STATE.to_vec())
     );
-    let mut table = OwnershipTable::decode(whole.get_data(), settings()).unwrap();
+    let mut table = OwnershipTable::decode(snapshot.get_data(), settings()).unwrap();
     assert!(
-        table.encode() == whole.get_data(),
+        table.encode() == snapshot.get_data(),
         "the bytes of the first table differ"
     );
     assert_eq!(entries().len(), 18);
@@ -178,9 +178,62 @@
     assert_eq!(fences, expected);
 }
 
+/// The ownerless request of the stored table.
+fn stored_request() -> KeyedRequest {
+    KeyedRequest {
+        key: vec![b'k', 1],
+        class: "bid".to_owned(),
+        execution_id: b"0000000000000001".to_vec(),
+        body_digest: 0xfeed_0001,
+        body: vec![1; 3],
+        deadline_ms: 10_001.0,
+        retry_window_ms: 20_001.0,
+        hint_ms: 12.5,
+        kb: 6.75,
+        fenced: true,
+    }
+}
+
+/// Checks epoch, token and state of all requests of the stored table, and one of them in full.
+fn check_stored_requests(table: &OwnershipTable) {
+    let requests: Vec<_> = table
+        .requests()
+        .values()
+        .map(|owned| (owned.epoch, owned.fence, &owned.state))
+        .collect();
+    let (first, second) = (3 * NUMBERS_PER_GROUP + 1, 3 * NUMBERS_PER_GROUP + 2);
+    let ended = RequestState::Completed(b"sold for 7".to_vec());
+    let expected = [
+        (first, 3 * NUMBERS_PER_GROUP + 1, &RequestState::Ownerless),
+        (
+            first,
+            3 * NUMBERS_PER_GROUP + 2,
+            &RequestState::OutcomeUnknown,
+        ),
+        (second, 3 * NUMBERS_PER_GROUP + 3, &ended),
+        (second, 3 * NUMBERS_PER_GROUP + 4, &RequestState::Failed),
+        (second, 3 * NUMBERS_PER_GROUP + 5, &RequestState::Started),
+        (0, 0, &RequestState::HandedOver),
+    ];
+    assert_eq!(requests, expected);
+    let ownerless = &table.requests()[&vec![b'k', 1]];
+    assert_eq!(
+        (ownerless.deadline_ms, ownerless.expires_at_ms),
+        (10_602.0, 20_602.0)
+    );
+    assert_eq!(ownerless.request, stored_request());
+    assert_eq!(
+        table
+            .claimable()
+            .map(|owned| owned.fence)
+            .collect::<Vec<_>>(),
+        [3 * NUMBERS_PER_GROUP + 1, 0]
+    );
+}
+
 #[test]
 fn stored_table_is_read_to_the_same_leases_and_requests() {
-    let table = OwnershipTable::decode(BOOK, settings()).unwrap();
+    let table = OwnershipTable::decode(TABLE, settings()).unwrap();
     assert_eq!(
         (
             table.now_ms(),
@@ -217,56 +270,12 @@
     };
     let members: Vec<_> = table.members.values().cloned().collect();
     assert_eq!(members, [replica(1), replica(2), replica(3)]);
-    let requests: Vec<_> = table
-        .requests()
-        .values()
-        .map(|owned| (owned.epoch, owned.fence, &owned.state))
-        .collect();
-    let (first, second) = (3 * NUMBERS_PER_GROUP + 1, 3 * NUMBERS_PER_GROUP + 2);
-    let ended = RequestState::Completed(b"sold for 7".to_vec());
-    let expected = [
-        (first, 3 * NUMBERS_PER_GROUP + 1, &RequestState::Ownerless),
-        (
-            first,
-            3 * NUMBERS_PER_GROUP + 2,
-            &RequestState::OutcomeUnknown,
-        ),
-        (second, 3 * NUMBERS_PER_GROUP + 3, &ended),
-        (second, 3 * NUMBERS_PER_GROUP + 4, &RequestState::Failed),
-        (second, 3 * NUMBERS_PER_GROUP + 5, &RequestState::Started),
-        (0, 0, &RequestState::HandedOver),
-    ];
-    assert_eq!(requests, expected);
-    let ownerless = &table.requests()[&vec![b'k', 1]];
-    assert_eq!(
-        (ownerless.deadline_ms, ownerless.expires_at_ms),
-        (10_602.0, 20_602.0)
-    );
-    let request = KeyedRequest {
-        key: vec![b'k', 1],
-        class: "bid".to_owned(),
-        execution_id: b"0000000000000001".to_vec(),
-        body_digest: 0xfeed_0001,
-        body: vec![1; 3],
-        deadline_ms: 10_001.0,
-        retry_window_ms: 20_001.0,
-        hint_ms: 12.5,
-        kb: 6.75,
-        fenced: true,
-    };
-    assert_eq!(ownerless.request, request);
-    assert_eq!(
-        table
-            .claimable()
-            .map(|owned| owned.fence)
-            .collect::<Vec<_>>(),
-        [3 * NUMBERS_PER_GROUP + 1, 0]
-    );
+    check_stored_requests(&table);
 }
 
 #[test]
 fn stored_table_continues_its_epochs_and_fences() {
-    let mut table = OwnershipTable::decode(BOOK, settings()).unwrap();
+    let mut table = OwnershipTable::decode(TABLE, settings()).unwrap();
     let mut execute = |from: &wire::Member, kind: CommandKind| {
         let command = Some(wire::Command {
             seq: 1,
@@ -311,7 +320,7 @@
 #[test]
 fn stored_table_is_written_again_byte_for_byte() {
     assert!(
-        OwnershipTable::decode(BOOK, settings()).unwrap().encode() == BOOK,
+        OwnershipTable::decode(TABLE, settings()).unwrap().encode() == TABLE,
         "the bytes differ"
     );
 }
