--- a/crates/asterdale-daemon/src/start/tests.rs
+++ b/crates/asterdale-daemon/src/start/tests.rs
@@ -247,22 +247,22 @@
 fn identity_defaults_are_applied() {
     let start = parse(with_identity().to_string().as_bytes(), None, None).unwrap();
     let IdentitySettings {
-        parameters: facts,
+        parameters,
         key_source: keys,
     } = start.identity.unwrap();
     assert_eq!(
         (
-            facts.clock_skew_ms,
-            facts.cached_tokens,
-            facts.signatures_per_edge_per_s,
-            facts.signatures_per_s
+            parameters.clock_skew_ms,
+            parameters.cached_tokens,
+            parameters.signatures_per_edge_per_s,
+            parameters.signatures_per_s
         ),
         (500.0, 2048, 50.0, 400.0)
     );
     assert_eq!(
         (
-            facts.roles[0].request_classes.as_slice(),
-            facts.tenants[0].scheduling_tenant
+            parameters.roles[0].request_classes.as_slice(),
+            parameters.tenants[0].scheduling_tenant
         ),
         (&[0][..], 1)
     );
--- a/crates/asterdale-daemon/tests/identity.rs
+++ b/crates/asterdale-daemon/tests/identity.rs
@@ -6,10 +6,10 @@
 use asterdale_testkit::unix_ms;
 use serde_json::{json, Value};
 
-const A: &str = "00000000000000aa";
-const B: &str = "00000000000000bb";
-const C: &str = "00000000000000cc";
-const D: &str = "00000000000000dd";
+const ID_A: &str = "00000000000000aa";
+const ID_B: &str = "00000000000000bb";
+const ID_C: &str = "00000000000000cc";
+const ID_D: &str = "00000000000000dd";
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 
 fn key(n: u8) -> SecretKey {
@@ -61,7 +61,7 @@
     )
 }
 
-fn usual(n: u8, tenant: &str) -> String {
+fn default_token(n: u8, tenant: &str) -> String {
     token(n, tenant, |_| ())
 }
 
@@ -91,48 +91,54 @@
     (issuer, backend)
 }
 
-fn ask(edge: &mut Edge, number: u16, stage: &str, id: &str, other: &[(&str, &str)]) -> Answered {
-    edge.task(number, stage, id, other);
+fn request(
+    edge: &mut Edge,
+    number: u16,
+    class: &str,
+    id: &str,
+    other: &[(&str, &str)],
+) -> Answered {
+    edge.task(number, class, id, other);
     edge.answer().expect("the connection ended")
 }
 
 /// Checks that a page is run for this caller, who gets the result.
-fn page_is_served(backend: &Backend, edge: &mut Edge, number: u16, id: &str, token: &str) {
-    edge.task(number, "page", id, &[by(token)]);
+fn assert_page_is_served(backend: &Backend, edge: &mut Edge, number: u16, id: &str, token: &str) {
+    edge.task(number, "page", id, &[authorization(token)]);
     assert_eq!(backend.runtime.command("start")["rid"], id);
     backend.runtime.end(id, "PASS", b"");
     assert_eq!(edge.status(number), "200");
 }
 
-fn by(token: &str) -> (&str, &str) {
+fn authorization(token: &str) -> (&str, &str) {
     ("HTTP_AUTHORIZATION", token)
 }
 
 fn denied(answer: &Answered) -> (&str, &str) {
-    let why = answer
+    let reason = answer
         .head
         .lines()
         .find_map(|line| line.strip_prefix("X-Denied: "));
-    (answer.status(), why.unwrap_or("-"))
+    (answer.status(), reason.unwrap_or("-"))
 }
 
 #[test]
 fn known_callers_are_served_and_unknown_ones_rejected_before_their_request_is_read() {
     let (_issuer, backend) = serving();
     let mut edge = backend.connect();
-    for (n, id) in [(1, A), (2, B)] {
-        let token = usual(n, "north");
+    for (n, id) in [(1, ID_A), (2, ID_B)] {
+        let token = default_token(n, "north");
         edge.task(
             n.into(),
             "bid",
             id,
-            &[by(&token), ("HTTP_IDEMPOTENCY_KEY", id)],
+            &[authorization(&token), ("HTTP_IDEMPOTENCY_KEY", id)],
         );
         assert_eq!(backend.runtime.command("start")["rid"], id);
         backend.runtime.end(id, "PASS", b"sold");
         assert_eq!(edge.status(n.into()), "200");
     }
-    let forged = format!("{}x", usual(2, "north"));
+    let forged = format!("{}x", default_token(2, "north"));
     let expired = token(2, "north", |claims| claims["exp"] = json!(1000));
     let early = token(2, "north", |claims| claims["nbf"] = json!(1e12));
     let gone = token(2, "north", |claims| claims["jti"] = json!("gone"));
@@ -148,18 +154,30 @@
         other_issuer,
         none,
         basic,
-        usual(3, "north"),
-        usual(4, "north"),
-        usual(5, "north"),
+        default_token(3, "north"),
+        default_token(4, "north"),
+        default_token(5, "north"),
     ];
     for (n, token) in bad.iter().enumerate() {
-        let answer = ask(&mut edge, 10 + n as u16, "bid", C, &[by(token), KEY]);
+        let answer = request(
+            &mut edge,
+            10 + n as u16,
+            "bid",
+            ID_C,
+            &[authorization(token), KEY],
+        );
         assert_eq!(denied(&answer), ("401", "unknown"), "{token}");
         assert!(answer.head.contains("WWW-Authenticate: Bearer\r\n"));
     }
-    let unknown = usual(2, "nowhere");
+    let unknown = default_token(2, "nowhere");
     assert_eq!(
-        denied(&ask(&mut edge, 30, "bid", C, &[by(&unknown), KEY])),
+        denied(&request(
+            &mut edge,
+            30,
+            "bid",
+            ID_C,
+            &[authorization(&unknown), KEY]
+        )),
         ("403", "forbidden")
     );
     assert_eq!(backend.runtime.commanded(), None);
@@ -178,29 +196,47 @@
     let clerk = token(2, "north", |claims| claims["roles"] = json!(["clerk"]));
     let foreign = token(2, "south", |claims| claims["roles"] = json!(["clerk"]));
     assert_eq!(
-        denied(&ask(&mut edge, 1, "bid", A, &[by(&clerk), KEY])),
+        denied(&request(
+            &mut edge,
+            1,
+            "bid",
+            ID_A,
+            &[authorization(&clerk), KEY]
+        )),
         ("403", "forbidden")
     );
     assert_eq!(
-        denied(&ask(&mut edge, 2, "page", A, &[by(&foreign)])),
+        denied(&request(
+            &mut edge,
+            2,
+            "page",
+            ID_A,
+            &[authorization(&foreign)]
+        )),
         ("403", "forbidden")
     );
-    let dear = [by(&clerk), ("HTTP_X_COST_MS", "20.5")];
+    let dear = [authorization(&clerk), ("HTTP_X_COST_MS", "20.5")];
     assert_eq!(
-        denied(&ask(&mut edge, 3, "page", A, &dear)),
+        denied(&request(&mut edge, 3, "page", ID_A, &dear)),
         ("403", "forbidden")
     );
-    edge.task(4, "page", A, &[by(&clerk)]);
+    edge.task(4, "page", ID_A, &[authorization(&clerk)]);
     backend.runtime.command("start");
     // One concurrency permit, which is released when the run ends; then the rate.
     assert_eq!(
-        denied(&ask(&mut edge, 5, "page", B, &[by(&clerk)])),
+        denied(&request(
+            &mut edge,
+            5,
+            "page",
+            ID_B,
+            &[authorization(&clerk)]
+        )),
         ("429", "over")
     );
-    backend.runtime.end(A, "PASS", b"");
+    backend.runtime.end(ID_A, "PASS", b"");
     assert_eq!(edge.status(4), "200");
-    page_is_served(&backend, &mut edge, 6, B, &clerk);
-    let answer = ask(&mut edge, 7, "page", C, &[by(&clerk)]);
+    assert_page_is_served(&backend, &mut edge, 6, ID_B, &clerk);
+    let answer = request(&mut edge, 7, "page", ID_C, &[authorization(&clerk)]);
     assert_eq!(denied(&answer), ("429", "over"));
     assert!(answer.head.contains("Retry-After-Ms: "), "{}", answer.head);
     assert_eq!(backend.runtime.commanded(), None);
@@ -210,10 +246,10 @@
 fn a_retry_gets_its_result_with_a_new_token_and_another_tenant_does_not() {
     let (issuer, backend) = serving();
     let mut edge = backend.connect();
-    let old = usual(1, "north");
-    edge.task(1, "bid", A, &[by(&old), KEY]);
+    let old = default_token(1, "north");
+    edge.task(1, "bid", ID_A, &[authorization(&old), KEY]);
     backend.runtime.command("start");
-    backend.runtime.end(A, "PASS", b"sold");
+    backend.runtime.end(ID_A, "PASS", b"sold");
     assert_eq!(edge.answer().unwrap().body, b"sold");
     // The signing key is retired; a new token of the next key gets the result.
     let mut next: Value =
@@ -224,24 +260,42 @@
     issuer.publish(2, sign_jws(&root(), &head, &next));
     backend.counters_until(|count| count("keys_adopted") == 2);
     assert_eq!(
-        denied(&ask(&mut edge, 2, "bid", B, &[by(&old), KEY])),
+        denied(&request(
+            &mut edge,
+            2,
+            "bid",
+            ID_B,
+            &[authorization(&old), KEY]
+        )),
         ("401", "unknown")
     );
-    let new = usual(2, "north");
-    assert_eq!(ask(&mut edge, 3, "bid", B, &[by(&new), KEY]).body, b"sold");
+    let new = default_token(2, "north");
+    assert_eq!(
+        request(&mut edge, 3, "bid", ID_B, &[authorization(&new), KEY]).body,
+        b"sold"
+    );
     // Without permission for the request class there is no result either.
     let clerk = token(2, "north", |claims| claims["roles"] = json!(["clerk"]));
     assert_eq!(
-        denied(&ask(&mut edge, 4, "bid", B, &[by(&clerk), KEY])),
+        denied(&request(
+            &mut edge,
+            4,
+            "bid",
+            ID_B,
+            &[authorization(&clerk), KEY]
+        )),
         ("403", "forbidden")
     );
     // The other tenant's request with the same idempotency key is a separate request.
-    let south = usual(2, "south");
-    edge.task(5, "bid", C, &[by(&south), KEY]);
-    assert_eq!(backend.runtime.command("start")["rid"], C);
-    backend.runtime.end(C, "PASS", b"other");
+    let south = default_token(2, "south");
+    edge.task(5, "bid", ID_C, &[authorization(&south), KEY]);
+    assert_eq!(backend.runtime.command("start")["rid"], ID_C);
+    backend.runtime.end(ID_C, "PASS", b"other");
     assert_eq!(edge.answer().unwrap().body, b"other");
-    assert_eq!(ask(&mut edge, 6, "bid", D, &[by(&new), KEY]).body, b"sold");
+    assert_eq!(
+        request(&mut edge, 6, "bid", ID_D, &[authorization(&new), KEY]).body,
+        b"sold"
+    );
 }
 
 #[test]
@@ -255,17 +309,22 @@
     backend.counters_until(|count| count("links") == 1 && count("keys_adopted") == 1);
     let (mut edge, mut other) = (backend.connect(), backend.connect());
     let (ann, bob) = (
-        usual(2, "north"),
+        default_token(2, "north"),
         token(2, "south", |claims| claims["sub"] = json!("bob")),
     );
-    edge.task(1, "bid", A, &[by(&ann), KEY]);
+    edge.task(1, "bid", ID_A, &[authorization(&ann), KEY]);
     backend.runtime.command("start");
     // These are queued: the limit is at its minimum, one core.
-    let held = [(2, B), (3, C)];
+    let held = [(2, ID_B), (3, ID_C)];
     for (number, id) in held {
-        edge.task(number, "bid", id, &[by(&ann), ("HTTP_IDEMPOTENCY_KEY", id)]);
+        edge.task(
+            number,
+            "bid",
+            id,
+            &[authorization(&ann), ("HTTP_IDEMPOTENCY_KEY", id)],
+        );
     }
-    other.task(1, "bid", D, &[by(&bob), KEY]);
+    other.task(1, "bid", ID_D, &[authorization(&bob), KEY]);
     backend.counters_until(|count| count("tasks_taken") == 4);
     issuer.publish(2, set(2, json!({"subjects": ["north/ann"]})));
     let mut ended = [edge.answer().unwrap(), edge.answer().unwrap()];
@@ -273,21 +332,27 @@
     assert_eq!(ended.each_ref().map(denied), [("401", "unknown"); 2]);
     assert_eq!(ended.map(|answer| answer.request), [2, 3]);
     // The running request continues; its permit goes to the other tenant, and to no revoked caller.
-    backend.runtime.end(A, "PASS", b"sold");
+    backend.runtime.end(ID_A, "PASS", b"sold");
     assert_eq!(edge.answer().unwrap().body, b"sold");
-    assert_eq!(backend.runtime.command("start")["rid"], D);
-    backend.runtime.end(D, "PASS", b"his");
+    assert_eq!(backend.runtime.command("start")["rid"], ID_D);
+    backend.runtime.end(ID_D, "PASS", b"his");
     assert_eq!(other.answer().unwrap().body, b"his");
     for number in 4..7 {
         assert_eq!(
-            denied(&ask(&mut edge, number, "bid", B, &[by(&ann), KEY])),
+            denied(&request(
+                &mut edge,
+                number,
+                "bid",
+                ID_B,
+                &[authorization(&ann), KEY]
+            )),
             ("401", "unknown")
         );
     }
     // The result was retained: another subject of the tenant gets it.
     let colleague = token(2, "north", |claims| claims["sub"] = json!("eve"));
     assert_eq!(
-        ask(&mut edge, 7, "bid", B, &[by(&colleague), KEY]).body,
+        request(&mut edge, 7, "bid", ID_B, &[authorization(&colleague), KEY]).body,
         b"sold"
     );
     assert_eq!(backend.runtime.commanded(), None);
@@ -302,8 +367,8 @@
     });
     backend.runtime.up();
     let mut edge = backend.connect();
-    let good = usual(2, "north");
-    let answer = ask(&mut edge, 1, "bid", A, &[by(&good), KEY]);
+    let good = default_token(2, "north");
+    let answer = request(&mut edge, 1, "bid", ID_A, &[authorization(&good), KEY]);
     assert_eq!(denied(&answer), ("503", "unable"));
     assert!(
         answer.head.contains("Retry-After-Ms: 1000\r\n"),
@@ -312,33 +377,39 @@
     );
     issuer.publish(1, set(1, json!({})));
     backend.counters_until(|count| count("keys_adopted") == 1);
-    edge.task(2, "bid", A, &[by(&good), KEY]);
+    edge.task(2, "bid", ID_A, &[authorization(&good), KEY]);
     backend.runtime.command("start");
-    backend.runtime.end(A, "PASS", b"sold");
+    backend.runtime.end(ID_A, "PASS", b"sold");
     assert_eq!(edge.status(2), "200");
     issuer.mood(Mood::Down);
-    let other = [by(&good), ("HTTP_IDEMPOTENCY_KEY", "other")];
+    let other = [authorization(&good), ("HTTP_IDEMPOTENCY_KEY", "other")];
     let mut number = 2;
     until("the set to grow old", || {
         number += 1;
-        let answer = ask(&mut edge, number, "bid", B, &[by(&good), KEY]);
+        let answer = request(&mut edge, number, "bid", ID_B, &[authorization(&good), KEY]);
         assert!(answer.status() == "500" || answer.body == b"sold");
         answer.status() == "500"
     });
     // For an idempotency key with a request that ran, the response promises nothing; for another, that it never ran.
     assert_eq!(
-        denied(&ask(&mut edge, 901, "bid", B, &[by(&good), KEY])),
+        denied(&request(
+            &mut edge,
+            901,
+            "bid",
+            ID_B,
+            &[authorization(&good), KEY]
+        )),
         ("500", "-")
     );
     assert_eq!(
-        denied(&ask(&mut edge, 902, "bid", B, &other)),
+        denied(&request(&mut edge, 902, "bid", ID_B, &other)),
         ("503", "unable")
     );
     issuer.publish(2, set(2, json!({})));
     issuer.mood(Mood::Good);
     backend.counters_until(|count| count("keys_adopted") == 2 && count("issuer_failed") >= 1);
     assert_eq!(
-        ask(&mut edge, 903, "bid", B, &[by(&good), KEY]).body,
+        request(&mut edge, 903, "bid", ID_B, &[authorization(&good), KEY]).body,
         b"sold"
     );
 }
@@ -357,7 +428,7 @@
         &head,
         &json!({"seq": 9, "issued_ms": unix_ms(), "keys": []}),
     ));
-    let good = usual(2, "north");
+    let good = default_token(2, "north");
     let bob = token(2, "north", |claims| claims["sub"] = json!("bob"));
     for (n, mood) in [Mood::RolledBack, Mood::Rubbish, Mood::Forged, Mood::Down]
         .into_iter()
@@ -378,10 +449,16 @@
         });
         let number = 10 * n as u16 + 1;
         assert_eq!(
-            denied(&ask(&mut edge, number, "bid", B, &[by(&bob), KEY])),
+            denied(&request(
+                &mut edge,
+                number,
+                "bid",
+                ID_B,
+                &[authorization(&bob), KEY]
+            )),
             ("401", "unknown")
         );
-        page_is_served(&backend, &mut edge, number + 1, A, &good);
+        assert_page_is_served(&backend, &mut edge, number + 1, ID_A, &good);
     }
 }
 
@@ -389,21 +466,27 @@
 fn a_reloaded_start_file_changes_permissions_at_once_and_can_not_disable_identity() {
     let (issuer, mut backend) = serving();
     let mut edge = backend.connect();
-    let good = usual(2, "north");
-    page_is_served(&backend, &mut edge, 1, A, &good);
+    let good = default_token(2, "north");
+    assert_page_is_served(&backend, &mut edge, 1, ID_A, &good);
     let without =
         backend.changed(|config| config["identity"]["tenants"][0]["roles"] = json!(["clerk"]));
     backend.reload(&without);
     backend.counters_until(|count| count("reloads") == 1);
     assert_eq!(
-        denied(&ask(&mut edge, 2, "page", B, &[by(&good)])),
+        denied(&request(
+            &mut edge,
+            2,
+            "page",
+            ID_B,
+            &[authorization(&good)]
+        )),
         ("403", "forbidden")
     );
     let open = backend.changed(|config| drop(config.as_object_mut().unwrap().remove("identity")));
     backend.reload(&open);
     backend.counters_until(|count| count("reloads_failed") == 1);
     assert_eq!(
-        denied(&ask(&mut edge, 3, "page", B, &[])),
+        denied(&request(&mut edge, 3, "page", ID_B, &[])),
         ("401", "unknown")
     );
     drop(issuer);
@@ -420,14 +503,20 @@
     backend.runtime.up();
     backend.counters_until(|count| count("links") == 1);
     let mut edge = backend.connect();
-    let good = usual(2, "north");
-    page_is_served(&backend, &mut edge, 1, A, &good);
+    let good = default_token(2, "north");
+    assert_page_is_served(&backend, &mut edge, 1, ID_A, &good);
     std::fs::write(&file, set(2, json!({"keys": ["k2"]}))).unwrap();
     let same = backend.changed(|_| ());
     backend.reload(&same);
     backend.counters_until(|count| count("keys_adopted") == 2);
     assert_eq!(
-        denied(&ask(&mut edge, 2, "page", B, &[by(&good)])),
+        denied(&request(
+            &mut edge,
+            2,
+            "page",
+            ID_B,
+            &[authorization(&good)]
+        )),
         ("401", "unknown")
     );
     // A malformed one leaves the last one in force.
@@ -435,7 +524,13 @@
     backend.reload(&same);
     backend.counters_until(|count| count("keys_refused") == 1);
     assert_eq!(
-        denied(&ask(&mut edge, 3, "page", B, &[by(&good)])),
+        denied(&request(
+            &mut edge,
+            3,
+            "page",
+            ID_B,
+            &[authorization(&good)]
+        )),
         ("401", "unknown")
     );
     std::fs::remove_file(&file).unwrap();
@@ -454,9 +549,9 @@
     assert_eq!(edge.status(1), "200");
     let open = Backend::start();
     let mut edge = open.connect();
-    edge.task(1, "page", A, &[by("Bearer rubbish")]);
+    edge.task(1, "page", ID_A, &[authorization("Bearer rubbish")]);
     open.runtime.command("start");
-    open.runtime.end(A, "PASS", b"");
+    open.runtime.end(ID_A, "PASS", b"");
     assert_eq!(edge.status(1), "200");
 }
 
@@ -474,13 +569,13 @@
     backend.runtime.up();
     backend.counters_until(|count| count("keys_adopted") == 1 && count("links") == 1);
     let mut edge = backend.connect();
-    let (north, south) = (usual(2, "north"), usual(2, "south"));
-    edge.task(1, "bid", A, &[by(&north), KEY]);
+    let (north, south) = (default_token(2, "north"), default_token(2, "south"));
+    edge.task(1, "bid", ID_A, &[authorization(&north), KEY]);
     backend.runtime.command("start");
-    backend.runtime.end(A, "PASS", b"sold");
+    backend.runtime.end(ID_A, "PASS", b"sold");
     assert_eq!(edge.status(1), "200");
     let clerk = token(2, "north", |claims| claims["roles"] = json!(["clerk"]));
-    edge.task(2, "page", B, &[by(&clerk)]);
+    edge.task(2, "page", ID_B, &[authorization(&clerk)]);
     backend.runtime.command("start");
     // From here on the issuer does not respond: what the new process knows came with the state.
     issuer.mood(Mood::Down);
@@ -490,26 +585,38 @@
     });
     let mut edge = backend.connect();
     assert_eq!(
-        denied(&ask(&mut edge, 1, "bid", C, &[by(&usual(1, "north")), KEY])),
+        denied(&request(
+            &mut edge,
+            1,
+            "bid",
+            ID_C,
+            &[authorization(&default_token(1, "north")), KEY]
+        )),
         ("401", "unknown")
     );
     assert_eq!(
-        denied(&ask(&mut edge, 2, "page", C, &[by(&clerk)])),
+        denied(&request(
+            &mut edge,
+            2,
+            "page",
+            ID_C,
+            &[authorization(&clerk)]
+        )),
         ("429", "over"),
         "its place is taken"
     );
     assert_eq!(
-        ask(&mut edge, 3, "bid", C, &[by(&north), KEY]).body,
+        request(&mut edge, 3, "bid", ID_C, &[authorization(&north), KEY]).body,
         b"sold"
     );
-    edge.task(4, "bid", D, &[by(&south), KEY]);
+    edge.task(4, "bid", ID_D, &[authorization(&south), KEY]);
     until("the start", || {
         backend
             .runtime
             .commanded()
-            .is_some_and(|command| command["rid"] == D)
+            .is_some_and(|command| command["rid"] == ID_D)
     });
-    backend.runtime.end(D, "PASS", b"other");
+    backend.runtime.end(ID_D, "PASS", b"other");
     assert_eq!(edge.answer().unwrap().body, b"other");
     for process in asterdale_testkit::proofs::upgrade::processes(backend.file()) {
         asterdale_testkit::proofs::upgrade::signal(process, "KILL");
--- a/crates/asterdale-daemon/tests/upgrade.rs
+++ b/crates/asterdale-daemon/tests/upgrade.rs
@@ -17,8 +17,8 @@
 use serde_json::json;
 use std::io::{Read, Write};
 
-const A: &str = "00000000000000aa";
-const B: &str = "00000000000000bb";
+const ID_A: &str = "00000000000000aa";
+const ID_B: &str = "00000000000000bb";
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 
 struct TestSite {
@@ -106,9 +106,9 @@
     /// Checks that the old process serves while it waits for the new one.
     fn assert_serves_meanwhile(&self) {
         let mut edge = self.backend.connect();
-        edge.task(1, "page", A, &[]);
+        edge.task(1, "page", ID_A, &[]);
         self.backend.runtime.command("start");
-        self.backend.runtime.end(A, "PASS", b"meanwhile");
+        self.backend.runtime.end(ID_A, "PASS", b"meanwhile");
         assert_eq!(edge.answer().unwrap().body, b"meanwhile");
     }
 
@@ -122,16 +122,16 @@
             "{text}"
         );
         let mut edge = self.backend.connect();
-        edge.task(1, "bid", B, &[KEY]);
+        edge.task(1, "bid", ID_B, &[KEY]);
         until("the start", || {
             self.backend
                 .runtime
                 .commanded()
-                .is_some_and(|command| command["rid"] == B)
+                .is_some_and(|command| command["rid"] == ID_B)
         });
-        self.backend.runtime.end(B, "PASS", b"sold");
+        self.backend.runtime.end(ID_B, "PASS", b"sold");
         assert_eq!(edge.answer().unwrap().body, b"sold");
-        edge.task(2, "bid", A, &[KEY]);
+        edge.task(2, "bid", ID_A, &[KEY]);
         assert_eq!(edge.answer().unwrap().body, b"sold");
     }
 }
@@ -227,7 +227,7 @@
 fn a_new_process_that_hangs_with_the_state_is_killed_and_queued_requests_are_served() {
     let site = TestSite::new();
     let mut edge = site.backend.connect();
-    edge.task(1, "page", A, &[]);
+    edge.task(1, "page", ID_A, &[]);
     site.backend.runtime.command("start");
     let (asked, mut scripted, nonce) = site.start_upgrade();
     assert_eq!(scripted.receive_state(&nonce), 2);
@@ -236,7 +236,7 @@
     other.task(1, "page", "00000000000000cc", &[]);
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(site.backend.runtime.commanded(), None);
-    site.backend.runtime.end(A, "PASS", b"meanwhile");
+    site.backend.runtime.end(ID_A, "PASS", b"meanwhile");
     // After a second the old process continues.
     assert_eq!(edge.answer().unwrap().body, b"meanwhile");
     until("the start", || {
@@ -276,7 +276,7 @@
 #[test]
 fn the_control_socket_needs_a_private_folder_and_no_other_process() {
     let site = TestSite::new();
-    let told = |control: PathBuf| {
+    let start_error = |control: PathBuf| {
         let mut config = asterdale_testkit::scripted::config(
             asterdale_testkit::scripted::address(),
             asterdale_testkit::scripted::address(),
@@ -290,10 +290,10 @@
         assert_eq!(output.status.code(), Some(1));
         String::from_utf8(output.stderr).unwrap()
     };
-    assert!(told(site.control()).contains("another process holds it"));
+    assert!(start_error(site.control()).contains("another process holds it"));
     let open = folder(0o755);
-    assert!(told(open.join("control")).contains("closed to all others"));
-    assert!(told(open.join("nowhere/control")).contains("upgrade.control"));
+    assert!(start_error(open.join("control")).contains("closed to all others"));
+    assert!(start_error(open.join("nowhere/control")).contains("upgrade.control"));
     std::fs::remove_dir_all(open).unwrap();
     // The socket of a process that was killed is replaced.
     let stale = folder(0o700);
@@ -343,7 +343,7 @@
 fn draining_during_the_attempt_ends_both_processes_in_order() {
     let mut site = TestSite::new();
     let mut edge = site.backend.connect();
-    edge.task(1, "page", A, &[]);
+    edge.task(1, "page", ID_A, &[]);
     site.backend.runtime.command("start");
     let (asked, mut scripted, nonce) = site.start_upgrade();
     scripted.send_hello(&nonce, asterdale_hot_restart::VERSION);
@@ -353,7 +353,7 @@
     until("the notice", || {
         site.backend.log().contains("host: leaving")
     });
-    site.backend.runtime.end(A, "PASS", b"in time");
+    site.backend.runtime.end(ID_A, "PASS", b"in time");
     assert_eq!(edge.answer().unwrap().body, b"in time");
     assert!(site.backend.ended().0.success());
     assert_eq!(scripted.receive(), None);
@@ -364,9 +364,9 @@
 fn the_new_process_serves_alone_if_the_old_one_is_killed() {
     let site = TestSite::new();
     let mut edge = site.backend.connect();
-    edge.task(1, "bid", A, &[KEY]);
+    edge.task(1, "bid", ID_A, &[KEY]);
     site.backend.runtime.command("start");
-    site.backend.runtime.end(A, "PASS", b"sold");
+    site.backend.runtime.end(ID_A, "PASS", b"sold");
     assert_eq!(edge.status(1), "200");
     site.backend.signal("-USR2");
     until("the new process", || {
@@ -387,7 +387,7 @@
             && matches!(edge.try_answer(), Ok(Some(answer)) if answer.status() == "200")
     });
     let mut edge = site.backend.connect();
-    edge.task(1, "bid", B, &[KEY]);
+    edge.task(1, "bid", ID_B, &[KEY]);
     assert_eq!(edge.answer().unwrap().body, b"sold");
     assert_eq!(site.backend.runtime.commanded(), None);
     asterdale_testkit::proofs::upgrade::signal(new, "KILL");
@@ -404,11 +404,11 @@
 }
 
 /// The summary of the state in the first line of the log with these words.
-fn summary(log: &str, words: &str) -> String {
+fn summary(log: &str, event: &str) -> String {
     let line = log
         .lines()
-        .find(|line| line.contains(words))
-        .unwrap_or_else(|| panic!("no {words} in {log}"));
+        .find(|line| line.contains(event))
+        .unwrap_or_else(|| panic!("no {event} in {log}"));
     let from = line.find("Summary {").unwrap();
     line[from..line[from..].find('}').unwrap() + from].to_owned()
 }
@@ -424,7 +424,7 @@
         site.backend.runtime.end(&id, "PASS", b"warm");
         assert_eq!(edge.status(n + 1), "200");
     }
-    edge.task(50, "bid", A, &[KEY]);
+    edge.task(50, "bid", ID_A, &[KEY]);
     site.backend.runtime.command("start");
     // The signal upgrades to the program that runs.
     site.backend.signal("-USR2");
@@ -441,12 +441,12 @@
     until("the link", || {
         site.backend.log().matches("runtime: linked").count() == 2
     });
-    site.backend.runtime.end(A, "PASS", b"sold");
+    site.backend.runtime.end(ID_A, "PASS", b"sold");
     let answer = edge.answer().unwrap();
     assert_eq!((answer.request, answer.body.as_slice()), (50, &b"sold"[..]));
     assert_eq!(edge.answer(), None, "a connection of the old process stays");
     let mut other = site.backend.connect();
-    other.task(1, "bid", B, &[KEY]);
+    other.task(1, "bid", ID_B, &[KEY]);
     assert_eq!(other.answer().unwrap().body, b"sold");
     assert_eq!(site.backend.runtime.commanded(), None);
     // When the new process is killed the old one takes over again, and knows what had run.
