--- a/crates/asterdale-journal/src/journal.rs
+++ b/crates/asterdale-journal/src/journal.rs
@@ -98,10 +98,15 @@
         on_event(JournalEvent::DamagedFileMoved { path, error });
     }
     let actor = Actor::new(settings, folder_state, on_event);
+    spawn(move || actor.run(&received))?;
+    Ok(journal)
+}
+
+fn spawn(run: impl FnOnce() + Send + 'static) -> Result<(), StartError> {
     thread::Builder::new()
         .name("journal".to_owned())
         .stack_size(STACK_BYTES)
-        .spawn(move || actor.run(&received))
-        .map_err(StartError::Thread)?;
-    Ok(journal)
+        .spawn(run)
+        .map(drop)
+        .map_err(StartError::Thread)
 }
