--- /dev/null
+++ b/crates/asterdale-daemon/src/keys/error.rs
@@ -0,0 +1,70 @@
+//! The errors of `asterdale keys` and of what `asterdale token` shares with it.
+
+use std::io;
+use std::path::{Path, PathBuf};
+
+use asterdale_identity::keyring::{KeySetError, RotationError};
+use asterdale_identity::mint::SecretKeyError;
+use thiserror::Error;
+
+/// A command on keys or key sets has failed.
+#[derive(Debug, Error)]
+pub enum KeysError {
+    /// A file can't be read or written.
+    #[error("{}: {source}", path.display())]
+    File {
+        /// Its path.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+    /// A file holds no secret key.
+    #[error("{}: {source}", path.display())]
+    SecretKeyFile {
+        /// Its path.
+        path: PathBuf,
+        /// What is wrong with its content.
+        source: SecretKeyError,
+    },
+    /// A file holds no key set.
+    #[error("{}: {source}", path.display())]
+    KeySetFile {
+        /// Its path.
+        path: PathBuf,
+        /// What is wrong with its content.
+        source: serde_json::Error,
+    },
+    /// Servers would reject the key set of a file.
+    #[error("{}: {source:?}", path.display())]
+    RejectedKeySet {
+        /// Its path.
+        path: PathBuf,
+        /// Why.
+        source: KeySetError,
+    },
+    /// A secret key can't be made.
+    #[error(transparent)]
+    MakeSecretKey(#[from] SecretKeyError),
+    /// The key set can't be changed in this way.
+    #[error(transparent)]
+    Rotation(#[from] RotationError),
+    /// The key set can't be serialized.
+    #[error(transparent)]
+    Serialize(#[from] serde_json::Error),
+    /// Servers would reject the key set that was signed.
+    #[error("no server would take this set: {0:?}")]
+    UnusableKeySet(#[source] KeySetError),
+    /// A subject has no tenant.
+    #[error("--subject {0}: TENANT/SUBJECT is wanted")]
+    SubjectWithoutTenant(String),
+}
+
+impl KeysError {
+    /// An error of reading or writing this file.
+    pub fn file(path: &Path) -> impl Fn(io::Error) -> KeysError + '_ {
+        |source| KeysError::File {
+            path: path.to_owned(),
+            source,
+        }
+    }
+}
