--- a/crates/asterdale-daemon/src/edge/connection.rs
+++ b/crates/asterdale-daemon/src/edge/connection.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use asterdale_engine::counters::Counters;
-use asterdale_engine::log::{Kind, Log};
+use asterdale_engine::log::{Log, LogLimit};
 use asterdale_engine::message::{EngineMessage, Reply, Request, ResponseRoute};
 use asterdale_fastcgi::{
     end_request_response, protocol_status, unknown_type_response, values_response,
@@ -70,7 +70,7 @@
     }
 
     fn makes_no_sense(&self, field: &'static str) {
-        static SENSELESS: Kind = Kind::new();
+        static SENSELESS: LogLimit = LogLimit::new();
         self.counters.tasks_malformed.add();
         if self.log.allows(&SENSELESS) {
             slog::warn!(self.log.lines, "edge: a request makes no sense"; "field" => field);
@@ -384,8 +384,8 @@
 
     /// Nothing more is read. What is open is still answered; the last who holds the peer tells the loop.
     pub fn end(&mut self, shared: &mut Shared, end: End) {
-        static MALFORMED: Kind = Kind::new();
-        static CROWDED: Kind = Kind::new();
+        static MALFORMED: LogLimit = LogLimit::new();
+        static CROWDED: LogLimit = LogLimit::new();
         let Phase::Reading(peer) = &self.phase else {
             return;
         };
--- a/crates/asterdale-daemon/src/edge/serve.rs
+++ b/crates/asterdale-daemon/src/edge/serve.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use asterdale_engine::engine::unix_ms;
-use asterdale_engine::log::Kind;
+use asterdale_engine::log::LogLimit;
 use asterdale_engine::mailbox::MailboxReceiver;
 use asterdale_engine::message::EngineMessage;
 use crossbeam_channel::Sender;
@@ -286,7 +286,7 @@
 
     /// Takes one connection. Whether there are no more now; `None` where there is no listener.
     fn accept_one(&mut self) -> Option<bool> {
-        static FAULT: Kind = Kind::new();
+        static FAULT: LogLimit = LogLimit::new();
         let ear = self.ear.as_mut()?;
         let since = ear.empty;
         match ear.listener.accept() {
@@ -501,8 +501,8 @@
 
     /// Ends the connections that say nothing.
     fn look_round(&mut self, now: u64) {
-        static STALLED: Kind = Kind::new();
-        static STUCK: Kind = Kind::new();
+        static STALLED: LogLimit = LogLimit::new();
+        static STUCK: LogLimit = LogLimit::new();
         let idle = if self.around.idle_ms == 0 {
             u64::MAX
         } else {
--- a/crates/asterdale-daemon/src/main.rs
+++ b/crates/asterdale-daemon/src/main.rs
@@ -31,7 +31,7 @@
 use asterdale_engine::counters::Counters;
 use asterdale_engine::engine::{unix_ms, EngineSettings};
 use asterdale_engine::issuer::{self, KeyRefresh};
-use asterdale_engine::log::{Kind, Log};
+use asterdale_engine::log::{Log, LogLimit};
 use asterdale_engine::message::{EngineMessage, Frontends};
 use asterdale_engine::{records, registry, runtime, Engine, EnginePorts};
 use asterdale_identity::Identity;
@@ -179,7 +179,7 @@
     counters: &Counters,
     log: &Log,
 ) {
-    static UNREADABLE: Kind = Kind::new();
+    static UNREADABLE: LogLimit = LogLimit::new();
     for signal in signals.forever() {
         let mail = match signal {
             SIGUSR1 => EngineMessage::PrintCounters,
--- a/crates/asterdale-engine/src/access.rs
+++ b/crates/asterdale-engine/src/access.rs
@@ -7,7 +7,7 @@
     AccessRequest, Caller, ConcurrencyPermit, Credentials, DenialReason, DenialStatus,
 };
 
-use crate::log::Kind;
+use crate::log::LogLimit;
 use crate::message::{
     request_id_text, IdempotencyKey, KeyRefresh, Reply, RequestHead, RequestId, TaskId,
 };
@@ -96,7 +96,7 @@
     }
 
     fn log_denied(&self, id: &RequestId, class: usize, tenant: &str, reason: DenialReason) {
-        static DENIED: Kind = Kind::new();
+        static DENIED: LogLimit = LogLimit::new();
         if self.log.allows(&DENIED) {
             slog::warn!(self.log.lines, "identity: caller denied";
                 "id" => request_id_text(id), "class" => &self.settings.class_names[class],
--- a/crates/asterdale-engine/src/engine/admission.rs
+++ b/crates/asterdale-engine/src/engine/admission.rs
@@ -122,7 +122,7 @@
     fn new_record(
         &mut self,
         arrived: Arrived,
-        quota_seat: Option<ConcurrencyPermit>,
+        quota_permit: Option<ConcurrencyPermit>,
     ) -> TaskRecord {
         self.last_number += 1;
         let request = arrived.request;
@@ -138,7 +138,7 @@
             }),
             idempotency_key: request.head.idempotency_key,
             caller: arrived.caller,
-            quota_seat,
+            quota_permit,
             started: false,
             must_not_start: false,
             #[cfg(feature = "ownership")]
@@ -181,18 +181,18 @@
         }
         #[cfg(not(feature = "ownership"))]
         debug_assert!(!is_looked_up, "there is nobody to ask");
-        let quota_seat = match tasks.reserve(&arrived) {
-            Ok(quota_seat) => quota_seat,
+        let quota_permit = match tasks.reserve(&arrived) {
+            Ok(quota_permit) => quota_permit,
             Err(reply) => return arrived.request.answer(reply),
         };
-        self.hand_to_policies(arrived, quota_seat);
+        self.hand_to_policies(arrived, quota_permit);
     }
 
-    fn hand_to_policies(&mut self, arrived: Arrived, quota_seat: Option<ConcurrencyPermit>) {
+    fn hand_to_policies(&mut self, arrived: Arrived, quota_permit: Option<ConcurrencyPermit>) {
         self.tasks.counters.tasks_taken.add();
         self.tasks.counters.tasks_open.add();
         let arrival = self.arrival(&arrived);
-        let record = self.tasks.new_record(arrived, quota_seat);
+        let record = self.tasks.new_record(arrived, quota_permit);
         self.tasks.arriving = Some(record);
         // Requests come before the runtime is up only by an outdated endpoint list. Until the runtime says otherwise,
         // the server counts as one that has just started.
--- a/crates/asterdale-engine/src/engine/mod.rs
+++ b/crates/asterdale-engine/src/engine/mod.rs
@@ -237,7 +237,7 @@
                 self.ownership_answered(number, &answer);
             }
             #[cfg(feature = "ownership")]
-            EngineMessage::OwnerlessRequests(offered) => self.take_over(offered),
+            EngineMessage::OwnerlessRequests(ownerless) => self.take_over(ownerless),
             EngineMessage::Drain => self.drain(),
             EngineMessage::PrintCounters => self.print_counters(),
             #[cfg(feature = "hot-restart")]
--- a/crates/asterdale-engine/src/http.rs
+++ b/crates/asterdale-engine/src/http.rs
@@ -22,7 +22,7 @@
     /// Its status code.
     pub status: u16,
     /// It carries `Op-Not-Begun: 1`: the request had no effect.
-    pub not_begun: bool,
+    pub never_ran: bool,
     /// Its entity tag, if it has a short one.
     pub tag: Option<Vec<u8>>,
     /// Its body.
@@ -136,7 +136,7 @@
     let mut tags = fields("etag");
     Ok(Some(Reply {
         status,
-        not_begun: fields("op-not-begun").next() == Some(b"1"),
+        never_ran: fields("op-not-begun").next() == Some(b"1"),
         tag: tags
             .next()
             .filter(|tag| tag.len() <= MAX_TAG_BYTES)
--- a/crates/asterdale-engine/src/http/tests.rs
+++ b/crates/asterdale-engine/src/http/tests.rs
@@ -10,7 +10,7 @@
     }
     let expected = Reply {
         status: 503,
-        not_begun: true,
+        never_ran: true,
         tag: None,
         body: b"abc".to_vec(),
     };
@@ -43,7 +43,7 @@
         HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Le\xff";
     let expected = Reply {
         status: 200,
-        not_begun: false,
+        never_ran: false,
         tag: None,
         body: b"ok".to_vec(),
     };
--- a/crates/asterdale-engine/src/identity_gate.rs
+++ b/crates/asterdale-engine/src/identity_gate.rs
@@ -10,7 +10,7 @@
 use crossbeam_channel::Sender;
 
 use crate::counters::Counters;
-use crate::log::{error_chain, Kind, Log};
+use crate::log::{error_chain, Log, LogLimit};
 use crate::message::{KeyRefresh, Reply};
 
 /// Advice to a caller that cannot be authenticated for want of keys, in milliseconds: by then a key set may have come.
@@ -57,7 +57,7 @@
 
     /// Offers a key set. `true` if it replaced the one before.
     pub fn adopt_key_set(&mut self, now: f64, set: &[u8], log: &Log) -> bool {
-        static REJECTED: Kind = Kind::new();
+        static REJECTED: LogLimit = LogLimit::new();
         let Some(identity) = &mut self.identity else {
             return false;
         };
@@ -91,18 +91,18 @@
         self.identity.as_mut()
     }
 
-    /// The tenant and the role whose quota this seat takes up.
+    /// The tenant and the role whose quota this permit takes up.
     #[cfg(feature = "hot-restart")]
-    pub fn seat_key(&self, seat: &ConcurrencyPermit) -> Option<(u32, String)> {
+    pub fn permit_owner(&self, permit: &ConcurrencyPermit) -> Option<(u32, String)> {
         self.identity
             .as_ref()
-            .map(|identity| identity.permit_owner(seat))
+            .map(|identity| identity.permit_owner(permit))
     }
 
-    /// Takes up a seat that a transferred task had.
+    /// Takes up a permit that a transferred task had.
     #[cfg(feature = "hot-restart")]
-    pub fn restore_seat(&mut self, seat_key: &(u32, String)) -> Option<ConcurrencyPermit> {
-        self.identity.as_mut()?.reacquire(seat_key)
+    pub fn reacquire_permit(&mut self, permit_owner: &(u32, String)) -> Option<ConcurrencyPermit> {
+        self.identity.as_mut()?.reacquire(permit_owner)
     }
 
     /// The tenant, for the policies, that a caller's requests count for. Where callers are authenticated that is their
@@ -114,10 +114,10 @@
         }
     }
 
-    /// A task is over: its seat is given back here and nowhere else.
-    pub fn release_seat(&mut self, seat: Option<ConcurrencyPermit>) {
-        if let (Some(identity), Some(seat)) = (&mut self.identity, seat) {
-            identity.release(seat);
+    /// A task is over: its permit is given back here and nowhere else.
+    pub fn release_permit(&mut self, permit: Option<ConcurrencyPermit>) {
+        if let (Some(identity), Some(permit)) = (&mut self.identity, permit) {
+            identity.release(permit);
         }
     }
 
--- a/crates/asterdale-engine/src/issuer.rs
+++ b/crates/asterdale-engine/src/issuer.rs
@@ -11,7 +11,7 @@
 
 use crate::counters::Counters;
 use crate::http;
-use crate::log::{Kind, Log};
+use crate::log::{Log, LogLimit};
 use crate::message::EngineMessage;
 use crate::vectored_write;
 
@@ -99,8 +99,8 @@
     }
 
     fn fetch_once(&mut self) -> Result<(), EngineGone> {
-        static FAILED: Kind = Kind::new();
-        static AVAILABLE: Kind = Kind::new();
+        static FAILED: LogLimit = LogLimit::new();
+        static AVAILABLE: LogLimit = LogLimit::new();
         self.refresh.on_request(self.now());
         let fetched = get(&self.source, self.tag.as_deref());
         self.refresh.on_response(self.now(), fetched.is_ok());
--- a/crates/asterdale-engine/src/log.rs
+++ b/crates/asterdale-engine/src/log.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::Instant;
 
-use slog::{o, Drain, Level, LevelFilter, Logger};
+use slog::{Drain, Level, LevelFilter, Logger};
 use slog_async::AsyncGuard;
 
 /// Lines that wait to be written.
@@ -49,7 +49,7 @@
             .build_with_guard();
         // The filter comes before the queue, so that lines below the level take no place in it.
         let drain = LevelFilter::new(drain.ignore_res(), level).ignore_res();
-        let lines = Logger::root(drain, o!("backend" => name.to_owned()));
+        let lines = Logger::root(drain, slog::o!("backend" => name.to_owned()));
         (
             Log {
                 lines,
@@ -60,7 +60,7 @@
     }
 
     /// Whether a fault of this kind may be logged now: it may once a second.
-    pub fn allows(&self, kind: &Kind) -> bool {
+    pub fn allows(&self, kind: &LogLimit) -> bool {
         let now = self.start.elapsed().as_millis() as u64 + MIN_INTERVAL_MS;
         let last = kind.0.load(Relaxed);
         now >= last + MIN_INTERVAL_MS
@@ -82,17 +82,17 @@
 
 /// When a fault that may repeat often was logged last, in milliseconds since [`MIN_INTERVAL_MS`] before the log's
 /// start; 0 for never.
-pub struct Kind(AtomicU64);
+pub struct LogLimit(AtomicU64);
 
-impl Default for Kind {
-    fn default() -> Kind {
-        Kind::new()
+impl Default for LogLimit {
+    fn default() -> LogLimit {
+        LogLimit::new()
     }
 }
 
-impl Kind {
+impl LogLimit {
     /// A fault that was never logged.
-    pub const fn new() -> Kind {
-        Kind(AtomicU64::new(0))
+    pub const fn new() -> LogLimit {
+        LogLimit(AtomicU64::new(0))
     }
 }
--- a/crates/asterdale-engine/src/ownership/takeover.rs
+++ b/crates/asterdale-engine/src/ownership/takeover.rs
@@ -18,8 +18,8 @@
 
 impl Engine {
     /// Takes over requests without an owner, as long as there is capacity.
-    pub(crate) fn take_over(&mut self, offered: Vec<KeyedRequest>) {
-        for work in offered {
+    pub(crate) fn take_over(&mut self, ownerless: Vec<KeyedRequest>) {
+        for work in ownerless {
             if self.takeover_capacity() == 0 {
                 return;
             }
@@ -47,7 +47,7 @@
         };
         let arrival = arrival_of(&work, class);
         let body_digest = tasks.idempotency.digest(&work.body);
-        let deadline = tasks.now + work.deadline_ms;
+        let ownership = ownership_of_takeover(&work, tasks.now + work.deadline_ms);
         tasks.ownership.takeovers += 1;
         tasks.arriving = Some(TaskRecord {
             number,
@@ -58,22 +58,10 @@
             responder: None,
             idempotency_key: Some(idempotency_key),
             caller: None,
-            quota_seat: None,
+            quota_permit: None,
             started: false,
             must_not_start: false,
-            ownership: Some(OwnedTask {
-                key: OwnershipKey {
-                    bytes: work.key,
-                    body_digest: work.body_digest,
-                },
-                claim: Claim::None,
-                sends_fence: true,
-                is_takeover: true,
-                attempt_deadline: deadline,
-                request_deadline: deadline,
-                cost_hint_ms: work.hint_ms,
-                memory_kb: work.kb,
-            }),
+            ownership: Some(ownership),
             pending_call: None,
             last_command: None,
         });
@@ -109,6 +97,22 @@
     }
 }
 
+fn ownership_of_takeover(work: &KeyedRequest, deadline: f64) -> OwnedTask {
+    OwnedTask {
+        key: OwnershipKey {
+            bytes: work.key.clone(),
+            body_digest: work.body_digest,
+        },
+        claim: Claim::None,
+        sends_fence: true,
+        is_takeover: true,
+        attempt_deadline: deadline,
+        request_deadline: deadline,
+        cost_hint_ms: work.hint_ms,
+        memory_kb: work.kb,
+    }
+}
+
 fn arrival_of(work: &KeyedRequest, class: usize) -> Arrival {
     Arrival {
         class,
--- a/crates/asterdale-engine/src/records/mod.rs
+++ b/crates/asterdale-engine/src/records/mod.rs
@@ -16,7 +16,7 @@
 use self::protocol::{connect_outcome, exchange_outcome, reply_outcome, request_bytes};
 use crate::counters::Counters;
 use crate::exchange::Exchange;
-use crate::log::{Kind, Log};
+use crate::log::{Log, LogLimit};
 use crate::mailbox::{self, MailboxReceiver, MailboxSender};
 use crate::message::{request_id_text, Call, EngineMessage};
 
@@ -171,7 +171,7 @@
 
     /// The system refused this process what a connection takes.
     fn report_unmade(&self, call: &Call, error: &io::Error) {
-        static UNMADE: Kind = Kind::new();
+        static UNMADE: LogLimit = LogLimit::new();
         self.counters.calls_unmade.add();
         if self.log.allows(&UNMADE) {
             slog::error!(self.log.lines, "records: call could not be made"; "error" => %error,
--- a/crates/asterdale-engine/src/records/protocol.rs
+++ b/crates/asterdale-engine/src/records/protocol.rs
@@ -47,7 +47,7 @@
 
 /// What a response proves.
 pub(super) fn reply_outcome(reply: &Reply) -> Outcome {
-    match (reply.status, reply.not_begun) {
+    match (reply.status, reply.never_ran) {
         (200, _) => Outcome::Ok,
         (503, true) => Outcome::Rejected,
         (409, true) => Outcome::Stale,
--- a/crates/asterdale-engine/src/records/protocol/tests.rs
+++ b/crates/asterdale-engine/src/records/protocol/tests.rs
@@ -4,13 +4,13 @@
 
 #[test]
 fn only_not_begun_responses_prove_that_nothing_ran() {
-    let reply = |status, not_begun| Reply {
+    let reply = |status, never_ran| Reply {
         status,
-        not_begun,
+        never_ran,
         tag: None,
         body: Vec::new(),
     };
-    for (status, not_begun, expected) in [
+    for (status, never_ran, expected) in [
         (200, false, Outcome::Ok),
         (503, true, Outcome::Rejected),
         (503, false, Outcome::Failed),
@@ -21,9 +21,9 @@
         (504, false, Outcome::TimedOut),
         (302, false, Outcome::Failed),
     ] {
-        let actual = reply_outcome(&reply(status, not_begun));
-        assert_eq!(actual, expected, "{status} {not_begun}");
-        assert_eq!(actual.never_ran(), not_begun && matches!(status, 503 | 409));
+        let actual = reply_outcome(&reply(status, never_ran));
+        assert_eq!(actual, expected, "{status} {never_ran}");
+        assert_eq!(actual.never_ran(), never_ran && matches!(status, 503 | 409));
     }
 }
 
--- a/crates/asterdale-engine/src/registry.rs
+++ b/crates/asterdale-engine/src/registry.rs
@@ -12,7 +12,7 @@
 use crate::counters::Counters;
 use crate::exchange::Exchange;
 use crate::http::Reply;
-use crate::log::{Kind, Log};
+use crate::log::{Log, LogLimit};
 use crate::mailbox::{self, MailboxReceiver, MailboxSender};
 use crate::message::RegistryCommand;
 
@@ -203,7 +203,7 @@
 
     /// A report that started then was accepted: the others under way are not needed.
     fn report_accepted(&mut self, start: Instant) {
-        static ACCEPTED: Kind = Kind::new();
+        static ACCEPTED: LogLimit = LogLimit::new();
         self.counters.reports.add();
         if !std::mem::replace(&mut self.is_accepted, true) && self.log.allows(&ACCEPTED) {
             slog::info!(self.log.lines, "registry: reports accepted again");
@@ -213,7 +213,7 @@
     }
 
     fn report_failed(&mut self, error: &io::Error) {
-        static FAILED: Kind = Kind::new();
+        static FAILED: LogLimit = LogLimit::new();
         self.counters.reports_failed.add();
         if std::mem::replace(&mut self.is_accepted, false) && self.log.allows(&FAILED) {
             slog::warn!(self.log.lines, "registry: report failed"; "error" => %error);
--- a/crates/asterdale-engine/src/runtime/mod.rs
+++ b/crates/asterdale-engine/src/runtime/mod.rs
@@ -11,7 +11,7 @@
 use crossbeam_channel::{bounded, Receiver, Sender};
 
 use crate::counters::Counters;
-use crate::log::{error_chain, Kind, Log};
+use crate::log::{error_chain, Log, LogLimit};
 use crate::message::{EngineMessage, RuntimeLinkCommand};
 use crate::vectored_write;
 
@@ -92,7 +92,7 @@
 
 impl LinkActor<'_> {
     fn keep_link(mut self) -> Result<std::convert::Infallible, EngineGone> {
-        static FAILED: Kind = Kind::new();
+        static FAILED: LogLimit = LogLimit::new();
         let mut is_reported = false;
         loop {
             for command in self.commands.try_iter() {
@@ -131,7 +131,7 @@
 
     /// Serves one link until it ends; why it did, and whether it had lasted.
     fn serve(&self, stream: &Arc<TcpStream>) -> Result<(LinkError, bool), EngineGone> {
-        static CONNECTED: Kind = Kind::new();
+        static CONNECTED: LogLimit = LogLimit::new();
         self.counters.links.add();
         if self.log.allows(&CONNECTED) {
             slog::info!(self.log.lines, "runtime: link established");
@@ -190,7 +190,7 @@
 /// Starts the writer of all links, one after the other. It is there before the first link, so that no link can fail for
 /// want of a thread; until the system grants one, there is no link. The thread ends when its sender is dropped.
 fn spawn_writer(counters: &Counters, log: &Log) -> Sender<WriterJob> {
-    static REFUSED: Kind = Kind::new();
+    static REFUSED: LogLimit = LogLimit::new();
     loop {
         let (to_writer, jobs) = bounded::<WriterJob>(1);
         let thread = thread::Builder::new()
--- a/crates/asterdale-engine/src/runtime_events/link.rs
+++ b/crates/asterdale-engine/src/runtime_events/link.rs
@@ -4,7 +4,7 @@
 
 use super::{FLUSH_TAG, REPLAY_TAG};
 use crate::engine::Engine;
-use crate::log::Kind;
+use crate::log::LogLimit;
 use crate::message::{Endpoints, RegistryCommand, RequestId, RunOutcome, RuntimeLinkCommand};
 use crate::runtime::protocol;
 use crate::tasks::TaskRecord;
@@ -31,18 +31,22 @@
             link.move_deadline = f64::INFINITY;
             link.commands = None;
         }
-        let has_outstanding = link.gauges_requested != link.gauges_received;
-        let is_owed = if link.is_replaying {
+        let has_unanswered = link.gauges_requested != link.gauges_received;
+        let is_outstanding = if link.is_replaying {
             link.is_ready
         } else {
-            has_outstanding
+            has_unanswered
+        };
+        link.silent_ticks = if is_outstanding {
+            link.silent_ticks + 1
+        } else {
+            0
         };
-        link.silent_ticks = if is_owed { link.silent_ticks + 1 } else { 0 };
         if link.silent_ticks >= MAX_SILENT_TICKS {
             link.silent_ticks = 0;
             link.commands = None; // the link ends, and its actor makes a new one
         }
-        let is_due = !has_outstanding || now >= link.gauges_requested_at + GAUGES_TIMEOUT_MS;
+        let is_due = !has_unanswered || now >= link.gauges_requested_at + GAUGES_TIMEOUT_MS;
         if link.commands.is_some() && !link.is_replaying && is_due {
             link.gauges_requested_at = now;
             let line = protocol::gauges(&link.gauges_requested.to_string());
@@ -112,7 +116,7 @@
     /// Another runtime process has taken the place of the one before. It numbers its notices anew; what the earlier one
     /// was sent may have run, and its end will never be known.
     fn runtime_replaced(&mut self) {
-        static REPLACED: Kind = Kind::new();
+        static REPLACED: LogLimit = LogLimit::new();
         let may_have_run = |record: &&TaskRecord| {
             let command = record.last_command.as_ref();
             record.started && command.is_none_or(|command| command.handed_to_link)
--- a/crates/asterdale-engine/src/runtime_events/notices.rs
+++ b/crates/asterdale-engine/src/runtime_events/notices.rs
@@ -6,7 +6,7 @@
 use asterdale::Actions;
 
 use crate::engine::Engine;
-use crate::log::Kind;
+use crate::log::LogLimit;
 use crate::message::{RequestId, RunOutcome, RuntimeNotice, TaskId};
 use crate::runtime::protocol;
 use crate::tasks::PendingCall;
@@ -65,7 +65,7 @@
     }
 
     fn command_rejected(&mut self, command: &str, id: Option<RequestId>) {
-        static REJECTED: Kind = Kind::new();
+        static REJECTED: LogLimit = LogLimit::new();
         if self.tasks.log.allows(&REJECTED) {
             let task = id.and_then(|id| self.tasks.by_id.get(&id).copied());
             let fields = self.tasks.log_fields(task);
@@ -176,8 +176,8 @@
 
     /// Logs when the records service becomes unreachable, and when it responds again.
     fn log_records_reachability(&mut self, number: TaskId, outcome: Outcome) {
-        static UNREACHABLE: Kind = Kind::new();
-        static REACHABLE: Kind = Kind::new();
+        static UNREACHABLE: LogLimit = LogLimit::new();
+        static REACHABLE: LogLimit = LogLimit::new();
         let is_reachable = !matches!(outcome, Outcome::Unreachable | Outcome::Reset);
         if is_reachable == self.records_reachable {
             return;
--- a/crates/asterdale-engine/src/state_transfer/format.rs
+++ b/crates/asterdale-engine/src/state_transfer/format.rs
@@ -30,7 +30,7 @@
     pub(super) caller: Option<Caller>,
     /// The tenant and the role whose quota it takes up.
     #[serde(rename = "place")]
-    pub(super) seat_key: Option<(u32, String)>,
+    pub(super) permit_owner: Option<(u32, String)>,
     pub(super) started: bool,
     #[serde(rename = "void")]
     pub(super) must_not_start: bool,
@@ -42,7 +42,7 @@
 
 impl TransferredTask {
     pub(super) fn new(handle: Handle, record: &TaskRecord, tasks: &Tasks) -> TransferredTask {
-        let seat = record.quota_seat.as_ref();
+        let permit = record.quota_permit.as_ref();
         TransferredTask {
             handle,
             number: record.number,
@@ -53,7 +53,7 @@
             route: record.responder.as_ref().map(|responder| responder.route()),
             idempotency_key: record.idempotency_key.clone(),
             caller: record.caller.as_deref().cloned(),
-            seat_key: seat.and_then(|seat| tasks.identity_gate.seat_key(seat)),
+            permit_owner: permit.and_then(|permit| tasks.identity_gate.permit_owner(permit)),
             started: record.started,
             must_not_start: record.must_not_start,
             pending_call: record.pending_call.clone(),
--- a/crates/asterdale-engine/src/state_transfer/guard.rs
+++ b/crates/asterdale-engine/src/state_transfer/guard.rs
@@ -24,11 +24,7 @@
             ..
         }) = &mut self.paused.guard
         else {
-            if matches!(message, EngineMessage::HotRestart(_)) {
-                return Some(message);
-            }
-            self.paused.deferred.push(message);
-            return None;
+            return self.defer(message);
         };
         match message {
             EngineMessage::Request(request) => {
@@ -76,6 +72,15 @@
         None
     }
 
+    /// Defers a message while it is not decided which process has the work.
+    fn defer(&mut self, message: EngineMessage) -> Option<EngineMessage> {
+        if matches!(message, EngineMessage::HotRestart(_)) {
+            return Some(message);
+        }
+        self.paused.deferred.push(message);
+        None
+    }
+
     /// A reply of the new process: to a task that was transferred, or to a request that was forwarded.
     pub(super) fn relay_reply(&mut self, route: ResponseRoute, reply: Reply) {
         if let Some(task) = self.tasks.by_route.get(&route).copied() {
--- a/crates/asterdale-engine/src/state_transfer/restore.rs
+++ b/crates/asterdale-engine/src/state_transfer/restore.rs
@@ -156,8 +156,8 @@
 
 impl Tasks {
     fn restore_task(&mut self, task: TransferredTask, client: &dyn Fn(u64) -> Arc<dyn Connection>) {
-        let seat_key = task.seat_key.as_ref();
-        let quota_seat = seat_key.and_then(|key| self.identity_gate.restore_seat(key));
+        let permit_owner = task.permit_owner.as_ref();
+        let quota_permit = permit_owner.and_then(|key| self.identity_gate.reacquire_permit(key));
         let responder = task.route.map(|route| Responder {
             client: client(route.connection),
             request: route.request,
@@ -171,7 +171,7 @@
             responder,
             idempotency_key: task.idempotency_key,
             caller: task.caller.map(Arc::new),
-            quota_seat,
+            quota_permit,
             started: task.started,
             must_not_start: task.must_not_start,
             #[cfg(feature = "ownership")]
--- a/crates/asterdale-engine/src/state_transfer/tests.rs
+++ b/crates/asterdale-engine/src/state_transfer/tests.rs
@@ -19,7 +19,7 @@
 use crate::message::{
     Connection, Endpoints, Frontends, IdempotencyKey, Reply, RequestId, ResponseRoute, TaskId,
 };
-use crate::tasks::PendingCall;
+use crate::tasks::{PendingCall, TaskRecord};
 use crate::{mailbox, records};
 
 const STATE: &[u8] = include_bytes!("../../tests/fixtures/hot_restart/state.msgpack");
@@ -193,8 +193,8 @@
 }
 
 #[test]
-fn open_tasks_of_a_stored_state_are_restored() {
-    let mut engine = restored(STATE);
+fn totals_of_a_stored_state_are_restored() {
+    let engine = restored(STATE);
     let summary = engine.summary().unwrap();
     assert_eq!(
         (summary.tasks, summary.limit, summary.call_window),
@@ -225,16 +225,23 @@
         (engine.tasks.now, engine.edge_node_indexes.get(&17)),
         (1_000_000_000_001.304_3, Some(&0))
     );
-    let mut task = |number: TaskId| {
-        let handle = engine.tasks.by_number[&number];
-        assert_eq!(engine.tasks.by_id[&id(number as u8)], handle);
-        assert_eq!(
-            engine.tasks.by_route[&ResponseRoute::from((1 << 33, number as u16))],
-            handle
-        );
-        engine.tasks.slots[handle.index()].take().unwrap()
-    };
-    let at_call = task(3);
+}
+
+/// Takes a task out of the table, after it was found by its number, its request id and its route.
+fn take_task(engine: &mut Engine, number: TaskId) -> TaskRecord {
+    let handle = engine.tasks.by_number[&number];
+    assert_eq!(engine.tasks.by_id[&id(number as u8)], handle);
+    assert_eq!(
+        engine.tasks.by_route[&ResponseRoute::from((1 << 33, number as u16))],
+        handle
+    );
+    engine.tasks.slots[handle.index()].take().unwrap()
+}
+
+#[test]
+fn task_at_its_call_is_restored_with_its_caller_and_quota() {
+    let mut engine = restored(STATE);
+    let at_call = take_task(&mut engine, 3);
     assert_eq!(
         (at_call.class, &at_call.body[..], at_call.idempotency_key),
         (1, &b"bid 3"[..], Some(key(b"key-3")))
@@ -263,10 +270,15 @@
         ("token-1", 2e9, Some(1e9))
     );
     assert!(
-        at_call.quota_seat.is_some() && task(4).quota_seat.is_none(),
+        at_call.quota_permit.is_some() && take_task(&mut engine, 4).quota_permit.is_none(),
         "a task that joined another takes up no quota"
     );
-    let running = task(6);
+}
+
+#[test]
+fn running_and_queued_tasks_of_a_stored_state_are_restored() {
+    let mut engine = restored(STATE);
+    let running = take_task(&mut engine, 6);
     assert_eq!(
         (running.class, running.started, running.idempotency_key),
         (0, true, None)
@@ -282,7 +294,7 @@
     );
     let line = r#"{"t":"start","rid":"0000000000000006","route":"read","b64":"cmVhZCA2"}"#;
     assert_eq!(command.line, format!("{line}\n"));
-    let queued = task(8);
+    let queued = take_task(&mut engine, 8);
     assert_eq!(
         (
             queued.started,
--- a/crates/asterdale-engine/src/tasks/actions.rs
+++ b/crates/asterdale-engine/src/tasks/actions.rs
@@ -7,7 +7,7 @@
 
 use super::table::Tasks;
 use crate::idempotency::{EntryState, Owner};
-use crate::log::Kind;
+use crate::log::LogLimit;
 #[cfg(feature = "hot-restart")]
 use crate::message::MirroredEvent;
 use crate::message::{Call, Reply};
@@ -52,7 +52,7 @@
 
     /// A released task must have been answered; one that was not is a fault of this program.
     fn answer_released(&mut self, task: Handle) {
-        static UNANSWERED: Kind = Kind::new();
+        static UNANSWERED: LogLimit = LogLimit::new();
         let is_unanswered = self
             .task(task)
             .is_some_and(|record| record.responder.is_some());
@@ -101,7 +101,7 @@
         if let Some(record) = self.slots.get_mut(task.index()).and_then(Option::take) {
             self.by_id.remove(&record.id);
             self.by_number.remove(&record.number);
-            self.identity_gate.release_seat(record.quota_seat);
+            self.identity_gate.release_permit(record.quota_permit);
         }
     }
 
--- a/crates/asterdale-engine/src/tasks/record.rs
+++ b/crates/asterdale-engine/src/tasks/record.rs
@@ -84,7 +84,7 @@
     /// The authenticated caller.
     pub caller: Option<Arc<Caller>>,
     /// What it takes up of its caller's concurrency quota.
-    pub quota_seat: Option<ConcurrencyPermit>,
+    pub quota_permit: Option<ConcurrencyPermit>,
     /// The start command was sent.
     pub started: bool,
     /// Its caller was revoked before it started, or it was taken back: it must not start.
