--- a/crates/asterdale-daemon/src/frontend/connection/closing.rs
+++ b/crates/asterdale-daemon/src/frontend/connection/closing.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use asterdale_engine::log::Kind;
+use asterdale_engine::log::LogLimit;
 use asterdale_engine::message::EngineMessage;
 
 use super::{Connection, Phase, ReadEnd, ReadOutcome, LINGER};
@@ -91,8 +91,8 @@
 
 /// Counts and logs why a connection is read no further; the engine is notified of one that failed.
 fn record_read_end(context: &ConnectionContext, connection: u64, end: ReadEnd) {
-    static MALFORMED: Kind = Kind::new();
-    static OUT_OF_MEMORY: Kind = Kind::new();
+    static MALFORMED: LogLimit = LogLimit::new();
+    static OUT_OF_MEMORY: LogLimit = LogLimit::new();
     let (counters, log) = (&context.counters, &context.log);
     match end {
         ReadEnd::Finished => {}
--- a/crates/asterdale-daemon/src/frontend/context.rs
+++ b/crates/asterdale-daemon/src/frontend/context.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use asterdale_engine::counters::Counters;
-use asterdale_engine::log::{Kind, Log};
+use asterdale_engine::log::{Log, LogLimit};
 use asterdale_engine::message::EngineMessage;
 use asterdale_parameters::Settings;
 use crossbeam_channel::Sender;
@@ -39,7 +39,7 @@
 
     /// Counts and logs a request of which this field is missing or invalid.
     pub fn record_malformed_request(&self, field: &'static str) {
-        static MALFORMED_REQUEST: Kind = Kind::new();
+        static MALFORMED_REQUEST: LogLimit = LogLimit::new();
         self.counters.tasks_malformed.add();
         if self.log.allows(&MALFORMED_REQUEST) {
             slog::warn!(self.log.lines, "frontend: malformed request"; "field" => field);
--- a/crates/asterdale-daemon/src/frontend/event_loop/accept.rs
+++ b/crates/asterdale-daemon/src/frontend/event_loop/accept.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use asterdale_engine::log::Kind;
+use asterdale_engine::log::LogLimit;
 use mio::unix::SourceFd;
 use mio::{Interest, Token};
 
@@ -22,7 +22,7 @@
 /// How long accepting pauses where the system refuses a descriptor.
 const ACCEPT_FAILED_PAUSE: Duration = Duration::from_millis(20);
 
-static ACCEPT_FAULT: Kind = Kind::new();
+static ACCEPT_FAULT: LogLimit = LogLimit::new();
 
 impl EventLoop {
     /// Accepts up to [`ACCEPT_BATCH`] connections.
--- a/crates/asterdale-daemon/src/frontend/event_loop/idle.rs
+++ b/crates/asterdale-daemon/src/frontend/event_loop/idle.rs
@@ -1,7 +1,7 @@
 //! Finds connections that are of no use any more: silent, stalled or idle ones, and those whose certificate has expired.
 
 use asterdale_engine::engine::unix_ms;
-use asterdale_engine::log::Kind;
+use asterdale_engine::log::LogLimit;
 
 use super::EventLoop;
 use crate::frontend::connection::Connection;
@@ -77,7 +77,7 @@
     }
 
     fn record_end_cause(&self, cause: &EndCause) {
-        static STALLED: Kind = Kind::new();
+        static STALLED: LogLimit = LogLimit::new();
         let (counters, log) = (&self.context.counters, &self.context.log);
         match cause {
             EndCause::CertificateExpired => counters.connections_lapsed.add(),
@@ -96,7 +96,7 @@
     }
 
     fn record_send_stalled(&self) {
-        static SEND_STALLED: Kind = Kind::new();
+        static SEND_STALLED: LogLimit = LogLimit::new();
         self.context.counters.connections_broken.add();
         if self.context.log.allows(&SEND_STALLED) {
             slog::warn!(
--- a/crates/asterdale-daemon/src/signals.rs
+++ b/crates/asterdale-daemon/src/signals.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use asterdale_engine::counters::Counters;
-use asterdale_engine::log::{Kind, Log};
+use asterdale_engine::log::{Log, LogLimit};
 use asterdale_engine::message::EngineMessage;
 use crossbeam_channel::Sender;
 #[cfg(feature = "upgrade")]
@@ -65,7 +65,7 @@
 
     /// Reads the start file again; one that is invalid changes nothing. Returns `false` if the engine has ended.
     fn reload(&self) -> bool {
-        static RELOAD_FAILED: Kind = Kind::new();
+        static RELOAD_FAILED: LogLimit = LogLimit::new();
         match self.reload.run(&self.engine) {
             Ok(is_engine_running) => is_engine_running,
             Err(e) => {
