--- a/crates/asterdale-daemon/src/assembly/mod.rs
+++ b/crates/asterdale-daemon/src/assembly/mod.rs
@@ -58,19 +58,13 @@
     let sockets = previous.listening_sockets(&listeners, log)?;
     previous.start_control_server(&start, &sockets, &context)?;
     let callers = identity::start(&start, &context)?;
-    let handler = SignalHandler {
-        engine: context.engine.clone(),
-        reload: Reload {
-            start_file,
-            issuer: callers.issuer.clone(),
-            #[cfg(feature = "tls")]
-            tls: listeners.iter().find_map(|listener| listener.tls.clone()),
-        },
-        #[cfg(feature = "upgrade")]
-        control_socket: start.control_socket.as_ref().map(PathBuf::from),
-        counters: context.counters.clone(),
-        log: log.clone(),
+    let reload = Reload {
+        start_file,
+        issuer: callers.issuer.clone(),
+        #[cfg(feature = "tls")]
+        tls: listeners.iter().find_map(|listener| listener.tls.clone()),
     };
+    let handler = signal_handler(&start, reload, &context);
     threads::spawn("signals", move || handler.run(caught_signals))?;
     let runtime_link = actors::start_runtime_link(&start, &context)?;
     let registry = actors::start_registry(&start, &context)?;
@@ -103,3 +97,18 @@
     guard.release();
     Ok(())
 }
+
+fn signal_handler(
+    #[cfg_attr(not(feature = "upgrade"), expect(unused_variables))] start: &Start,
+    reload: Reload,
+    context: &ActorContext,
+) -> SignalHandler {
+    SignalHandler {
+        engine: context.engine.clone(),
+        reload,
+        #[cfg(feature = "upgrade")]
+        control_socket: start.control_socket.as_ref().map(PathBuf::from),
+        counters: context.counters.clone(),
+        log: context.log.clone(),
+    }
+}
--- a/crates/asterdale-daemon/src/fleet/command.rs
+++ b/crates/asterdale-daemon/src/fleet/command.rs
@@ -1,13 +1,16 @@
+//! The command `asterdale fleet`: asks a serving process about its fleet, over its control socket.
+
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::thread;
 use std::time::Duration;
 
-use asterdale_transport::control;
+use asterdale_transport::control::{self, ControlError};
 use clap::{Args, Subcommand};
+use serde_json::Value;
 
-/// Where the process is asked.
+/// How to reach the process.
 #[derive(Args)]
 pub struct At {
     /// The control socket, as the start file names it in `fleet.control`
@@ -15,7 +18,7 @@
     control: PathBuf,
 }
 
-/// What is asked about the fleet.
+/// Subcommands of `asterdale fleet`.
 #[derive(Subcommand)]
 pub enum Command {
     /// Print what the process holds of its fleet; exit code 1 if it is not certain of it
@@ -49,57 +52,96 @@
     },
 }
 
-fn watch(at: &At, every_ms: u64) -> Result<(), control::ControlError> {
-    let mut held: BTreeMap<String, (u64, String)> = BTreeMap::new();
+/// How often [`Command::Watch`] looks at most, in milliseconds.
+const MIN_WATCH_INTERVAL_MS: u64 = 10;
+/// Exit code if the process can't be asked.
+const EXIT_FAILED: u8 = 2;
+
+/// Prints each change of a member, until the process can't be asked any more.
+fn watch(at: &At, every_ms: u64) -> Result<ExitCode, ControlError> {
+    let mut previous: BTreeMap<String, (u64, String)> = BTreeMap::new();
     loop {
-        let shown = control::show(&at.control)?;
-        let all = std::iter::once(&shown.local).chain(&shown.members);
-        let now: BTreeMap<_, _> = all
-            .map(|m| (m.name.clone(), (m.generation, m.status.clone())))
+        let report = control::show(&at.control)?;
+        let current: BTreeMap<_, _> = std::iter::once(&report.local)
+            .chain(&report.members)
+            .map(|member| {
+                let state = (member.generation, member.status.clone());
+                (member.name.clone(), state)
+            })
             .collect();
-        for (name, (generation, status)) in &now {
-            if held.get(name) != Some(&(*generation, status.clone())) {
-                println!("{name} generation {generation} {status}");
+        for (name, state) in &current {
+            if previous.get(name) != Some(state) {
+                println!("{name} generation {} {}", state.0, state.1);
             }
         }
-        for name in held.keys().filter(|name| !now.contains_key(*name)) {
+        for name in previous.keys().filter(|name| !current.contains_key(*name)) {
             println!("{name} forgotten");
         }
-        held = now;
-        thread::sleep(Duration::from_millis(every_ms.max(10)));
+        previous = current;
+        thread::sleep(Duration::from_millis(every_ms.max(MIN_WATCH_INTERVAL_MS)));
     }
 }
 
-/// What a keeper holds, for people.
-fn kept(shown: &serde_json::Value) -> String {
-    let names = |list: &serde_json::Value, field: Option<&str>| {
-        let name = |one: &serde_json::Value| {
-            field
-                .map_or(one, |field| &one[field])
-                .as_str()
-                .unwrap_or_default()
-                .to_owned()
-        };
-        list.as_array()
-            .into_iter()
-            .flatten()
-            .map(name)
-            .collect::<Vec<_>>()
-            .join(" ")
+fn show(at: &At, as_json: bool) -> Result<ExitCode, ControlError> {
+    let report = control::show(&at.control)?;
+    let text = if as_json {
+        serde_json::to_string(&report).unwrap_or_default()
+    } else {
+        report.to_table()
+    };
+    println!("{text}");
+    Ok(success_if(report.has_majority))
+}
+
+fn show_replica(at: &At, as_json: bool) -> Result<ExitCode, ControlError> {
+    let status = control::replica_status(&at.control)?;
+    let text = if as_json {
+        status.to_string()
+    } else {
+        replica_text(&status)
     };
-    let kept = shown["kept"].as_object().into_iter().flatten();
-    let kept: Vec<String> = kept.map(|(state, n)| format!("{state} {n}")).collect();
-    let quiet = shown["quiet_ms"].as_f64().unwrap_or(0.0) / 1e3;
+    println!("{text}");
+    let has_leader = status["leader"]
+        .as_str()
+        .is_some_and(|leader| !leader.is_empty());
+    Ok(success_if(status["group"] != 0 && has_leader))
+}
+
+fn success_if(condition: bool) -> ExitCode {
+    if condition {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
+}
+
+/// The names in a list of strings, or of objects with a field `name`.
+fn joined_names(list: &Value) -> String {
+    let name = |entry: &Value| {
+        let name = entry.get("name").unwrap_or(entry);
+        name.as_str().unwrap_or_default().to_owned()
+    };
+    let names: Vec<String> = list.as_array().into_iter().flatten().map(name).collect();
+    names.join(" ")
+}
+
+/// A replica's status, for people.
+fn replica_text(status: &Value) -> String {
+    let counts = status["kept"].as_object().into_iter().flatten();
+    let counts: Vec<String> = counts
+        .map(|(state, count)| format!("{state} {count}"))
+        .collect();
+    let quiet_s = status["quiet_ms"].as_f64().unwrap_or(0.0) / 1e3;
     [
         format!(
             "group {}, led by {}, {} entries",
-            shown["group"], shown["leader"], shown["applied"]
+            status["group"], status["leader"], status["applied"]
         ),
-        format!("keepers: {}", names(&shown["members"], None)),
-        format!("owners: {}", names(&shown["owners"], Some("name"))),
-        format!("kept: {}; {} bytes", kept.join(", "), shown["bytes"]),
-        if quiet > 0.0 {
-            format!("nothing is claimed for {quiet:.1} s")
+        format!("keepers: {}", joined_names(&status["members"])),
+        format!("owners: {}", joined_names(&status["owners"])),
+        format!("kept: {}; {} bytes", counts.join(", "), status["bytes"]),
+        if quiet_s > 0.0 {
+            format!("nothing is claimed for {quiet_s:.1} s")
         } else {
             "claims are taken".to_owned()
         },
@@ -107,46 +149,16 @@
     .join("\n")
 }
 
-/// Does it.
+/// Runs the command, and prints its error.
 pub fn run(command: &Command) -> ExitCode {
-    let done = match command {
-        Command::Show { at, json } => control::show(&at.control).map(|shown| {
-            let text = if *json {
-                serde_json::to_string(&shown).unwrap_or_default()
-            } else {
-                shown.to_table()
-            };
-            println!("{text}");
-            if shown.has_majority {
-                ExitCode::SUCCESS
-            } else {
-                ExitCode::FAILURE
-            }
-        }),
-        Command::Watch { at, every_ms } => watch(at, *every_ms).map(|()| ExitCode::SUCCESS),
-        Command::Keepers { at, json } => control::replica_status(&at.control).map(|shown| {
-            println!(
-                "{}",
-                if *json {
-                    shown.to_string()
-                } else {
-                    kept(&shown)
-                }
-            );
-            if shown["group"] != 0
-                && shown["leader"]
-                    .as_str()
-                    .is_some_and(|leader| !leader.is_empty())
-            {
-                ExitCode::SUCCESS
-            } else {
-                ExitCode::FAILURE
-            }
-        }),
+    let result = match command {
+        Command::Show { at, json } => show(at, *json),
+        Command::Watch { at, every_ms } => watch(at, *every_ms),
+        Command::Keepers { at, json } => show_replica(at, *json),
         Command::Leave { at } => control::leave(&at.control).map(|()| ExitCode::SUCCESS),
     };
-    done.unwrap_or_else(|why| {
-        eprintln!("asterdale: {why}");
-        ExitCode::from(2)
+    result.unwrap_or_else(|e| {
+        eprintln!("asterdale: {e}");
+        ExitCode::from(EXIT_FAILED)
     })
 }
--- a/crates/asterdale-daemon/src/fleet/mod.rs
+++ b/crates/asterdale-daemon/src/fleet/mod.rs
@@ -17,7 +17,7 @@
 use asterdale_engine::message::{EngineMessage, FleetView, OwnershipClient};
 use asterdale_membership::{Event, MembershipConfig, Settings};
 use asterdale_transport::ownership::{OwnershipActorSettings, OwnershipNotification, ReplicaDisk};
-use asterdale_transport::TransportSettings;
+use asterdale_transport::{Transport, TransportSettings};
 use crossbeam_channel::Sender;
 
 use crate::start::{FleetSettings, OwnershipSettings, Start};
@@ -105,15 +105,23 @@
         address: fleet.listen,
         source,
     })?;
+    Ok(ports(transport, start.ownership.as_ref(), &fleet.key))
+}
+
+fn ports(
+    transport: Transport,
+    ownership: Option<&OwnershipSettings>,
+    fleet_key: &[u8],
+) -> FleetPorts {
     let ownership = transport
         .ownership
         .clone()
-        .zip(start.ownership.as_ref())
-        .map(|(handle, settings)| ReplicatedOwnership::new(handle, settings, &fleet.key));
-    Ok(FleetPorts {
+        .zip(ownership)
+        .map(|(handle, settings)| ReplicatedOwnership::new(handle, settings, fleet_key));
+    FleetPorts {
         view: Some(Arc::new(TransportFleetView(transport))),
         ownership: ownership.map(|ownership| Arc::new(ownership) as Arc<dyn OwnershipClient>),
-    })
+    }
 }
 
 fn membership_config(
--- a/crates/asterdale-daemon/src/journal/command.rs
+++ b/crates/asterdale-daemon/src/journal/command.rs
@@ -1,3 +1,5 @@
+//! The command `asterdale journal`: checks and prints a journal's folder, also while a process uses it.
+
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
