--- a/crates/asterdale-ownership/src/replica/mod.rs
+++ b/crates/asterdale-ownership/src/replica/mod.rs
@@ -21,16 +21,19 @@
 
 use crate::message::wire::{self, Proposal};
 use crate::message::{self, socket_addr, Member, MessageBody};
-use crate::raft_node::{MemberId, RaftMessageTo, RaftNode};
+use crate::raft_node::{RaftMessageTo, RaftNode};
 use crate::settings::OwnershipSettings;
-use crate::storage::{ReplicaIdentity, StorageWrite, StoredState};
+use crate::storage::StorageWrite;
 use crate::{Action, OwnershipEvent};
 
 mod commands;
+mod config;
 mod formation;
 mod membership;
 mod status;
 
+pub use config::ReplicaConfig;
+use config::RestoredMember;
 pub use status::ReplicaStatus;
 
 /// Ticks between two hello messages to each other replica: as often as Raft's heartbeats.
@@ -42,25 +45,6 @@
 /// Processes that were silent for this many ticks are forgotten.
 const FORGET_AFTER_TICKS: f64 = 100.0 * REPLACE_AFTER_TICKS;
 
-/// What a replica needs to start.
-#[derive(Clone, Debug)]
-pub struct ReplicaConfig {
-    /// Its name and address. The node id is used unless another one is stored.
-    pub member: Member,
-    /// All replicas by name and address, in the same order in all processes.
-    pub replicas: Vec<(String, SocketAddr)>,
-    /// What the fleet agrees on.
-    pub settings: OwnershipSettings,
-    /// Authenticates messages by the fleet's key.
-    pub authenticator: MessageAuthenticator,
-    /// Seed of later node ids.
-    pub seed: u64,
-    /// The Unix time at the start, in seconds: group numbers grow with it.
-    pub unix_s: u64,
-    /// What was found in durable storage, empty if it was not trustworthy; `None` without durable storage.
-    pub stored: Option<StoredState>,
-}
-
 /// The last hello of another replica.
 #[derive(Clone, Debug)]
 struct PeerHello {
@@ -109,31 +93,6 @@
     actions: Vec<Action>,
 }
 
-/// The member that a restarted process was.
-struct RestoredMember {
-    identity: ReplicaIdentity,
-    raft_node: RaftNode,
-}
-
-impl RestoredMember {
-    fn load(now_ms: f64, config: &ReplicaConfig) -> Option<RestoredMember> {
-        let stored = config.stored.as_ref()?;
-        let identity = stored.identity()?;
-        if identity.group == 0 {
-            return None;
-        }
-        let id = MemberId {
-            group: identity.group,
-            node: identity.node,
-        };
-        let raft_node = RaftNode::restore(now_ms, id, stored, &config.settings)?;
-        Some(RestoredMember {
-            identity,
-            raft_node,
-        })
-    }
-}
-
 impl Replica {
     /// A replica that starts now: the member that it was if its stored state is complete, otherwise one without a group.
     pub fn new(now_ms: f64, mut config: ReplicaConfig) -> Replica {
