--- /dev/null
+++ b/crates/asterdale-daemon/src/frontend/connection/dispatch.rs
@@ -0,0 +1,171 @@
+//! Parses the FastCGI records that a connection has received, and passes complete requests to the engine.
+
+use std::sync::Arc;
+
+use asterdale_engine::message::{EngineMessage, Reply, Request, ResponseRoute};
+use asterdale_fastcgi::{
+    end_request_response, protocol_status, unknown_type_response, values_response,
+};
+use asterdale_fastcgi::{AssemblyEvent, CompleteRequest, ProtocolError, Response};
+
+use super::{Connection, ReadEnd};
+use crate::frontend::context::ConnectionContext;
+use crate::frontend::peer::Peer;
+use crate::frontend::reply::encode_reply;
+use crate::frontend::request_head::{self, RequestTarget};
+
+/// Open requests that one connection may carry; set by the platform's protocol.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Error replies and replies to management records in a row after which a connection ends. Edge nodes give no cause for
+/// them; a client that repeats a malformed request at once would keep a core busy.
+const MAX_CONSECUTIVE_ERROR_REPLIES: usize = 8;
+/// Input buffer that every connection has, in bytes. It is not counted as buffered input.
+const BASE_BUFFER_BYTES: usize = 8192;
+
+/// What follows from one record.
+enum Processed {
+    /// Nothing to reply.
+    Accepted,
+    /// A reply to be sent at once.
+    Reply(Response),
+    /// The connection is read no further.
+    End(ReadEnd),
+}
+
+impl Connection {
+    /// Processes the complete records that were read. Returns why the connection is read no further, if so.
+    pub(super) fn process_records(
+        &mut self,
+        context: &mut ConnectionContext,
+        peer: &Arc<Peer>,
+    ) -> Option<ReadEnd> {
+        loop {
+            let open = peer.open_requests() + self.requests.pending_count();
+            let event = match self.incoming.next_record() {
+                Ok(Some(record)) => self
+                    .requests
+                    .handle_record(record, open < MAX_OPEN_REQUESTS),
+                Ok(None) => break,
+                Err(malformed) => Err(malformed),
+            };
+            let processed = match event {
+                Ok(event) => self.process_event(context, peer, event),
+                Err(malformed) => Processed::End(ReadEnd::Malformed(malformed)),
+            };
+            match processed {
+                Processed::Accepted => continue,
+                Processed::End(end) => return Some(end),
+                Processed::Reply(reply) => peer.send_record(reply),
+            }
+            self.consecutive_error_replies += 1;
+            if self.consecutive_error_replies >= MAX_CONSECUTIVE_ERROR_REPLIES {
+                return Some(ReadEnd::Finished);
+            }
+        }
+        let bytes = self
+            .incoming
+            .buffer_bytes()
+            .saturating_sub(BASE_BUFFER_BYTES)
+            + self.requests.pending_bytes();
+        (!self.set_buffered_bytes(context, bytes)).then_some(ReadEnd::OutOfMemory)
+    }
+
+    fn process_event(
+        &mut self,
+        context: &ConnectionContext,
+        peer: &Arc<Peer>,
+        event: AssemblyEvent,
+    ) -> Processed {
+        match event {
+            AssemblyEvent::Pending => Processed::Accepted,
+            AssemblyEvent::Complete(request_id, request) => {
+                self.process_complete_request(context, peer, request_id, request)
+            }
+            AssemblyEvent::Abort(request_id) => {
+                let route = ResponseRoute {
+                    connection: peer.connection,
+                    request: request_id,
+                };
+                // The engine's mailbox closes only when the process ends.
+                let _ = context.engine.send(EngineMessage::Abort(route));
+                Processed::Accepted
+            }
+            AssemblyEvent::EndRequest(request_id, status) => {
+                if status == protocol_status::OVERLOADED {
+                    context.counters.requests_overloaded.add();
+                }
+                Processed::Reply(end_request_response(request_id, status))
+            }
+            AssemblyEvent::BodyTooLong(request_id) => {
+                context.record_malformed_request("body");
+                peer.send_record(encode_reply(request_id, Reply::Malformed));
+                Processed::End(ReadEnd::Finished)
+            }
+            AssemblyEvent::GetValues(requested) => Processed::Reply(values_response(
+                &requested,
+                context.max_connections,
+                MAX_OPEN_REQUESTS,
+            )),
+            AssemblyEvent::UnknownType(kind) => Processed::Reply(unknown_type_response(kind)),
+        }
+    }
+
+    fn process_complete_request(
+        &mut self,
+        context: &ConnectionContext,
+        peer: &Arc<Peer>,
+        request_id: u16,
+        request: CompleteRequest,
+    ) -> Processed {
+        let keep_connection = request.keep_connection;
+        match self.pass_to_engine(context, peer, request_id, request) {
+            Ok(true) if keep_connection => {
+                self.consecutive_error_replies = 0;
+                Processed::Accepted
+            }
+            Ok(true) => Processed::End(ReadEnd::Finished),
+            Ok(false) => Processed::Reply(encode_reply(request_id, Reply::Malformed)),
+            Err(malformed) => Processed::End(ReadEnd::Malformed(malformed)),
+        }
+    }
+
+    /// Passes a complete request or health check to the engine. Returns `false` for one with an invalid field.
+    fn pass_to_engine(
+        &mut self,
+        context: &ConnectionContext,
+        peer: &Arc<Peer>,
+        request_id: u16,
+        request: CompleteRequest,
+    ) -> Result<bool, ProtocolError> {
+        let target = request_head::parse(
+            &request.params,
+            &context.settings,
+            context.identity_required,
+        )?;
+        let message = match target {
+            RequestTarget::HealthCheck { deep } => EngineMessage::HealthCheck {
+                client: peer.clone(),
+                request: request_id,
+                deep,
+            },
+            RequestTarget::Task(head, token) => EngineMessage::Request(Box::new(Request {
+                head,
+                token,
+                certificate: self.stream.certificate(),
+                body: request.body,
+                client: peer.clone(),
+                request: request_id,
+                received_at: self.received_not_before,
+            })),
+            RequestTarget::Invalid { field } => {
+                context.record_malformed_request(field);
+                return Ok(false);
+            }
+        };
+        self.has_received_request = true;
+        peer.add_open_request();
+        // The engine's mailbox closes only when the process ends.
+        let _ = context.engine.send(message);
+        Ok(true)
+    }
+}
