--- /dev/null
+++ b/crates/asterdale-daemon/src/assembly/actors.rs
@@ -0,0 +1,112 @@
+//! Starts the actors that need nothing but their settings: runtime link, registry, records client, journal and fleet.
+
+use std::sync::Arc;
+
+use asterdale_engine::mailbox::MailboxSender;
+#[cfg(any(feature = "fleet", feature = "journal"))]
+use asterdale_engine::message::OwnershipClient;
+use asterdale_engine::message::{FleetView, RegistryCommand, RuntimeLinkCommand};
+use asterdale_engine::records::Records;
+use asterdale_engine::{records, registry, runtime};
+use crossbeam_channel::{unbounded, Sender};
+
+use super::{ActorContext, AssemblyError};
+use crate::start::Start;
+use crate::threads::spawn;
+
+/// Starts the link to the runtime. Returns the way to change its address.
+pub fn start_runtime_link(
+    start: &Start,
+    context: &ActorContext,
+) -> Result<Sender<RuntimeLinkCommand>, AssemblyError> {
+    // Unbounded, as no command may be dropped: the last one has the runtime's address. A reload sends one at most.
+    let (sender, commands) = unbounded();
+    let (address, context) = (start.endpoints.runtime, context.clone());
+    spawn("runtime", move || {
+        let ActorContext {
+            engine,
+            counters,
+            log,
+        } = context;
+        runtime::run(address, &commands, &engine, &counters, &log);
+    })?;
+    Ok(sender)
+}
+
+/// Starts the actor that reports this process to the registry. Returns the way to it.
+pub fn start_registry(
+    start: &Start,
+    context: &ActorContext,
+) -> Result<MailboxSender<RegistryCommand>, AssemblyError> {
+    let (sender, reporter) = registry::new(
+        start.endpoints.registry,
+        start.name.clone(),
+        context.counters.clone(),
+        context.log.clone(),
+    )
+    .map_err(AssemblyError::Registry)?;
+    spawn("registry", move || reporter.serve())?;
+    Ok(sender)
+}
+
+/// Starts the client of the records service.
+pub fn start_records(start: &Start, context: &ActorContext) -> Result<Records, AssemblyError> {
+    let (records, caller) = records::new(
+        start.endpoints.records,
+        context.engine.clone(),
+        context.counters.clone(),
+        context.log.clone(),
+    )
+    .map_err(AssemblyError::Records)?;
+    spawn("calls", move || caller.serve())?;
+    Ok(records)
+}
+
+/// The engine's connections to other processes and to whoever keeps claims.
+#[derive(Default)]
+pub struct OwnershipPorts {
+    /// The other processes of the fleet, where there is one.
+    pub fleet: Option<Arc<dyn FleetView>>,
+    /// Keeps claims: the fleet's replicas or, without them, this process's journal.
+    #[cfg(any(feature = "fleet", feature = "journal"))]
+    pub ownership: Option<Arc<dyn OwnershipClient>>,
+}
+
+/// Opens the journal and joins the fleet, where the start file has them.
+#[cfg(any(feature = "fleet", feature = "journal"))]
+pub fn start_journal_and_fleet(
+    start: &Start,
+    context: &ActorContext,
+) -> Result<OwnershipPorts, AssemblyError> {
+    #[cfg(feature = "journal")]
+    let journal = crate::journal::start(start, &context.engine, &context.log)?;
+    #[cfg(feature = "fleet")]
+    let fleet = crate::fleet::start(
+        start,
+        &context.engine,
+        &context.log,
+        #[cfg(feature = "journal")]
+        journal.journal,
+    )?;
+    Ok(OwnershipPorts {
+        #[cfg(feature = "fleet")]
+        fleet: fleet.view,
+        #[cfg(not(feature = "fleet"))]
+        fleet: None,
+        #[cfg(all(feature = "journal", feature = "fleet"))]
+        ownership: fleet.ownership.or(journal.ownership),
+        #[cfg(all(feature = "journal", not(feature = "fleet")))]
+        ownership: journal.ownership,
+        #[cfg(all(feature = "fleet", not(feature = "journal")))]
+        ownership: fleet.ownership,
+    })
+}
+
+/// This build has neither.
+#[cfg(not(any(feature = "fleet", feature = "journal")))]
+pub fn start_journal_and_fleet(
+    _: &Start,
+    _: &ActorContext,
+) -> Result<OwnershipPorts, AssemblyError> {
+    Ok(OwnershipPorts::default())
+}
--- a/crates/asterdale-daemon/src/cli.rs
+++ b/crates/asterdale-daemon/src/cli.rs
@@ -7,8 +7,9 @@
 
 use thiserror::Error;
 
+use crate::serve::{report_start_error, serve, ServeOptions};
 use crate::start;
-use crate::{keys, serve, tell, token, How};
+use crate::{keys, token};
 
 #[cfg(test)]
 mod tests;
@@ -88,8 +89,8 @@
     level: Level,
 }
 
-impl From<Serve> for How {
-    fn from(Serve { file, log, level }: Serve) -> How {
+impl From<Serve> for ServeOptions {
+    fn from(Serve { file, log, level }: Serve) -> ServeOptions {
         let level = match level {
             Level::Critical => slog::Level::Critical,
             Level::Error => slog::Level::Error,
@@ -97,10 +98,10 @@
             Level::Info => slog::Level::Info,
             Level::Debug => slog::Level::Debug,
         };
-        How {
-            file,
-            json: matches!(log, Form::Json),
-            level: Some(level),
+        ServeOptions {
+            start_file: file,
+            json_log: matches!(log, Form::Json),
+            log_level: Some(level),
         }
     }
 }
@@ -152,7 +153,7 @@
             );
             ExitCode::SUCCESS
         }
-        Err(error) => tell(&error),
+        Err(error) => report_start_error(&error),
     }
 }
 
@@ -181,7 +182,7 @@
 
 fn run_command(command: Option<Command>) -> Result<ExitCode, CommandError> {
     match command {
-        None => return Ok(serve(How::default())),
+        None => return Ok(serve(ServeOptions::default())),
         Some(Command::Serve(options)) => return Ok(serve(options.into())),
         Some(Command::Check { file }) => return Ok(check(&file)),
         Some(Command::Schema) => println!("{}", schema()),
--- /dev/null
+++ b/crates/asterdale-daemon/src/fleet/command.rs
@@ -0,0 +1,164 @@
+//! The command `asterdale fleet`: asks a serving process about its fleet, over its control socket.
+
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+use std::process::ExitCode;
+use std::thread;
+use std::time::Duration;
+
+use asterdale_transport::control::{self, ControlError};
+use clap::{Args, Subcommand};
+use serde_json::Value;
+
+/// How to reach the process.
+#[derive(Args)]
+pub struct At {
+    /// The control socket, as the start file names it in `fleet.control`
+    #[arg(long)]
+    control: PathBuf,
+}
+
+/// Subcommands of `asterdale fleet`.
+#[derive(Subcommand)]
+pub enum Command {
+    /// Print what the process holds of its fleet; exit code 1 if it is not certain of it
+    Show {
+        #[command(flatten)]
+        at: At,
+        /// As JSON
+        #[arg(long)]
+        json: bool,
+    },
+    /// Print each change, as it is held, until interrupted or the process ends
+    Watch {
+        #[command(flatten)]
+        at: At,
+        /// How often to look, in milliseconds
+        #[arg(long, default_value_t = 500)]
+        every_ms: u64,
+    },
+    /// Print what the process holds as a keeper of work in hand; exit code 1 if it is in no group, or nobody leads it
+    Keepers {
+        #[command(flatten)]
+        at: At,
+        /// As JSON
+        #[arg(long)]
+        json: bool,
+    },
+    /// Have the process leave its fleet: it serves on, and counts as gone
+    Leave {
+        #[command(flatten)]
+        at: At,
+    },
+}
+
+/// How often [`Command::Watch`] looks at most, in milliseconds.
+const MIN_WATCH_INTERVAL_MS: u64 = 10;
+/// Exit code if the process can't be asked.
+const EXIT_FAILED: u8 = 2;
+
+/// Prints each change of a member, until the process can't be asked any more.
+fn watch(at: &At, every_ms: u64) -> Result<ExitCode, ControlError> {
+    let mut previous: BTreeMap<String, (u64, String)> = BTreeMap::new();
+    loop {
+        let report = control::show(&at.control)?;
+        let current: BTreeMap<_, _> = std::iter::once(&report.local)
+            .chain(&report.members)
+            .map(|member| {
+                let state = (member.generation, member.status.clone());
+                (member.name.clone(), state)
+            })
+            .collect();
+        for (name, state) in &current {
+            if previous.get(name) != Some(state) {
+                println!("{name} generation {} {}", state.0, state.1);
+            }
+        }
+        for name in previous.keys().filter(|name| !current.contains_key(*name)) {
+            println!("{name} forgotten");
+        }
+        previous = current;
+        thread::sleep(Duration::from_millis(every_ms.max(MIN_WATCH_INTERVAL_MS)));
+    }
+}
+
+fn show(at: &At, as_json: bool) -> Result<ExitCode, ControlError> {
+    let report = control::show(&at.control)?;
+    let text = if as_json {
+        serde_json::to_string(&report).unwrap_or_default()
+    } else {
+        report.to_table()
+    };
+    println!("{text}");
+    Ok(success_if(report.has_majority))
+}
+
+fn show_replica(at: &At, as_json: bool) -> Result<ExitCode, ControlError> {
+    let status = control::replica_status(&at.control)?;
+    let text = if as_json {
+        status.to_string()
+    } else {
+        replica_text(&status)
+    };
+    println!("{text}");
+    let has_leader = status["leader"]
+        .as_str()
+        .is_some_and(|leader| !leader.is_empty());
+    Ok(success_if(status["group"] != 0 && has_leader))
+}
+
+fn success_if(condition: bool) -> ExitCode {
+    if condition {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
+}
+
+/// The names in a list of strings, or of objects with a field `name`.
+fn joined_names(list: &Value) -> String {
+    let name = |entry: &Value| {
+        let name = entry.get("name").unwrap_or(entry);
+        name.as_str().unwrap_or_default().to_owned()
+    };
+    let names: Vec<String> = list.as_array().into_iter().flatten().map(name).collect();
+    names.join(" ")
+}
+
+/// A replica's status, for people.
+fn replica_text(status: &Value) -> String {
+    let counts = status["kept"].as_object().into_iter().flatten();
+    let counts: Vec<String> = counts
+        .map(|(state, count)| format!("{state} {count}"))
+        .collect();
+    let quiet_s = status["quiet_ms"].as_f64().unwrap_or(0.0) / 1e3;
+    [
+        format!(
+            "group {}, led by {}, {} entries",
+            status["group"], status["leader"], status["applied"]
+        ),
+        format!("keepers: {}", joined_names(&status["members"])),
+        format!("owners: {}", joined_names(&status["owners"])),
+        format!("kept: {}; {} bytes", counts.join(", "), status["bytes"]),
+        if quiet_s > 0.0 {
+            format!("nothing is claimed for {quiet_s:.1} s")
+        } else {
+            "claims are taken".to_owned()
+        },
+    ]
+    .join("\n")
+}
+
+/// Runs the command, and prints its error.
+pub fn run(command: &Command) -> ExitCode {
+    let result = match command {
+        Command::Show { at, json } => show(at, *json),
+        Command::Watch { at, every_ms } => watch(at, *every_ms),
+        Command::Keepers { at, json } => show_replica(at, *json),
+        Command::Leave { at } => control::leave(&at.control).map(|()| ExitCode::SUCCESS),
+    };
+    result.unwrap_or_else(|e| {
+        eprintln!("asterdale: {e}");
+        ExitCode::from(EXIT_FAILED)
+    })
+}
