--- a/crates/asterdale-daemon/src/start/mod.rs
+++ b/crates/asterdale-daemon/src/start/mod.rs
@@ -28,7 +28,7 @@
 
 pub use error::StartError;
 pub use fleet::FleetSettings;
-pub use identity::{IdentitySettings, KeySetSource};
+pub use identity::{IdentitySettings, KeySetSource, ReadKeySetError};
 pub use journal::JournalSettings;
 #[cfg(any(test, feature = "tools"))]
 pub use load::parse;
