--- a/crates/asterdale-engine/src/log.rs
+++ b/crates/asterdale-engine/src/log.rs
@@ -1,5 +1,6 @@
 //! The log: lines to standard error that are never waited for, and at most one a second of one kind of fault.
 
+use std::io::{LineWriter, Stderr};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::Instant;
 
@@ -10,6 +11,8 @@
 const QUEUED_LINES: usize = 256;
 /// The least time between two lines about one kind of fault, in milliseconds.
 const MIN_INTERVAL_MS: u64 = 1000;
+/// Lines up to this length, in bytes, are written by one system call.
+const LINE_BUFFER_BYTES: usize = 8192;
 
 /// The log.
 #[derive(Clone)]
@@ -26,12 +29,12 @@
         // A closed standard error must not end the program.
         if json {
             return Log::through(
-                slog_json::Json::default(std::io::stderr()).ignore_res(),
+                slog_json::Json::default(line_buffered_stderr()).ignore_res(),
                 name,
                 level,
             );
         }
-        let decorator = slog_term::PlainDecorator::new(std::io::stderr());
+        let decorator = slog_term::PlainDecorator::new(line_buffered_stderr());
         Log::through(
             slog_term::FullFormat::new(decorator).build().ignore_res(),
             name,
@@ -68,6 +71,12 @@
     }
 }
 
+/// Standard error, written a line at a time: during a hot restart two processes share it, and pieces of their lines
+/// would mix.
+fn line_buffered_stderr() -> LineWriter<Stderr> {
+    LineWriter::with_capacity(LINE_BUFFER_BYTES, std::io::stderr())
+}
+
 /// An error with its sources, on one line.
 pub fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
