--- a/crates/asterdale-daemon/src/assembly/hot_restart.rs
+++ b/crates/asterdale-daemon/src/assembly/hot_restart.rs
@@ -161,8 +161,8 @@
             inherited.mirror_to_old_process(),
         )
         .map_err(|e| AssemblyError::HotRestart(e.into()))?;
-        slog::info!(context.log.lines, "upgrade: this process goes on";
-            "process" => std::process::id(), "epoch" => epoch, "gist" => ?engine.summary());
+        slog::info!(context.log.lines, "hot restart: state restored";
+            "process" => std::process::id(), "epoch" => epoch, "summary" => ?engine.summary());
         let messages = context.engine.clone();
         spawn("hearing", move || {
             inherited.relay_from_old_process(&messages, classes);
--- a/crates/asterdale-daemon/src/assembly/mod.rs
+++ b/crates/asterdale-daemon/src/assembly/mod.rs
@@ -17,6 +17,7 @@
 use asterdale_engine::log::Log;
 use asterdale_engine::message::EngineMessage;
 use asterdale_engine::EnginePorts;
+use asterdale_identity::Identity;
 use crossbeam_channel::{bounded, Sender};
 
 use crate::reload::Reload;
@@ -83,21 +84,26 @@
         counters: context.counters.clone(),
         log: log.clone(),
     };
-    let settings = EngineSettings {
-        settings: start.settings,
-        memory_bytes: start.memory_bytes,
-        termination_grace_ms: start.stop_ms,
-        endpoints: start.endpoints,
-        identity: callers.identity,
-    };
+    let address = start.listen;
+    let settings = engine_settings(start, callers.identity);
     let (mut engine, guard) = previous.into_engine(settings, ports, &context)?;
-    slog::info!(log.lines, "daemon: serving"; "address" => %start.listen);
+    slog::info!(log.lines, "daemon: serving"; "address" => %address);
     engine.run(&mailbox);
     engine.print_counters();
     guard.release();
     Ok(())
 }
 
+fn engine_settings(start: Start, identity: Option<Identity>) -> EngineSettings {
+    EngineSettings {
+        settings: start.settings,
+        memory_bytes: start.memory_bytes,
+        termination_grace_ms: start.stop_ms,
+        endpoints: start.endpoints,
+        identity,
+    }
+}
+
 fn signal_handler(
     #[cfg_attr(not(feature = "upgrade"), expect(unused_variables))] start: &Start,
     reload: Reload,
--- a/crates/asterdale-daemon/src/frontend/tests.rs
+++ b/crates/asterdale-daemon/src/frontend/tests.rs
@@ -12,7 +12,7 @@
 use asterdale_engine::message::{EngineMessage, Frontends, Reply};
 use asterdale_fastcgi::Response;
 use crossbeam_channel::{bounded, unbounded, Sender};
-use mio::{Poll, Token};
+use mio::{Events, Poll, Token};
 use serde_json::json;
 
 use super::command::FrontendCommand;
@@ -42,6 +42,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario, read from top to bottom"
+)]
 fn request_that_crosses_the_connection_end_is_answered_while_another_is_open() {
     let start = start_file();
     let ((engine, mailbox), (writer, replies)) = (bounded(9), unbounded());
@@ -124,7 +128,7 @@
     const REPLIES: usize = 400;
     const BODY_BYTES: usize = 60_000;
     const ENCODED_BYTES: usize = 60_032;
-    let (poll, (writer, replies)) = (Poll::new().unwrap(), unbounded());
+    let (mut poll, (writer, replies)) = (Poll::new().unwrap(), unbounded());
     let (engine, _mailbox) = unbounded();
     let (peer, mut client, commands) = connected_peer(&poll, &writer);
     for n in 0..REPLIES {
@@ -138,6 +142,9 @@
         started_at: Instant::now(),
     };
     thread::spawn(move || writer.run());
+    // Nothing is read before the writer has met a full socket: a fast reader could keep it from ever filling up.
+    poll.poll(&mut Events::with_capacity(1), Some(TEST_TIMEOUT))
+        .unwrap();
     client
         .set_read_timeout(Some(Duration::from_millis(1)))
         .unwrap();
--- a/crates/asterdale-daemon/src/frontend/writer.rs
+++ b/crates/asterdale-daemon/src/frontend/writer.rs
@@ -35,7 +35,7 @@
             // The sort is stable: replies of one connection stay in order.
             batch.sort_by_key(|reply| reply.peer.connection);
             batch
-                .chunk_by(|a, b| a.peer.connection == b.peer.connection)
+                .chunk_by(|one, next| one.peer.connection == next.peer.connection)
                 .for_each(|replies| self.write_to_one_peer(replies));
         }
     }
--- a/crates/asterdale-daemon/src/keys/tests.rs
+++ b/crates/asterdale-daemon/src/keys/tests.rs
@@ -24,6 +24,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario, read from top to bottom"
+)]
 fn keys_are_made_announced_activated_revoked_and_signed_on_files() {
     let folder = std::env::temp_dir().join(format!("asterdale-keys-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
--- a/crates/asterdale-daemon/src/signals.rs
+++ b/crates/asterdale-daemon/src/signals.rs
@@ -91,7 +91,7 @@
         };
         if let Err(e) = threads::spawn("upgrade", request) {
             self.counters.threads_refused.add();
-            slog::error!(self.log.lines, "upgrade: not started"; "error" => with_sources(&e));
+            slog::error!(self.log.lines, "hot restart: not started"; "error" => with_sources(&e));
         }
         true
     }
--- a/crates/asterdale-daemon/src/upgrade/control_socket.rs
+++ b/crates/asterdale-daemon/src/upgrade/control_socket.rs
@@ -176,7 +176,7 @@
         let greeter = thread::Builder::new().name("greeter".to_owned());
         // Without a thread the connection is closed, which whoever connected sees.
         if let Err(e) = greeter.spawn(move || self.greet(stream)) {
-            slog::error!(log.lines, "hot_restart: control connection dropped"; "error" => %e);
+            slog::error!(log.lines, "hot restart: control connection dropped"; "error" => %e);
         }
     }
 
@@ -185,7 +185,7 @@
         if !is_same_user(&stream) {
             return slog::warn!(
                 log,
-                "hot_restart: control connection of another user rejected"
+                "hot restart: control connection of another user rejected"
             );
         }
         let Some((writer, mut reader)) = open_control_connection(stream) else {
--- a/crates/asterdale-daemon/src/upgrade/old_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/old_process.rs
@@ -53,7 +53,7 @@
     let child = match start_new_process(&shared.control, program, &nonce) {
         Ok(child) => child,
         Err(error) => {
-            slog::error!(log, "hot_restart: new process not started"; "error" => %error);
+            slog::error!(log, "hot restart: new process not started"; "error" => %error);
             return send_outcome(requester, Err(error.to_string()));
         }
     };
@@ -145,7 +145,7 @@
     fn report_phase(&self) {
         let phase = self.machine.phase().to_string().to_lowercase();
         let log = &self.shared.control.log.lines;
-        slog::info!(log, "hot_restart: phase entered"; "phase" => &phase, "elapsed_ms" => self.elapsed_ms());
+        slog::info!(log, "hot restart: phase entered"; "phase" => &phase, "elapsed_ms" => self.elapsed_ms());
         // The requester may have ended: the log has the phase, too.
         let _ = self.requester.send(Payload::Progress(Progress { phase }));
     }
@@ -332,7 +332,7 @@
     fn report(&self, result: Result<(), HandOverError>) {
         if let Err(error) = &result {
             let log = &self.shared.control.log.lines;
-            slog::error!(log, "hot_restart: failed, this process continues"; "error" => %error);
+            slog::error!(log, "hot restart: failed, this process continues"; "error" => %error);
         }
         let result = result.map(|()| self.child.id()).map_err(|e| e.to_string());
         send_outcome(self.requester, result);
--- a/crates/asterdale-daemon/tests/journal.rs
+++ b/crates/asterdale-daemon/tests/journal.rs
@@ -64,6 +64,11 @@
 }
 
 #[test]
+#[expect(
+    clippy::cognitive_complexity,
+    clippy::too_many_lines,
+    reason = "one scenario, read from top to bottom"
+)]
 fn an_intent_is_on_disk_before_its_run_an_outcome_before_its_answer_and_a_crash_makes_nothing_run_again(
 ) {
     let folder = folder("crash");
--- a/crates/asterdale-engine/src/lib.rs
+++ b/crates/asterdale-engine/src/lib.rs
@@ -9,7 +9,7 @@
 //! - state: `idempotency`, `identity_gate`, `health_check`, `paused`, the state part of `ownership`;
 //! - `tasks`, the task table, and `access`, its identity checks;
 //! - [`engine`], the actor, and what else it does, a module a concern: `runtime_events`, `draining`, `ownership`,
-//!   [`state_transfer`].
+//!   `state_transfer`.
 
 mod access;
 mod clock;
--- a/crates/asterdale-engine/src/log.rs
+++ b/crates/asterdale-engine/src/log.rs
@@ -89,7 +89,7 @@
     text
 }
 
-/// When a fault that may repeat often was logged last, in milliseconds since [`MIN_INTERVAL_MS`] before the log's
+/// When a fault that may repeat often was logged last, in milliseconds since `MIN_INTERVAL_MS` before the log's
 /// start; 0 for never.
 pub struct LogLimit(AtomicU64);
 
--- a/crates/asterdale-membership/src/authentication.rs
+++ b/crates/asterdale-membership/src/authentication.rs
@@ -1,6 +1,6 @@
 //! Message authentication with the fleet's shared key: HMAC-SHA-256 (RFC 2104), truncated.
 //!
-//! An authenticated message is the protocol version (1 byte), the first [`MAC_BYTES`] of the MAC over version and body,
+//! An authenticated message is the protocol version (1 byte), the first `MAC_BYTES` of the MAC over version and body,
 //! and the body. The MAC proves that the sender has the key, not which process it is: a holder of the key can send in
 //! any process's name.
 
--- a/crates/asterdale-membership/src/local_health.rs
+++ b/crates/asterdale-membership/src/local_health.rs
@@ -4,7 +4,7 @@
 /// The highest score, as published.
 const MAX_SCORE: u32 = 8;
 
-/// The score, from 0 (healthy) to [`MAX_SCORE`].
+/// The score, from 0 (healthy) to `MAX_SCORE`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LocalHealth(u32);
 
--- a/crates/asterdale-simulator/src/lib.rs
+++ b/crates/asterdale-simulator/src/lib.rs
@@ -4,6 +4,14 @@
 //!
 //! `docs/fleet.md` says what is modelled, and how far that holds.
 
+#![allow(
+    clippy::cognitive_complexity,
+    clippy::min_ident_chars,
+    clippy::too_many_arguments,
+    clippy::too_many_lines,
+    reason = "not finished for readers yet, see docs/readability.md"
+)]
+
 pub mod chance;
 pub mod decider;
 pub mod edge;
--- a/crates/asterdale-simulator/src/main.rs
+++ b/crates/asterdale-simulator/src/main.rs
@@ -1,5 +1,13 @@
 //! The command line.
 
+#![allow(
+    clippy::cognitive_complexity,
+    clippy::min_ident_chars,
+    clippy::too_many_arguments,
+    clippy::too_many_lines,
+    reason = "not finished for readers yet, see docs/readability.md"
+)]
+
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Instant;
--- a/crates/asterdale-testkit/src/lib.rs
+++ b/crates/asterdale-testkit/src/lib.rs
@@ -2,6 +2,14 @@
 //! their public protocols; a demonstration; and proofs that run real daemons under load and faults drawn from a
 //! seed. All of it stays on loopback.
 
+#![allow(
+    clippy::cognitive_complexity,
+    clippy::min_ident_chars,
+    clippy::too_many_arguments,
+    clippy::too_many_lines,
+    reason = "not finished for readers yet, see docs/readability.md"
+)]
+
 pub mod caller;
 pub mod crowd;
 pub mod demo;
--- a/crates/asterdale-testkit/src/main.rs
+++ b/crates/asterdale-testkit/src/main.rs
@@ -1,5 +1,13 @@
 //! The rig's command line.
 
+#![allow(
+    clippy::cognitive_complexity,
+    clippy::min_ident_chars,
+    clippy::too_many_arguments,
+    clippy::too_many_lines,
+    reason = "not finished for readers yet, see docs/readability.md"
+)]
+
 use std::process::ExitCode;
 
 use asterdale_testkit::proofs::{fleet, restarts, rotation, takeover, upgrade, Order};
