--- a/crates/asterdale-simulator/src/lib.rs
+++ b/crates/asterdale-simulator/src/lib.rs
@@ -8,12 +8,12 @@
 pub mod decider;
 pub mod edge;
 pub mod experiment;
+pub mod failover_surge;
 pub mod machine;
 pub mod members;
 pub mod oracle;
 pub mod queue;
 pub mod result;
-pub mod wave;
 pub mod world;
 
 /// A time of the model, in nanoseconds from its start.
--- a/crates/asterdale-simulator/src/main.rs
+++ b/crates/asterdale-simulator/src/main.rs
@@ -5,6 +5,7 @@
 use std::time::Instant;
 
 use asterdale_simulator::experiment::{self, Experiment, Policy};
+use asterdale_simulator::failover_surge::{self, Scenario};
 use asterdale_simulator::members::{self, Fault, Figures, Play};
 use asterdale_simulator::result::Outcome;
 use asterdale_simulator::world::play;
@@ -293,27 +294,27 @@
     }
 }
 
-/// Plays the wave at each size and load, with the bound and without.
-fn wave(servers: &[usize], lost: f64, load: &[f64], repeats: u64) -> Result<(), String> {
-    for &servers in servers {
-        for &load in load {
-            for bound in [true, false] {
-                let (servers, lost, load) = (
-                    servers.clamp(2, 10_000),
-                    lost.clamp(0.0, 0.9),
-                    load.clamp(0.0, 1.0),
-                );
-                let told = asterdale_simulator::wave::Play {
-                    servers,
-                    lost,
-                    load,
-                    bound,
+/// Simulates the failover surge for each size and load, with the capacity bound and without it.
+fn failover_surge(
+    sizes: &[usize],
+    crash_share: f64,
+    loads: &[f64],
+    repeats: u64,
+) -> Result<(), String> {
+    for &servers in sizes {
+        for &load in loads {
+            for capacity_bound in [true, false] {
+                let scenario = Scenario {
+                    servers: servers.clamp(2, 10_000),
+                    crash_share: crash_share.clamp(0.0, 0.9),
+                    load: load.clamp(0.0, 1.0),
+                    capacity_bound,
                 };
                 for seed in 0..repeats {
-                    let figures = asterdale_simulator::wave::play(&told, seed);
+                    let report = failover_surge::simulate(&scenario, seed);
                     println!(
                         "{}",
-                        serde_json::to_string(&figures).map_err(|e| e.to_string())?
+                        serde_json::to_string(&report).map_err(|e| e.to_string())?
                     );
                 }
             }
@@ -360,7 +361,7 @@
             lost,
             load,
             repeats,
-        } => wave(&servers, lost, &load, repeats.clamp(1, 1000)),
+        } => failover_surge(&servers, lost, &load, repeats.clamp(1, 1000)),
         Command::Schema => {
             let schema = schemars::schema_for!(Experiment);
             serde_json::to_string_pretty(&schema)
