--- a/crates/asterdale-simulator/src/lib.rs
+++ b/crates/asterdale-simulator/src/lib.rs
@@ -4,15 +4,15 @@
 //!
 //! `docs/fleet.md` says what is modelled, and how far that holds.
 
+pub mod attempt_checker;
 pub mod chance;
+pub mod cores;
 pub mod decider;
 pub mod edge;
+pub mod event_queue;
 pub mod experiment;
 pub mod failover_surge;
-pub mod machine;
 pub mod members;
-pub mod oracle;
-pub mod queue;
 pub mod result;
 pub mod world;
 
--- a/crates/asterdale-simulator/src/members.rs
+++ b/crates/asterdale-simulator/src/members.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::chance::Chance;
-use crate::queue::Queue;
+use crate::event_queue::EventQueue;
 use crate::Nanos;
 
 /// What befalls the fleet, once it has settled.
@@ -83,7 +83,7 @@
     now: Nanos,
     terms: Settings,
     all: Vec<Option<Membership>>,
-    queue: Queue<(usize, What)>,
+    queue: EventQueue<(usize, What)>,
     wakes: Vec<Nanos>,
     chance: Chance,
     loss: f64,
@@ -118,7 +118,7 @@
             now: 0,
             terms: terms.clone(),
             all: Vec::new(),
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             wakes: Vec::new(),
             chance: Chance::new(seed, 77),
             loss: 0.0,
@@ -162,7 +162,7 @@
             let at = ((next * MS) as Nanos + 1).max(self.now);
             if at < self.wakes[n] {
                 self.wakes[n] = at;
-                self.queue.add(at, (n, What::Wake));
+                self.queue.schedule(at, (n, What::Wake));
             }
         }
     }
@@ -170,7 +170,7 @@
     fn send(&mut self, to: usize, what: What, trips: f64) {
         // A data centre's network: half a millisecond, sometimes several.
         let after = trips * self.chance.lognormal(0.5, 0.8) * MS;
-        self.queue.add(self.now + after as Nanos, (to, what));
+        self.queue.schedule(self.now + after as Nanos, (to, what));
     }
 
     fn passes(&self, from: usize, to: usize) -> bool {
@@ -230,11 +230,11 @@
 
     fn run(&mut self, until: Nanos) {
         loop {
-            let Some((at, (to, what))) = self.queue.take() else {
+            let Some((at, (to, what))) = self.queue.pop() else {
                 return;
             };
             if at > until {
-                self.queue.add(at, (to, what));
+                self.queue.schedule(at, (to, what));
                 self.now = until;
                 return;
             }
@@ -336,7 +336,7 @@
                         place.insert(Vec::new());
                         let ms = 500.0 + 1500.0 * net.chance.share();
                         net.queue
-                            .add(net.now + (ms * MS) as Nanos, (who, What::GoesOn));
+                            .schedule(net.now + (ms * MS) as Nanos, (who, What::GoesOn));
                     }
                 }
                 net.run(net.now + (4e9) as Nanos);
--- a/crates/asterdale-simulator/src/world.rs
+++ b/crates/asterdale-simulator/src/world.rs
@@ -5,13 +5,13 @@
 use asterdale::events::Arrival;
 use hdrhistogram::Histogram;
 
+use crate::attempt_checker::{AttemptChecker, AttemptOutcome, ExecutionScope};
 use crate::chance::Chance;
+use crate::cores::{Cores, JobHandle};
 use crate::decider::{Action, ActionList, Decider, Seat};
 use crate::edge::{Edge, Ring};
+use crate::event_queue::EventQueue;
 use crate::experiment::{Experiment, Trouble};
-use crate::machine::{Cores, Place};
-use crate::oracle::{Oracle, Told};
-use crate::queue::Queue;
 use crate::result::{quantiles, Outcome, Second};
 use crate::{millis, nanos, Nanos};
 
@@ -32,7 +32,7 @@
     /// A server's decider wants to be asked; in this life of it.
     Beat(u32, u32),
     /// An edge node hears of a try.
-    Hear(u32, Told, f64),
+    Hear(u32, AttemptOutcome, f64),
     /// A try was waited for long enough.
     TryOver(u32),
     /// A client gives up.
@@ -68,8 +68,8 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Where {
     Way,
-    Reading(Place),
-    Inside(Seat, Option<Place>),
+    Reading(JobHandle),
+    Inside(Seat, Option<JobHandle>),
     Over,
 }
 
@@ -115,7 +115,7 @@
     seed: u64,
     now: Nanos,
     end: Nanos,
-    queue: Queue<Event>,
+    queue: EventQueue<Event>,
     tasks: Vec<Task>,
     /// In the order in which they were sent; none before `oldest` is in a server.
     tries: Vec<Try>,
@@ -128,7 +128,7 @@
     working: Chance,
     way: Chance,
     next_subject: u64,
-    oracle: Oracle,
+    checker: AttemptChecker,
     counts: BTreeMap<&'static str, u64>,
     earned: f64,
     possible: f64,
@@ -173,7 +173,7 @@
             seed,
             now: 0,
             end: nanos(experiment.seconds * 1e3),
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             tasks: Vec::new(),
             tries: Vec::new(),
             oldest: 0,
@@ -185,7 +185,7 @@
             working: Chance::new(seed, 2),
             way: Chance::new(seed, 3),
             next_subject: 1 << 32,
-            oracle: Oracle::default(),
+            checker: AttemptChecker::default(),
             counts: BTreeMap::new(),
             earned: 0.0,
             possible: 0.0,
@@ -208,13 +208,13 @@
         }
         for (n, fault) in self.experiment.faults.iter().enumerate() {
             self.queue
-                .add(nanos(fault.at_s * 1e3), Event::Fault(n as u32, true));
-            self.queue.add(
+                .schedule(nanos(fault.at_s * 1e3), Event::Fault(n as u32, true));
+            self.queue.schedule(
                 nanos((fault.at_s + fault.for_s) * 1e3),
                 Event::Fault(n as u32, false),
             );
         }
-        self.queue.add(nanos(1e3), Event::Second);
+        self.queue.schedule(nanos(1e3), Event::Second);
         self.next_task(0);
         let longest = self
             .experiment
@@ -223,14 +223,14 @@
             .map(|stage| stage.limit_ms)
             .fold(0.0, f64::max);
         let last = self.end + nanos(longest + AFTER);
-        while let Some((at, event)) = self.queue.take() {
+        while let Some((at, event)) = self.queue.pop() {
             if at > last {
                 break;
             }
             self.now = at;
             self.happen(event);
         }
-        self.oracle.end(last);
+        self.checker.finish(last);
     }
 
     fn happen(&mut self, event: Event) {
@@ -239,7 +239,7 @@
             Event::Arrive(n) => self.arrive(n),
             Event::End(server, version) => self.ends(server as usize, version),
             Event::Beat(server, life) => self.beat(server as usize, life),
-            Event::Hear(n, told, away_ms) => self.hear(n, told, away_ms),
+            Event::Hear(n, outcome, away_ms) => self.hear(n, outcome, away_ms),
             Event::TryOver(n) => self.try_over(n),
             Event::ClientOver(task) => self.client_over(task),
             Event::Again(task) => self.send(task),
@@ -272,7 +272,7 @@
                 return;
             }
             if self.coming.share() * most < self.experiment.rate(millis(at) / 1e3) {
-                return self.queue.add(at, Event::Task);
+                return self.queue.schedule(at, Event::Task);
             }
         }
     }
@@ -327,7 +327,7 @@
         }
         self.count_inside(1);
         self.queue
-            .add(self.now + nanos(facts.limit_ms), Event::ClientOver(n));
+            .schedule(self.now + nanos(facts.limit_ms), Event::ClientOver(n));
         self.send(n);
     }
 
@@ -373,11 +373,11 @@
         self.tries_sent += 1;
         self.second.tries += 1;
         let way = self.way_nanos();
-        self.queue.add(self.now + way, Event::Arrive(open));
+        self.queue.schedule(self.now + way, Event::Arrive(open));
         let patience = self.experiment.edges.try_ms;
         if patience > 0.0 && self.now + nanos(patience) < limit {
             self.queue
-                .add(self.now + nanos(patience), Event::TryOver(open));
+                .schedule(self.now + nanos(patience), Event::TryOver(open));
         }
     }
 
@@ -393,7 +393,7 @@
         self.edges[edge].over(server);
         self.tasks[task as usize].open = None;
         let way = self.way_nanos();
-        self.queue.add(self.now + way, Event::Left(n));
+        self.queue.schedule(self.now + way, Event::Left(n));
     }
 
     fn try_over(&mut self, n: u32) {
@@ -408,7 +408,7 @@
     fn again(&mut self, n: u32, why: &'static str) {
         let (edge, tries) = (self.tasks[n as usize].edge, self.tasks[n as usize].tries);
         match self.edges[edge].again(&self.experiment.edges, tries) {
-            Some(wait) => self.queue.add(self.now + nanos(wait), Event::Again(n)),
+            Some(wait) => self.queue.schedule(self.now + nanos(wait), Event::Again(n)),
             None => self.fail(n, why),
         }
     }
@@ -435,7 +435,7 @@
         }
     }
 
-    fn hear(&mut self, n: u32, told: Told, away_ms: f64) {
+    fn hear(&mut self, n: u32, outcome: AttemptOutcome, away_ms: f64) {
         let attempt = &self.tries[n as usize];
         let (task, server, waited) = (attempt.task, attempt.server, attempt.waited);
         if !waited {
@@ -448,14 +448,16 @@
             self.edges[edge].leave_alone(server, self.now + nanos(away_ms));
         }
         self.tasks[task as usize].open = None;
-        match told {
-            Told::Finished => self.finish(task),
-            Told::Rejected => {
+        match outcome {
+            AttemptOutcome::Served => self.finish(task),
+            AttemptOutcome::Rejected => {
                 self.second.rejected += 1;
                 self.again(task, "rejected");
             }
-            Told::Abandoned => self.again(task, "abandoned"),
-            Told::Refused | Told::Broken => self.again(task, "broken"),
+            AttemptOutcome::Failed => self.again(task, "abandoned"),
+            AttemptOutcome::ConnectionRefused | AttemptOutcome::ConnectionLost => {
+                self.again(task, "broken")
+            }
         }
     }
 
@@ -531,14 +533,17 @@
                 && !matches!(attempt.at, Where::Way | Where::Over)
             {
                 attempt.at = Where::Over;
-                self.oracle.excused(u64::from(open));
+                self.checker.excuse(u64::from(open));
                 let way = self.way_nanos();
-                self.queue
-                    .add(now + way, Event::Hear(open, Told::Broken, 0.0));
+                self.queue.schedule(
+                    now + way,
+                    Event::Hear(open, AttemptOutcome::ConnectionLost, 0.0),
+                );
             }
         }
         let late = nanos(self.experiment.edges.late_ms);
-        self.queue.add(now + late, Event::Seen(n as u32, false));
+        self.queue
+            .schedule(now + late, Event::Seen(n as u32, false));
     }
 
     fn arrive(&mut self, n: u32) {
@@ -547,9 +552,10 @@
         if machine.decider.is_none() {
             self.tries[n as usize].at = Where::Over;
             let way = self.way_nanos();
-            return self
-                .queue
-                .add(self.now + way, Event::Hear(n, Told::Refused, 0.0));
+            return self.queue.schedule(
+                self.now + way,
+                Event::Hear(n, AttemptOutcome::ConnectionRefused, 0.0),
+            );
         }
         if machine.paused {
             return machine.waiting.push(n);
@@ -559,12 +565,12 @@
         let task = &self.tasks[attempt.task as usize];
         let by = task.born + nanos(self.experiment.stages[task.stage].limit_ms);
         if attempt.waited {
-            self.oracle.came(u64::from(n), by);
+            self.checker.record_arrival(u64::from(n), by);
         }
         let place =
             machine
                 .cores
-                .begin(self.now, u64::from(n) << 1, self.experiment.servers.read_ms);
+                .start(self.now, u64::from(n) << 1, self.experiment.servers.read_ms);
         self.tries[n as usize].at = Where::Reading(place);
         self.foresee(server);
     }
@@ -576,15 +582,15 @@
         if crowd && machine.crowded.is_none() {
             machine.crowded = Some(self.now);
             self.queue
-                .add(self.now + DEADLY, Event::Crowd(server as u32, machine.life));
+                .schedule(self.now + DEADLY, Event::Crowd(server as u32, machine.life));
         } else if !crowd {
             machine.crowded = None;
         }
         if !machine.paused {
-            if let Some(at) = machine.cores.next_end() {
-                self.queue.add(
+            if let Some(at) = machine.cores.next_completion() {
+                self.queue.schedule(
                     at.max(self.now),
-                    Event::End(server as u32, machine.cores.version),
+                    Event::End(server as u32, machine.cores.version()),
                 );
             }
         }
@@ -602,10 +608,10 @@
     }
 
     fn ends(&mut self, server: usize, version: u64) {
-        if self.servers[server].cores.version != version || self.servers[server].paused {
+        if self.servers[server].cores.version() != version || self.servers[server].paused {
             return;
         }
-        while let Some(job) = self.servers[server].cores.ended(self.now) {
+        while let Some(job) = self.servers[server].cores.pop_completed(self.now) {
             let n = (job >> 1) as u32;
             if job & 1 == 0 {
                 self.read(server, n);
@@ -646,18 +652,18 @@
         }
     }
 
-    fn answer(&mut self, n: u32, told: Told, away_ms: f64) {
+    fn answer(&mut self, n: u32, outcome: AttemptOutcome, away_ms: f64) {
         if std::mem::replace(&mut self.tries[n as usize].answered, true) {
             return;
         }
-        self.oracle.answered(self.now, u64::from(n), told);
+        self.checker.record_answer(self.now, u64::from(n), outcome);
         let way = self.way_nanos();
         self.queue
-            .add(self.now + way, Event::Hear(n, told, away_ms));
+            .schedule(self.now + way, Event::Hear(n, outcome, away_ms));
     }
 
     fn run_over(&mut self, server: usize, n: u32) {
-        self.answer(n, Told::Finished, 0.0);
+        self.answer(n, AttemptOutcome::Served, 0.0);
         let key = self.key(n);
         let machine = &mut self.servers[server];
         let known = key
@@ -672,7 +678,7 @@
         };
         self.over_inside(server, n, true);
         for n in waiting {
-            self.answer(n, Told::Finished, 0.0);
+            self.answer(n, AttemptOutcome::Served, 0.0);
             self.over_inside(server, n, true);
         }
     }
@@ -692,11 +698,11 @@
         let attempt = &self.tries[n as usize];
         match attempt.at {
             Where::Inside(..) => {
-                self.oracle.excused(u64::from(n));
+                self.checker.excuse(u64::from(n));
                 self.left_inside(n);
             }
             // One that is being read is looked at when that is over.
-            Where::Reading(_) | Where::Way => self.oracle.excused(u64::from(n)),
+            Where::Reading(_) | Where::Way => self.checker.excuse(u64::from(n)),
             Where::Over => {}
         }
     }
@@ -722,18 +728,18 @@
         if machine.paused {
             return self
                 .queue
-                .add(now + 10_000_000, Event::Beat(n as u32, life));
+                .schedule(now + 10_000_000, Event::Beat(n as u32, life));
         }
         // What the cores were used for over the last half second.
-        machine.cores.slow(now, machine.cores.speed());
-        machine.gauge.push_back((now, machine.cores.busy));
+        machine.cores.set_speed(now, machine.cores.speed());
+        machine.gauge.push_back((now, machine.cores.busy_ms()));
         while machine.gauge.len() > 2 && machine.gauge[1].0 + GAUGE <= now {
             machine.gauge.pop_front();
         }
         let (from, busy) = machine.gauge[0];
         let cpu = match millis(now - from) {
             0.0 => 0.0,
-            ms => (machine.cores.busy - busy) / (ms * self.experiment.servers.cores),
+            ms => (machine.cores.busy_ms() - busy) / (ms * self.experiment.servers.cores),
         };
         let on_cores = machine.cores.running() as f64;
         if let Some(decider) = &mut machine.decider {
@@ -779,13 +785,15 @@
                     let Some(n) = at(self, seat) else { continue };
                     let work = self.tasks[self.tries[n as usize].task as usize].work_ms;
                     let life = self.servers[server].life;
-                    let key = self
-                        .key(n)
-                        .map(|(stage, subject)| (subject << 6 | stage as u64, server, life));
-                    self.oracle.ran(u64::from(n), key);
+                    let key = self.key(n).map(|(stage, subject)| ExecutionScope {
+                        key: subject << 6 | stage as u64,
+                        server,
+                        incarnation: life,
+                    });
+                    self.checker.record_start(u64::from(n), key);
                     let place = self.servers[server]
                         .cores
-                        .begin(now, u64::from(n) << 1 | 1, work);
+                        .start(now, u64::from(n) << 1 | 1, work);
                     self.tries[n as usize].at = Where::Inside(seat, Some(place));
                     self.foresee(server);
                 }
@@ -797,11 +805,11 @@
                     match known.map(|(_, _, fate)| fate) {
                         Some(Fate::Open(waiting)) => waiting.push(n),
                         Some(Fate::Finished) => {
-                            self.answer(n, Told::Finished, 0.0);
+                            self.answer(n, AttemptOutcome::Served, 0.0);
                             self.join_over(server, n, true);
                         }
                         Some(Fate::Failed) | None => {
-                            self.answer(n, Told::Abandoned, 0.0);
+                            self.answer(n, AttemptOutcome::Failed, 0.0);
                             self.join_over(server, n, false);
                         }
                     }
@@ -823,7 +831,7 @@
                                 _ => Vec::new(),
                             };
                             for n in waiting {
-                                self.answer(n, Told::Abandoned, 0.0);
+                                self.answer(n, AttemptOutcome::Failed, 0.0);
                                 self.join_over(server, n, false);
                             }
                         }
@@ -831,19 +839,20 @@
                 }
                 Action::Reject(seat, away_ms) => {
                     if let Some(n) = at(self, seat) {
-                        self.answer(n, Told::Rejected, away_ms);
+                        self.answer(n, AttemptOutcome::Rejected, away_ms);
                     }
                 }
                 Action::Abandon(seat) => {
                     if let Some(n) = at(self, seat) {
-                        self.answer(n, Told::Abandoned, 0.0);
+                        self.answer(n, AttemptOutcome::Failed, 0.0);
                     }
                 }
                 Action::Wake(at_ms) => {
                     let at = nanos(at_ms).max(now + 1);
                     let machine = &mut self.servers[server];
                     machine.beat_at = at;
-                    self.queue.add(at, Event::Beat(server as u32, machine.life));
+                    self.queue
+                        .schedule(at, Event::Beat(server as u32, machine.life));
                 }
             }
         }
@@ -873,20 +882,20 @@
                     self.rise(server, true);
                     let late = nanos(self.experiment.edges.late_ms);
                     self.queue
-                        .add(self.now + late, Event::Seen(server as u32, true));
+                        .schedule(self.now + late, Event::Seen(server as u32, true));
                 }
                 (Trouble::Crash, _) => {}
                 (Trouble::Slow(part), _) => {
                     let now = self.now;
                     self.servers[server]
                         .cores
-                        .slow(now, if begins { part } else { 1.0 });
+                        .set_speed(now, if begins { part } else { 1.0 });
                     self.foresee(server);
                 }
                 (Trouble::Pause, _) => {
                     let now = self.now;
                     let machine = &mut self.servers[server];
-                    machine.cores.slow(now, if begins { 0.0 } else { 1.0 });
+                    machine.cores.set_speed(now, if begins { 0.0 } else { 1.0 });
                     machine.paused = begins;
                     for n in std::mem::take(&mut machine.waiting) {
                         self.arrive(n);
@@ -907,8 +916,8 @@
         let mut busy = 0.0;
         for machine in &mut self.servers {
             let speed = machine.cores.speed();
-            machine.cores.slow(now, speed);
-            busy += machine.cores.busy;
+            machine.cores.set_speed(now, speed);
+            busy += machine.cores.busy_ms();
         }
         for server in 0..self.servers.len() {
             self.foresee(server);
@@ -925,7 +934,7 @@
         self.busy_before = busy;
         self.seconds.push(second);
         if now < self.end {
-            self.queue.add(now + nanos(1e3), Event::Second);
+            self.queue.schedule(now + nanos(1e3), Event::Second);
         }
     }
 
@@ -948,8 +957,8 @@
                 1.0
             },
             tasks: self.counts,
-            broken: self.oracle.broken,
-            events: self.queue.came(),
+            broken: self.checker.violations,
+            events: self.queue.scheduled_count(),
             deaths: self.deaths,
             seconds: self.seconds,
         }
