--- a/crates/asterdale-simulator/src/edge.rs
+++ b/crates/asterdale-simulator/src/edge.rs
@@ -1,216 +1,221 @@
-//! Edge nodes: how one picks a server, and what it does when a try was turned away or broke. Nothing here knows
-//! what goes on inside the servers.
+//! Edge nodes of the simulation: how they pick a server for an attempt and when they retry a failed one.
+//!
+//! An edge node knows only its own attempts and the servers that it sees as up, nothing of what goes on inside a server.
 
-use crate::chance::{hash, Chance};
 use crate::experiment::{Edges, Pick, Retry};
+use crate::random::{hash, RandomStream};
 use crate::Nanos;
 
-/// Points of each server on the ring.
-const POINTS: usize = 64;
-/// So many draws are made for a server that can be had; then all are looked through.
-const DRAWS: usize = 8;
+#[cfg(test)]
+mod tests;
+
+/// Points of each server on the hash ring: enough for an even spread of the subjects.
+const POINTS_PER_SERVER: usize = 64;
+/// Random draws for an eligible server before all servers are scanned.
+const MAX_DRAWS: usize = 8;
+/// Changes the hashes of the ring's points, so that they differ from the hashes of the subjects.
+const RING_SALT: u64 = 0x517c_c1b7;
 
-/// The ring that all edge nodes share.
-pub struct Ring(Vec<(u64, u32)>);
+/// The consistent hash ring, shared by all edge nodes: hash and server of each point, in ascending order.
+pub struct HashRing(Vec<(u64, u32)>);
 
-impl Ring {
-    /// Of so many servers.
-    pub fn new(servers: usize) -> Ring {
-        let point = |n: usize| (hash(0x517c_c1b7 ^ (n as u64 + 1)), (n / POINTS) as u32);
-        let mut points: Vec<_> = (0..servers * POINTS).map(point).collect();
+impl HashRing {
+    /// The ring of this many servers.
+    pub fn new(servers: usize) -> HashRing {
+        let point = |index: usize| {
+            let position = hash(RING_SALT ^ (index as u64 + 1));
+            (position, (index / POINTS_PER_SERVER) as u32)
+        };
+        let mut points: Vec<_> = (0..servers * POINTS_PER_SERVER).map(point).collect();
         points.sort_unstable();
-        Ring(points)
+        HashRing(points)
     }
+
+    /// The server of each point, clockwise from the subject's position.
+    fn servers_from(&self, subject: u64) -> impl Iterator<Item = usize> + '_ {
+        let first = self
+            .0
+            .partition_point(|(position, _)| *position < hash(subject));
+        (0..self.0.len()).map(move |offset| self.0[(offset + first) % self.0.len()].1 as usize)
+    }
+}
+
+/// What a server is picked for.
+pub struct PickRequest<'a> {
+    /// The present time.
+    pub now: Nanos,
+    /// How the server is picked.
+    pub pick: Pick,
+    /// By server: whether the edge nodes see it as up.
+    pub is_up: &'a [bool],
+    /// The hash ring of all servers.
+    pub ring: &'a HashRing,
+    /// What the request is about; hash policies keep a subject on its server.
+    pub subject: u64,
+    /// The server of the previous attempt, which is avoided.
+    pub last_server: Option<usize>,
 }
 
 /// One edge node.
 pub struct Edge {
-    /// Tries of its own at each server.
-    pub open: Vec<u32>,
-    open_in_all: u32,
-    /// Servers that asked to be left alone, until then.
-    away: Vec<Nanos>,
-    next: usize,
-    chance: Chance,
-    first_tries: f64,
-    further: f64,
+    /// By server: open attempts of this edge node.
+    open_attempts: Vec<u32>,
+    total_open_attempts: u32,
+    /// By server: when its last Retry-After ends.
+    avoided_until: Vec<Nanos>,
+    next_round_robin: usize,
+    random: RandomStream,
+    first_attempts: f64,
+    retries: f64,
 }
 
 impl Edge {
-    /// One that starts its rounds anywhere.
-    pub fn new(servers: usize, mut chance: Chance) -> Edge {
-        let next = chance.one_of(servers);
-        let (open, away) = (vec![0; servers], vec![0; servers]);
+    /// An edge node without open attempts. Its round robin starts at a random server.
+    pub fn new(servers: usize, mut random: RandomStream) -> Edge {
         Edge {
-            open,
-            open_in_all: 0,
-            away,
-            next,
-            chance,
-            first_tries: 0.0,
-            further: 0.0,
+            open_attempts: vec![0; servers],
+            total_open_attempts: 0,
+            avoided_until: vec![0; servers],
+            next_round_robin: random.index(servers),
+            random,
+            first_attempts: 0.0,
+            retries: 0.0,
         }
     }
 
-    /// A server for a task about this subject: one that is seen and not asked to be left alone, and best of all not
-    /// the last. Where there is none, one that is seen; `None` if none is.
-    pub fn pick(
-        &mut self,
-        now: Nanos,
-        how: Pick,
-        seen: &[bool],
-        ring: &Ring,
-        subject: u64,
-        last: Option<usize>,
-    ) -> Option<usize> {
-        let good = |edge: &Edge, n: usize| seen[n] && edge.away[n] <= now && last != Some(n);
-        let mean = 1.0 + f64::from(self.open_in_all) / seen.len() as f64;
-        let picked = match how {
-            Pick::RoundRobin => (0..seen.len()).find_map(|_| {
-                self.next = (self.next + 1) % seen.len();
-                good(self, self.next).then_some(self.next)
-            }),
-            Pick::Random => self.draw(seen.len(), &good),
-            Pick::TwoChoices => {
-                let (one, two) = (self.draw(seen.len(), &good), self.draw(seen.len(), &good));
-                one.zip(two).map(|(one, two)| {
-                    if self.open[two] < self.open[one] {
-                        two
-                    } else {
-                        one
-                    }
-                })
-            }
-            Pick::LeastLoaded => {
-                let from = self.chance.one_of(seen.len());
-                let all = (0..seen.len())
-                    .map(|n| (n + from) % seen.len())
-                    .filter(|n| good(self, *n));
-                all.min_by_key(|n| self.open[*n])
-            }
-            Pick::RingHash(bound) => {
-                let from = ring.0.partition_point(|(at, _)| *at < hash(subject));
-                let all = (0..ring.0.len()).map(|n| ring.0[(n + from) % ring.0.len()].1 as usize);
-                let mut all = all.filter(|n| good(self, *n));
-                all.find(|n| f64::from(self.open[*n]) <= bound * mean)
-            }
-            Pick::Rendezvous(bound) => {
-                let fits = |n: &usize| good(self, *n) && f64::from(self.open[*n]) <= bound * mean;
-                (0..seen.len())
-                    .filter(fits)
-                    .max_by_key(|n| hash(hash(subject) ^ (*n as u64 + 1)))
-            }
+    /// Picks a server among the eligible ones: up, not asking for a pause, not that of the previous attempt. If there is
+    /// none, picks any server that is up; `None` if all are down.
+    pub fn pick(&mut self, request: &PickRequest<'_>) -> Option<usize> {
+        let picked = match request.pick {
+            Pick::RoundRobin => self.pick_round_robin(request),
+            Pick::Random => self.draw_eligible(request),
+            Pick::TwoChoices => self.pick_two_choices(request),
+            Pick::LeastLoaded => self.pick_least_loaded(request),
+            Pick::RingHash(max_ratio) => self.pick_ring_hash(request, max_ratio),
+            Pick::Rendezvous(max_ratio) => self.pick_rendezvous(request, max_ratio),
         };
-        picked.or_else(|| self.draw(seen.len(), &|_: &Edge, n: usize| seen[n]))
+        let servers = request.is_up.len();
+        picked.or_else(|| self.draw(servers, &|_: &Edge, server: usize| request.is_up[server]))
     }
 
-    fn draw(&mut self, servers: usize, good: &dyn Fn(&Edge, usize) -> bool) -> Option<usize> {
-        for _ in 0..DRAWS {
-            let n = self.chance.one_of(servers);
-            if good(self, n) {
-                return Some(n);
-            }
-        }
-        let from = self.chance.one_of(servers);
+    fn is_eligible(&self, request: &PickRequest<'_>, server: usize) -> bool {
+        request.is_up[server]
+            && self.avoided_until[server] <= request.now
+            && request.last_server != Some(server)
+    }
+
+    /// Whether the server's open attempts are at most `max_ratio` times the mean over all servers plus one.
+    fn has_bounded_load(&self, request: &PickRequest<'_>, server: usize, max_ratio: f64) -> bool {
+        let mean = 1.0 + f64::from(self.total_open_attempts) / request.is_up.len() as f64;
+        f64::from(self.open_attempts[server]) <= max_ratio * mean
+    }
+
+    fn pick_round_robin(&mut self, request: &PickRequest<'_>) -> Option<usize> {
+        let servers = request.is_up.len();
+        (0..servers).find_map(|_| {
+            self.next_round_robin = (self.next_round_robin + 1) % servers;
+            self.is_eligible(request, self.next_round_robin)
+                .then_some(self.next_round_robin)
+        })
+    }
+
+    fn pick_two_choices(&mut self, request: &PickRequest<'_>) -> Option<usize> {
+        let first = self.draw_eligible(request);
+        let second = self.draw_eligible(request);
+        let (first, second) = first.zip(second)?;
+        let is_second_less_loaded = self.open_attempts[second] < self.open_attempts[first];
+        Some(if is_second_less_loaded { second } else { first })
+    }
+
+    /// Starts at a random server, so that ties do not always go to the same one.
+    fn pick_least_loaded(&mut self, request: &PickRequest<'_>) -> Option<usize> {
+        let servers = request.is_up.len();
+        let first = self.random.index(servers);
         (0..servers)
-            .map(|n| (n + from) % servers)
-            .find(|n| good(self, *n))
-    }
-
-    /// A try goes out.
-    pub fn sent(&mut self, server: usize, first: bool) {
-        self.open[server] += 1;
-        self.open_in_all += 1;
-        if first {
-            self.first_tries += 1.0;
-        } else {
-            self.further += 1.0;
-        }
+            .map(|offset| (offset + first) % servers)
+            .filter(|server| self.is_eligible(request, *server))
+            .min_by_key(|server| self.open_attempts[*server])
     }
 
-    /// And is over.
-    pub fn over(&mut self, server: usize) {
-        self.open[server] -= 1;
-        self.open_in_all -= 1;
+    fn pick_ring_hash(&self, request: &PickRequest<'_>, max_ratio: f64) -> Option<usize> {
+        request
+            .ring
+            .servers_from(request.subject)
+            .filter(|server| self.is_eligible(request, *server))
+            .find(|server| self.has_bounded_load(request, *server, max_ratio))
     }
 
-    /// A server asks to be left alone until then.
-    pub fn leave_alone(&mut self, server: usize, until: Nanos) {
-        self.away[server] = self.away[server].max(until);
+    fn pick_rendezvous(&self, request: &PickRequest<'_>, max_ratio: f64) -> Option<usize> {
+        (0..request.is_up.len())
+            .filter(|server| self.is_eligible(request, *server))
+            .filter(|server| self.has_bounded_load(request, *server, max_ratio))
+            .max_by_key(|server| hash(hash(request.subject) ^ (*server as u64 + 1)))
     }
 
-    /// Whether to try again after so many tries, and in how many milliseconds.
-    pub fn again(&mut self, edges: &Edges, tries: u32) -> Option<f64> {
-        match edges.retry {
-            Retry::None => None,
-            Retry::Fixed(most) => (tries <= most).then_some(0.0),
-            Retry::Budget(most, share) => {
-                (tries <= most && self.further < share * self.first_tries).then_some(0.0)
-            }
-            Retry::Jitter(most, ms) => {
-                let longest = ms * 2f64.powi(tries.min(16) as i32 - 1);
-                (tries <= most).then(|| longest * self.chance.share())
+    fn draw_eligible(&mut self, request: &PickRequest<'_>) -> Option<usize> {
+        let is_eligible = |edge: &Edge, server: usize| edge.is_eligible(request, server);
+        self.draw(request.is_up.len(), &is_eligible)
+    }
+
+    /// A random server that is accepted; scans all servers if `MAX_DRAWS` draws do not find one.
+    fn draw(
+        &mut self,
+        servers: usize,
+        is_accepted: &dyn Fn(&Edge, usize) -> bool,
+    ) -> Option<usize> {
+        for _ in 0..MAX_DRAWS {
+            let server = self.random.index(servers);
+            if is_accepted(self, server) {
+                return Some(server);
             }
         }
+        let first = self.random.index(servers);
+        (0..servers)
+            .map(|offset| (offset + first) % servers)
+            .find(|server| is_accepted(self, *server))
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_subject_stays_with_its_server_and_moves_only_when_that_is_gone_or_has_too_much() {
-        let (ring, mut seen) = (Ring::new(50), vec![true; 50]);
-        let mut edge = Edge::new(50, Chance::new(1, 1));
-        for how in [Pick::RingHash(2.0), Pick::Rendezvous(2.0)] {
-            let pick = |edge: &mut Edge, seen: &[bool], subject| {
-                edge.pick(0, how, seen, &ring, subject, None).unwrap()
-            };
-            let before: Vec<usize> = (0..1000)
-                .map(|subject| pick(&mut edge, &seen, subject))
-                .collect();
-            assert_eq!(
-                before,
-                (0..1000)
-                    .map(|subject| pick(&mut edge, &seen, subject))
-                    .collect::<Vec<_>>()
-            );
-            seen[before[0]] = false;
-            let after: Vec<usize> = (0..1000)
-                .map(|subject| pick(&mut edge, &seen, subject))
-                .collect();
-            let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
-            assert_eq!(moved, before.iter().filter(|n| **n == before[0]).count());
-            seen[before[0]] = true;
-            (0..9).for_each(|_| edge.sent(before[0], true));
-            assert_ne!(pick(&mut edge, &seen, 0), before[0]);
-            (0..9).for_each(|_| edge.over(before[0]));
-        }
+    /// Records that a first attempt was sent to the server.
+    pub fn record_first_attempt(&mut self, server: usize) {
+        self.first_attempts += 1.0;
+        self.open_attempt(server);
     }
 
-    #[test]
-    fn a_budget_bounds_further_tries_and_jitter_waits_ever_longer() {
-        let mut edge = Edge::new(2, Chance::new(1, 1));
-        let edges = |retry| Edges {
-            count: 1,
-            pick: Pick::Random,
-            retry,
-            try_ms: 0.0,
-            way_ms: 0.0,
-            late_ms: 0.0,
-            heeds: false,
-        };
-        let (mut further, budget) = (0, edges(Retry::Budget(9, 0.1)));
-        for _ in 0..1000 {
-            edge.sent(0, true);
-            while edge.again(&budget, 1).is_some() {
-                edge.sent(0, false);
-                further += 1;
+    /// Records that a retry was sent to the server.
+    pub fn record_retry(&mut self, server: usize) {
+        self.retries += 1.0;
+        self.open_attempt(server);
+    }
+
+    fn open_attempt(&mut self, server: usize) {
+        self.open_attempts[server] += 1;
+        self.total_open_attempts += 1;
+    }
+
+    /// Records that an attempt at the server ended. It must have been recorded as sent.
+    pub fn record_end(&mut self, server: usize) {
+        self.open_attempts[server] -= 1;
+        self.total_open_attempts -= 1;
+    }
+
+    /// Avoids the server until this time, as its Retry-After asks. An earlier, longer one stays in force.
+    pub fn avoid(&mut self, server: usize, until: Nanos) {
+        self.avoided_until[server] = self.avoided_until[server].max(until);
+    }
+
+    /// Delay before the next attempt after this many, in milliseconds; `None` if the request is not retried.
+    pub fn retry_delay_ms(&mut self, edges: &Edges, attempts: u32) -> Option<f64> {
+        match edges.retry {
+            Retry::None => None,
+            Retry::Fixed(max_retries) => (attempts <= max_retries).then_some(0.0),
+            Retry::Budget(max_retries, max_share) => {
+                let has_budget = self.retries < max_share * self.first_attempts;
+                (attempts <= max_retries && has_budget).then_some(0.0)
+            }
+            Retry::Jitter(max_retries, base_ms) => {
+                let max_delay_ms = base_ms * 2f64.powi(attempts.min(16) as i32 - 1);
+                (attempts <= max_retries).then(|| max_delay_ms * self.random.uniform())
             }
         }
-        assert_eq!(further, 100);
-        assert!((0..100).all(|_| edge.again(&edges(Retry::Jitter(3, 10.0)), 3).unwrap() < 40.0));
-        assert_eq!(edge.again(&edges(Retry::Jitter(3, 10.0)), 4), None);
     }
 }
--- a/crates/asterdale-simulator/src/failover_surge.rs
+++ b/crates/asterdale-simulator/src/failover_surge.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 
 use self::server::{Execution, Server, CORES};
-use crate::chance::Chance;
+use crate::random::RandomStream;
 
 mod server;
 #[cfg(test)]
@@ -93,7 +93,7 @@
     table: OwnershipTable,
     members: Vec<Member>,
     servers: Vec<Server>,
-    random: Chance,
+    random: RandomStream,
     /// Number of the last request that arrived; it is also the request's idempotency key.
     last_key: u64,
     now_ms: f64,
@@ -122,7 +122,7 @@
             table: OwnershipTable::new(1, &[], settings),
             members: (0..scenario.servers).map(member_of).collect(),
             servers: (0..scenario.servers).map(|_| Server::default()).collect(),
-            random: Chance::new(seed, RANDOM_STREAM),
+            random: RandomStream::new(seed, RANDOM_STREAM),
             last_key: 0,
             now_ms: 0.0,
             crashed_at_ms: None,
@@ -178,7 +178,7 @@
             self.servers[index].epoch = self.propose(index, CommandKind::Join(0)).number;
         }
         // Clients of crashed servers do not send their requests again: only orphaned requests are measured.
-        if self.random.share() < self.scenario.load * CORES / MEAN_WORK_MS * STEP_MS {
+        if self.random.uniform() < self.scenario.load * CORES / MEAN_WORK_MS * STEP_MS {
             let work_ms = self.random_work_ms();
             self.claim_own(index, work_ms);
         }
@@ -299,7 +299,7 @@
     }
 
     fn random_work_ms(&mut self) -> f64 {
-        MEAN_WORK_MS * (0.5 + self.random.share())
+        MEAN_WORK_MS * (0.5 + self.random.uniform())
     }
 
     fn next_request(&mut self) -> KeyedRequest {
--- a/crates/asterdale-simulator/src/lib.rs
+++ b/crates/asterdale-simulator/src/lib.rs
@@ -1,11 +1,11 @@
-//! What asterdale balances, in one process: a deterministic model of servers, edge nodes, layers below and faults,
-//! in which the real decision module decides. Same file and seed, same bytes out. There is no wall clock in it, no
-//! thread within a run, and no order of a hash map is ever looked at.
+//! Deterministic discrete-event simulation of a fleet: servers, edge nodes, dependencies and faults in one process.
 //!
-//! `docs/fleet.md` says what is modelled, and how far that holds.
+//! The real decision module decides for the simulated servers. The same experiment and seed give the same output, byte
+//! for byte: a run reads no wall clock, uses one thread, and never depends on the iteration order of a hash map.
+//!
+//! `docs/fleet.md` describes what is modelled and where the model ends.
 
 pub mod attempt_checker;
-pub mod chance;
 pub mod cores;
 pub mod decider;
 pub mod edge;
@@ -13,22 +13,27 @@
 pub mod experiment;
 pub mod failover_surge;
 pub mod members;
-pub mod result;
+pub mod random;
+pub mod report;
 pub mod world;
 
-/// A time of the model, in nanoseconds from its start.
+/// Simulated time, in nanoseconds from the start of the run.
 pub type Nanos = u64;
 
-/// Milliseconds as nanoseconds; what is no time is never.
+/// Times from this many milliseconds on (about 32 years) mean "never".
+const NEVER_MS: f64 = 1e12;
+
+/// Converts milliseconds to nanoseconds. Negative times become 0; a time that is not finite or too large becomes one
+/// that no run reaches, to which a delay can still be added without an overflow.
 pub fn nanos(ms: f64) -> Nanos {
-    if ms.is_finite() && ms < 1e12 {
+    if ms.is_finite() && ms < NEVER_MS {
         (ms.max(0.0) * 1e6).round() as Nanos
     } else {
         Nanos::MAX / 2
     }
 }
 
-/// Nanoseconds as milliseconds.
-pub fn millis(at: Nanos) -> f64 {
-    at as f64 / 1e6
+/// Converts nanoseconds to milliseconds.
+pub fn millis(time: Nanos) -> f64 {
+    time as f64 / 1e6
 }
--- a/crates/asterdale-simulator/src/main.rs
+++ b/crates/asterdale-simulator/src/main.rs
@@ -7,7 +7,7 @@
 use asterdale_simulator::experiment::{self, Experiment, Policy};
 use asterdale_simulator::failover_surge::{self, Scenario};
 use asterdale_simulator::members::{self, Fault, Figures, Play};
-use asterdale_simulator::result::Outcome;
+use asterdale_simulator::report::RunReport;
 use asterdale_simulator::world::play;
 use clap::{Parser, Subcommand, ValueEnum};
 use rayon::prelude::*;
@@ -118,7 +118,7 @@
     let experiment = read(file)?;
     let first = seed.unwrap_or(experiment.seed);
     let began = Instant::now();
-    let all: Vec<Outcome> = (first..first + repeats)
+    let all: Vec<RunReport> = (first..first + repeats)
         .into_par_iter()
         .map(|seed| play(&experiment, seed))
         .collect();
@@ -162,20 +162,20 @@
         let mut experiment = experiment.clone();
         experiment.servers.policy = policy;
         let seeds = experiment.seed..experiment.seed + repeats;
-        let runs: Vec<Outcome> = seeds
+        let runs: Vec<RunReport> = seeds
             .into_par_iter()
             .map(|seed| play(&experiment, seed))
             .collect();
         let mean =
-            |of: &dyn Fn(&Outcome) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
-        let quantile = |name: &'static str| mean(&|run| run.milliseconds[name]);
-        let broken: u64 = runs.iter().flat_map(|run| run.broken.values()).sum();
+            |of: &dyn Fn(&RunReport) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
+        let quantile = |name: &'static str| mean(&|run| run.latency_ms[name]);
+        let broken: u64 = runs.iter().flat_map(|run| run.violations.values()).sum();
         println!(
             "{name:<12} {:>8.4} {:>8.1} {:>8.1} {:>7.2} {broken:>7}",
-            mean(&|run| run.service),
+            mean(&|run| run.earned_share),
             quantile("p50"),
             quantile("p99"),
-            mean(&|run| run.tries_each)
+            mean(&|run| run.attempts_per_request)
         );
     }
     Ok(())
--- a/crates/asterdale-simulator/src/members.rs
+++ b/crates/asterdale-simulator/src/members.rs
@@ -10,8 +10,8 @@
 use rayon::prelude::*;
 use serde::Serialize;
 
-use crate::chance::Chance;
 use crate::event_queue::EventQueue;
+use crate::random::RandomStream;
 use crate::Nanos;
 
 /// What befalls the fleet, once it has settled.
@@ -85,7 +85,7 @@
     all: Vec<Option<Membership>>,
     queue: EventQueue<(usize, What)>,
     wakes: Vec<Nanos>,
-    chance: Chance,
+    chance: RandomStream,
     loss: f64,
     parted: bool,
     stopped: HashMap<usize, Vec<What>>,
@@ -120,7 +120,7 @@
             all: Vec::new(),
             queue: EventQueue::default(),
             wakes: Vec::new(),
-            chance: Chance::new(seed, 77),
+            chance: RandomStream::new(seed, 77),
             loss: 0.0,
             parted: false,
             stopped: HashMap::new(),
@@ -185,7 +185,7 @@
                     let Some(&to) = self.index.get(&to) else {
                         continue;
                     };
-                    if self.passes(from, to) && self.chance.share() >= self.loss {
+                    if self.passes(from, to) && self.chance.uniform() >= self.loss {
                         self.send(to, What::Datagram(bytes), 1.0);
                     }
                 }
@@ -322,7 +322,7 @@
     match play.fault {
         Fault::None => net.run(end),
         Fault::Crash => {
-            let who = net.chance.one_of(play.members);
+            let who = net.chance.index(play.members);
             (net.all[who], net.dead) = (None, Some(who));
             net.run(end);
             settled_ms = net.settles(bound_ms);
@@ -331,10 +331,10 @@
             let tenth = (play.members / 10).max(1);
             while net.now < end {
                 for _ in 0..tenth {
-                    let who = net.chance.one_of(tenth);
+                    let who = net.chance.index(tenth);
                     if let Entry::Vacant(place) = net.stopped.entry(who) {
                         place.insert(Vec::new());
-                        let ms = 500.0 + 1500.0 * net.chance.share();
+                        let ms = 500.0 + 1500.0 * net.chance.uniform();
                         net.queue
                             .schedule(net.now + (ms * MS) as Nanos, (who, What::GoesOn));
                     }
--- a/crates/asterdale-simulator/src/world.rs
+++ b/crates/asterdale-simulator/src/world.rs
@@ -6,13 +6,13 @@
 use hdrhistogram::Histogram;
 
 use crate::attempt_checker::{AttemptChecker, AttemptOutcome, ExecutionScope};
-use crate::chance::Chance;
 use crate::cores::{Cores, JobHandle};
 use crate::decider::{Action, ActionList, Decider, Seat};
-use crate::edge::{Edge, Ring};
+use crate::edge::{Edge, HashRing, PickRequest};
 use crate::event_queue::EventQueue;
 use crate::experiment::{Experiment, Trouble};
-use crate::result::{quantiles, Outcome, Second};
+use crate::random::RandomStream;
+use crate::report::{quantiles_ms, RunReport, SecondReport};
 use crate::{millis, nanos, Nanos};
 
 /// The gauge of the cores is their use over so long, in nanoseconds: as the platform's.
@@ -123,10 +123,10 @@
     servers: Vec<Machine>,
     seen: Vec<bool>,
     edges: Vec<Edge>,
-    ring: Ring,
-    coming: Chance,
-    working: Chance,
-    way: Chance,
+    ring: HashRing,
+    coming: RandomStream,
+    working: RandomStream,
+    way: RandomStream,
     next_subject: u64,
     checker: AttemptChecker,
     counts: BTreeMap<&'static str, u64>,
@@ -138,14 +138,14 @@
     /// Tasks in the fleet, times how long, and when that was last counted.
     inside: (u64, f64, Nanos),
     spent_ms: f64,
-    second: Second,
-    seconds: Vec<Second>,
+    second: SecondReport,
+    seconds: Vec<SecondReport>,
     busy_before: f64,
     deaths: u64,
 }
 
 /// Plays an experiment with this seed.
-pub fn play(experiment: &Experiment, seed: u64) -> Outcome {
+pub fn play(experiment: &Experiment, seed: u64) -> RunReport {
     let mut world = World::new(experiment, seed);
     world.run();
     world.outcome()
@@ -167,7 +167,7 @@
             crowded: None,
             beat_at: 0,
         };
-        let edge = |n| Edge::new(servers, Chance::new(seed, 1000 + n as u64));
+        let edge = |n| Edge::new(servers, RandomStream::new(seed, 1000 + n as u64));
         World {
             experiment,
             seed,
@@ -180,10 +180,10 @@
             servers: (0..servers).map(machine).collect(),
             seen: vec![true; servers],
             edges: (0..experiment.edges.count).map(edge).collect(),
-            ring: Ring::new(servers),
-            coming: Chance::new(seed, 1),
-            working: Chance::new(seed, 2),
-            way: Chance::new(seed, 3),
+            ring: HashRing::new(servers),
+            coming: RandomStream::new(seed, 1),
+            working: RandomStream::new(seed, 2),
+            way: RandomStream::new(seed, 3),
             next_subject: 1 << 32,
             checker: AttemptChecker::default(),
             counts: BTreeMap::new(),
@@ -195,7 +195,7 @@
             sum_ms: 0.0,
             inside: (0, 0.0, 0),
             spent_ms: 0.0,
-            second: Second::default(),
+            second: SecondReport::default(),
             seconds: Vec::new(),
             busy_before: 0.0,
             deaths: 0,
@@ -271,7 +271,7 @@
             if at >= self.end {
                 return;
             }
-            if self.coming.share() * most < self.experiment.rate(millis(at) / 1e3) {
+            if self.coming.uniform() * most < self.experiment.rate(millis(at) / 1e3) {
                 return self.queue.schedule(at, Event::Task);
             }
         }
@@ -280,7 +280,7 @@
     fn task(&mut self) {
         self.next_task(self.now);
         let all: f64 = self.experiment.stages.iter().map(|stage| stage.share).sum();
-        let mut left = self.working.share() * all;
+        let mut left = self.working.uniform() * all;
         let pick = self.experiment.stages.iter().position(|stage| {
             left -= stage.share;
             left < 0.0
@@ -292,8 +292,8 @@
             None => self.working.exponential(facts.work_ms),
         };
         let (hot, which) = (
-            self.working.share() < facts.hot,
-            self.working.one_of(facts.subjects.max(1)),
+            self.working.uniform() < facts.hot,
+            self.working.index(facts.subjects.max(1)),
         );
         let subject = if hot {
             0
@@ -303,7 +303,7 @@
             self.next_subject += 1;
             self.next_subject
         };
-        let edge = self.working.one_of(self.edges.len());
+        let edge = self.working.index(self.edges.len());
         let counted = self.now >= nanos(self.experiment.warm_s * 1e3);
         let (born, last, open, tries, over) = (self.now, None, None, 0, false);
         let task = Task {
@@ -320,7 +320,7 @@
         };
         let n = self.tasks.len() as u32;
         self.tasks.push(task);
-        self.second.came += 1;
+        self.second.arrived += 1;
         if counted {
             self.possible += facts.utility;
             *self.counts.entry("came").or_default() += 1;
@@ -338,7 +338,7 @@
     }
 
     fn way_nanos(&mut self) -> Nanos {
-        nanos(self.experiment.edges.way_ms * (0.5 + self.way.share()))
+        nanos(self.experiment.edges.way_ms * (0.5 + self.way.uniform()))
     }
 
     fn send(&mut self, n: u32) {
@@ -347,8 +347,14 @@
             return;
         }
         let (edge, subject, last) = (task.edge, task.subject, task.last);
-        let how = self.experiment.edges.pick;
-        let picked = self.edges[edge].pick(self.now, how, &self.seen, &self.ring, subject, last);
+        let picked = self.edges[edge].pick(&PickRequest {
+            now: self.now,
+            pick: self.experiment.edges.pick,
+            is_up: &self.seen,
+            ring: &self.ring,
+            subject,
+            last_server: last,
+        });
         let Some(server) = picked else {
             return self.fail(n, "no server");
         };
@@ -369,9 +375,13 @@
         let task = &mut self.tasks[n as usize];
         (task.open, task.last) = (Some(open), Some(server));
         let limit = task.born + nanos(self.experiment.stages[task.stage].limit_ms);
-        self.edges[edge].sent(server, first);
+        if first {
+            self.edges[edge].record_first_attempt(server);
+        } else {
+            self.edges[edge].record_retry(server);
+        }
         self.tries_sent += 1;
-        self.second.tries += 1;
+        self.second.attempts += 1;
         let way = self.way_nanos();
         self.queue.schedule(self.now + way, Event::Arrive(open));
         let patience = self.experiment.edges.try_ms;
@@ -390,7 +400,7 @@
         attempt.waited = false;
         let (server, task) = (attempt.server, attempt.task);
         let edge = self.tasks[task as usize].edge;
-        self.edges[edge].over(server);
+        self.edges[edge].record_end(server);
         self.tasks[task as usize].open = None;
         let way = self.way_nanos();
         self.queue.schedule(self.now + way, Event::Left(n));
@@ -407,7 +417,7 @@
 
     fn again(&mut self, n: u32, why: &'static str) {
         let (edge, tries) = (self.tasks[n as usize].edge, self.tasks[n as usize].tries);
-        match self.edges[edge].again(&self.experiment.edges, tries) {
+        match self.edges[edge].retry_delay_ms(&self.experiment.edges, tries) {
             Some(wait) => self.queue.schedule(self.now + nanos(wait), Event::Again(n)),
             None => self.fail(n, why),
         }
@@ -443,9 +453,9 @@
         }
         self.tries[n as usize].waited = false;
         let edge = self.tasks[task as usize].edge;
-        self.edges[edge].over(server);
+        self.edges[edge].record_end(server);
         if away_ms > 0.0 && self.experiment.edges.heeds {
-            self.edges[edge].leave_alone(server, self.now + nanos(away_ms));
+            self.edges[edge].avoid(server, self.now + nanos(away_ms));
         }
         self.tasks[task as usize].open = None;
         match outcome {
@@ -479,9 +489,9 @@
         }
         self.spent_ms += millis(took);
         if in_time {
-            self.second.in_time += 1;
+            self.second.met_objective += 1;
         } else {
-            self.second.late += 1;
+            self.second.missed_objective += 1;
         }
         self.count_inside(-1);
     }
@@ -927,10 +937,11 @@
             .iter()
             .filter_map(|machine| machine.decider.as_ref().map(Decider::limit));
         let mut second = std::mem::take(&mut self.second);
-        second.limit = limits.filter(|limit| limit.is_finite()).sum::<f64>() / up.max(1) as f64;
-        second.cpu = (busy - self.busy_before)
+        second.mean_limit =
+            limits.filter(|limit| limit.is_finite()).sum::<f64>() / up.max(1) as f64;
+        second.cpu_utilization = (busy - self.busy_before)
             / (1e3 * self.experiment.servers.cores * self.servers.len() as f64);
-        second.up = up;
+        second.servers_up = up;
         self.busy_before = busy;
         self.seconds.push(second);
         if now < self.end {
@@ -938,28 +949,28 @@
         }
     }
 
-    fn outcome(mut self) -> Outcome {
+    fn outcome(mut self) -> RunReport {
         self.count_inside(0);
         let finished = self.times.len().max(1) as f64;
-        let came: u64 = self.seconds.iter().map(|second| second.came).sum();
-        Outcome {
-            service: if self.possible > 0.0 {
+        let came: u64 = self.seconds.iter().map(|second| second.arrived).sum();
+        RunReport {
+            earned_share: if self.possible > 0.0 {
                 self.earned / self.possible
             } else {
                 0.0
             },
-            tries_each: self.tries_sent as f64 / came.max(1) as f64,
-            milliseconds: quantiles(&self.times),
-            mean_ms: self.sum_ms / finished,
-            little: if self.spent_ms > 0.0 {
+            attempts_per_request: self.tries_sent as f64 / came.max(1) as f64,
+            latency_ms: quantiles_ms(&self.times),
+            mean_latency_ms: self.sum_ms / finished,
+            little_law_ratio: if self.spent_ms > 0.0 {
                 self.inside.1 / self.spent_ms
             } else {
                 1.0
             },
-            tasks: self.counts,
-            broken: self.checker.violations,
+            requests: self.counts,
+            violations: self.checker.violations,
             events: self.queue.scheduled_count(),
-            deaths: self.deaths,
+            overload_crashes: self.deaths,
             seconds: self.seconds,
         }
     }
--- a/crates/asterdale-simulator/tests/validity.rs
+++ b/crates/asterdale-simulator/tests/validity.rs
@@ -37,7 +37,7 @@
                     &experiment(Policy::Pool(1_000_000), 100.0 * offered, 300.0),
                     seed,
                 )
-                .mean_ms
+                .mean_latency_ms
             })
             .collect();
         let (mean, wanted) = (runs.iter().sum::<f64>() / 8.0, 10.0 * erlang(4, offered));
@@ -55,7 +55,7 @@
     one.servers.cores = 1.0;
     let runs: Vec<f64> = (1..=8u64)
         .into_par_iter()
-        .map(|seed| play(&one, seed).mean_ms)
+        .map(|seed| play(&one, seed).mean_latency_ms)
         .collect();
     let mean = runs.iter().sum::<f64>() / 8.0;
     assert!((mean / (10.0 / 0.3) - 1.0).abs() < 0.03, "{mean}");
@@ -82,18 +82,22 @@
     assert_eq!(one, four);
     assert_ne!(one[0], one[1]);
     let outcome = play(&many, 1);
-    assert!((outcome.little - 1.0).abs() < 1e-9, "{}", outcome.little);
     assert!(
-        outcome.broken.is_empty() && outcome.service > 0.99,
+        (outcome.little_law_ratio - 1.0).abs() < 1e-9,
+        "{}",
+        outcome.little_law_ratio
+    );
+    assert!(
+        outcome.violations.is_empty() && outcome.earned_share > 0.99,
         "{outcome:?}"
     );
     let ends: u64 = outcome
-        .tasks
+        .requests
         .iter()
         .filter(|(name, _)| **name != "came")
         .map(|(_, n)| n)
         .sum();
-    assert_eq!(ends, outcome.tasks["came"]);
+    assert_eq!(ends, outcome.requests["came"]);
 }
 
 fn with(fault: Trouble, servers: usize) -> Experiment {
@@ -124,22 +128,30 @@
         play(&with(Trouble::Crash, 2), 3),
     );
     assert!(
-        calm.service > 0.999 && calm.broken.is_empty(),
+        calm.earned_share > 0.999 && calm.violations.is_empty(),
         "{:?}",
-        calm.broken
+        calm.violations
     );
-    let up: Vec<usize> = crash.seconds.iter().map(|second| second.up).collect();
+    let up: Vec<usize> = crash
+        .seconds
+        .iter()
+        .map(|second| second.servers_up)
+        .collect();
     assert_eq!((up[5], up[9], up[15]), (4, 2, 4));
-    assert!(crash.broken.is_empty(), "{:?}", crash.broken);
+    assert!(crash.violations.is_empty(), "{:?}", crash.violations);
     let slow = play(&with(Trouble::Slow(0.2), 2), 3);
     assert!(
-        slow.milliseconds["p99"] > 1.5 * calm.milliseconds["p99"],
+        slow.latency_ms["p99"] > 1.5 * calm.latency_ms["p99"],
         "{:?}",
-        slow.milliseconds
+        slow.latency_ms
     );
     let pause = play(&with(Trouble::Pause, 4), 3);
-    assert_eq!(pause.seconds[9].in_time, 0);
-    assert!(pause.seconds[15].in_time > 500, "{:?}", pause.seconds[15]);
+    assert_eq!(pause.seconds[9].met_objective, 0);
+    assert!(
+        pause.seconds[15].met_objective > 500,
+        "{:?}",
+        pause.seconds[15]
+    );
 }
 
 #[test]
@@ -151,15 +163,15 @@
     flood.servers.policy = Policy::Everything;
     let theirs = play(&flood, 1);
     assert!(
-        ours.deaths == 0 && theirs.deaths > 0,
+        ours.overload_crashes == 0 && theirs.overload_crashes > 0,
         "{} and {}",
-        ours.deaths,
-        theirs.deaths
+        ours.overload_crashes,
+        theirs.overload_crashes
     );
     assert!(
-        ours.service > theirs.service,
+        ours.earned_share > theirs.earned_share,
         "{} and {}",
-        ours.service,
-        theirs.service
+        ours.earned_share,
+        theirs.earned_share
     );
 }
