--- a/crates/asterdale-simulator/src/decider.rs
+++ b/crates/asterdale-simulator/src/decider.rs
@@ -1,5 +1,6 @@
-//! Who decides: the module itself, or one of the plain policies that it is measured against. Both speak through
-//! the module's own [`Machine`].
+//! Decides for one simulated server: the real decision module, or one of the baseline policies it is compared with.
+//!
+//! Both take the same events and queue the same kind of actions, so the simulated server does not know which it has.
 
 use std::collections::VecDeque;
 
@@ -9,167 +10,148 @@
 };
 use asterdale::{Actions, Handle, Server};
 
-use crate::experiment::{Experiment, Policy};
+use self::baseline::Baseline;
+use crate::experiment::{Experiment, Policy, Stage};
 
-/// A task inside a server, by a small number that is given out again.
-pub type Seat = u32;
+mod baseline;
 
-/// What is to be done.
+/// Index of a request within its server. It is reused after the request is released.
+pub type Slot = u32;
+
+/// Action that the simulated server has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// The task that is being taken is known by this number.
-    Seat(Seat),
-    /// Nothing more will be asked of it.
-    Release(Seat),
-    /// Start it.
-    Run(Seat),
-    /// Answer it with the result of the try that it repeats.
-    Join(Seat),
-    /// Remember its key for so many milliseconds.
-    Remember(Seat, f64),
-    /// Forget its key.
-    Forget(Seat),
-    /// It never ran; stay away for so many milliseconds.
-    Reject(Seat, f64),
-    /// Nothing is promised.
-    Abandon(Seat),
-    /// Ask again then, in milliseconds.
-    Wake(f64),
+    /// The request that is being received has this slot from now on.
+    Accept(Slot),
+    /// The request needs nothing more; its slot may be reused.
+    Release(Slot),
+    /// Start to run the request.
+    Start(Slot),
+    /// Answer the request with the result of the earlier attempt that has the same idempotency key.
+    JoinEarlierAttempt(Slot),
+    /// Retain the request's idempotency entry for this many milliseconds.
+    RetainIdempotencyEntry(Slot, f64),
+    /// Drop the request's idempotency entry.
+    DropIdempotencyEntry(Slot),
+    /// Reject the request, which never ran; the caller is to retry after this many milliseconds.
+    Reject(Slot, f64),
+    /// Fail the request; it may have run.
+    Fail(Slot),
+    /// Call the decider's `tick` at this time, in milliseconds from the start of the run.
+    ScheduleTick(f64),
 }
 
-/// ActionList in the order in which they were asked for.
+/// Actions in the order in which they were decided, and the decision module's handles by slot.
 #[derive(Default)]
-pub struct ActionList {
-    /// What is to be done.
-    pub all: VecDeque<Action>,
+pub struct ActionQueue {
+    pending: VecDeque<Action>,
     handles: Vec<Option<Handle>>,
 }
 
-impl Actions for ActionList {
+impl ActionQueue {
+    /// Removes and returns the oldest action.
+    pub fn pop(&mut self) -> Option<Action> {
+        self.pending.pop_front()
+    }
+
+    /// Drops all actions: the server crashed.
+    pub fn clear(&mut self) {
+        self.pending.clear();
+    }
+
+    fn push(&mut self, action: Action) {
+        self.pending.push_back(action);
+    }
+
+    fn handle(&self, slot: Slot) -> Option<Handle> {
+        self.handles.get(slot as usize).copied().flatten()
+    }
+}
+
+fn slot_of(task: Handle) -> Slot {
+    task.index() as Slot
+}
+
+impl Actions for ActionQueue {
     fn accepted(&mut self, task: Handle) {
-        let n = task.index();
-        self.handles.resize(self.handles.len().max(n + 1), None);
-        self.handles[n] = Some(task);
-        self.all.push_back(Action::Seat(n as Seat));
+        let index = task.index();
+        self.handles.resize(self.handles.len().max(index + 1), None);
+        self.handles[index] = Some(task);
+        self.push(Action::Accept(slot_of(task)));
     }
     fn release(&mut self, task: Handle) {
-        self.all.push_back(Action::Release(task.index() as Seat));
+        self.push(Action::Release(slot_of(task)));
     }
     fn start(&mut self, task: Handle) {
-        self.all.push_back(Action::Run(task.index() as Seat));
+        self.push(Action::Start(slot_of(task)));
     }
-    fn stop(&mut self, _: Handle) {}
-    fn start_call(&mut self, _: Handle, _: f64) {}
-    fn skip_call(&mut self, _: Handle) {}
     fn join_earlier_attempt(&mut self, task: Handle) {
-        self.all.push_back(Action::Join(task.index() as Seat));
+        self.push(Action::JoinEarlierAttempt(slot_of(task)));
     }
     fn retain_idempotency_entry(&mut self, task: Handle, for_ms: f64) {
-        self.all
-            .push_back(Action::Remember(task.index() as Seat, for_ms));
+        self.push(Action::RetainIdempotencyEntry(slot_of(task), for_ms));
     }
     fn drop_idempotency_entry(&mut self, task: Handle) {
-        self.all.push_back(Action::Forget(task.index() as Seat));
+        self.push(Action::DropIdempotencyEntry(slot_of(task)));
     }
-    fn reject(&mut self, task: Handle, _: bool, stay_away_ms: f64) {
-        self.all
-            .push_back(Action::Reject(task.index() as Seat, stay_away_ms));
+    fn reject(&mut self, task: Handle, _: bool, retry_after_ms: f64) {
+        self.push(Action::Reject(slot_of(task), retry_after_ms));
     }
     fn fail(&mut self, task: Handle) {
-        self.all.push_back(Action::Abandon(task.index() as Seat));
+        self.push(Action::Fail(slot_of(task)));
+    }
+    fn schedule_tick(&mut self, at_ms: f64) {
+        self.push(Action::ScheduleTick(at_ms));
     }
+
+    // The simulated servers have no preemption, no dependency, no capacity hint, no health check and no connections.
+    fn stop(&mut self, _: Handle) {}
+    fn start_call(&mut self, _: Handle, _: f64) {}
+    fn skip_call(&mut self, _: Handle) {}
     fn publish_capacity_hint(&mut self, _: f64) {}
     fn set_health(&mut self, _: bool, _: bool) {}
     fn set_idle_timeout(&mut self, _: f64) {}
-    fn schedule_tick(&mut self, at_ms: f64) {
-        self.all.push_back(Action::Wake(at_ms));
-    }
 }
 
-/// Who decides for one server.
+/// Decider of one server.
 pub enum Decider {
-    /// The module.
+    /// The real decision module.
     Module(Box<Server>),
-    /// A plain policy.
-    Plain(Plain),
-}
-
-/// What the module is told of an experiment's servers.
-fn told(experiment: &Experiment, seed: u64, cold: bool) -> Parameters {
-    let stage = |stage: &crate::experiment::Stage| ClassParameters {
-        objective_ms: stage.due_ms,
-        deadline_ms: stage.limit_ms,
-        weight: stage.utility,
-        late_weight_share: stage.late_share,
-        degraded_weight_share: 0.0,
-        makes_calls: false,
-        idempotency: if stage.fingerprinted {
-            Idempotency::Keyed
-        } else {
-            Idempotency::Idempotent
-        },
-        retry_window_ms: 2.0 * stage.limit_ms,
-    };
-    Parameters {
-        seed,
-        cores: experiment.servers.cores,
-        memory_kb: 1e12,
-        running_memory_factor: 1.0,
-        idempotency_entry_kb: 1.0,
-        slow_start: cold,
-        slow_start_share: 1.0,
-        slow_start_ms: 0.0,
-        overload_factor: experiment.servers.deadly.min(1e6),
-        tick_ms: 1.0,
-        drain_grace_ms: 0.0,
-        servers: experiment.servers.count as f64,
-        callers: experiment.edges.count as f64,
-        dependency: Dependency::Absent,
-        dependency_quota: 0.0,
-        dependency_window_ms: 1000.0,
-        call_linger_ms: 0.0,
-        idle_timeout_ms: 0.0,
-        response_reuse_ms: 0.0,
-        preemption: Preemption::Unsupported,
-        capacity_hint: CapacityHint::Unused,
-        max_retry_after_ms: if experiment.edges.heeds { 1000.0 } else { 0.0 },
-        over_quota_weight_share: 1.0,
-        weight_per_work: false,
-        classes: experiment.stages.iter().map(stage).collect(),
-        tenants: Vec::new(),
-    }
+    /// A baseline policy.
+    Baseline(Baseline),
 }
 
 impl Decider {
-    /// As the experiment has it; a server that comes back is cold.
+    /// The decider that the experiment asks for. With `slow_start` the decision module starts as after a crash.
     pub fn new(
         experiment: &Experiment,
         seed: u64,
         now_ms: f64,
-        cold: bool,
-        to: &mut ActionList,
+        slow_start: bool,
+        actions: &mut ActionQueue,
     ) -> Decider {
-        to.handles.clear();
-        match experiment.servers.policy {
-            Policy::Asterdale => Decider::Module(Box::new(Server::start(
-                told(experiment, seed, cold),
-                now_ms,
-                to,
-            ))),
-            policy => Decider::Plain(Plain::new(policy, experiment.servers.cores, now_ms, to)),
+        actions.handles.clear();
+        let policy = experiment.servers.policy;
+        if policy == Policy::Asterdale {
+            let parameters = module_parameters(experiment, seed, slow_start);
+            Decider::Module(Box::new(Server::start(parameters, now_ms, actions)))
+        } else {
+            let cores = experiment.servers.cores;
+            Decider::Baseline(Baseline::new(policy, cores, now_ms, actions))
         }
     }
 
-    /// A task has been read.
-    pub fn take(&mut self, now_ms: f64, arrival: Arrival, to: &mut ActionList) {
+    /// A request was read.
+    pub fn receive(&mut self, now_ms: f64, arrival: Arrival, actions: &mut ActionQueue) {
         match self {
-            Decider::Module(server) => drop(server.receive(now_ms, arrival, to)),
-            Decider::Plain(plain) => plain.take(now_ms, to),
+            // The handle is in the action queue already.
+            Decider::Module(server) => drop(server.receive(now_ms, arrival, actions)),
+            Decider::Baseline(baseline) => baseline.receive(now_ms, actions),
         }
     }
 
-    /// It wanted to be asked now.
-    pub fn beat(&mut self, now_ms: f64, cpu: f64, on_cores: f64, to: &mut ActionList) {
+    /// A scheduled tick is due. `cpu` is the utilization from 0 to 1, `on_cores` the number of jobs on the cores.
+    pub fn tick(&mut self, now_ms: f64, cpu: f64, on_cores: f64, actions: &mut ActionQueue) {
         match self {
             Decider::Module(server) => {
                 let gauges = Gauges {
@@ -178,167 +160,91 @@
                     memory: None,
                     connections: None,
                 };
-                server.tick(now_ms, gauges, to);
+                server.tick(now_ms, gauges, actions);
             }
-            Decider::Plain(plain) => plain.beat(now_ms, to),
+            Decider::Baseline(baseline) => baseline.tick(now_ms, actions),
         }
     }
 
-    /// A run, or what a task had joined, is over.
-    pub fn over(&mut self, now_ms: f64, seat: Seat, well: bool, to: &mut ActionList) {
+    /// A request's run, or the earlier attempt that it joined, ended.
+    pub fn run_ended(&mut self, now_ms: f64, slot: Slot, is_ok: bool, actions: &mut ActionQueue) {
         match self {
             Decider::Module(server) => {
-                let how = if well { Outcome::Ok } else { Outcome::Failed };
-                if let Some(handle) = to.handles.get(seat as usize).copied().flatten() {
-                    handle.run_ended(server, now_ms, how, to);
+                let outcome = if is_ok { Outcome::Ok } else { Outcome::Failed };
+                if let Some(handle) = actions.handle(slot) {
+                    handle.run_ended(server, now_ms, outcome, actions);
                 }
             }
-            Decider::Plain(plain) => plain.over(now_ms, seat, to),
+            Decider::Baseline(baseline) => baseline.run_ended(now_ms, slot, actions),
         }
     }
 
-    /// Nobody waits any more.
-    pub fn left(&mut self, now_ms: f64, seat: Seat, to: &mut ActionList) {
+    /// The caller of a request no longer waits for it.
+    pub fn caller_gone(&mut self, now_ms: f64, slot: Slot, actions: &mut ActionQueue) {
         match self {
             Decider::Module(server) => {
-                if let Some(handle) = to.handles.get(seat as usize).copied().flatten() {
-                    handle.caller_gone(server, now_ms, to);
+                if let Some(handle) = actions.handle(slot) {
+                    handle.caller_gone(server, now_ms, actions);
                 }
             }
-            Decider::Plain(plain) => plain.left(seat, to),
+            Decider::Baseline(baseline) => baseline.caller_gone(slot, actions),
         }
     }
 
-    /// The limit of running tasks, where there is one.
-    pub fn limit(&self) -> f64 {
+    /// Limit of concurrently running requests; infinite if there is none.
+    pub fn concurrency_limit(&self) -> f64 {
         match self {
             Decider::Module(server) => server.summary().limit,
-            Decider::Plain(plain) => plain.limit,
+            Decider::Baseline(baseline) => baseline.concurrency_limit(),
         }
     }
 }
 
-/// A window of AIMD, in milliseconds: that of the module.
-const WINDOW: f64 = 500.0;
-/// What CoDel bears, and for how long, in milliseconds: its published figures.
-const SOJOURN: f64 = 5.0;
-const INTERVAL: f64 = 100.0;
-
-/// A plain policy.
-pub struct Plain {
-    policy: Policy,
-    cores: f64,
-    limit: f64,
-    running: usize,
-    held: VecDeque<(Seat, f64)>,
-    /// By seat: when it was started, while it runs.
-    started: Vec<Option<f64>>,
-    free: Vec<Seat>,
-    least_ms: f64,
-    slow: bool,
-    above_since: Option<f64>,
-}
-
-impl Plain {
-    fn new(policy: Policy, cores: f64, now_ms: f64, to: &mut ActionList) -> Plain {
-        let limit = match policy {
-            Policy::Everything => f64::INFINITY,
-            Policy::Fixed(limit) => limit as f64,
-            _ => cores.ceil(),
-        };
-        if policy == Policy::Aimd {
-            to.all.push_back(Action::Wake(now_ms + WINDOW));
-        }
-        Plain {
-            policy,
-            cores,
-            limit,
-            running: 0,
-            held: VecDeque::new(),
-            started: Vec::new(),
-            free: Vec::new(),
-            least_ms: f64::INFINITY,
-            slow: false,
-            above_since: None,
-        }
+/// Parameters of the decision module on the experiment's servers.
+fn module_parameters(experiment: &Experiment, seed: u64, slow_start: bool) -> Parameters {
+    Parameters {
+        seed,
+        cores: experiment.servers.cores,
+        memory_kb: 1e12,
+        running_memory_factor: 1.0,
+        idempotency_entry_kb: 1.0,
+        slow_start,
+        slow_start_share: 1.0,
+        slow_start_ms: 0.0,
+        overload_factor: experiment.servers.deadly.min(1e6),
+        tick_ms: 1.0,
+        drain_grace_ms: 0.0,
+        servers: experiment.servers.count as f64,
+        callers: experiment.edges.count as f64,
+        dependency: Dependency::Absent,
+        dependency_quota: 0.0,
+        dependency_window_ms: 1000.0,
+        call_linger_ms: 0.0,
+        idle_timeout_ms: 0.0,
+        response_reuse_ms: 0.0,
+        preemption: Preemption::Unsupported,
+        capacity_hint: CapacityHint::Unused,
+        max_retry_after_ms: if experiment.edges.heeds { 1000.0 } else { 0.0 },
+        over_quota_weight_share: 1.0,
+        weight_per_work: false,
+        classes: experiment.stages.iter().map(class_parameters).collect(),
+        tenants: Vec::new(),
     }
+}
 
-    fn take(&mut self, now_ms: f64, to: &mut ActionList) {
-        let seat = self.free.pop().unwrap_or(self.started.len() as Seat);
-        if seat as usize == self.started.len() {
-            self.started.push(None);
-        }
-        to.all.push_back(Action::Seat(seat));
-        let holds = match self.policy {
-            Policy::Pool(most) => most,
-            Policy::Aimd => self.cores.ceil() as usize,
-            Policy::Codel => usize::MAX,
-            Policy::Everything | Policy::Fixed(_) | Policy::Asterdale => 0,
-        };
-        if (self.running as f64) < self.limit {
-            self.start(now_ms, seat, to);
-        } else if self.held.len() < holds {
-            self.held.push_back((seat, now_ms));
+fn class_parameters(class: &Stage) -> ClassParameters {
+    ClassParameters {
+        objective_ms: class.due_ms,
+        deadline_ms: class.limit_ms,
+        weight: class.utility,
+        late_weight_share: class.late_share,
+        degraded_weight_share: 0.0,
+        makes_calls: false,
+        idempotency: if class.fingerprinted {
+            Idempotency::Keyed
         } else {
-            self.turn_away(seat, to);
-        }
-    }
-
-    fn start(&mut self, now_ms: f64, seat: Seat, to: &mut ActionList) {
-        self.started[seat as usize] = Some(now_ms);
-        self.running += 1;
-        to.all.push_back(Action::Run(seat));
-    }
-
-    fn turn_away(&mut self, seat: Seat, to: &mut ActionList) {
-        to.all.push_back(Action::Reject(seat, 0.0));
-        to.all.push_back(Action::Release(seat));
-        self.free.push(seat);
-    }
-
-    fn over(&mut self, now_ms: f64, seat: Seat, to: &mut ActionList) {
-        let Some(started) = self.started[seat as usize].take() else {
-            return;
-        };
-        self.running -= 1;
-        self.free.push(seat);
-        to.all.push_back(Action::Release(seat));
-        self.least_ms = self.least_ms.min(now_ms - started);
-        self.slow |= now_ms - started > 2.0 * self.least_ms;
-        while (self.running as f64) < self.limit {
-            let Some((seat, since)) = self.held.pop_front() else {
-                return;
-            };
-            if self.policy == Policy::Codel {
-                if now_ms - since < SOJOURN {
-                    self.above_since = None;
-                } else if now_ms - *self.above_since.get_or_insert(now_ms) >= INTERVAL {
-                    self.turn_away(seat, to);
-                    continue;
-                }
-            }
-            self.start(now_ms, seat, to);
-        }
-    }
-
-    fn beat(&mut self, now_ms: f64, to: &mut ActionList) {
-        if self.policy == Policy::Aimd {
-            self.limit = if self.slow {
-                (0.9 * self.limit).max(1.0)
-            } else {
-                self.limit + 1.0
-            };
-            self.slow = false;
-            to.all.push_back(Action::Wake(now_ms + WINDOW));
-        }
-    }
-
-    /// What runs goes on: these know no other way.
-    fn left(&mut self, seat: Seat, to: &mut ActionList) {
-        if let Some(n) = self.held.iter().position(|(held, _)| *held == seat) {
-            self.held.remove(n);
-            self.free.push(seat);
-            to.all.push_back(Action::Release(seat));
-        }
+            Idempotency::Idempotent
+        },
+        retry_window_ms: 2.0 * class.limit_ms,
     }
 }
--- a/crates/asterdale-simulator/src/world.rs
+++ b/crates/asterdale-simulator/src/world.rs
@@ -7,7 +7,7 @@
 
 use crate::attempt_checker::{AttemptChecker, AttemptOutcome, ExecutionScope};
 use crate::cores::{Cores, JobHandle};
-use crate::decider::{Action, ActionList, Decider, Seat};
+use crate::decider::{Action, ActionQueue, Decider, Slot};
 use crate::edge::{Edge, HashRing, PickRequest};
 use crate::event_queue::EventQueue;
 use crate::experiment::{Experiment, Trouble};
@@ -69,7 +69,7 @@
 enum Where {
     Way,
     Reading(JobHandle),
-    Inside(Seat, Option<JobHandle>),
+    Inside(Slot, Option<JobHandle>),
     Over,
 }
 
@@ -96,12 +96,12 @@
 struct Machine {
     cores: Cores,
     decider: Option<Decider>,
-    actions: ActionList,
+    actions: ActionQueue,
     life: u32,
     paused: bool,
     /// What came while it was paused.
     waiting: Vec<u32>,
-    seats: Vec<Option<u32>>,
+    slots: Vec<Option<u32>>,
     /// Keys, by subject and stage: looked up, never walked.
     known: HashMap<(usize, u64), (u32, Nanos, Fate)>,
     gauge: VecDeque<(Nanos, f64)>,
@@ -157,11 +157,11 @@
         let machine = |_| Machine {
             cores: Cores::new(experiment.servers.cores, experiment.servers.crowd),
             decider: None,
-            actions: ActionList::default(),
+            actions: ActionQueue::default(),
             life: 0,
             paused: false,
             waiting: Vec::new(),
-            seats: Vec::new(),
+            slots: Vec::new(),
             known: HashMap::new(),
             gauge: VecDeque::new(),
             crowded: None,
@@ -525,9 +525,9 @@
         let now = self.now;
         let machine = &mut self.servers[n];
         machine.decider = None;
-        machine.actions.all.clear();
+        machine.actions.clear();
         machine.cores.clear(now);
-        machine.seats.clear();
+        machine.slots.clear();
         machine.known.clear();
         (machine.paused, machine.crowded) = (false, None);
         machine.waiting.clear();
@@ -653,7 +653,7 @@
         };
         let machine = &mut self.servers[server];
         if let Some(decider) = &mut machine.decider {
-            decider.take(millis(now), arrival, &mut machine.actions);
+            decider.receive(millis(now), arrival, &mut machine.actions);
         }
         self.act(server, Some(n));
         // Nobody may wait for it any more.
@@ -694,12 +694,12 @@
     }
 
     fn over_inside(&mut self, server: usize, n: u32, well: bool) {
-        let Where::Inside(seat, _) = self.tries[n as usize].at else {
+        let Where::Inside(slot, _) = self.tries[n as usize].at else {
             return;
         };
         let machine = &mut self.servers[server];
         if let Some(decider) = &mut machine.decider {
-            decider.over(millis(self.now), seat, well, &mut machine.actions);
+            decider.run_ended(millis(self.now), slot, well, &mut machine.actions);
         }
         self.act(server, None);
     }
@@ -718,13 +718,13 @@
     }
 
     fn left_inside(&mut self, n: u32) {
-        let Where::Inside(seat, _) = self.tries[n as usize].at else {
+        let Where::Inside(slot, _) = self.tries[n as usize].at else {
             return;
         };
         let server = self.tries[n as usize].server;
         let machine = &mut self.servers[server];
         if let Some(decider) = &mut machine.decider {
-            decider.left(millis(self.now), seat, &mut machine.actions);
+            decider.caller_gone(millis(self.now), slot, &mut machine.actions);
         }
         self.act(server, None);
     }
@@ -753,7 +753,7 @@
         };
         let on_cores = machine.cores.running() as f64;
         if let Some(decider) = &mut machine.decider {
-            decider.beat(millis(now), cpu.min(1.0), on_cores, &mut machine.actions);
+            decider.tick(millis(now), cpu.min(1.0), on_cores, &mut machine.actions);
         }
         self.act(n, None);
         self.foresee(n);
@@ -762,25 +762,25 @@
     /// Does what was decided. `arriving` is the try that has just been taken.
     fn act(&mut self, server: usize, arriving: Option<u32>) {
         let now = self.now;
-        while let Some(action) = self.servers[server].actions.all.pop_front() {
-            let at = |world: &World<'_>, seat: Seat| {
+        while let Some(action) = self.servers[server].actions.pop() {
+            let at = |world: &World<'_>, slot: Slot| {
                 world.servers[server]
-                    .seats
-                    .get(seat as usize)
+                    .slots
+                    .get(slot as usize)
                     .copied()
                     .flatten()
             };
             match action {
-                Action::Seat(seat) => {
+                Action::Accept(slot) => {
                     let Some(n) = arriving else { continue };
-                    let seats = &mut self.servers[server].seats;
-                    seats.resize(seats.len().max(seat as usize + 1), None);
-                    seats[seat as usize] = Some(n);
-                    self.tries[n as usize].at = Where::Inside(seat, None);
+                    let slots = &mut self.servers[server].slots;
+                    slots.resize(slots.len().max(slot as usize + 1), None);
+                    slots[slot as usize] = Some(n);
+                    self.tries[n as usize].at = Where::Inside(slot, None);
                 }
-                Action::Release(seat) => {
-                    let Some(n) = at(self, seat) else { continue };
-                    self.servers[server].seats[seat as usize] = None;
+                Action::Release(slot) => {
+                    let Some(n) = at(self, slot) else { continue };
+                    self.servers[server].slots[slot as usize] = None;
                     let known = self
                         .key(n)
                         .and_then(|key| self.servers[server].known.get_mut(&key));
@@ -791,8 +791,8 @@
                     }
                     self.tries[n as usize].at = Where::Over;
                 }
-                Action::Run(seat) => {
-                    let Some(n) = at(self, seat) else { continue };
+                Action::Start(slot) => {
+                    let Some(n) = at(self, slot) else { continue };
                     let work = self.tasks[self.tries[n as usize].task as usize].work_ms;
                     let life = self.servers[server].life;
                     let key = self.key(n).map(|(stage, subject)| ExecutionScope {
@@ -804,11 +804,11 @@
                     let place = self.servers[server]
                         .cores
                         .start(now, u64::from(n) << 1 | 1, work);
-                    self.tries[n as usize].at = Where::Inside(seat, Some(place));
+                    self.tries[n as usize].at = Where::Inside(slot, Some(place));
                     self.foresee(server);
                 }
-                Action::Join(seat) => {
-                    let Some(n) = at(self, seat) else { continue };
+                Action::JoinEarlierAttempt(slot) => {
+                    let Some(n) = at(self, slot) else { continue };
                     let known = self
                         .key(n)
                         .and_then(|key| self.servers[server].known.get_mut(&key));
@@ -824,15 +824,15 @@
                         }
                     }
                 }
-                Action::Remember(seat, for_ms) => {
-                    let Some(n) = at(self, seat) else { continue };
+                Action::RetainIdempotencyEntry(slot, for_ms) => {
+                    let Some(n) = at(self, slot) else { continue };
                     if let Some(key) = self.key(n) {
                         let entry = (n, now + nanos(for_ms), Fate::Open(Vec::new()));
                         self.servers[server].known.insert(key, entry);
                     }
                 }
-                Action::Forget(seat) => {
-                    let Some(n) = at(self, seat) else { continue };
+                Action::DropIdempotencyEntry(slot) => {
+                    let Some(n) = at(self, slot) else { continue };
                     if let Some(key) = self.key(n) {
                         let known = &mut self.servers[server].known;
                         if known.get(&key).is_some_and(|(owner, ..)| *owner == n) {
@@ -847,17 +847,17 @@
                         }
                     }
                 }
-                Action::Reject(seat, away_ms) => {
-                    if let Some(n) = at(self, seat) {
+                Action::Reject(slot, away_ms) => {
+                    if let Some(n) = at(self, slot) {
                         self.answer(n, AttemptOutcome::Rejected, away_ms);
                     }
                 }
-                Action::Abandon(seat) => {
-                    if let Some(n) = at(self, seat) {
+                Action::Fail(slot) => {
+                    if let Some(n) = at(self, slot) {
                         self.answer(n, AttemptOutcome::Failed, 0.0);
                     }
                 }
-                Action::Wake(at_ms) => {
+                Action::ScheduleTick(at_ms) => {
                     let at = nanos(at_ms).max(now + 1);
                     let machine = &mut self.servers[server];
                     machine.beat_at = at;
@@ -870,12 +870,12 @@
 
     /// What a task had joined is over. The decider hears of it once what it is doing is done.
     fn join_over(&mut self, server: usize, n: u32, well: bool) {
-        let Where::Inside(seat, _) = self.tries[n as usize].at else {
+        let Where::Inside(slot, _) = self.tries[n as usize].at else {
             return;
         };
         let machine = &mut self.servers[server];
         if let Some(decider) = &mut machine.decider {
-            decider.over(millis(self.now), seat, well, &mut machine.actions);
+            decider.run_ended(millis(self.now), slot, well, &mut machine.actions);
         }
     }
 
@@ -935,7 +935,7 @@
         let limits = self
             .servers
             .iter()
-            .filter_map(|machine| machine.decider.as_ref().map(Decider::limit));
+            .filter_map(|machine| machine.decider.as_ref().map(Decider::concurrency_limit));
         let mut second = std::mem::take(&mut self.second);
         second.mean_limit =
             limits.filter(|limit| limit.is_finite()).sum::<f64>() / up.max(1) as f64;
