--- a/crates/asterdale-simulator/src/main.rs
+++ b/crates/asterdale-simulator/src/main.rs
@@ -1,22 +1,29 @@
-//! The command line.
+//! Command line of the simulator.
+//!
+//! The comments on the arguments are the help texts that the command prints.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
-use std::time::Instant;
 
-use asterdale_simulator::experiment::{self, Experiment, Policy};
-use asterdale_simulator::failover_surge::{self, Scenario};
-use asterdale_simulator::members::{self, Fault, Figures, Play};
-use asterdale_simulator::report::RunReport;
-use asterdale_simulator::world::play;
+use asterdale_simulator::members::{Fault, Play};
 use clap::{Parser, Subcommand, ValueEnum};
-use rayon::prelude::*;
-use serde_json::json;
+
+use crate::commands::CommandError;
+
+mod commands;
+mod plot;
+
+/// Highest number of seeds of one `run`.
+const MAX_RUN_REPEATS: u64 = 10_000;
+/// Highest number of seeds of the other subcommands, which simulate several scenarios each.
+const MAX_REPEATS: u64 = 1000;
+/// Exit code if a subcommand fails.
+const EXIT_FAILED: u8 = 2;
 
 /// What asterdale balances, in one process.
 #[derive(Parser)]
 #[command(name = "asterdale-simulator", version)]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
@@ -51,8 +58,8 @@
         #[arg(long, value_delimiter = ',', default_values_t = [10, 100, 1000])]
         members: Vec<usize>,
         /// What befalls them
-        #[arg(long, value_enum, value_delimiter = ',', default_values_t = [Befalls::Crash])]
-        faults: Vec<Befalls>,
+        #[arg(long, value_enum, value_delimiter = ',', default_values_t = [FaultArgument::Crash])]
+        faults: Vec<FaultArgument>,
         /// For so many seconds
         #[arg(long, default_value_t = 60.0)]
         seconds: f64,
@@ -91,7 +98,7 @@
 
 /// What befalls a fleet.
 #[derive(Clone, Copy, ValueEnum)]
-enum Befalls {
+enum FaultArgument {
     /// Nothing
     None,
     /// One dies
@@ -102,236 +109,35 @@
     Halves,
 }
 
-impl std::fmt::Display for Befalls {
+impl std::fmt::Display for FaultArgument {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let value = self.to_possible_value();
         f.write_str(value.as_ref().map_or("", |value| value.get_name()))
     }
 }
 
-fn read(file: &PathBuf) -> Result<Experiment, String> {
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    experiment::read(&text).map_err(|wrong| wrong.join("\n"))
-}
-
-fn run(file: &PathBuf, seed: Option<u64>, repeats: u64, brief: bool) -> Result<(), String> {
-    let experiment = read(file)?;
-    let first = seed.unwrap_or(experiment.seed);
-    let began = Instant::now();
-    let all: Vec<RunReport> = (first..first + repeats)
-        .into_par_iter()
-        .map(|seed| play(&experiment, seed))
-        .collect();
-    let (took, events) = (
-        began.elapsed().as_secs_f64(),
-        all.iter().map(|one| one.events).sum::<u64>(),
-    );
-    let modelled = experiment.seconds * repeats as f64;
-    eprintln!(
-        "{events} events in {took:.2} s: {:.0} a second; {:.1} times real time",
-        events as f64 / took,
-        modelled / took
-    );
-    for (seed, outcome) in (first..).zip(all) {
-        let mut shown = json!(outcome);
-        shown["seed"] = json!(seed);
-        if brief {
-            shown.as_object_mut().map(|shown| shown.remove("seconds"));
-        }
-        println!("{shown}");
-    }
-    Ok(())
-}
-
-fn policies(file: &PathBuf, repeats: u64) -> Result<(), String> {
-    let experiment = read(file)?;
-    let cores = experiment.servers.cores.ceil() as usize;
-    let all = [
-        ("asterdale", Policy::Asterdale),
-        ("everything", Policy::Everything),
-        ("pool", Policy::Pool(4 * cores)),
-        ("fixed", Policy::Fixed(2 * cores)),
-        ("aimd", Policy::Aimd),
-        ("codel", Policy::Codel),
-    ];
-    println!(
-        "{:<12} {:>8} {:>8} {:>8} {:>7} {:>7}",
-        "policy", "service", "p50 ms", "p99 ms", "tries", "broken"
-    );
-    for (name, policy) in all {
-        let mut experiment = experiment.clone();
-        experiment.servers.policy = policy;
-        let seeds = experiment.seed..experiment.seed + repeats;
-        let runs: Vec<RunReport> = seeds
-            .into_par_iter()
-            .map(|seed| play(&experiment, seed))
-            .collect();
-        let mean =
-            |of: &dyn Fn(&RunReport) -> f64| runs.iter().map(of).sum::<f64>() / runs.len() as f64;
-        let quantile = |name: &'static str| mean(&|run| run.latency_ms[name]);
-        let broken: u64 = runs.iter().flat_map(|run| run.violations.values()).sum();
-        println!(
-            "{name:<12} {:>8.4} {:>8.1} {:>8.1} {:>7.2} {broken:>7}",
-            mean(&|run| run.earned_share),
-            quantile("p50"),
-            quantile("p99"),
-            mean(&|run| run.attempts_per_request)
-        );
-    }
-    Ok(())
-}
-
-/// Detection over the size: what was modelled, and the published bounds.
-fn plot(file: &PathBuf, all: &[Figures]) -> Result<(), Box<dyn std::error::Error>> {
-    use plotters::prelude::*;
-    let sizes: Vec<usize> = {
-        let mut sizes: Vec<usize> = all.iter().map(|figures| figures.members).collect();
-        sizes.sort_unstable();
-        sizes.dedup();
-        sizes
-    };
-    let (Some(&least), Some(&most)) = (sizes.first(), sizes.last()) else {
-        return Ok(());
-    };
-    let highest = members::published_ms(most).1 / 1e3 * 1.3;
-    let area = SVGBackend::new(file, (900, 560)).into_drawing_area();
-    area.fill(&WHITE)?;
-    let mut chart = ChartBuilder::on(&area)
-        .caption(
-            "Seconds until a dead member is held for dead",
-            ("sans-serif", 20),
-        )
-        .margin(12)
-        .x_label_area_size(40)
-        .y_label_area_size(50)
-        .build_cartesian_2d(
-            (least as f64 * 0.8..most as f64 * 1.25).log_scale(),
-            0.0..highest,
-        )?;
-    chart
-        .configure_mesh()
-        .x_desc("members")
-        .y_desc("seconds")
-        .draw()?;
-    let line = |of: &dyn Fn((f64, f64, f64)) -> f64| -> Vec<(f64, f64)> {
-        sizes
-            .iter()
-            .map(|&n| (n as f64, of(members::published_ms(n)) / 1e3))
-            .collect()
-    };
-    chart
-        .draw_series(LineSeries::new(line(&|(least, ..)| least), &BLUE))?
-        .label("bound, suspicion confirmed at once")
-        .legend(|(x, y)| PathElement::new([(x, y), (x + 20, y)], BLUE));
-    chart
-        .draw_series(LineSeries::new(
-            line(&|(_, most, spread)| most + spread),
-            &RED,
-        ))?
-        .label("bound, never confirmed, and the news' rides")
-        .legend(|(x, y)| PathElement::new([(x, y), (x + 20, y)], RED));
-    let points = |of: &dyn Fn(&Figures) -> Option<f64>| -> Vec<(f64, f64)> {
-        all.iter()
-            .filter_map(|figures| Some((figures.members as f64, of(figures)? / 1e3)))
-            .collect()
-    };
-    chart
-        .draw_series(
-            points(&|f| f.first_ms)
-                .into_iter()
-                .map(|at| Circle::new(at, 3, BLACK.filled())),
-        )?
-        .label("the first holds it for dead")
-        .legend(|(x, y)| Circle::new((x + 10, y), 3, BLACK.filled()));
-    chart
-        .draw_series(
-            points(&|f| f.all_ms)
-                .into_iter()
-                .map(|at| TriangleMarker::new(at, 5, GREEN.filled())),
-        )?
-        .label("all do")
-        .legend(|(x, y)| TriangleMarker::new((x + 10, y), 5, GREEN.filled()));
-    chart
-        .configure_series_labels()
-        .border_style(BLACK)
-        .background_style(WHITE)
-        .draw()?;
-    area.present()?;
-    Ok(())
-}
-
-fn view(
-    sizes: &[usize],
-    faults: &[Befalls],
-    told: &Play,
-    repeats: u64,
-    file: Option<&PathBuf>,
-) -> Result<(), String> {
-    let mut all = Vec::new();
-    for &members in sizes {
-        for fault in faults {
-            let fault = match fault {
-                Befalls::None => Fault::None,
-                Befalls::Crash => Fault::Crash,
-                Befalls::Stutter => Fault::Stutter,
-                Befalls::Halves => Fault::Halves,
-            };
-            let told = Play {
-                members: members.clamp(2, 20_000),
-                fault,
-                ..told.clone()
-            };
-            let figures = members::repeat(&told, 1..repeats + 1);
-            figures
-                .iter()
-                .for_each(|figures| println!("{}", json!(figures)));
-            all.extend(figures);
-        }
-    }
-    match file {
-        Some(file) => plot(file, &all).map_err(|e| format!("{}: {e}", file.display())),
-        None => Ok(()),
-    }
-}
-
-/// Simulates the failover surge for each size and load, with the capacity bound and without it.
-fn failover_surge(
-    sizes: &[usize],
-    crash_share: f64,
-    loads: &[f64],
-    repeats: u64,
-) -> Result<(), String> {
-    for &servers in sizes {
-        for &load in loads {
-            for capacity_bound in [true, false] {
-                let scenario = Scenario {
-                    servers: servers.clamp(2, 10_000),
-                    crash_share: crash_share.clamp(0.0, 0.9),
-                    load: load.clamp(0.0, 1.0),
-                    capacity_bound,
-                };
-                for seed in 0..repeats {
-                    let report = failover_surge::simulate(&scenario, seed);
-                    println!(
-                        "{}",
-                        serde_json::to_string(&report).map_err(|e| e.to_string())?
-                    );
-                }
-            }
+impl From<FaultArgument> for Fault {
+    fn from(argument: FaultArgument) -> Fault {
+        match argument {
+            FaultArgument::None => Fault::None,
+            FaultArgument::Crash => Fault::Crash,
+            FaultArgument::Stutter => Fault::Stutter,
+            FaultArgument::Halves => Fault::Halves,
         }
     }
-    Ok(())
 }
 
-fn main() -> ExitCode {
-    let done = match Line::parse().command {
+fn execute(command: Command) -> Result<(), CommandError> {
+    match command {
         Command::Run {
             file,
             seed,
             repeats,
             brief,
-        } => run(&file, seed, repeats.clamp(1, 10_000), brief),
-        Command::Policies { file, repeats } => policies(&file, repeats.clamp(1, 1000)),
+        } => commands::run(&file, seed, repeats.clamp(1, MAX_RUN_REPEATS), brief),
+        Command::Policies { file, repeats } => {
+            commands::compare_policies(&file, repeats.clamp(1, MAX_REPEATS))
+        }
         Command::Members {
             members,
             faults,
@@ -341,39 +147,36 @@
             repeats,
             plot,
         } => {
-            let told = Play {
+            let template = Play {
                 members: 0,
                 fault: Fault::None,
                 seconds,
                 loss: loss.clamp(0.0, 1.0),
                 plain,
             };
-            view(
-                &members,
-                &faults,
-                &told,
-                repeats.clamp(1, 1000),
-                plot.as_ref(),
-            )
+            let faults: Vec<Fault> = faults.into_iter().map(Fault::from).collect();
+            let repeats = repeats.clamp(1, MAX_REPEATS);
+            commands::simulate_membership(&members, &faults, &template, repeats, plot.as_deref())
         }
         Command::Wave {
             servers,
             lost,
             load,
             repeats,
-        } => failover_surge(&servers, lost, &load, repeats.clamp(1, 1000)),
-        Command::Schema => {
-            let schema = schemars::schema_for!(Experiment);
-            serde_json::to_string_pretty(&schema)
-                .map(|text| println!("{text}"))
-                .map_err(|e| e.to_string())
+        } => {
+            let repeats = repeats.clamp(1, MAX_REPEATS);
+            commands::simulate_failover_surge(&servers, lost, &load, repeats)
         }
-    };
-    match done {
+        Command::Schema => commands::print_schema(),
+    }
+}
+
+fn main() -> ExitCode {
+    match execute(Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("asterdale-simulator: {why}");
-            ExitCode::from(2)
+        Err(error) => {
+            eprintln!("asterdale-simulator: {error}");
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
--- a/crates/asterdale-simulator/src/members.rs
+++ b/crates/asterdale-simulator/src/members.rs
@@ -378,17 +378,27 @@
     seeds.into_par_iter().map(|seed| play(told, seed)).collect()
 }
 
-/// When the first holds a dead one for dead, by the papers: its probe comes after e/(e-1) intervals in the mean, and ends
-/// with the interval; then the suspicion lasts from the least, where others confirm it, to the most.
-pub fn published_ms(members: usize) -> (f64, f64, f64) {
-    let terms = Settings::default();
+/// Published bounds of SWIM and Lifeguard for the detection of a crashed member, in milliseconds.
+pub struct PublishedBounds {
+    /// First detection if other members confirm the suspicion at once.
+    pub earliest_detection_ms: f64,
+    /// First detection if nobody confirms the suspicion.
+    pub latest_detection_ms: f64,
+    /// From the first detection until gossip has informed all members.
+    pub dissemination_ms: f64,
+}
+
+/// The published bounds for this many members under the default settings.
+pub fn published_bounds(members: usize) -> PublishedBounds {
+    let settings = Settings::default();
     let e = std::f64::consts::E;
-    let probed = terms.probe_interval_ms * (e / (e - 1.0) + 1.0);
-    (
-        probed + terms.min_suspicion_ms(members),
-        probed + terms.max_suspicion_ms(members),
-        terms.probe_interval_ms * f64::from(terms.retransmissions(members)),
-    )
+    // A crashed member is probed after e/(e-1) intervals on average, and the probe fails at the end of its interval.
+    let probed_ms = settings.probe_interval_ms * (e / (e - 1.0) + 1.0);
+    PublishedBounds {
+        earliest_detection_ms: probed_ms + settings.min_suspicion_ms(members),
+        latest_detection_ms: probed_ms + settings.max_suspicion_ms(members),
+        dissemination_ms: settings.probe_interval_ms * f64::from(settings.retransmissions(members)),
+    }
 }
 
 #[cfg(test)]
@@ -405,10 +415,11 @@
                 loss: 0.02,
                 plain: false,
             };
-            let (_, most, spread) = published_ms(members);
+            let bounds = published_bounds(members);
+            let max_ms = bounds.latest_detection_ms + bounds.dissemination_ms + 5_000.0;
             for figures in repeat(&told, 1..5) {
                 let all = figures.all_ms.expect("all hold it for dead");
-                assert!(all <= most + spread + 5_000.0, "{figures:?}");
+                assert!(all <= max_ms, "{figures:?}");
                 assert!(
                     figures.false_deaths == 0 && figures.settled_ms.is_some(),
                     "{figures:?}"
