--- a/crates/asterdale-simulator/src/lib.rs
+++ b/crates/asterdale-simulator/src/lib.rs
@@ -5,6 +5,14 @@
 //!
 //! `docs/fleet.md` describes what is modelled and where the model ends.
 
+#![allow(
+    clippy::cognitive_complexity,
+    clippy::min_ident_chars,
+    clippy::too_many_arguments,
+    clippy::too_many_lines,
+    reason = "not finished for readers yet, see docs/readability.md"
+)]
+
 pub mod attempt_checker;
 pub mod cores;
 pub mod decider;
--- a/crates/asterdale-simulator/src/main.rs
+++ b/crates/asterdale-simulator/src/main.rs
@@ -2,6 +2,14 @@
 //!
 //! The comments on the arguments are the help texts that the command prints.
 
+#![allow(
+    clippy::cognitive_complexity,
+    clippy::min_ident_chars,
+    clippy::too_many_arguments,
+    clippy::too_many_lines,
+    reason = "not finished for readers yet, see docs/readability.md"
+)]
+
 use std::path::PathBuf;
 use std::process::ExitCode;
 
