--- a/crates/asterdale-simulator/src/commands.rs
+++ b/crates/asterdale-simulator/src/commands.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use asterdale_simulator::experiment::{self, Experiment, Policy};
-use asterdale_simulator::failover_surge::{self, Scenario};
-use asterdale_simulator::members::{self, Fault, Play};
+use asterdale_simulator::failover_surge;
+use asterdale_simulator::membership::{self, Fault};
 use asterdale_simulator::report::RunReport;
 use asterdale_simulator::world;
 use rayon::prelude::*;
@@ -126,34 +126,34 @@
     );
 }
 
-/// Simulates the membership for each size and fault, prints each run's figures, and plots them if a file is given.
+/// Simulates the membership for each size and fault, prints the reports, and plots them if a file is given.
 /// `template` holds what is the same for all runs.
 pub fn simulate_membership(
     sizes: &[usize],
     faults: &[Fault],
-    template: &Play,
+    template: &membership::Scenario,
     repeats: u64,
     plot_file: Option<&Path>,
 ) -> Result<(), CommandError> {
-    let mut all_figures = Vec::new();
+    let mut all_reports = Vec::new();
     for &members in sizes {
         for &fault in faults {
-            let play = Play {
+            let scenario = membership::Scenario {
                 members: members.clamp(2, 20_000),
                 fault,
                 ..template.clone()
             };
-            let figures = members::repeat(&play, 1..repeats + 1);
-            for figures in &figures {
-                println!("{}", json!(figures));
+            let reports = membership::simulate_all(&scenario, 1..repeats + 1);
+            for report in &reports {
+                println!("{}", json!(report));
             }
-            all_figures.extend(figures);
+            all_reports.extend(reports);
         }
     }
     let Some(file) = plot_file else {
         return Ok(());
     };
-    plot_detection(file, &all_figures).map_err(|source| CommandError::WritePlot {
+    plot_detection(file, &all_reports).map_err(|source| CommandError::WritePlot {
         file: file.to_owned(),
         source,
     })
@@ -169,7 +169,7 @@
     for &servers in sizes {
         for &load in loads {
             for capacity_bound in [true, false] {
-                let scenario = Scenario {
+                let scenario = failover_surge::Scenario {
                     servers: servers.clamp(2, 10_000),
                     crash_share: crash_share.clamp(0.0, 0.9),
                     load: load.clamp(0.0, 1.0),
--- a/crates/asterdale-simulator/src/lib.rs
+++ b/crates/asterdale-simulator/src/lib.rs
@@ -5,24 +5,26 @@
 //!
 //! `docs/fleet.md` describes what is modelled and where the model ends.
 
-#![allow(
-    clippy::cognitive_complexity,
-    clippy::min_ident_chars,
-    clippy::too_many_arguments,
-    clippy::too_many_lines,
-    reason = "not finished for readers yet, see docs/readability.md"
-)]
-
 pub mod attempt_checker;
 pub mod cores;
 pub mod decider;
 pub mod edge;
 pub mod event_queue;
+#[allow(
+    clippy::min_ident_chars,
+    clippy::too_many_lines,
+    reason = "not finished for readers yet, see docs/readability.md"
+)]
 pub mod experiment;
 pub mod failover_surge;
-pub mod members;
+pub mod membership;
 pub mod random;
 pub mod report;
+#[allow(
+    clippy::min_ident_chars,
+    clippy::too_many_lines,
+    reason = "not finished for readers yet, see docs/readability.md"
+)]
 pub mod world;
 
 /// Simulated time, in nanoseconds from the start of the run.
--- a/crates/asterdale-simulator/src/main.rs
+++ b/crates/asterdale-simulator/src/main.rs
@@ -2,18 +2,10 @@
 //!
 //! The comments on the arguments are the help texts that the command prints.
 
-#![allow(
-    clippy::cognitive_complexity,
-    clippy::min_ident_chars,
-    clippy::too_many_arguments,
-    clippy::too_many_lines,
-    reason = "not finished for readers yet, see docs/readability.md"
-)]
-
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use asterdale_simulator::members::{Fault, Play};
+use asterdale_simulator::membership::{Fault, Scenario};
 use clap::{Parser, Subcommand, ValueEnum};
 
 use crate::commands::CommandError;
@@ -129,8 +121,8 @@
         match argument {
             FaultArgument::None => Fault::None,
             FaultArgument::Crash => Fault::Crash,
-            FaultArgument::Stutter => Fault::Stutter,
-            FaultArgument::Halves => Fault::Halves,
+            FaultArgument::Stutter => Fault::RepeatedPauses,
+            FaultArgument::Halves => Fault::Partition,
         }
     }
 }
@@ -155,12 +147,12 @@
             repeats,
             plot,
         } => {
-            let template = Play {
+            let template = Scenario {
                 members: 0,
                 fault: Fault::None,
                 seconds,
                 loss: loss.clamp(0.0, 1.0),
-                plain,
+                is_plain_swim: plain,
             };
             let faults: Vec<Fault> = faults.into_iter().map(Fault::from).collect();
             let repeats = repeats.clamp(1, MAX_REPEATS);
--- a/crates/asterdale-simulator/src/plot.rs
+++ b/crates/asterdale-simulator/src/plot.rs
@@ -3,7 +3,7 @@
 use std::error::Error;
 use std::path::Path;
 
-use asterdale_simulator::members::{published_bounds, Figures, PublishedBounds};
+use asterdale_simulator::membership::{published_bounds, PublishedBounds, Report};
 use plotters::coord::types::RangedCoordf64;
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -18,12 +18,12 @@
 /// A point of the chart: number of members, seconds.
 type Point = (f64, f64);
 
-/// Writes the plot into an SVG file. Writes nothing if there are no figures.
+/// Writes the plot into an SVG file. Writes nothing if there are no reports.
 ///
 /// # Errors
 /// The file cannot be written.
-pub fn plot_detection(file: &Path, figures: &[Figures]) -> Result<(), Box<dyn Error>> {
-    let mut sizes: Vec<usize> = figures.iter().map(|figures| figures.members).collect();
+pub fn plot_detection(file: &Path, reports: &[Report]) -> Result<(), Box<dyn Error>> {
+    let mut sizes: Vec<usize> = reports.iter().map(|report| report.members).collect();
     sizes.sort_unstable();
     sizes.dedup();
     let (Some(&smallest), Some(&largest)) = (sizes.first(), sizes.last()) else {
@@ -33,7 +33,7 @@
     area.fill(&WHITE)?;
     let mut chart = build_chart(&area, smallest, largest)?;
     draw_bounds(&mut chart, &sizes)?;
-    draw_figures(&mut chart, figures)?;
+    draw_reports(&mut chart, reports)?;
     chart
         .configure_series_labels()
         .border_style(BLACK)
@@ -92,19 +92,19 @@
     Ok(())
 }
 
-fn draw_figures(chart: &mut Chart<'_, '_>, figures: &[Figures]) -> Result<(), Box<dyn Error>> {
-    let points = |detection_ms: &dyn Fn(&Figures) -> Option<f64>| -> Vec<Point> {
-        figures
+fn draw_reports(chart: &mut Chart<'_, '_>, reports: &[Report]) -> Result<(), Box<dyn Error>> {
+    let points = |detection_ms: &dyn Fn(&Report) -> Option<f64>| -> Vec<Point> {
+        reports
             .iter()
-            .filter_map(|figures| Some((figures.members as f64, detection_ms(figures)? / 1e3)))
+            .filter_map(|report| Some((report.members as f64, detection_ms(report)? / 1e3)))
             .collect()
     };
-    let first = points(&|figures| figures.first_ms).into_iter();
+    let first = points(&|report| report.first_detection_ms).into_iter();
     chart
         .draw_series(first.map(|point| Circle::new(point, 3, BLACK.filled())))?
         .label("the first holds it for dead")
         .legend(|(left, top)| Circle::new((left + 10, top), 3, BLACK.filled()));
-    let all = points(&|figures| figures.all_ms).into_iter();
+    let all = points(&|report| report.full_detection_ms).into_iter();
     chart
         .draw_series(all.map(|point| TriangleMarker::new(point, 5, GREEN.filled())))?
         .label("all do")
