--- a/crates/asterdale-simulator/src/commands.rs
+++ b/crates/asterdale-simulator/src/commands.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-use asterdale_simulator::experiment::{self, Experiment, Policy};
+use asterdale_simulator::experiment::{self, Experiment, InvalidExperiment, Policy};
 use asterdale_simulator::failover_surge;
 use asterdale_simulator::membership::{self, Fault};
 use asterdale_simulator::report::RunReport;
@@ -25,9 +25,9 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// The experiment's file is invalid: one text for each invalid value.
-    #[error("{}", .0.join("\n"))]
-    InvalidExperiment(Vec<String>),
+    /// The experiment's file is invalid.
+    #[error(transparent)]
+    InvalidExperiment(#[from] InvalidExperiment),
     /// The plot cannot be written.
     #[error("{}: {source}", .file.display())]
     WritePlot {
@@ -46,7 +46,7 @@
         file: file.to_owned(),
         source,
     })?;
-    experiment::read(&text).map_err(CommandError::InvalidExperiment)
+    Ok(experiment::read(&text)?)
 }
 
 /// Runs an experiment with consecutive seeds and prints a report for each; the speed goes to standard error.
--- a/crates/asterdale-simulator/src/experiment.rs
+++ b/crates/asterdale-simulator/src/experiment.rs
@@ -3,6 +3,12 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
+pub use self::validation::{read, InvalidExperiment};
+
+#[cfg(test)]
+mod tests;
+mod validation;
+
 /// An experiment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
@@ -206,126 +212,6 @@
     Pause,
 }
 
-/// One thing that is wrong with a file, by its path.
-pub type Wrong = String;
-
-/// Reads an experiment. All that is wrong with its figures comes back at once.
-pub fn read(text: &str) -> Result<Experiment, Vec<Wrong>> {
-    let mut json = serde_json::Deserializer::from_str(text);
-    let all: Experiment = serde_path_to_error::deserialize(&mut json)
-        .map_err(|e| vec![format!("{}: {}", e.path(), e.inner())])?;
-    let mut wrong = Vec::new();
-    let mut wanted = |path: String, holds: bool, what: &str| {
-        if !holds {
-            wrong.push(format!("{path}: {what}"));
-        }
-    };
-    let within = |n: f64, least: f64, most: f64| (least..=most).contains(&n);
-    wanted(
-        "seconds".into(),
-        within(all.seconds, 0.001, 86_400.0),
-        "from 0.001 to 86400 is wanted",
-    );
-    wanted(
-        "warm_s".into(),
-        within(all.warm_s, 0.0, all.seconds),
-        "from 0 to `seconds` is wanted",
-    );
-    wanted(
-        "servers.count".into(),
-        (1..=10_000).contains(&all.servers.count),
-        "from 1 to 10000 is wanted",
-    );
-    wanted(
-        "servers.cores".into(),
-        within(all.servers.cores, 0.1, 1024.0),
-        "from 0.1 to 1024 is wanted",
-    );
-    wanted(
-        "servers.crowd".into(),
-        all.servers.crowd >= 1.0,
-        "at least 1 is wanted",
-    );
-    wanted(
-        "servers.deadly".into(),
-        all.servers.deadly >= 1.0,
-        "at least 1 is wanted",
-    );
-    wanted(
-        "edges.count".into(),
-        (1..=10_000).contains(&all.edges.count),
-        "from 1 to 10000 is wanted",
-    );
-    wanted(
-        "stages".into(),
-        (1..=64).contains(&all.stages.len()),
-        "from 1 to 64 are wanted",
-    );
-    for (n, stage) in all.stages.iter().enumerate() {
-        let path = |field: &str| format!("stages[{n}].{field}");
-        wanted(
-            path("share"),
-            within(stage.share, 0.0, 1e9),
-            "a number from 0 on is wanted",
-        );
-        wanted(
-            path("work_ms"),
-            within(stage.work_ms, 1e-3, 1e6),
-            "from 0.001 to 1000000 is wanted",
-        );
-        wanted(
-            path("due_ms"),
-            within(stage.due_ms, 0.0, stage.limit_ms),
-            "from 0 to `limit_ms` is wanted",
-        );
-        wanted(
-            path("hot"),
-            within(stage.hot, 0.0, 1.0),
-            "from 0 to 1 is wanted",
-        );
-    }
-    wanted(
-        "stages".into(),
-        all.stages.iter().map(|stage| stage.share).sum::<f64>() > 0.0,
-        "no share is above 0",
-    );
-    wanted(
-        "load".into(),
-        !all.load.is_empty(),
-        "at least one point is wanted",
-    );
-    wanted(
-        "load".into(),
-        all.load.is_sorted_by(|a, b| a.at_s <= b.at_s),
-        "points are wanted in the order of time",
-    );
-    for (n, point) in all.load.iter().enumerate() {
-        wanted(
-            format!("load[{n}].per_s"),
-            within(point.per_s, 0.0, 1e7),
-            "from 0 to 10000000 is wanted",
-        );
-    }
-    for (n, fault) in all.faults.iter().enumerate() {
-        let fits = fault.first + fault.servers <= all.servers.count;
-        wanted(
-            format!("faults[{n}].servers"),
-            fits,
-            "there are not so many servers",
-        );
-        wanted(
-            format!("faults[{n}].at_s"),
-            fault.at_s >= 0.0 && fault.for_s >= 0.0,
-            "no time before the start",
-        );
-    }
-    if wrong.is_empty() {
-        Ok(all)
-    } else {
-        Err(wrong)
-    }
-}
-
 impl Experiment {
     /// Tasks a second at this time.
     pub fn rate(&self, at_s: f64) -> f64 {
@@ -340,32 +226,3 @@
         before.per_s + part * (next.per_s - before.per_s)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn all_that_is_wrong_is_told_at_once_by_its_path() {
-        let text = r#"{"seconds": -1, "servers": {"count": 0, "cores": 4, "policy": "asterdale"},
-            "edges": {"count": 1, "pick": "random"}, "stages": [{"name": "a", "share": 1, "work_ms": 0,
-            "due_ms": 9, "limit_ms": 5}], "load": [], "faults": [{"at_s": 1, "for_s": 1, "servers": 3,
-            "what": {"slow": 0.5}}]}"#;
-        let wrong = read(text).unwrap_err();
-        for path in [
-            "seconds",
-            "servers.count",
-            "stages[0].work_ms",
-            "stages[0].due_ms",
-            "load",
-            "faults[0].servers",
-        ] {
-            assert!(
-                wrong.iter().any(|wrong| wrong.starts_with(path)),
-                "{path} is not in {wrong:?}"
-            );
-        }
-        let wrong = read(r#"{"seconds": 1, "servers": {"count": 1, "cores": "x"}}"#).unwrap_err();
-        assert!(wrong[0].starts_with("servers.cores: "), "{wrong:?}");
-    }
-}
--- a/crates/asterdale-simulator/src/lib.rs
+++ b/crates/asterdale-simulator/src/lib.rs
@@ -10,11 +10,6 @@
 pub mod decider;
 pub mod edge;
 pub mod event_queue;
-#[allow(
-    clippy::min_ident_chars,
-    clippy::too_many_lines,
-    reason = "not finished for readers yet, see docs/readability.md"
-)]
 pub mod experiment;
 pub mod failover_surge;
 pub mod membership;
--- a/crates/asterdale-simulator/tests/validity.rs
+++ b/crates/asterdale-simulator/tests/validity.rs
@@ -1,13 +1,5 @@
 //! The model against what is known in closed form, against itself, and each fault against what it says.
 
-#![allow(
-    clippy::cognitive_complexity,
-    clippy::min_ident_chars,
-    clippy::too_many_arguments,
-    clippy::too_many_lines,
-    reason = "not finished for readers yet, see docs/readability.md"
-)]
-
 use asterdale_simulator::experiment::{read, Experiment, Fault, Policy, Retry, Trouble};
 use asterdale_simulator::world::play;
 use rayon::prelude::*;
