--- a/crates/asterdale-simulator/tests/validity.rs
+++ b/crates/asterdale-simulator/tests/validity.rs
@@ -1,4 +1,4 @@
-//! The model against what is known in closed form, against itself, and each fault against what it says.
+//! Tests of the simulation against closed-form results, for determinism, and for the effect of each fault.
 
 use asterdale_simulator::experiment::{read, Experiment, Fault, Policy, Retry, Trouble};
 use asterdale_simulator::world::play;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_queue_with_several_servers_is_as_erlang_has_it() {
+fn queue_with_several_servers_matches_erlang_formula() {
     for load in [0.5, 0.8] {
         let offered = 4.0 * load;
         let runs: Vec<f64> = (1..=8u64)
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn shared_cores_are_as_a_processor_that_is_shared() {
+fn shared_cores_match_processor_sharing_formula() {
     // M/M/1 with processor sharing: the mean time is 1 / (1 - load), whatever the order.
     let mut one = experiment(Policy::Everything, 70.0, 600.0);
     one.servers.cores = 1.0;
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_books_agree_with_little_and_the_same_seed_gives_the_same_bytes_on_any_number_of_threads() {
+fn accounting_obeys_littles_law_and_output_is_deterministic_on_any_thread_count() {
     let mut many = experiment(Policy::Asterdale, 2000.0, 8.0);
     (many.servers.count, many.edges.count, many.edges.way_ms) = (8, 5, 1.0);
     many.edges.retry = Retry::Budget(2, 0.2);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn each_fault_does_what_it_says_and_ends() {
+fn each_fault_has_its_effect_and_ends() {
     let (calm, crash) = (
         play(&with(Trouble::Slow(1.0), 1), 3),
         play(&with(Trouble::Crash, 2), 3),
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_crowd_that_is_deadly_kills_whoever_takes_everything_and_not_the_module() {
+fn overload_crashes_the_accept_all_baseline_but_not_the_module() {
     let mut flood = with(Trouble::Slow(1.0), 1);
     (flood.servers.crowd, flood.servers.deadly) = (2.0, 8.0);
     flood.load[0].per_s = 4000.0;
