--- a/crates/asterdale-simulator/src/world.rs
+++ b/crates/asterdale-simulator/src/world.rs
@@ -6,13 +6,13 @@
 use hdrhistogram::Histogram;
 
 use crate::attempt_checker::{AttemptChecker, AttemptOutcome, ExecutionScope};
-use crate::chance::Chance;
 use crate::cores::{Cores, JobHandle};
-use crate::decider::{Action, ActionList, Decider, Seat};
-use crate::edge::{Edge, Ring};
+use crate::decider::{Action, ActionQueue, Decider, Slot};
+use crate::edge::{Edge, HashRing, PickRequest};
 use crate::event_queue::EventQueue;
 use crate::experiment::{Experiment, Trouble};
-use crate::result::{quantiles, Outcome, Second};
+use crate::random::RandomStream;
+use crate::report::{quantiles_ms, RunReport, SecondReport};
 use crate::{millis, nanos, Nanos};
 
 /// The gauge of the cores is their use over so long, in nanoseconds: as the platform's.
@@ -69,7 +69,7 @@
 enum Where {
     Way,
     Reading(JobHandle),
-    Inside(Seat, Option<JobHandle>),
+    Inside(Slot, Option<JobHandle>),
     Over,
 }
 
@@ -96,12 +96,12 @@
 struct Machine {
     cores: Cores,
     decider: Option<Decider>,
-    actions: ActionList,
+    actions: ActionQueue,
     life: u32,
     paused: bool,
     /// What came while it was paused.
     waiting: Vec<u32>,
-    seats: Vec<Option<u32>>,
+    slots: Vec<Option<u32>>,
     /// Keys, by subject and stage: looked up, never walked.
     known: HashMap<(usize, u64), (u32, Nanos, Fate)>,
     gauge: VecDeque<(Nanos, f64)>,
@@ -123,10 +123,10 @@
     servers: Vec<Machine>,
     seen: Vec<bool>,
     edges: Vec<Edge>,
-    ring: Ring,
-    coming: Chance,
-    working: Chance,
-    way: Chance,
+    ring: HashRing,
+    coming: RandomStream,
+    working: RandomStream,
+    way: RandomStream,
     next_subject: u64,
     checker: AttemptChecker,
     counts: BTreeMap<&'static str, u64>,
@@ -138,14 +138,14 @@
     /// Tasks in the fleet, times how long, and when that was last counted.
     inside: (u64, f64, Nanos),
     spent_ms: f64,
-    second: Second,
-    seconds: Vec<Second>,
+    second: SecondReport,
+    seconds: Vec<SecondReport>,
     busy_before: f64,
     deaths: u64,
 }
 
 /// Plays an experiment with this seed.
-pub fn play(experiment: &Experiment, seed: u64) -> Outcome {
+pub fn play(experiment: &Experiment, seed: u64) -> RunReport {
     let mut world = World::new(experiment, seed);
     world.run();
     world.outcome()
@@ -157,17 +157,17 @@
         let machine = |_| Machine {
             cores: Cores::new(experiment.servers.cores, experiment.servers.crowd),
             decider: None,
-            actions: ActionList::default(),
+            actions: ActionQueue::default(),
             life: 0,
             paused: false,
             waiting: Vec::new(),
-            seats: Vec::new(),
+            slots: Vec::new(),
             known: HashMap::new(),
             gauge: VecDeque::new(),
             crowded: None,
             beat_at: 0,
         };
-        let edge = |n| Edge::new(servers, Chance::new(seed, 1000 + n as u64));
+        let edge = |n| Edge::new(servers, RandomStream::new(seed, 1000 + n as u64));
         World {
             experiment,
             seed,
@@ -180,10 +180,10 @@
             servers: (0..servers).map(machine).collect(),
             seen: vec![true; servers],
             edges: (0..experiment.edges.count).map(edge).collect(),
-            ring: Ring::new(servers),
-            coming: Chance::new(seed, 1),
-            working: Chance::new(seed, 2),
-            way: Chance::new(seed, 3),
+            ring: HashRing::new(servers),
+            coming: RandomStream::new(seed, 1),
+            working: RandomStream::new(seed, 2),
+            way: RandomStream::new(seed, 3),
             next_subject: 1 << 32,
             checker: AttemptChecker::default(),
             counts: BTreeMap::new(),
@@ -195,7 +195,7 @@
             sum_ms: 0.0,
             inside: (0, 0.0, 0),
             spent_ms: 0.0,
-            second: Second::default(),
+            second: SecondReport::default(),
             seconds: Vec::new(),
             busy_before: 0.0,
             deaths: 0,
@@ -271,7 +271,7 @@
             if at >= self.end {
                 return;
             }
-            if self.coming.share() * most < self.experiment.rate(millis(at) / 1e3) {
+            if self.coming.uniform() * most < self.experiment.rate(millis(at) / 1e3) {
                 return self.queue.schedule(at, Event::Task);
             }
         }
@@ -280,7 +280,7 @@
     fn task(&mut self) {
         self.next_task(self.now);
         let all: f64 = self.experiment.stages.iter().map(|stage| stage.share).sum();
-        let mut left = self.working.share() * all;
+        let mut left = self.working.uniform() * all;
         let pick = self.experiment.stages.iter().position(|stage| {
             left -= stage.share;
             left < 0.0
@@ -292,8 +292,8 @@
             None => self.working.exponential(facts.work_ms),
         };
         let (hot, which) = (
-            self.working.share() < facts.hot,
-            self.working.one_of(facts.subjects.max(1)),
+            self.working.uniform() < facts.hot,
+            self.working.index(facts.subjects.max(1)),
         );
         let subject = if hot {
             0
@@ -303,7 +303,7 @@
             self.next_subject += 1;
             self.next_subject
         };
-        let edge = self.working.one_of(self.edges.len());
+        let edge = self.working.index(self.edges.len());
         let counted = self.now >= nanos(self.experiment.warm_s * 1e3);
         let (born, last, open, tries, over) = (self.now, None, None, 0, false);
         let task = Task {
@@ -320,7 +320,7 @@
         };
         let n = self.tasks.len() as u32;
         self.tasks.push(task);
-        self.second.came += 1;
+        self.second.arrived += 1;
         if counted {
             self.possible += facts.utility;
             *self.counts.entry("came").or_default() += 1;
@@ -338,7 +338,7 @@
     }
 
     fn way_nanos(&mut self) -> Nanos {
-        nanos(self.experiment.edges.way_ms * (0.5 + self.way.share()))
+        nanos(self.experiment.edges.way_ms * (0.5 + self.way.uniform()))
     }
 
     fn send(&mut self, n: u32) {
@@ -347,8 +347,14 @@
             return;
         }
         let (edge, subject, last) = (task.edge, task.subject, task.last);
-        let how = self.experiment.edges.pick;
-        let picked = self.edges[edge].pick(self.now, how, &self.seen, &self.ring, subject, last);
+        let picked = self.edges[edge].pick(&PickRequest {
+            now: self.now,
+            pick: self.experiment.edges.pick,
+            is_up: &self.seen,
+            ring: &self.ring,
+            subject,
+            last_server: last,
+        });
         let Some(server) = picked else {
             return self.fail(n, "no server");
         };
@@ -369,9 +375,13 @@
         let task = &mut self.tasks[n as usize];
         (task.open, task.last) = (Some(open), Some(server));
         let limit = task.born + nanos(self.experiment.stages[task.stage].limit_ms);
-        self.edges[edge].sent(server, first);
+        if first {
+            self.edges[edge].record_first_attempt(server);
+        } else {
+            self.edges[edge].record_retry(server);
+        }
         self.tries_sent += 1;
-        self.second.tries += 1;
+        self.second.attempts += 1;
         let way = self.way_nanos();
         self.queue.schedule(self.now + way, Event::Arrive(open));
         let patience = self.experiment.edges.try_ms;
@@ -390,7 +400,7 @@
         attempt.waited = false;
         let (server, task) = (attempt.server, attempt.task);
         let edge = self.tasks[task as usize].edge;
-        self.edges[edge].over(server);
+        self.edges[edge].record_end(server);
         self.tasks[task as usize].open = None;
         let way = self.way_nanos();
         self.queue.schedule(self.now + way, Event::Left(n));
@@ -407,7 +417,7 @@
 
     fn again(&mut self, n: u32, why: &'static str) {
         let (edge, tries) = (self.tasks[n as usize].edge, self.tasks[n as usize].tries);
-        match self.edges[edge].again(&self.experiment.edges, tries) {
+        match self.edges[edge].retry_delay_ms(&self.experiment.edges, tries) {
             Some(wait) => self.queue.schedule(self.now + nanos(wait), Event::Again(n)),
             None => self.fail(n, why),
         }
@@ -443,9 +453,9 @@
         }
         self.tries[n as usize].waited = false;
         let edge = self.tasks[task as usize].edge;
-        self.edges[edge].over(server);
+        self.edges[edge].record_end(server);
         if away_ms > 0.0 && self.experiment.edges.heeds {
-            self.edges[edge].leave_alone(server, self.now + nanos(away_ms));
+            self.edges[edge].avoid(server, self.now + nanos(away_ms));
         }
         self.tasks[task as usize].open = None;
         match outcome {
@@ -479,9 +489,9 @@
         }
         self.spent_ms += millis(took);
         if in_time {
-            self.second.in_time += 1;
+            self.second.met_objective += 1;
         } else {
-            self.second.late += 1;
+            self.second.missed_objective += 1;
         }
         self.count_inside(-1);
     }
@@ -515,9 +525,9 @@
         let now = self.now;
         let machine = &mut self.servers[n];
         machine.decider = None;
-        machine.actions.all.clear();
+        machine.actions.clear();
         machine.cores.clear(now);
-        machine.seats.clear();
+        machine.slots.clear();
         machine.known.clear();
         (machine.paused, machine.crowded) = (false, None);
         machine.waiting.clear();
@@ -643,7 +653,7 @@
         };
         let machine = &mut self.servers[server];
         if let Some(decider) = &mut machine.decider {
-            decider.take(millis(now), arrival, &mut machine.actions);
+            decider.receive(millis(now), arrival, &mut machine.actions);
         }
         self.act(server, Some(n));
         // Nobody may wait for it any more.
@@ -684,12 +694,12 @@
     }
 
     fn over_inside(&mut self, server: usize, n: u32, well: bool) {
-        let Where::Inside(seat, _) = self.tries[n as usize].at else {
+        let Where::Inside(slot, _) = self.tries[n as usize].at else {
             return;
         };
         let machine = &mut self.servers[server];
         if let Some(decider) = &mut machine.decider {
-            decider.over(millis(self.now), seat, well, &mut machine.actions);
+            decider.run_ended(millis(self.now), slot, well, &mut machine.actions);
         }
         self.act(server, None);
     }
@@ -708,13 +718,13 @@
     }
 
     fn left_inside(&mut self, n: u32) {
-        let Where::Inside(seat, _) = self.tries[n as usize].at else {
+        let Where::Inside(slot, _) = self.tries[n as usize].at else {
             return;
         };
         let server = self.tries[n as usize].server;
         let machine = &mut self.servers[server];
         if let Some(decider) = &mut machine.decider {
-            decider.left(millis(self.now), seat, &mut machine.actions);
+            decider.caller_gone(millis(self.now), slot, &mut machine.actions);
         }
         self.act(server, None);
     }
@@ -743,7 +753,7 @@
         };
         let on_cores = machine.cores.running() as f64;
         if let Some(decider) = &mut machine.decider {
-            decider.beat(millis(now), cpu.min(1.0), on_cores, &mut machine.actions);
+            decider.tick(millis(now), cpu.min(1.0), on_cores, &mut machine.actions);
         }
         self.act(n, None);
         self.foresee(n);
@@ -752,25 +762,25 @@
     /// Does what was decided. `arriving` is the try that has just been taken.
     fn act(&mut self, server: usize, arriving: Option<u32>) {
         let now = self.now;
-        while let Some(action) = self.servers[server].actions.all.pop_front() {
-            let at = |world: &World<'_>, seat: Seat| {
+        while let Some(action) = self.servers[server].actions.pop() {
+            let at = |world: &World<'_>, slot: Slot| {
                 world.servers[server]
-                    .seats
-                    .get(seat as usize)
+                    .slots
+                    .get(slot as usize)
                     .copied()
                     .flatten()
             };
             match action {
-                Action::Seat(seat) => {
+                Action::Accept(slot) => {
                     let Some(n) = arriving else { continue };
-                    let seats = &mut self.servers[server].seats;
-                    seats.resize(seats.len().max(seat as usize + 1), None);
-                    seats[seat as usize] = Some(n);
-                    self.tries[n as usize].at = Where::Inside(seat, None);
+                    let slots = &mut self.servers[server].slots;
+                    slots.resize(slots.len().max(slot as usize + 1), None);
+                    slots[slot as usize] = Some(n);
+                    self.tries[n as usize].at = Where::Inside(slot, None);
                 }
-                Action::Release(seat) => {
-                    let Some(n) = at(self, seat) else { continue };
-                    self.servers[server].seats[seat as usize] = None;
+                Action::Release(slot) => {
+                    let Some(n) = at(self, slot) else { continue };
+                    self.servers[server].slots[slot as usize] = None;
                     let known = self
                         .key(n)
                         .and_then(|key| self.servers[server].known.get_mut(&key));
@@ -781,8 +791,8 @@
                     }
                     self.tries[n as usize].at = Where::Over;
                 }
-                Action::Run(seat) => {
-                    let Some(n) = at(self, seat) else { continue };
+                Action::Start(slot) => {
+                    let Some(n) = at(self, slot) else { continue };
                     let work = self.tasks[self.tries[n as usize].task as usize].work_ms;
                     let life = self.servers[server].life;
                     let key = self.key(n).map(|(stage, subject)| ExecutionScope {
@@ -794,11 +804,11 @@
                     let place = self.servers[server]
                         .cores
                         .start(now, u64::from(n) << 1 | 1, work);
-                    self.tries[n as usize].at = Where::Inside(seat, Some(place));
+                    self.tries[n as usize].at = Where::Inside(slot, Some(place));
                     self.foresee(server);
                 }
-                Action::Join(seat) => {
-                    let Some(n) = at(self, seat) else { continue };
+                Action::JoinEarlierAttempt(slot) => {
+                    let Some(n) = at(self, slot) else { continue };
                     let known = self
                         .key(n)
                         .and_then(|key| self.servers[server].known.get_mut(&key));
@@ -814,15 +824,15 @@
                         }
                     }
                 }
-                Action::Remember(seat, for_ms) => {
-                    let Some(n) = at(self, seat) else { continue };
+                Action::RetainIdempotencyEntry(slot, for_ms) => {
+                    let Some(n) = at(self, slot) else { continue };
                     if let Some(key) = self.key(n) {
                         let entry = (n, now + nanos(for_ms), Fate::Open(Vec::new()));
                         self.servers[server].known.insert(key, entry);
                     }
                 }
-                Action::Forget(seat) => {
-                    let Some(n) = at(self, seat) else { continue };
+                Action::DropIdempotencyEntry(slot) => {
+                    let Some(n) = at(self, slot) else { continue };
                     if let Some(key) = self.key(n) {
                         let known = &mut self.servers[server].known;
                         if known.get(&key).is_some_and(|(owner, ..)| *owner == n) {
@@ -837,17 +847,17 @@
                         }
                     }
                 }
-                Action::Reject(seat, away_ms) => {
-                    if let Some(n) = at(self, seat) {
+                Action::Reject(slot, away_ms) => {
+                    if let Some(n) = at(self, slot) {
                         self.answer(n, AttemptOutcome::Rejected, away_ms);
                     }
                 }
-                Action::Abandon(seat) => {
-                    if let Some(n) = at(self, seat) {
+                Action::Fail(slot) => {
+                    if let Some(n) = at(self, slot) {
                         self.answer(n, AttemptOutcome::Failed, 0.0);
                     }
                 }
-                Action::Wake(at_ms) => {
+                Action::ScheduleTick(at_ms) => {
                     let at = nanos(at_ms).max(now + 1);
                     let machine = &mut self.servers[server];
                     machine.beat_at = at;
@@ -860,12 +870,12 @@
 
     /// What a task had joined is over. The decider hears of it once what it is doing is done.
     fn join_over(&mut self, server: usize, n: u32, well: bool) {
-        let Where::Inside(seat, _) = self.tries[n as usize].at else {
+        let Where::Inside(slot, _) = self.tries[n as usize].at else {
             return;
         };
         let machine = &mut self.servers[server];
         if let Some(decider) = &mut machine.decider {
-            decider.over(millis(self.now), seat, well, &mut machine.actions);
+            decider.run_ended(millis(self.now), slot, well, &mut machine.actions);
         }
     }
 
@@ -925,12 +935,13 @@
         let limits = self
             .servers
             .iter()
-            .filter_map(|machine| machine.decider.as_ref().map(Decider::limit));
+            .filter_map(|machine| machine.decider.as_ref().map(Decider::concurrency_limit));
         let mut second = std::mem::take(&mut self.second);
-        second.limit = limits.filter(|limit| limit.is_finite()).sum::<f64>() / up.max(1) as f64;
-        second.cpu = (busy - self.busy_before)
+        second.mean_limit =
+            limits.filter(|limit| limit.is_finite()).sum::<f64>() / up.max(1) as f64;
+        second.cpu_utilization = (busy - self.busy_before)
             / (1e3 * self.experiment.servers.cores * self.servers.len() as f64);
-        second.up = up;
+        second.servers_up = up;
         self.busy_before = busy;
         self.seconds.push(second);
         if now < self.end {
@@ -938,28 +949,28 @@
         }
     }
 
-    fn outcome(mut self) -> Outcome {
+    fn outcome(mut self) -> RunReport {
         self.count_inside(0);
         let finished = self.times.len().max(1) as f64;
-        let came: u64 = self.seconds.iter().map(|second| second.came).sum();
-        Outcome {
-            service: if self.possible > 0.0 {
+        let came: u64 = self.seconds.iter().map(|second| second.arrived).sum();
+        RunReport {
+            earned_share: if self.possible > 0.0 {
                 self.earned / self.possible
             } else {
                 0.0
             },
-            tries_each: self.tries_sent as f64 / came.max(1) as f64,
-            milliseconds: quantiles(&self.times),
-            mean_ms: self.sum_ms / finished,
-            little: if self.spent_ms > 0.0 {
+            attempts_per_request: self.tries_sent as f64 / came.max(1) as f64,
+            latency_ms: quantiles_ms(&self.times),
+            mean_latency_ms: self.sum_ms / finished,
+            little_law_ratio: if self.spent_ms > 0.0 {
                 self.inside.1 / self.spent_ms
             } else {
                 1.0
             },
-            tasks: self.counts,
-            broken: self.checker.violations,
+            requests: self.counts,
+            violations: self.checker.violations,
             events: self.queue.scheduled_count(),
-            deaths: self.deaths,
+            overload_crashes: self.deaths,
             seconds: self.seconds,
         }
     }
