--- a/crates/asterdale-parameters/src/lib.rs
+++ b/crates/asterdale-parameters/src/lib.rs
@@ -9,23 +9,23 @@
 };
 use serde_json::Value;
 
-/// Text that is not JSON.
+/// The error for text that is not JSON.
 pub use serde_json::Error as JsonError;
 
-/// Everything that the object holds.
+/// The contents of the JSON object.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// For the decisions.
+    /// The parameters of the decisions.
     pub decisions: Parameters,
     /// The names of the request classes, in the order of [`Parameters::classes`].
     pub class_names: Vec<String>,
     /// The names of the tenants, in the order of [`Parameters::tenants`]; may be empty.
     pub tenant_names: Vec<String>,
-    /// The names of the gauges, in the order in which their values will come.
+    /// The names of the gauges, in the order in which their values are sent.
     pub gauge_names: Vec<String>,
 }
 
-/// Reads the object from its text.
+/// Parses the text and reads the JSON object.
 ///
 /// # Errors
 /// The text is not JSON.
@@ -33,7 +33,7 @@
     Ok(from_json(seed, &serde_json::from_slice(text)?))
 }
 
-/// Reads the object.
+/// Reads the JSON object.
 pub fn from_json(seed: u64, object: &Value) -> Settings {
     Settings {
         decisions: parameters(seed, object),
@@ -78,7 +78,8 @@
     }
 }
 
-/// The request classes; what a class earns without its call, and whether it calls, is in lists of the same order.
+/// The request classes. The weight share of a degraded answer, and whether a class makes calls, are in two further
+/// lists of the same order.
 fn classes(object: &Value) -> Vec<ClassParameters> {
     let degraded_weight_shares = list(&object["extra"]["worthWithout"]);
     let makes_calls = list(&object["extra"]["classCalls"]);
@@ -109,7 +110,7 @@
     list(value).iter().map(tenant).collect()
 }
 
-/// An unknown value counts as the strictest: such a request is never run twice.
+/// An unknown value counts as the strictest choice: such a request never runs twice.
 fn idempotency(value: &Value) -> Idempotency {
     match value.as_str() {
         Some("repeatable") => Idempotency::Idempotent,
--- a/crates/asterdale/src/events.rs
+++ b/crates/asterdale/src/events.rs
@@ -4,27 +4,27 @@
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub struct Arrival {
-    /// Its request class, a position in [`Parameters::classes`](crate::parameters::Parameters::classes).
+    /// Its request class, an index into [`Parameters::classes`](crate::parameters::Parameters::classes).
     #[cfg_attr(feature = "snapshot", serde(rename = "stage"))]
     pub class: usize,
-    /// Its tenant, a position in [`Parameters::tenants`](crate::parameters::Parameters::tenants). One out of range
-    /// counts for the last tenant.
+    /// Its tenant, an index into [`Parameters::tenants`](crate::parameters::Parameters::tenants). An index out of range
+    /// counts as the last tenant.
     #[cfg_attr(feature = "snapshot", serde(rename = "customer"))]
     pub tenant: usize,
-    /// The caller that sent it, as a small index.
+    /// The caller that sent it, as a small number: counts are kept in a list by this index.
     pub caller: usize,
-    /// How long it lay unread, in milliseconds.
+    /// Time from when its first byte could have been read until it was read, in milliseconds.
     pub unread_ms: f64,
-    /// How long its caller still waits, in milliseconds, if that is known.
+    /// How much longer its caller waits for the answer, in milliseconds, if that is known.
     #[cfg_attr(feature = "snapshot", serde(rename = "left_ms"))]
     pub remaining_ms: Option<f64>,
-    /// The core time that it will cost, in milliseconds, if there is a hint.
+    /// The core time that it is expected to use, in milliseconds, if there is a hint.
     #[cfg_attr(feature = "snapshot", serde(rename = "hint_ms"))]
     pub cost_hint_ms: Option<f64>,
-    /// The memory that it takes while queued, in kilobytes.
+    /// The memory that it uses while queued, in kilobytes.
     #[cfg_attr(feature = "snapshot", serde(rename = "kb"))]
     pub memory_kb: f64,
-    /// It repeats a request whose idempotency key is retained here.
+    /// Whether it repeats a request whose idempotency key is retained on this server.
     #[cfg_attr(feature = "snapshot", serde(rename = "repeat"))]
     pub is_repeat: bool,
 }
@@ -38,13 +38,13 @@
     Failed,
     /// It was rejected and never ran.
     Rejected,
-    /// It took too long, was given up, and may have had its effect.
+    /// It was given up after its time limit and may have had its effect.
     TimedOut,
-    /// What should have run it could not be reached: it never ran.
+    /// The process that should have run it could not be reached, so it never ran.
     Unreachable,
     /// The connection broke; it may have had its effect.
     Reset,
-    /// It was aborted, or ended because nobody waits for it.
+    /// It was aborted, or ended because no caller waits for its answer.
     Cancelled,
     /// Nothing was started, as the task had already ended.
     Stale,
@@ -60,24 +60,25 @@
     }
 }
 
-/// The server's own gauges; `None` where there is no such gauge.
+/// The server's own gauges; `None` for a gauge that is not available.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// The busy part of the cores over the last half second, 0 to 1.
+    /// The fraction of the cores that was busy over the last half second, 0 to 1.
     pub cpu: Option<f64>,
-    /// How much wants a core now: runs, reading, health checks and everything else.
+    /// The demand for cores: how many runs, reads, health checks and other pieces of work are on a core or ready for
+    /// one now.
     pub on_cores: Option<f64>,
-    /// The part of the memory in use, 0 to 1.
+    /// The fraction of the memory that is in use, 0 to 1.
     pub memory: Option<f64>,
     /// How many connections are open.
     pub connections: Option<f64>,
 }
 
-/// How many other servers of this tier a view of the fleet shows.
+/// Counts of the other servers of this tier in a view of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerCounts {
-    /// Servers that are there.
+    /// Servers in the view.
     pub present: f64,
-    /// Those of them that accept work and have warmed up.
+    /// Servers in the view that accept work and have completed their slow start.
     pub ready: f64,
 }
--- a/crates/asterdale/src/lib.rs
+++ b/crates/asterdale/src/lib.rs
@@ -1,8 +1,8 @@
-//! Admission and scheduling decisions for one server behind balancers that it does not control.
+//! Admission and scheduling decisions for one server behind load balancers that it does not control.
 //!
-//! A [`Server`] is started with its [`parameters`]. It is called with the [`events`] of its requests and with the
-//! present time, and answers through the [`Actions`] of its host. It does no I/O and reads no clock. Times are
-//! milliseconds on a clock of the host's choice.
+//! The host starts a [`Server`] with its [`parameters`] and passes it [`events`] together with the current time. The
+//! server requests [`Actions`], which the host carries out. It does no I/O and reads no clock. Times are milliseconds
+//! on a clock that the host chooses.
 
 pub mod actions;
 pub mod events;
--- a/crates/asterdale/src/measure.rs
+++ b/crates/asterdale/src/measure.rs
@@ -1,15 +1,15 @@
-//! Containers for what is measured, and random numbers. They hold no decisions.
+//! Data structures for measurements, and a random number generator. No decisions are made here.
 
-/// Buckets of a [`Histogram`]: with steps of 8% they reach from 0.01 to over 100,000.
+/// The number of buckets of a [`Histogram`]: with steps of 8% they cover 0.01 to over 100,000.
 const HISTOGRAM_BUCKETS: usize = 212;
 
-/// Counts of values in buckets of equal ratio: fine enough for quantiles, and cheap to merge.
+/// A histogram with a constant ratio between buckets: precise enough for quantiles, and cheap to merge.
 #[derive(Clone)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct Histogram {
     #[cfg_attr(feature = "snapshot", serde(rename = "least"))]
     min: f64,
-    /// The logarithm of the ratio between two buckets.
+    /// The natural logarithm of the ratio between two adjacent buckets.
     #[cfg_attr(feature = "snapshot", serde(rename = "step"))]
     log_ratio: f64,
     #[cfg_attr(feature = "snapshot", serde(with = "counts"))]
@@ -18,12 +18,13 @@
 }
 
 impl Histogram {
-    /// For times in milliseconds and for ratios around 1. Two p95s of a few hundred runs differ by more than its 8%.
+    /// For times in milliseconds and for ratios around 1. The resolution of 8% is finer than the difference between the
+    /// p95s of two samples of a few hundred runs.
     pub fn of_latencies() -> Self {
         Histogram::new(0.01, 1.08)
     }
 
-    /// Values from `min` on, each bucket `ratio` times the one before.
+    /// The first bucket begins at `min`, each further one at `ratio` times the beginning of the one before.
     fn new(min: f64, ratio: f64) -> Self {
         Histogram {
             min,
@@ -47,13 +48,13 @@
         self.total += other.total;
     }
 
-    /// Halves all counts, so that older values count less than those to come.
+    /// Halves all counts, so that older values count less than new ones.
     pub fn halve(&mut self) {
         self.counts.iter_mut().for_each(|count| *count /= 2);
         self.total = self.counts.iter().sum();
     }
 
-    /// The value below which this part of all values lies; 0 without values.
+    /// The value below which this fraction of all values lies; 0 without values.
     pub fn quantile(&self, part: f64) -> f64 {
         let mut remaining = (self.total as f64 * part).ceil().max(1.0) as u32;
         for (bucket, &count) in self.counts.iter().enumerate() {
@@ -66,7 +67,7 @@
     }
 }
 
-/// Stores the counts of a [`Histogram`] as a list: serde reads arrays of at most 32 members.
+/// Stores the counts of a [`Histogram`] as a list, since serde supports arrays of at most 32 elements.
 #[cfg(feature = "snapshot")]
 mod counts {
     use serde::de::Error;
@@ -89,12 +90,12 @@
     }
 }
 
-/// Amounts in a ring of time buckets: of the recent past, or of what expires in the near future.
+/// A ring of time buckets with an amount each: amounts of the recent past, or amounts that expire in the near future.
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct TimeBuckets {
     #[cfg_attr(feature = "snapshot", serde(rename = "width"))]
     pub width_ms: f64,
-    /// The number of the present bucket, counted from time 0.
+    /// The number of the current bucket, counted from time 0.
     #[cfg_attr(feature = "snapshot", serde(rename = "clock"))]
     pub current: u64,
     #[cfg_attr(feature = "snapshot", serde(rename = "cells"))]
@@ -102,7 +103,7 @@
 }
 
 impl TimeBuckets {
-    /// So many buckets over `span_ms`, which is a second at the least.
+    /// Covers `span_ms`, or one second if that is longer, with this number of buckets.
     pub fn new(span_ms: f64, buckets: usize, now_ms: f64) -> Self {
         let width_ms = span_ms.max(1000.0) / buckets as f64;
         TimeBuckets {
@@ -118,7 +119,7 @@
         &mut self.amounts[(number % buckets) as usize]
     }
 
-    /// Advances to now; returns what was in the buckets that are used again, which has expired.
+    /// Advances to now. Returns the total of the buckets that are reused, whose amounts have expired.
     pub fn advance(&mut self, now_ms: f64) -> f64 {
         let mut expired = 0.0;
         while self.current < (now_ms / self.width_ms) as u64 {
@@ -129,7 +130,7 @@
         expired
     }
 
-    /// Adds to the present bucket.
+    /// Adds to the current bucket.
     pub fn add(&mut self, amount: f64) {
         *self.bucket(self.current) += amount;
     }
@@ -138,7 +139,7 @@
         self.amounts.iter().sum()
     }
 
-    /// Whether it can be used: one that was read from bytes may have no buckets, or no width.
+    /// Whether it has buckets of a positive width; after decoding from bytes it may not.
     #[cfg(feature = "snapshot")]
     pub fn is_valid(&self) -> bool {
         !self.amounts.is_empty() && self.width_ms.is_finite() && self.width_ms > 0.0
--- a/crates/asterdale/src/parameters.rs
+++ b/crates/asterdale/src/parameters.rs
@@ -1,13 +1,13 @@
-//! The settings of one server: its resources, its request classes and tenants, and what it can rely on.
+//! The settings of one server: its resources, its request classes and tenants, and the guarantees of its environment.
 
-/// How often a request of a class may run.
+/// Whether a request of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub enum Idempotency {
     /// May run again at any time.
     #[cfg_attr(feature = "snapshot", serde(rename = "Restartable"))]
     Idempotent,
-    /// Carries an idempotency key, by which a retry is recognised; runs once on a server.
+    /// Carries an idempotency key, by which a retry is recognised; runs at most once on a server.
     #[cfg_attr(feature = "snapshot", serde(rename = "Fingerprinted"))]
     Keyed,
     /// Must never run twice.
@@ -19,25 +19,25 @@
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub struct ClassParameters {
-    /// The latency objective: an answer within this time of the first attempt earns the full weight.
+    /// The latency objective: an answer within this time of the first attempt counts with the full weight.
     #[cfg_attr(feature = "snapshot", serde(rename = "due_ms"))]
     pub objective_ms: f64,
-    /// How long a client waits in all, over all attempts.
+    /// How long a client waits in total, over all attempts.
     #[cfg_attr(feature = "snapshot", serde(rename = "limit_ms"))]
     pub deadline_ms: f64,
     /// The priority weight of one request.
     #[cfg_attr(feature = "snapshot", serde(rename = "utility"))]
     pub weight: f64,
-    /// The part of the weight that an answer after the objective earns.
+    /// The fraction of the weight with which an answer after the objective counts.
     #[cfg_attr(feature = "snapshot", serde(rename = "late_share"))]
     pub late_weight_share: f64,
-    /// The part of the weight that an answer earns whose call was skipped.
+    /// The fraction of the weight with which a degraded answer counts, one whose call was skipped.
     #[cfg_attr(feature = "snapshot", serde(rename = "without_call"))]
     pub degraded_weight_share: f64,
-    /// Its tasks may call the dependency.
+    /// Whether its tasks may call the dependency.
     #[cfg_attr(feature = "snapshot", serde(rename = "calls"))]
     pub makes_calls: bool,
-    /// How often its requests may run.
+    /// Whether its requests may run more than once.
     #[cfg_attr(feature = "snapshot", serde(rename = "repeat"))]
     pub idempotency: Idempotency,
     /// How long after its arrival a request can be retried.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub struct TenantParameters {
-    /// Its quota: requests a second, over the complete fleet.
+    /// Its quota over the complete fleet, in requests per second.
     #[cfg_attr(feature = "snapshot", serde(rename = "allowance_per_s"))]
     pub quota_per_s: f64,
 }
@@ -72,13 +72,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub enum CapacityHint {
-    /// They get none.
+    /// Callers get no hint.
     Unused,
-    /// Requests of a lower rank than the hint are not sent.
+    /// Callers don't send requests of a lower rank than the hint.
     Level,
-    /// Each caller keeps at most that many requests in flight here.
+    /// Each caller keeps at most this many requests in flight here.
     Credit,
-    /// The probability that a caller doesn't skip this server.
+    /// The hint is the probability with which a caller doesn't skip this server.
     Weight,
 }
 
@@ -111,21 +111,22 @@
     /// The memory of one retained idempotency key, in kilobytes.
     #[cfg_attr(feature = "snapshot", serde(rename = "entry_kb"))]
     pub idempotency_entry_kb: f64,
-    /// It has just started and is warming up.
+    /// Whether it has just started and is in its slow start.
     #[cfg_attr(feature = "snapshot", serde(rename = "cold"))]
     pub slow_start: bool,
-    /// The part of its full speed that it has at least at the beginning of its slow start.
+    /// The fraction of its full speed that is guaranteed at the beginning of its slow start.
     #[cfg_attr(feature = "snapshot", serde(rename = "cold_share"))]
     pub slow_start_share: f64,
     /// The duration of the slow start, in milliseconds.
     #[cfg_attr(feature = "snapshot", serde(rename = "cold_ms"))]
     pub slow_start_ms: f64,
-    /// How many tasks on the cores, for each core, the server survives after its slow start.
+    /// How many concurrent tasks per core the server survives after its slow start.
     #[cfg_attr(feature = "snapshot", serde(rename = "crowd_factor"))]
     pub overload_factor: f64,
     /// The shortest time between two batches of events, in milliseconds.
     pub tick_ms: f64,
-    /// A request that arrives later than this after the notice of a graceful shutdown must not run; in milliseconds.
+    /// The grace period of a graceful shutdown, in milliseconds: a request that arrives later than this after the
+    /// notice must not run.
     pub drain_grace_ms: f64,
     /// How many servers this tier had at the start.
     pub servers: f64,
@@ -134,10 +135,10 @@
     /// The dependency that tasks call.
     #[cfg_attr(feature = "snapshot", serde(rename = "below"))]
     pub dependency: Dependency,
-    /// This server's quota of the calls in flight that a shared dependency survives.
+    /// This server's quota of the concurrent calls that a shared dependency survives.
     #[cfg_attr(feature = "snapshot", serde(rename = "calls_share"))]
     pub dependency_quota: f64,
-    /// The time over which these calls are averaged, in milliseconds.
+    /// The time over which the number of concurrent calls is averaged, in milliseconds.
     #[cfg_attr(feature = "snapshot", serde(rename = "calls_window_ms"))]
     pub dependency_window_ms: f64,
     /// How long a call that was given up can still occupy the dependency, in milliseconds.
@@ -146,7 +147,7 @@
     /// How long callers keep an idle connection, in milliseconds; 0 if that is unknown.
     #[cfg_attr(feature = "snapshot", serde(rename = "idle_ms"))]
     pub idle_timeout_ms: f64,
-    /// How long the answer of an idempotent request may serve its repeats, in milliseconds; 0 for never.
+    /// How long the answer to an idempotent request may be reused for its repeats, in milliseconds; 0 for never.
     #[cfg_attr(feature = "snapshot", serde(rename = "fresh_ms"))]
     pub response_reuse_ms: f64,
     /// Whether running work can be preempted.
@@ -158,10 +159,10 @@
     /// The longest Retry-After that callers follow, in milliseconds; 0 if they follow none.
     #[cfg_attr(feature = "snapshot", serde(rename = "advice_ms"))]
     pub max_retry_after_ms: f64,
-    /// The part of its weight that a request beyond its tenant's quota has.
+    /// The fraction of its weight with which a request beyond its tenant's quota counts.
     #[cfg_attr(feature = "snapshot", serde(rename = "over_share_worth"))]
     pub over_quota_weight_share: f64,
-    /// Weights count for each unit of work, not for each request.
+    /// Whether weights are per unit of core work rather than per request.
     #[cfg_attr(feature = "snapshot", serde(rename = "by_work"))]
     pub weight_per_work: bool,
     /// The request classes.
--- a/crates/asterdale/src/policy/admission.rs
+++ b/crates/asterdale/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: what becomes of a request that was read, and which queued tasks start.
+//! Admission: whether a request is queued, joined or given up, and which queued tasks start.
 
 use super::MEMORY_PART;
 use crate::actions::Actions;
@@ -7,7 +7,7 @@
 use crate::task::{Handle, Task, TaskState};
 
 impl Server {
-    /// A request has been read. It gets exactly one final answer from now on.
+    /// Takes in a request that has just been read. It will get exactly one final answer.
     pub fn receive(
         &mut self,
         now_ms: f64,
@@ -37,7 +37,7 @@
         handle
     }
 
-    /// A task with its deadline and its latency objective.
+    /// Creates a task with its deadline and its latency objective.
     fn new_task(&self, now_ms: f64, arrival: Arrival) -> Task {
         let parameters = &self.classes[arrival.class].parameters;
         let remaining_ms = arrival
@@ -49,7 +49,7 @@
         task
     }
 
-    /// Starts the queued tasks that may start, then rejects those that the queue has no place for.
+    /// Starts queued tasks while the limits allow it, then rejects those that exceed the capacity of the queue.
     pub(super) fn start_queued(&mut self, now_ms: f64, actions: &mut dyn Actions) {
         let admitted = (self.count(TaskState::Queued) + self.count(TaskState::Running)) as f64;
         let peak = &mut self.limiter.peak_concurrency[0];
@@ -69,7 +69,7 @@
         self.shed_queue(now_ms, actions);
     }
 
-    /// Whether the limit, the concurrency that the server survives or the memory has no place for one more run.
+    /// Whether one more run would exceed the limit, the concurrency that the server survives, or the memory.
     fn must_wait(&self, task: &Task) -> bool {
         let running = self.count(TaskState::Running);
         let started = running + self.count(TaskState::CallQueued) + self.count(TaskState::Calling);
@@ -91,7 +91,8 @@
         self.clear_uncontended();
     }
 
-    /// With full cores, rejects what is over the limit at once. The queue keeps one place a core, to choose from.
+    /// With full cores, rejects queued tasks beyond half of the limit at once. The queue always has a capacity of at
+    /// least one task per core, so that there is a choice of tasks to start.
     fn shed_queue(&mut self, now_ms: f64, actions: &mut dyn Actions) {
         let queue_capacity = self.parameters.cores.max(self.limiter.limit / 2.0);
         while self.limiter.cores_full && self.count(TaskState::Queued) as f64 > queue_capacity {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// With more runs than cores none of them is uncontended.
+    /// If there are more runs than cores, marks all of them as not uncontended.
     pub(super) fn clear_uncontended(&mut self) {
         if self.count(TaskState::Running) as f64 > self.parameters.cores {
             for &handle in &self.active {
@@ -111,13 +112,13 @@
         }
     }
 
-    /// Whether a task would end too late to earn anything. One run always goes ahead: with none the ratio of latencies
-    /// would never be measured again.
+    /// Whether a task would end too late for its answer to have a value. While no task runs, the estimated end is not
+    /// considered: a server without any run would never measure the latency ratio again.
     pub(super) fn cannot_finish(&self, task: &Task, now_ms: f64) -> bool {
         let parameters = &self.class(task).parameters;
         let late_earns = parameters.late_weight_share > 0.0 && !self.limiter.cores_full;
         let last_ms = task.useful_until_ms(late_earns);
-        // A task that can't do without its call only uses up core time while the queue of calls is too long.
+        // A task that needs its call would only waste core time if the call queue is too long for it.
         let mut end_ms = now_ms + self.expected_run_ms(task);
         if parameters.makes_calls && parameters.degraded_weight_share <= 0.0 {
             end_ms += self.count(TaskState::CallQueued) as f64 * self.call_turn_ms()
@@ -126,13 +127,15 @@
         now_ms >= last_ms || (end_ms > last_ms && self.count(TaskState::Running) > 0)
     }
 
-    /// Whether a task that has not ended should be given up: it earns nothing any more, or its deadline is here.
+    /// Whether a task that has not ended should be given up before its deadline: its answer would have no value, or it
+    /// has been queued for too long.
     pub(super) fn is_useless(&self, task: &Task, now_ms: f64) -> bool {
         let without_value = self.limiter.cores_full
             && now_ms >= task.objective_ms
             && self.class(task).parameters.late_weight_share <= 0.0;
-        // A queued task waits a sixth of its time to the objective (by its deadline, classes of long deadlines took
-        // all places) and half of the time in which a core comes free (all of it is too late with many cores).
+        // The queue wait is limited to a sixth of the time to the objective, plus half of the mean time until a core
+        // becomes free. A limit by the deadline let classes with long deadlines fill the queue; with all of the time
+        // until a core becomes free, tasks were rejected too late on servers with many cores.
         let max_wait_ms = (task.objective_ms - task.arrived_ms) / 6.0
             + 0.5 * self.limiter.mean_run_ms / self.parameters.cores;
         match task.state {
@@ -140,8 +143,8 @@
                 self.cannot_finish(task, now_ms)
                     || (self.limiter.cores_full && now_ms - task.arrived_ms > max_wait_ms)
             }
-            // A run without value takes full cores from others. With idle cores it goes on: a late answer costs
-            // nothing, aborted work does.
+            // With full cores, a run without value takes core time from others. With idle cores it continues: a late
+            // answer costs nothing then, but aborted work is lost.
             TaskState::Running | TaskState::Calling => without_value && self.can_abort(task),
             _ => false,
         }
--- a/crates/asterdale/src/policy/calls.rs
+++ b/crates/asterdale/src/policy/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that tasks make to the dependency: their queue, their time limits, their retries with backoff.
+//! Calls that tasks make to the dependency: their queue, their time limits, and their retries with backoff.
 
 use std::cmp::Ordering;
 
@@ -8,20 +8,23 @@
 use crate::state::Server;
 use crate::task::{Handle, Task, TaskState};
 
-/// The first backoff of a failed call; doubled by each further failure, with jitter of half up or down.
+/// The backoff after the first failure of a call. It doubles with each further failure and has a jitter of plus or
+/// minus half.
 const FIRST_BACKOFF_MS: f64 = 20.0;
-/// Failures after which the backoff grows no further: 32 times the first.
+/// The number of doublings after which the backoff stays the same: 32 times the first one.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// The time limit of a call, in multiples of the mean duration: one that takes longer is not coming, and keeps its place
-/// from others.
+/// The time limit of a call, in multiples of the mean duration: a reply that takes longer is unlikely to come at all,
+/// and the call occupies a place in the window that others need.
 const CALL_LIMIT_FACTOR: f64 = 16.0;
-/// The shortest such limit, for calls whose mean is a few milliseconds.
+/// The minimum of that limit, for calls whose mean duration is a few milliseconds.
 const MIN_CALL_LIMIT_MS: f64 = 4.0 * TICK_MS;
-/// A call starts only if it gets this many times the mean duration, or all the time that its task has left.
+/// A call starts only if its timeout is at least this many times the mean duration, or all the time that its task has
+/// left.
 const MIN_CALL_FACTOR: f64 = 4.0;
 
 impl Server {
-    /// Starts the queued calls that may go out, those first that can't be skipped; skips those that are too late.
+    /// Starts queued calls while the limits allow it, beginning with those that can't be skipped, and skips those that
+    /// would end too late.
     pub(super) fn start_queued_calls(&mut self, now_ms: f64, actions: &mut dyn Actions) {
         if self.count(TaskState::CallQueued) == 0 {
             return;
@@ -42,7 +45,7 @@
                 self.resume_run(handle, now_ms);
                 actions.skip_call(handle);
             } else if spare_ms <= 0.0 {
-                // It earns nothing any more, and would keep memory, a place and a call from others.
+                // Its answer would have no value, and it would take memory, a place and a call from other tasks.
                 self.give_up(handle, actions);
             } else if now_ms >= task.retry_not_before_ms
                 && self.dependency.credit_ms >= 0.0
@@ -53,7 +56,8 @@
         }
     }
 
-    /// The queue of calls: those that can't be skipped first, then by weight for each unit of work.
+    /// The queued calls in the order in which they start: those that can't be skipped first, then by weight per unit of
+    /// core work.
     fn queued_calls(&self, now_ms: f64) -> Vec<Handle> {
         let queued = |handle: &Handle| self.tasks[handle.index()].state == TaskState::CallQueued;
         let mut calls: Vec<Handle> = self.active.iter().copied().filter(queued).collect();
@@ -69,12 +73,12 @@
         calls
     }
 
-    /// Whether the task earns something without its call.
+    /// Whether an answer without the call has a value.
     fn can_skip_call(&self, task: &Task) -> bool {
         self.class(task).parameters.degraded_weight_share > 0.0
     }
 
-    /// What is left for the call if the rest, about half a run, is to end in time.
+    /// The time left for the call if the rest of the task, about half a run, is to end in time.
     fn spare_call_ms(&self, task: &Task, now_ms: f64) -> f64 {
         let late_share = self.class(task).parameters.late_weight_share;
         let late_earns = late_share > 0.0 && !self.can_skip_call(task);
@@ -82,7 +86,7 @@
         last_ms - (0.5 * self.expected_run_ms(task)).max(2.0 * TICK_MS) - now_ms
     }
 
-    /// Starts a call if there is enough time for it, and says whether it did.
+    /// Starts a call if there is enough time for it, and returns whether it did.
     fn start_call(
         &mut self,
         handle: Handle,
@@ -103,7 +107,7 @@
         fits
     }
 
-    /// A task leaves its call behind and wants a core again.
+    /// Continues the run of a task whose call has succeeded or is skipped.
     fn resume_run(&mut self, handle: Handle, now_ms: f64) {
         self.set_state(handle, TaskState::Running);
         let task = &mut self.tasks[handle.index()];
@@ -113,7 +117,7 @@
         self.clear_uncontended();
     }
 
-    /// A run needs a call.
+    /// Queues the call that a run needs.
     fn queue_call(&mut self, handle: Handle, now_ms: f64) {
         self.set_state(handle, TaskState::CallQueued);
         let core_time_ms = self.core_clock.core_time_ms;
@@ -122,7 +126,7 @@
         task.used_core_ms += core_time_ms - task.resumed_at_core_ms;
     }
 
-    /// A failed call waits for its retry, unless it may have run and must not run twice.
+    /// Schedules the retry of a failed call, unless the call may have run and must not run twice.
     fn queue_retry(
         &mut self,
         handle: Handle,
@@ -131,7 +135,7 @@
         actions: &mut dyn Actions,
     ) {
         let task = self.tasks[handle.index()];
-        // With jitter: a dependency that recovers must not meet all calls at once.
+        // With jitter, so that a dependency that recovers doesn't receive all retries at once.
         let doublings = task.failed_calls.min(MAX_BACKOFF_DOUBLINGS);
         let backoff_ms = FIRST_BACKOFF_MS * f64::from(1 << doublings) * (0.5 + self.rng.next());
         let failed = &mut self.tasks[handle.index()];
@@ -139,7 +143,7 @@
         failed.retry_not_before_ms = now_ms + backoff_ms;
         if !self.is_idempotent(&task) && !outcome.never_ran() {
             if self.can_skip_call(&task) {
-                self.tasks[handle.index()].failed_calls = u32::MAX; // so that it is skipped
+                self.tasks[handle.index()].failed_calls = u32::MAX; // so that the call is skipped
             } else {
                 self.give_up(handle, actions);
             }
@@ -148,7 +152,7 @@
 }
 
 impl Handle {
-    /// The run needs a call to the dependency before it can go on.
+    /// The run needs a call to the dependency before it can continue.
     pub fn call_needed(self, server: &mut Server, now_ms: f64, actions: &mut dyn Actions) {
         server.advance_time(now_ms);
         if server.tasks[self.index()].state == TaskState::Running {
@@ -158,7 +162,7 @@
         server.start_queued(now_ms, actions);
     }
 
-    /// The call ended after `took_ms`. After a success the run goes on by itself.
+    /// The call ended after `took_ms`. After a success the run continues without a further action.
     pub fn call_ended(
         self,
         server: &mut Server,
@@ -182,7 +186,7 @@
         server.start_queued_calls(now_ms, actions);
     }
 
-    /// The run is over, or the wait for the earlier attempt is.
+    /// The run has ended, or the wait for the earlier attempt has.
     pub fn run_ended(
         self,
         server: &mut Server,
@@ -196,19 +200,20 @@
             server.record_run(&task, now_ms);
         }
         if task.state == TaskState::Calling {
-            // It was given up with its call in flight, which may go on.
+            // The task was given up with its call in flight; the call may still go on at the dependency.
             let until_ms = now_ms + server.parameters.call_linger_ms;
             server.dependency.lingering_until_ms.push(until_ms);
         }
         if !task.answered && matches!(outcome, Outcome::Cancelled | Outcome::Stale) {
-            actions.fail(self); // decisions answer a task before they abort it; one that the runtime aborted is answered here
+            // A task that a decision aborts is answered before; this one was aborted by the runtime.
+            actions.fail(self);
         }
         server.release(self, actions);
         server.start_queued_calls(now_ms, actions);
         server.start_queued(now_ms, actions);
     }
 
-    /// Nobody waits for this task any more.
+    /// The caller no longer waits for this task.
     pub fn caller_gone(self, server: &mut Server, now_ms: f64, actions: &mut dyn Actions) {
         server.advance_time(now_ms);
         server.tasks[self.index()].answered = true;
--- a/crates/asterdale/src/policy/capacity_report.rs
+++ b/crates/asterdale/src/policy/capacity_report.rs
@@ -1,22 +1,23 @@
-//! What callers learn at each update: the capacity hint, and the idle timeout of their connections.
+//! What is set for callers at each update: the capacity hint, and the idle timeout of their connections.
 
 use crate::actions::Actions;
 use crate::parameters::CapacityHint;
 use crate::state::{CapacityReport, Server};
 use crate::task::TaskState;
 
-/// Credit of all callers, in multiples of the limit. 1.5 leaves uneven callers short, 3 lets slow servers fill up.
+/// Credit of all callers together, in multiples of the limit. With 1.5, callers with uneven traffic get too little;
+/// with 3, slow servers fill up.
 const CREDIT_FACTOR: f64 = 2.0;
-/// A caller whose recent tasks fade below this is new: a hundredth is left of a task after some 20 s, about as long as
-/// callers keep connections.
+/// A caller whose count of recent tasks has decayed below this counts as new. One task decays to a hundredth in some
+/// 20 s, which is about as long as callers keep connections.
 const RETURNING_THRESHOLD: f64 = 0.01;
-/// What is left of the recent tasks of a caller after an update.
+/// The factor by which the count of recent tasks of a caller decays at each update.
 const CALLER_FADE: f64 = 0.9;
 /// The shortest idle timeout, unless that of the callers is shorter still.
 const MIN_IDLE_TIMEOUT_MS: f64 = 500.0;
 
 impl CapacityReport {
-    /// A task of this caller has arrived.
+    /// Counts a task of this caller that has arrived.
     pub(super) fn record_caller(&mut self, caller: usize) {
         if self.tasks_by_caller.len() <= caller {
             self.tasks_by_caller.resize(caller + 1, 0.0);
@@ -29,12 +30,12 @@
 }
 
 impl Server {
-    /// Tells callers of the capacity and closes idle connections; once an update.
+    /// Updates the capacity hint and the idle timeout, once at each update of the limit.
     pub(super) fn report_capacity(&mut self, actions: &mut dyn Actions) {
         if self.parameters.capacity_hint == CapacityHint::Credit {
             self.update_credit();
-            // A slow server asks for less by as much as it is slow, and never for nothing: without tasks it could not
-            // see that it has recovered.
+            // A slow server reduces its hint in proportion to its slowness, but never to zero: without tasks it could
+            // not detect that it has recovered.
             actions.publish_capacity_hint(self.report.credit / self.limiter.median_ratio.max(1.0));
         }
         self.rejections.since_update = 0;
@@ -44,10 +45,12 @@
         self.update_idle_timeout(actions);
     }
 
-    /// Sets how many tasks each caller should have here: cut by a fifth while tasks are rejected, else grown by one;
-    /// between one task a core and twice what the limit lets run beside the calls.
+    /// Sets the credit, which is the number of tasks that each caller should have in flight here. It is cut by a fifth
+    /// if tasks were rejected since the last update, and else raised by one. For all callers together it stays between
+    /// one task per core and twice the sum of the limit and the tasks that are at a call.
     fn update_credit(&mut self) {
-        // As many callers as would send everything if each sent as much as the busiest: few send alike.
+        // The effective number of callers, since their traffic is seldom even: how many would send all tasks if each
+        // sent as many as the busiest one.
         let (sent, busiest) = self
             .report
             .tasks_by_caller
@@ -70,9 +73,9 @@
         self.report.credit = next.clamp((self.parameters.cores / callers).min(max), max);
     }
 
-    /// Sets the idle timeout. Where few callers return, connections that are kept for them fill the table and shut
-    /// others out: the more the cores are idle the sooner they close. With busy cores (three quarters, by trial) they
-    /// stay: a new one costs work, and a full table is the cheapest rejection.
+    /// Sets the idle timeout. Where few callers return, idle connections fill the connection table and shut other
+    /// callers out, so the timeout falls: faster the more the cores are idle. With cores over three quarters busy it
+    /// grows again: a new connection costs work, and a full table is the cheapest rejection.
     fn update_idle_timeout(&mut self, actions: &mut dyn Actions) {
         let report = &mut self.report;
         let factor = if report.returning_share > 0.5 {
@@ -80,7 +83,8 @@
         } else {
             (report.cpu / 0.75).powi(2).clamp(0.5, 2.0)
         };
-        // At most half of the callers' own timeout: a cut acts only from the next use of a connection on.
+        // Where few callers return, at most half of the callers' own timeout: a shorter timeout takes effect only from
+        // the next use of a connection on.
         let max_part = if report.returning_share > 0.5 {
             1.0
         } else {
--- a/crates/asterdale/src/policy/dependency.rs
+++ b/crates/asterdale/src/policy/dependency.rs
@@ -1,4 +1,5 @@
-//! Limits on calls to the dependency: the window of calls in flight, the quota of a shared dependency, and its pacing.
+//! Limits on calls to the dependency: the window of calls in flight, and the quota and the pacing of calls to a shared
+//! dependency.
 
 use crate::events::Outcome;
 use crate::parameters::Dependency;
@@ -7,22 +8,22 @@
 
 use super::TICK_MS;
 
-/// Part of our quota at a shared dependency that calls use on average. By trial: 0.3 starves servers in their slow
+/// Fraction of this server's quota of a shared dependency that calls use on average. 0.3 starves servers in their slow
 /// start, 0.9 overloads the dependency.
 const PACED_PART: f64 = 0.45;
-/// Part of our quota that calls may use at most.
+/// Fraction of the quota that calls may use at most.
 const MAX_QUOTA_PART: f64 = 0.9;
-/// Part of our quota under which the window is never cut: a dependency slows long before it fails.
+/// Fraction of the quota below which the window is never cut: a dependency becomes slow long before it fails.
 const MIN_QUOTA_PART: f64 = 0.2;
-/// What a cut leaves of the window.
+/// The factor by which the window is multiplied at a cut.
 const WINDOW_CUT: f64 = 0.7;
-/// Unused time for calls that is kept, in milliseconds: a tenth of a second.
+/// The time over which unused credit for calls accumulates: a tenth of a second.
 const CREDIT_SPAN_MS: f64 = 10.0 * TICK_MS;
-/// Calls that took this many times the usual are slow: the doubling that the limiter allows to runs.
+/// Calls that take this many times the usual duration are slow. The limiter allows the same doubling for runs.
 const SLOW_FACTOR: f64 = 2.0;
-/// The fewest calls that have a median.
+/// The minimum number of calls for a median.
 const MIN_SAMPLES: u32 = 20;
-/// Calls after which older ones count half.
+/// The number of calls after which the counts of older ones are halved.
 const MAX_SAMPLES: u32 = 400;
 /// Weight of a new call in the mean duration.
 const MEAN_WEIGHT: f64 = 0.2;
@@ -30,8 +31,8 @@
 const FAILURE_WEIGHT: f64 = 0.1;
 
 impl DependencyState {
-    /// A call's duration for the mean. A reply that comes late, or never, counts as twice the usual, so that one call
-    /// can't speak for the others.
+    /// The duration of a call for the mean. A reply that comes late or never counts with at most twice the mean, so
+    /// that a single call can't dominate it.
     fn bounded_ms(&self, took_ms: f64) -> f64 {
         if self.mean_call_ms > 0.0 {
             took_ms.min(SLOW_FACTOR * self.mean_call_ms)
@@ -52,12 +53,12 @@
 }
 
 impl Server {
-    /// Calls that are in flight or may be.
+    /// Calls that are in flight, and those that were given up and may still linger.
     pub(super) fn calls_in_flight(&self) -> f64 {
         (self.count(TaskState::Calling) + self.dependency.lingering_until_ms.len()) as f64
     }
 
-    /// Advances to now: the time that calls spent, and the time that a shared dependency gives.
+    /// Advances to now the time that calls have spent, and the credit for calls to a shared dependency.
     pub(super) fn advance_calls(&mut self, now_ms: f64) {
         self.dependency
             .lingering_until_ms
@@ -66,9 +67,9 @@
         let elapsed_ms = now_ms - self.last_event_ms;
         let spent_ms = self.calls_in_flight() * elapsed_ms;
         self.dependency.spent_ms.add(spent_ms);
-        // Calls to a shared dependency are paced. All servers see it slow and recover in the same moment: if each made
-        // its queued calls at once, their sum would overload it again, though each server stays within its quota over
-        // time. So a call that took long is followed by a longer pause.
+        // Calls to a shared dependency are paced. All servers see it slow down and recover at the same moment: if each
+        // then made its queued calls at once, their sum would overload it again, although each server stays within its
+        // quota over time. So a call that took longer is followed by a longer pause.
         if self.parameters.dependency == Dependency::Shared {
             let earned_ms =
                 (self.paced_calls() - self.count(TaskState::Calling) as f64) * elapsed_ms;
@@ -77,19 +78,20 @@
         }
     }
 
-    /// A call succeeded: the window grows if it is used, and is cut if calls became slow.
+    /// Records a successful call. The window grows if all of it is in use, and is cut if calls have become slow.
     pub(super) fn record_call_success(&mut self, now_ms: f64, took_ms: f64) {
         self.dependency.record_success(took_ms);
         if self.calls_are_slow() {
             self.cut_call_window(now_ms);
         } else if self.calls_in_flight() >= self.dependency.window.floor() {
-            // Only a window that is used is tested: one that grew unused would go out at once when calls slow down.
+            // Only a window that is completely in use is known to be safe. One that grew unused would be filled at once
+            // when calls slow down.
             let grown = self.dependency.window + 1.0 / self.dependency.window;
             self.dependency.window = grown.min(self.max_concurrency());
         }
     }
 
-    /// A call failed: the window is cut if the dependency is overloaded.
+    /// Records a failed call. The window is cut if the dependency is overloaded.
     pub(super) fn record_call_failure(&mut self, now_ms: f64, outcome: Outcome, took_ms: f64) {
         let dependency = &mut self.dependency;
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset) {
@@ -100,14 +102,15 @@
             dependency.lingering_until_ms.push(until_ms);
         }
         dependency.failure_share += FAILURE_WEIGHT * (1.0 - dependency.failure_share);
-        // One server of a tier may fail alone, and one bad reply doesn't show overload: only most calls failing does.
+        // One server of a tier may fail alone, and one bad reply is no sign of overload. That most calls fail is one.
         let shed = self.parameters.dependency == Dependency::Shared && outcome == Outcome::Rejected;
         if shed || self.dependency.failure_share > 0.5 {
             self.cut_call_window(now_ms);
         }
     }
 
-    /// Whether a shared dependency takes twice its usual time. A tier sheds its own overload.
+    /// Whether calls to a shared dependency take over twice their usual time. A tier of servers is not checked, as it
+    /// sheds its overload itself.
     fn calls_are_slow(&self) -> bool {
         let dependency = &self.dependency;
         self.parameters.dependency == Dependency::Shared
@@ -115,8 +118,9 @@
             && dependency.mean_call_ms > SLOW_FACTOR * dependency.call_durations.quantile(0.5)
     }
 
-    /// Cuts the window, once for one fault and not once a call. It never falls below the cores, or a fifth of our quota
-    /// of a shared dependency.
+    /// Cuts the window, only once in the mean duration of a call, so that one fault causes one cut and not one for each
+    /// failed call. The window never falls below the number of cores, or below a fifth of the quota of a shared
+    /// dependency.
     pub(super) fn cut_call_window(&mut self, now_ms: f64) {
         let dependency = &mut self.dependency;
         if now_ms - dependency.last_cut_ms > dependency.mean_call_ms {
@@ -130,12 +134,12 @@
         }
     }
 
-    /// The calls in flight that a shared dependency takes from us on average, often less than one.
+    /// The number of calls in flight that pacing allows on average at a shared dependency, often less than one.
     pub(super) fn paced_calls(&self) -> f64 {
         (PACED_PART * self.parameters.dependency_quota).max(1e-6)
     }
 
-    /// How long one place in the queue of calls takes.
+    /// The mean time between two starts of queued calls.
     pub(super) fn call_turn_ms(&self) -> f64 {
         let paced_calls = if self.parameters.dependency == Dependency::Shared {
             self.paced_calls()
@@ -145,7 +149,7 @@
         self.dependency.mean_call_ms / self.dependency.window.min(paced_calls)
     }
 
-    /// How long one more call may take if it went out now; 0 or less for no call.
+    /// How long one more call may take if it starts now; 0 or less if no call may start.
     pub(super) fn available_call_ms(&self, now_ms: f64) -> f64 {
         if self.calls_in_flight() >= self.dependency.window.floor().max(1.0) {
             return 0.0;
@@ -153,8 +157,8 @@
         if self.parameters.dependency != Dependency::Shared {
             return f64::INFINITY;
         }
-        // Our quota of what the dependency survives, as an average, with every call in flight counted as if it took
-        // all of its time: a dependency that slows or stops replying must not find more calls than planned.
+        // The quota is an average over the dependency's window. Every call in flight counts as if it took all of its
+        // time, so that a dependency that slows down or stops replying never has more calls in flight than planned.
         let remaining_ms = |&handle: &Handle| {
             let task = &self.tasks[handle.index()];
             match task.state {
--- a/crates/asterdale/src/policy/drain.rs
+++ b/crates/asterdale/src/policy/drain.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: bad health at once, nothing started that arrives too late, everything answered in time.
+//! Graceful shutdown: health checks fail at once, requests that arrive after the grace period are not started, and all
+//! tasks are answered before the process is stopped.
 
 use super::TICK_MS;
 use crate::actions::Actions;
@@ -6,9 +7,9 @@
 use crate::task::Task;
 
 impl Server {
-    /// The notice of a graceful shutdown: the process is stopped after `remaining_ms`.
+    /// Takes the notice of a graceful shutdown: the process will be stopped after `remaining_ms`.
     pub fn drain(&mut self, now_ms: f64, remaining_ms: f64, actions: &mut dyn Actions) {
-        // Two ticks earlier than the stop, since answers go out at a tick.
+        // Two ticks before the stop, since answers are sent at ticks.
         let deadline_ms = now_ms + remaining_ms - 2.0 * TICK_MS;
         self.drain_notice = Some(DrainNotice {
             given_ms: now_ms,
@@ -22,13 +23,14 @@
         self.start_queued(now_ms, actions);
     }
 
-    /// When everything must be answered; infinite without a notice.
+    /// The time by which all tasks must be answered; infinite without a notice.
     pub(super) fn drain_deadline_ms(&self) -> f64 {
         self.drain_notice
             .map_or(f64::INFINITY, |notice| notice.deadline_ms)
     }
 
-    /// Whether a task arrived too long after the notice to be run, however early it was read.
+    /// Whether a task must not run because it arrived after the grace period. The arrival counts, not when the request
+    /// was read.
     pub(super) fn arrived_after_grace(&self, task: &Task) -> bool {
         let grace_ms = self.parameters.drain_grace_ms;
         self.drain_notice
--- a/crates/asterdale/src/policy/idempotency.rs
+++ b/crates/asterdale/src/policy/idempotency.rs
@@ -14,14 +14,14 @@
         arrival.is_repeat && (keyed || self.parameters.response_reuse_ms > 0.0)
     }
 
-    /// The task waits for the result of its earlier attempt, which may have run.
+    /// Lets the task wait for the result of its earlier attempt, which may have run.
     pub(super) fn join_earlier_attempt(&mut self, handle: Handle, actions: &mut dyn Actions) {
         self.set_state(handle, TaskState::Joined);
         self.tasks[handle.index()].may_have_run = true;
         actions.join_earlier_attempt(handle);
     }
 
-    /// Whether the memory has no place for what the request retains.
+    /// Whether there is too little memory for the idempotency entry of the request.
     pub(super) fn lacks_memory_for_entry(&self, arrival: &Arrival) -> bool {
         let entry_kb = match self.classes[arrival.class].parameters.idempotency {
             Idempotency::Keyed => self.parameters.idempotency_entry_kb,
@@ -30,13 +30,13 @@
         self.memory_kb + entry_kb > MEMORY_PART * self.parameters.memory_kb
     }
 
-    /// Retains the key of a task before it can start: a retry of a task that is still queued must be known too.
+    /// Retains the key of a task before it can start, as a retry must be recognised while the task is still queued.
     pub(super) fn retain_entry(&mut self, handle: Handle, now_ms: f64, actions: &mut dyn Actions) {
         let arrival = self.tasks[handle.index()].arrival;
         let class = &self.classes[arrival.class].parameters;
         match class.idempotency {
             Idempotency::Keyed => {
-                // The window counts from the arrival; two ticks more cover the rounding of times to batches.
+                // The window counts from the arrival. Twice `tick_ms` more covers the rounding of times to batches.
                 let for_ms =
                     class.retry_window_ms - arrival.unread_ms + 2.0 * self.parameters.tick_ms;
                 let entries = &mut self.idempotency_entries;
--- a/crates/asterdale/src/policy/limiter.rs
+++ b/crates/asterdale/src/policy/limiter.rs
@@ -1,27 +1,28 @@
 //! The concurrency limit: a gradient limiter over run latencies, with a base latency that is measured while the limit
-//! is pinned to the cores. `docs/design.md` has its source and what differs from it.
+//! is pinned to the cores. `docs/design.md` names the original design and the differences from it.
 
 use crate::measure::Histogram;
 use crate::state::{ClassState, LimiterState, Server, LATENCY_WINDOWS};
 use crate::task::{Task, TaskState};
 
-/// Time between two pins; up to half as much is added at random, as in the limiter's design.
+/// Time between two pins; up to half as much is added at random, as in the original design of the limiter.
 const PIN_INTERVAL_MS: f64 = 180_000.0;
-/// The buffer on the p95 of latencies: a run may take twice its base, as much waiting as work.
+/// How far the p95 of latencies may exceed the base: a run may take twice its base latency, half of it waiting.
 const LATENCY_BUFFER: f64 = 2.0;
-/// The fewest samples that have a p95.
+/// The minimum number of samples for a p95.
 const MIN_SAMPLES: u32 = 20;
-/// Samples of a class after which older ones count half.
+/// The number of samples of a class after which the counts of older ones are halved.
 const MAX_SAMPLES: u32 = 500;
-/// Runs of all classes that end a pin.
+/// A pin ends after this many runs of all classes together.
 const PINNED_RUNS: u32 = 60;
-/// Part of the concurrency that a server survives: it is an average, and tasks return from calls between two ticks.
+/// Fraction of the survivable concurrency that is used. The rest is a margin, as the concurrency is an average and
+/// tasks return from calls between two ticks.
 const SURVIVABLE_PART: f64 = 0.8;
 /// Weight of a new sample in the means of run times and of unread times.
 const MEAN_WEIGHT: f64 = 0.05;
 
 impl LimiterState {
-    /// A request lay unread for this long.
+    /// Records for how long a request was readable and not yet read.
     pub(super) fn record_unread(&mut self, unread_ms: f64, tick_ms: f64) {
         let weight = if self.min_unread_ms.is_finite() {
             MEAN_WEIGHT
@@ -34,19 +35,19 @@
 
     fn start_window(&mut self) {
         self.peak_concurrency = [0.0, self.peak_concurrency[0]];
-        self.min_unread_ms *= 1.01; // an unusually low minimum is forgotten in a minute or so
+        self.min_unread_ms *= 1.01; // an unusually low minimum loses its effect in about a minute
         self.current_window = (self.current_window + 1) % LATENCY_WINDOWS;
         self.ratio_windows[self.current_window] = Histogram::of_latencies();
     }
 }
 
 impl Server {
-    /// When the limit is pinned next.
+    /// Draws the time until the limit is pinned next.
     pub(super) fn draw_pin_interval_ms(&mut self) -> f64 {
         PIN_INTERVAL_MS * (1.0 + 0.5 * self.rng.next())
     }
 
-    /// The part of its full speed that the server is guaranteed to have, by its slow start.
+    /// The fraction of its full speed that the server is guaranteed to have; it grows linearly over the slow start.
     fn guaranteed_speed(&self, now_ms: f64) -> f64 {
         let parameters = &self.parameters;
         if !parameters.slow_start || now_ms >= self.runtime_started_ms + parameters.slow_start_ms {
@@ -57,37 +58,38 @@
                 / parameters.slow_start_ms
     }
 
-    /// How many tasks may be running or at a call: all of them could want the cores at once.
+    /// How many tasks may be running or at a call, as all of them could need a core at the same time.
     pub(super) fn max_concurrency(&self) -> f64 {
         let over_cores =
             (self.parameters.overload_factor - 1.0) * self.guaranteed_speed(self.last_event_ms);
         (SURVIVABLE_PART * self.parameters.cores * (1.0 + over_cores)).max(1.0)
     }
 
-    /// How many of the limit may run. The buffer allows a doubling of latency, which is as much waiting as work. With
-    /// full cores the waiting half is spent in the queue, where order can be chosen, not on the cores, where
+    /// How many tasks of the limit may run. `LATENCY_BUFFER` allows latency to double, so half of it is waiting. With
+    /// full cores that half is spent in the queue, where the order can be chosen, and not on the cores, where
     /// concurrency costs speed.
     pub(super) fn max_running(&self) -> f64 {
         let limiter = &self.limiter;
         if !limiter.cores_full {
             return limiter.limit;
         }
-        // Reading shares the cores with runs, and what is read late earns little. When requests lie unread for over
-        // half a run, and twice their minimum, runs give way: to half, or less where reading costs under an eighth
-        // of a run (by trial). Where reading is expensive, quick rejections bring more of it.
+        // Reading shares the cores with runs, and a request that is read late has little value left. When requests are
+        // unread for over half a run and over twice the minimum, fewer tasks may run: down to half, or to less where
+        // reading costs under an eighth of a run. Where reading is expensive, half is the minimum, as quick rejections
+        // lead to more requests to read.
         let min_part = (4.0 * limiter.min_unread_ms / limiter.mean_run_ms)
             .clamp((1.0 / self.parameters.cores).min(0.5), 0.5);
         let part_for_runs = ((2.0 * limiter.min_unread_ms).max(0.5 * limiter.mean_run_ms)
             / limiter.unread_ms)
             .clamp(min_part, 1.0);
-        // At least one, also on one core.
+        // At least one run, also with one core.
         ((limiter.limit / 2.0).max(self.parameters.cores) * part_for_runs).max(1.0)
     }
 
-    /// Ends a window: sets the limit by the latencies of recent runs.
+    /// Ends a latency window and sets the limit by the latencies of recent runs.
     pub(super) fn update_limit(&mut self, now_ms: f64) {
         let recent = self.recent_ratios(now_ms);
-        // Without any sample the ratio is forgotten: a server that rejects all slow work tries again.
+        // Without any sample the ratio is reset, so that a server that rejects all work as too slow tries again.
         self.limiter.median_ratio = if recent.total > 0 {
             recent.quantile(0.5)
         } else {
@@ -110,10 +112,10 @@
         self.limiter.start_window();
     }
 
-    /// Ratios of run time over base latency, of unfinished slow runs and of the newest windows.
+    /// Ratios of run time to base latency, of unfinished slow runs and of the newest windows.
     fn recent_ratios(&self, now_ms: f64) -> Histogram {
-        // Runs over twice their base count before they end: when work stops or crawls nothing ends, and a window
-        // that is empty for that reason does not mean low latency.
+        // Runs that take over twice their base latency count before they end: when work stops or becomes very slow no
+        // run ends, and a window that is empty for that reason doesn't mean low latency.
         let mut recent = Histogram::of_latencies();
         for &handle in &self.active {
             let task = &self.tasks[handle.index()];
@@ -125,7 +127,7 @@
                 recent.add(ratio);
             }
         }
-        // A run lasts a good part of a window, so one window has too few samples for a p95.
+        // The duration of a run is a large part of a window, so one window has too few samples for a p95.
         for age in 0..LATENCY_WINDOWS {
             if recent.total < MIN_SAMPLES {
                 let window =
@@ -136,9 +138,10 @@
         recent
     }
 
-    /// Multiplies the limit by the gradient of latency and adds the headroom.
+    /// Multiplies the limit by the latency gradient and adds the square root of the product as headroom.
     fn apply_gradient(&mut self, recent: &Histogram, has_base: bool) {
-        // Runs are timed beside those that run; beside the complete limit they would take longer in proportion.
+        // Latencies are measured with `max_running` concurrent runs. With as many as the limit they would be longer in
+        // proportion.
         let sample = recent.quantile(0.95) * (self.limiter.limit / self.max_running()).min(2.0);
         let gradient = if sample > 0.0 {
             (LATENCY_BUFFER / sample).clamp(0.5, 2.0)
@@ -146,11 +149,11 @@
             1.0
         };
         let limiter = &mut self.limiter;
-        // A limit grows to half more than was recently used and no further: one that nobody tested would let a burst
-        // overload the cores before the first latency is seen.
+        // The limit grows to at most 1.5 times the recent peak: one far beyond the concurrency that has been tested
+        // would let a burst overload the cores before the first latency is measured.
         let peak = limiter.peak_concurrency[0].max(limiter.peak_concurrency[1]);
         let max_tested = 1.5 * peak.max(self.parameters.cores);
-        // While cores are idle the limit never falls, and grows each update.
+        // While cores are idle the limit never falls, and grows at each update.
         let growth = if has_base { gradient.max(1.0) } else { 2.0 };
         let scaled = limiter.limit * if limiter.cores_full { gradient } else { growth };
         if limiter.cores_full && limiter.pinned {
@@ -160,7 +163,8 @@
         }
     }
 
-    /// A run succeeded: a sample for the window, and for the base latency if it was uncontended.
+    /// Records a successful run as a sample for the window, and for the base latency if it was uncontended or began
+    /// during a pin.
     pub(super) fn record_run(&mut self, task: &Task, now_ms: f64) {
         let run_ms = task.run_ms(now_ms);
         self.limiter.mean_run_ms += MEAN_WEIGHT * (run_ms - self.limiter.mean_run_ms);
@@ -168,13 +172,15 @@
             let ratio = run_ms / self.base_latency(task);
             self.limiter.ratio_windows[self.limiter.current_window].add(ratio);
         }
-        // Latencies of a slow start would stay the base for minutes: they count at the guaranteed speed.
+        // Run times in a slow start are scaled by the guaranteed speed; unscaled they would raise the base latency for
+        // minutes.
         let core_ms = task.used_core_ms + self.core_clock.core_time_ms - task.resumed_at_core_ms;
         let unit = core_ms * self.guaranteed_speed(now_ms)
             / task.arrival.cost_hint_ms.unwrap_or(1.0).max(1e-3);
         let (pinned, pinned_since_ms) = (self.limiter.pinned, self.limiter.pinned_since_ms);
         let class = &mut self.classes[task.arrival.class];
-        // Runs at three times the base show a fault, not the base; only a pin may raise the base that far.
+        // Runs of over three times the base latency indicate a fault and not a new base; only a pin may raise it that
+        // far.
         if !(task.uncontended || (pinned && task.started_ms >= pinned_since_ms))
             || (!pinned && class.base_latency > 0.0 && unit > 3.0 * class.base_latency)
         {
@@ -191,7 +197,7 @@
         }
     }
 
-    /// The base latency of a class; one that has none yet borrows the largest of the others.
+    /// The base latency of a class; a class that has none yet gets the largest of the others.
     pub(super) fn base_or_largest(&self, class: &ClassState) -> f64 {
         if class.base_latency > 0.0 {
             return class.base_latency;
@@ -200,7 +206,7 @@
         bases.fold(0.0, f64::max)
     }
 
-    /// The base latency of a task: that of its class, times its hinted work where there is a hint. 0 if unknown.
+    /// The base latency of a task: that of its class, times its cost hint if there is one. 0 if unknown.
     fn base_latency(&self, task: &Task) -> f64 {
         let class = self.class(task);
         task.arrival
@@ -219,7 +225,7 @@
 impl ClassState {
     fn add_uncontended_run(&mut self, unit: f64) {
         self.uncontended_runs.add(unit);
-        // The limiter's design waits for 500 runs, which takes minutes here.
+        // The original design of the limiter waits for 500 runs, which would take minutes here.
         if self.uncontended_runs.total >= MIN_SAMPLES {
             self.base_latency = self.uncontended_runs.quantile(0.95);
         }
--- a/crates/asterdale/src/policy/mod.rs
+++ b/crates/asterdale/src/policy/mod.rs
@@ -1,16 +1,15 @@
-//! The decisions, a module a policy. All of them are methods of [`Server`](crate::Server) and of
-//! [`Handle`](crate::Handle), called by the host with the present time, and answered through
-//! [`Actions`](crate::Actions).
+//! The decisions, one module per policy. All of them are methods of [`Server`](crate::Server) and of
+//! [`Handle`](crate::Handle). The host calls them with the current time, and they request [`Actions`](crate::Actions).
 //!
 //! | module | decides |
 //! | --- | --- |
 //! | `server` | what happens at the start and at each tick |
-//! | `admission` | what becomes of a request that was read, and which queued tasks start |
+//! | `admission` | whether a request is queued, joined or given up, and which queued tasks start |
 //! | `queue` | the order of queued tasks |
 //! | `limiter` | how many tasks run at once |
 //! | `saturation` | whether the cores are full |
-//! | `calls` | which calls to the dependency go out, when they are retried or skipped |
-//! | `dependency` | how many calls are in flight at once |
+//! | `calls` | which calls to the dependency start, when they are retried or skipped |
+//! | `dependency` | how many calls are in flight at once, and how they are paced |
 //! | `idempotency` | which keys are retained, which retries join their earlier attempt |
 //! | `rejection` | how a task that is given up is answered, and the Retry-After |
 //! | `capacity_report` | the capacity hint and the idle timeout |
@@ -31,7 +30,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Time between two ticks: well within the slack that an answer may have.
+/// Time between two ticks: much less than the delay that an answer may have.
 const TICK_MS: f64 = 10.0;
-/// Part of the memory that is used; the rest is for sizes that are known only roughly.
+/// Fraction of the memory that may be used; the rest is a reserve, as sizes are known only approximately.
 const MEMORY_PART: f64 = 0.9;
--- a/crates/asterdale/src/policy/queue.rs
+++ b/crates/asterdale/src/policy/queue.rs
@@ -4,8 +4,9 @@
 use crate::task::{Handle, Task, TaskState};
 
 impl Server {
-    /// The part of a tenant's tasks that counts in full. What it sends beyond its quota, of which a part comes to this
-    /// server, counts little; as no task says whether it is beyond, all of them count for the mean.
+    /// The factor on the weight of a tenant's tasks, 1 within its quota. Each server gets an equal part of the quota.
+    /// Requests beyond it count with `over_quota_weight_share`; as a single task can't be told to be beyond the quota,
+    /// all of them get the mean factor.
     pub(super) fn quota_factor(&self, tenant: &TenantState) -> f64 {
         let rate_per_s = tenant.recent_arrivals.total() / (RECENT_MS / 1000.0);
         let quota_per_s = tenant.parameters.quota_per_s / self.server_count().max(1.0);
@@ -16,7 +17,7 @@
             / rate_per_s
     }
 
-    /// The weight that a task can still earn for each unit of core work.
+    /// The weight with which the answer of a task would count if it started now, per unit of core work.
     pub(super) fn weight_density(&self, task: &Task, now_ms: f64) -> f64 {
         let class = self.class(task);
         let late = now_ms + self.expected_run_ms(task) > task.objective_ms;
@@ -41,7 +42,7 @@
             .filter(|handle| self.tasks[handle.index()].state == TaskState::Queued)
     }
 
-    /// The queued task that starts next: of the highest density, the oldest of equals.
+    /// The queued task that starts next: the one of the highest weight density, the oldest among equals.
     pub(super) fn next_to_start(&self, now_ms: f64) -> Option<Handle> {
         let rank = |handle: Handle| self.weight_density(&self.tasks[handle.index()], now_ms);
         self.queued()
@@ -50,9 +51,9 @@
             .map(|(_, handle)| handle)
     }
 
-    /// The queued task that is rejected first: of the tenant with most tasks queued, the one of the lowest density, the
-    /// newest of equals. Tenants are compared by tasks, not by quota: a small tenant with a single task would lose to
-    /// one that floods the queue.
+    /// The queued task that is rejected first: of the tenant with the most queued tasks, the one of the lowest weight
+    /// density, the newest among equals. Tenants are compared by their queued tasks and not by their quota: by quota,
+    /// the single task of a small tenant would be rejected before those of a tenant that floods the queue.
     pub(super) fn first_to_reject(&self, now_ms: f64) -> Option<Handle> {
         let rank = |handle: Handle| {
             let task = &self.tasks[handle.index()];
--- a/crates/asterdale/src/policy/rejection.rs
+++ b/crates/asterdale/src/policy/rejection.rs
@@ -7,10 +7,10 @@
 use crate::state::Server;
 use crate::task::{Handle, TaskState};
 
-/// Part of the requests read, up to which rejections are few. By trial: 0.05 leaves other servers idle, 0.2 costs
-/// reading in overload.
+/// Fraction of the requests read up to which rejections count as few. With 0.05 other servers stay idle; with 0.2
+/// retries cost too much reading in overload.
 const FEW_REJECTIONS: f64 = 0.1;
-/// How many servers would be overloaded by the work that long waits move away.
+/// With up to this many servers in the tier, the work that a long Retry-After moves away would overload the others.
 const MIN_SERVERS_TO_MOVE_WORK: f64 = 4.0;
 
 /// What a rejection tells the caller.
@@ -23,7 +23,7 @@
 }
 
 impl Server {
-    /// Answers a task that will not be served here at once, and aborts its run where that is possible.
+    /// Gives up a task: answers it at once, and aborts its run where that is possible.
     pub(super) fn give_up(&mut self, handle: Handle, actions: &mut dyn Actions) {
         let task = self.tasks[handle.index()];
         if !task.answered {
@@ -44,11 +44,11 @@
                 self.drop_entry(handle, actions);
                 self.release(handle, actions);
             }
-            _ => {} // `Handle::run_ended` follows and releases it
+            _ => {} // `Handle::run_ended` will be called and releases the task
         }
     }
 
-    /// What a rejection says now.
+    /// The advice that a rejection gives now.
     pub(super) fn retry_advice(&mut self) -> RetryAdvice {
         let max_ms = self.parameters.max_retry_after_ms;
         if self.drain_notice.is_some() {
@@ -58,10 +58,10 @@
             };
         }
         let jittered_ms = max_ms * (0.5 + 0.5 * self.rng.next());
-        // Few recent rejections: the overload is of this server alone, or short, and the caller may retry elsewhere.
-        // Else the servers behind the same balancers are probably as full, and retries there only cost reading. A slow
-        // start or slow runs are no reason: after a release many servers are warming up, and when all work costs more
-        // all of them look slow.
+        // With few recent rejections the overload is short or only of this server, and the caller may retry on another
+        // one. Else the servers behind the same balancers are probably overloaded too, and retries there only cost
+        // reading. That this server is in its slow start or has slow runs doesn't show that others have capacity: after
+        // a release many servers are warming up, and when all work becomes more expensive all servers look slow.
         let arrivals = self
             .tenants
             .iter()
@@ -70,16 +70,17 @@
             .max(1.0);
         let share = self.rejections.recent.total() / arrivals;
         let few = share <= FEW_REJECTIONS;
-        // Where no credit steers callers, Retry-After has to: a long one moves work to servers with capacity (four
-        // would be overloaded by it). Else it grows with the share of rejections, so that no cores stay idle.
+        // Without credit, Retry-After is what steers callers: with few rejections, a long one moves work to servers
+        // with capacity, except among four servers or fewer, which it would overload. Else it grows with the share of
+        // rejections, so that no cores stay idle.
         let moves_work = few && self.parameters.capacity_hint != CapacityHint::Credit;
         let min_part = if moves_work {
             1.0 - MIN_SERVERS_TO_MOVE_WORK / self.server_count().max(MIN_SERVERS_TO_MOVE_WORK)
         } else {
             0.0
         };
-        // Where the view of the fleet shows no other server that accepts work and has warmed up, retries elsewhere
-        // help nobody.
+        // Retries on other servers are useless if the view of the fleet shows none that accepts work and has completed
+        // its slow start.
         let no_peer_ready = self.peers.is_some_and(|peers| peers.ready < 1.0);
         RetryAdvice {
             last_attempt: !few || no_peer_ready,
@@ -87,14 +88,14 @@
         }
     }
 
-    /// Servers of this tier: by the view of the fleet where there is one, else as they were at the start.
+    /// The number of servers in this tier: from the view of the fleet where there is one, else that at the start.
     pub(super) fn server_count(&self) -> f64 {
         self.peers
             .map_or(self.parameters.servers, |peers| peers.present + 1.0)
     }
 
-    /// Takes the counts of a view of the fleet, `None` where there is none. They may be old or wrong, so they change
-    /// what rejections advise and a tenant's quota here, and never what may run.
+    /// Sets the counts from a view of the fleet, `None` where there is none. They may be stale or wrong, so they affect
+    /// only the advice of rejections and a tenant's quota on this server, and never what may run.
     pub fn set_peers(&mut self, peers: Option<PeerCounts>) {
         self.peers = peers;
     }
--- a/crates/asterdale/src/policy/server.rs
+++ b/crates/asterdale/src/policy/server.rs
@@ -8,26 +8,27 @@
 use crate::task::TaskState;
 
 impl Server {
-    /// A server that has just started. The host calls [`Server::tick`] at the times that
-    /// [`Actions::schedule_tick`] names.
+    /// Creates a server that has just started. The host calls [`Server::tick`] at the times that
+    /// [`Actions::schedule_tick`] requests.
     pub fn start(parameters: Parameters, now_ms: f64, actions: &mut dyn Actions) -> Server {
         let mut server = Server::new(parameters, now_ms);
         server.limiter.next_pin_ms = now_ms + server.draw_pin_interval_ms();
         server.report.credit = server.max_concurrency();
-        // Health checks get the recorded answer: real ones cost cores and calls when both are short.
+        // Health checks get the recorded answer: real ones would cost core time and calls when both are scarce.
         actions.set_health(true, true);
         actions.schedule_tick(now_ms + TICK_MS);
         server
     }
 
-    /// When the runtime started and whether it begins with a slow start: the runtime reports it after the first
-    /// requests, or another runtime has replaced the one before.
+    /// Sets when the runtime started and whether it begins with a slow start. The runtime may report this only after
+    /// the first requests, or a new runtime may have replaced the previous one.
     pub fn runtime_started(&mut self, slow_start: bool, started_ms: f64) {
         self.parameters.slow_start = slow_start;
         self.runtime_started_ms = started_ms;
     }
 
-    /// The regular check of everything that depends on time.
+    /// Updates everything that depends on time: the limit and the reports to callers, and which tasks are given up or
+    /// start.
     pub fn tick(&mut self, now_ms: f64, gauges: Gauges, actions: &mut dyn Actions) {
         actions.schedule_tick(now_ms + TICK_MS);
         self.advance_time(now_ms);
--- a/crates/asterdale/src/snapshot.rs
+++ b/crates/asterdale/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! The complete state of a server as bytes and back, for a hot restart on the same machine.
 //!
-//! Snapshots are MessagePack maps by field name, so that a release with more fields can be read by one with fewer.
-//! What is read is checked before any decision uses it.
+//! Snapshots are MessagePack maps by field name, so that a release with fewer fields can read those of one with more.
+//! A decoded snapshot is checked before any decision uses it.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,29 +11,30 @@
 #[cfg(test)]
 mod tests;
 
-/// Raised when a field changes its meaning, or a new one has no safe default: then snapshots can't be exchanged.
+/// The version of the snapshot format. It is raised when a field changes its meaning or a new one has no safe default;
+/// snapshots can't be exchanged between different versions.
 pub const FORMAT_VERSION: u32 = 1;
-/// The largest snapshot that is read, in bytes: some 100,000 tasks.
+/// The size limit of a snapshot that is read: some 100,000 tasks.
 const MAX_SNAPSHOT_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why bytes are not a snapshot.
+/// Why bytes are not a valid snapshot.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidSnapshot {
-    /// There are more bytes than any snapshot has.
+    /// There are more bytes than a snapshot may have.
     #[error("reading a snapshot: {bytes} bytes are over the limit of {MAX_SNAPSHOT_BYTES}")]
     TooLarge {
-        /// Their number.
+        /// The number of bytes.
         bytes: usize,
     },
-    /// They are not the expected maps.
+    /// The bytes don't decode to the expected maps.
     #[error("decoding a snapshot")]
     Undecodable(#[from] rmp_serde::decode::Error),
-    /// They were decoded, and this part doesn't fit the others.
+    /// The bytes were decoded, but this part contradicts the others.
     #[error("checking a snapshot: {0} are inconsistent")]
     Inconsistent(&'static str),
 }
 
-/// The figures that tell a server that continues from one that starts anew.
+/// Key figures of a server, which differ between a restored server and one that has just started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// The concurrency limit.
@@ -43,7 +44,7 @@
     pub base_latencies: Vec<f64>,
     /// How many calls to the dependency may be in flight.
     pub call_window: f64,
-    /// The median of recent ratios of run time over base latency.
+    /// The median of recent ratios of run time to base latency.
     #[serde(rename = "pace")]
     pub median_ratio: f64,
     /// Tasks that have not been released.
@@ -53,14 +54,14 @@
 impl Server {
     /// The state as bytes.
     pub fn snapshot(&self) -> Vec<u8> {
-        // Only maps, lists and numbers are written, and into memory: that can't fail.
+        // Encoding can't fail: only maps, lists and numbers are written, and they are written to memory.
         rmp_serde::to_vec_named(self).unwrap_or_default()
     }
 
-    /// The server whose snapshot these bytes are. Its host calls [`Server::tick`] soon, as if it had been scheduled.
+    /// Decodes and checks a snapshot. The host then calls [`Server::tick`] soon, as if it had been scheduled.
     ///
     /// # Errors
-    /// The bytes are too many, can't be decoded, or don't fit together.
+    /// There are too many bytes, they can't be decoded, or the decoded parts contradict each other.
     pub fn restore(bytes: &[u8]) -> Result<Server, InvalidSnapshot> {
         if bytes.len() > MAX_SNAPSHOT_BYTES {
             let bytes = bytes.len();
@@ -71,7 +72,7 @@
         Ok(server)
     }
 
-    /// Its main figures.
+    /// The key figures of this server.
     pub fn summary(&self) -> Summary {
         Summary {
             limit: self.limiter.limit,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Checks that all indices are in range and that counts are those of the tasks: decisions rely on it.
+    /// Checks that all indices are in range and that counts match the tasks, as decisions rely on both.
     fn check(&self) -> Result<(), InvalidSnapshot> {
         let classes = &self.classes;
         let same_classes = classes.len() == self.parameters.classes.len();
@@ -111,7 +112,7 @@
         self.check_tasks()
     }
 
-    /// Checks that each slot is either active or free, once.
+    /// Checks that each slot is listed exactly once, as active or as free.
     fn check_slots(&self) -> Result<(), InvalidSnapshot> {
         let slots = self.tasks.len();
         let sum = self.active.len() + self.free_slots.len();
--- a/crates/asterdale/src/state/limiter.rs
+++ b/crates/asterdale/src/state/limiter.rs
@@ -2,15 +2,16 @@
 
 use crate::measure::Histogram;
 
-/// Time between two updates of the limit and of what is reported, as in the limiter's design.
+/// Time between two updates of the limit and of the capacity report, as in the original design of the limiter.
 pub(crate) const UPDATE_INTERVAL_MS: f64 = 500.0;
-/// Windows of latencies that are retained: 4 s are several times as long as a run, enough samples for a p95.
+/// The number of latency windows that are retained. Their 4 s are several times the duration of a run, which gives
+/// enough samples for a p95.
 pub(crate) const LATENCY_WINDOWS: usize = 8;
 
-/// What `policy::limiter` records.
+/// State of `policy::limiter`.
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct LimiterState {
-    /// Runs, and tasks queued to choose from, that the server takes at once.
+    /// The concurrency limit: running tasks and the queued ones from which the next run is chosen.
     pub limit: f64,
     #[cfg_attr(feature = "snapshot", serde(rename = "next_update"))]
     pub next_update_ms: f64,
@@ -20,26 +21,26 @@
     pub pinned_since_ms: f64,
     #[cfg_attr(feature = "snapshot", serde(rename = "next_pin"))]
     pub next_pin_ms: f64,
-    /// No core was idle at the last tick.
+    /// The cores were full at the last tick, by the rules of `policy::saturation`.
     pub cores_full: bool,
-    /// Ratios of run time over base latency, a histogram for each of the last windows.
+    /// Ratios of run time to base latency, one histogram for each of the last windows.
     #[cfg_attr(feature = "snapshot", serde(rename = "windows"))]
     pub ratio_windows: Vec<Histogram>,
     #[cfg_attr(feature = "snapshot", serde(rename = "window"))]
     pub current_window: usize,
-    /// The most tasks that were queued and running at once, in this window and in the one before.
+    /// The highest number of queued and running tasks together, in this window and in the one before.
     #[cfg_attr(feature = "snapshot", serde(rename = "busiest"))]
     pub peak_concurrency: [f64; 2],
     /// The median of recent ratios; 0 while there are none.
     #[cfg_attr(feature = "snapshot", serde(rename = "pace"))]
     pub median_ratio: f64,
-    /// Mean time that recent requests lay unread.
+    /// Mean time for which recent requests were readable and not yet read.
     #[cfg_attr(feature = "snapshot", serde(rename = "unread"))]
     pub unread_ms: f64,
     /// The lowest such mean; infinite before the first request.
     #[cfg_attr(feature = "snapshot", serde(rename = "unread_best"))]
     pub min_unread_ms: f64,
-    /// Mean time of recent runs.
+    /// Mean run time of recent runs.
     #[cfg_attr(feature = "snapshot", serde(rename = "run_ms"))]
     pub mean_run_ms: f64,
 }
--- a/crates/asterdale/src/state/mod.rs
+++ b/crates/asterdale/src/state/mod.rs
@@ -1,7 +1,7 @@
 //! The state of one server, grouped by the policy that owns it. Plain data: decisions are in `policy`.
 //!
 //! The groups are stored as one flat map in the order of declaration (`serde(flatten)`), under the names that earlier
-//! releases wrote. A field that is moved or renamed here must keep both.
+//! releases wrote. A field that is moved or renamed here must keep its stored position and its stored name.
 
 mod dependency;
 mod limiter;
@@ -25,7 +25,7 @@
 )]
 pub(crate) struct DrainNotice {
     pub given_ms: f64,
-    /// Everything must be answered by then.
+    /// The time by which all tasks must be answered.
     pub deadline_ms: f64,
 }
 
@@ -44,25 +44,25 @@
     }
 }
 
-/// How much core time one run could have had so far (`policy::saturation`).
+/// The core time that was available to one run so far (`policy::saturation`).
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct CoreClock {
-    /// Core time of a run that had wanted a core since the start.
+    /// Core time that a run would have received that was ready for a core since the start.
     #[cfg_attr(feature = "snapshot", serde(rename = "core_time"))]
     pub core_time_ms: f64,
     #[cfg_attr(feature = "snapshot", serde(rename = "last_look"))]
     pub last_tick_ms: f64,
 }
 
-/// State of what is reported to callers (`policy::capacity_report`).
+/// State of the report to callers (`policy::capacity_report`).
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct CapacityReport {
-    /// Tasks that each caller should have here.
+    /// The number of tasks that each caller should have in flight here.
     pub credit: f64,
-    /// Recent tasks by caller; older ones fade by a tenth an update.
+    /// Recent tasks by caller, as a count that decays by a tenth at each update.
     #[cfg_attr(feature = "snapshot", serde(rename = "callers"))]
     pub tasks_by_caller: Vec<f64>,
-    /// The part of recent tasks whose caller had sent another one not long before.
+    /// The fraction of recent tasks whose caller had sent another one shortly before.
     #[cfg_attr(feature = "snapshot", serde(rename = "again"))]
     pub returning_share: f64,
     /// The CPU gauge as last read.
@@ -81,7 +81,7 @@
     pub since_update: u32,
 }
 
-/// The decisions of one server.
+/// The state of one server; its decisions are methods.
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub struct Server {
     #[cfg_attr(feature = "snapshot", serde(rename = "told"))]
@@ -109,15 +109,15 @@
     /// How many tasks are in each state.
     #[cfg_attr(feature = "snapshot", serde(rename = "count"))]
     pub(crate) tasks_by_state: [usize; TASK_STATES],
-    /// Memory of all tasks and idempotency entries.
+    /// Memory used by all tasks and idempotency entries.
     #[cfg_attr(feature = "snapshot", serde(rename = "memory"))]
     pub(crate) memory_kb: f64,
-    /// Retained idempotency keys, by when they expire.
+    /// The number of retained idempotency keys, by the time at which they expire.
     #[cfg_attr(feature = "snapshot", serde(rename = "entries"))]
     pub(crate) idempotency_entries: TimeBuckets,
     #[cfg_attr(feature = "snapshot", serde(flatten))]
     pub(crate) dependency: DependencyState,
-    /// Up to when state that depends on time is current.
+    /// The time to which all state that depends on time has been advanced.
     #[cfg_attr(feature = "snapshot", serde(rename = "last_beat"))]
     pub(crate) last_event_ms: f64,
     #[cfg_attr(feature = "snapshot", serde(flatten))]
@@ -126,13 +126,15 @@
     pub(crate) report: CapacityReport,
     #[cfg_attr(feature = "snapshot", serde(flatten))]
     pub(crate) rejections: RejectionState,
-    /// From a view of the fleet, where there is one. It is another process's view, so it is not passed on.
+    /// Counts from a view of the fleet, where there is one. They are not part of a snapshot, as the view is that of the
+    /// process that writes it.
     #[cfg_attr(feature = "snapshot", serde(skip))]
     pub(crate) peers: Option<PeerCounts>,
 }
 
 impl Server {
-    /// A server without tasks, before its first decision. Without tenants all tasks count for one without a quota.
+    /// A server without tasks, before its first decision. If there are no tenants, all tasks belong to one without a
+    /// quota.
     pub(crate) fn new(parameters: Parameters, now_ms: f64) -> Server {
         let classes = parameters.classes.iter().map(ClassState::new).collect();
         let mut tenants: Vec<TenantState> = parameters
@@ -160,7 +162,7 @@
             limiter: LimiterState::new(parameters.cores, now_ms),
             tasks_by_state: [0; TASK_STATES],
             memory_kb: 0.0,
-            // A tenth longer than the longest retry window, as an entry expires with the end of its bucket.
+            // A tenth longer than the longest retry window, as an entry expires only at the end of its bucket.
             idempotency_entries: TimeBuckets::new(1.1 * longest_retry_window_ms, 64, now_ms),
             dependency: DependencyState::new(&parameters, now_ms),
             last_event_ms: now_ms,
--- a/crates/asterdale/src/state/rows.rs
+++ b/crates/asterdale/src/state/rows.rs
@@ -4,10 +4,10 @@
 use crate::measure::{Histogram, TimeBuckets};
 use crate::parameters::{ClassParameters, TenantParameters};
 
-/// What "recent" means for arrivals and rejections: the span of all latency windows.
+/// The time over which recent arrivals and rejections are counted: the span of all latency windows.
 pub(crate) const RECENT_MS: f64 = LATENCY_WINDOWS as f64 * UPDATE_INTERVAL_MS;
 
-/// Counts events of the last [`RECENT_MS`].
+/// A counter of the events of the last [`RECENT_MS`].
 pub(crate) fn recent_events(now_ms: f64) -> TimeBuckets {
     TimeBuckets::new(RECENT_MS, LATENCY_WINDOWS, now_ms)
 }
@@ -17,10 +17,10 @@
 pub(crate) struct ClassState {
     #[cfg_attr(feature = "snapshot", serde(rename = "facts"))]
     pub parameters: ClassParameters,
-    /// Core time of runs that were uncontended or pinned, per unit of hinted work.
+    /// Core time of runs that were uncontended or began during a pin, per unit of hinted work.
     #[cfg_attr(feature = "snapshot", serde(rename = "calm"))]
     pub uncontended_runs: Histogram,
-    /// The p95 of these; 0 until there are enough.
+    /// The p95 of `uncontended_runs`; 0 until there are enough samples.
     #[cfg_attr(feature = "snapshot", serde(rename = "base"))]
     pub base_latency: f64,
 }
--- a/crates/asterdale/src/task.rs
+++ b/crates/asterdale/src/task.rs
@@ -1,8 +1,8 @@
-//! One task: a request from its arrival until it is released, and the handle that names it.
+//! One task, which is a request from its arrival until its release, and the handle that identifies it.
 
 use crate::events::Arrival;
 
-/// Names a task, from `Server::receive` until `Actions::release`.
+/// Identifies a task, from `Server::receive` until `Actions::release`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub struct Handle(pub(crate) u32);
@@ -25,19 +25,19 @@
     Queued,
     /// Waits for the result of the earlier attempt that it repeats.
     Joined,
-    /// Started; wants a core.
+    /// Started; on a core or ready for one.
     Running,
-    /// Started; waits until its call to the dependency may go out.
+    /// Started; its call to the dependency is queued.
     #[cfg_attr(feature = "snapshot", serde(rename = "Parked"))]
     CallQueued,
     /// Started; its call to the dependency is in flight.
     Calling,
 }
 
-/// How many values [`TaskState`] has.
+/// The number of variants of [`TaskState`].
 pub(crate) const TASK_STATES: usize = 6;
 
-/// What is recorded of one task. Times are in milliseconds on the server's clock.
+/// The state of one task. Times are in milliseconds on the server's clock.
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct Task {
@@ -47,41 +47,41 @@
     /// When its first byte could have been read.
     #[cfg_attr(feature = "snapshot", serde(rename = "arrived"))]
     pub arrived_ms: f64,
-    /// It must have its final answer by then.
+    /// The time by which it must have its final answer.
     #[cfg_attr(feature = "snapshot", serde(rename = "due"))]
     pub deadline_ms: f64,
-    /// Its answer earns the full weight until then.
+    /// The latency objective as a time: an answer after it counts with less than the full weight.
     #[cfg_attr(feature = "snapshot", serde(rename = "aim"))]
     pub objective_ms: f64,
-    /// The final answer is out, or its caller is gone.
+    /// The final answer has been sent, or its caller no longer waits for one.
     pub answered: bool,
-    /// It, or an earlier attempt of it, may have been started: "never ran" can't be promised.
+    /// It or an earlier attempt may have been started, so it can't be answered as "never ran".
     #[cfg_attr(feature = "snapshot", serde(rename = "ran"))]
     pub may_have_run: bool,
-    /// Never more runs than cores beside it.
+    /// There were never more runs than cores while it ran.
     #[cfg_attr(feature = "snapshot", serde(rename = "calm"))]
     pub uncontended: bool,
     #[cfg_attr(feature = "snapshot", serde(rename = "started"))]
     pub started_ms: f64,
-    /// Total time in calls so far, which is not run time.
+    /// Total time spent in calls so far, which doesn't count as run time.
     #[cfg_attr(feature = "snapshot", serde(rename = "waited"))]
     pub call_wait_ms: f64,
-    /// Core time it got until its last call, by [`CoreClock::core_time_ms`](crate::state::CoreClock).
+    /// Core time that it had received up to its last call, by [`CoreClock::core_time_ms`](crate::state::CoreClock).
     #[cfg_attr(feature = "snapshot", serde(rename = "had"))]
     pub used_core_ms: f64,
-    /// The core clock when it last started to want a core.
+    /// The core clock at the start of the run, or at its continuation after the last call.
     #[cfg_attr(feature = "snapshot", serde(rename = "mark"))]
     pub resumed_at_core_ms: f64,
-    /// When it came to need its present call.
+    /// When the run last needed a call.
     #[cfg_attr(feature = "snapshot", serde(rename = "since"))]
     pub call_needed_ms: f64,
-    /// When its call has ended at the dependency for sure.
+    /// The latest time at which its call can still be in progress at the dependency.
     #[cfg_attr(feature = "snapshot", serde(rename = "until"))]
     pub call_ends_ms: f64,
     /// A failed call is not retried before this.
     #[cfg_attr(feature = "snapshot", serde(rename = "not_before"))]
     pub retry_not_before_ms: f64,
-    /// Failed attempts of its present call.
+    /// Failed attempts of its current call.
     #[cfg_attr(feature = "snapshot", serde(rename = "tries"))]
     pub failed_calls: u32,
     /// The time bucket in which its idempotency entry expires.
@@ -118,7 +118,7 @@
         now_ms - self.started_ms - self.call_wait_ms
     }
 
-    /// Until when its answer earns something.
+    /// The time after which its answer has no value. `late_earns` says whether an answer after the objective has any.
     pub fn useful_until_ms(&self, late_earns: bool) -> f64 {
         if late_earns {
             self.deadline_ms
--- a/crates/asterdale/src/task_table.rs
+++ b/crates/asterdale/src/task_table.rs
@@ -1,4 +1,4 @@
-//! The table of tasks: slots, states, and the counts and memory that follow from them.
+//! The table of tasks: slots, states, and the counts and memory use that are derived from them.
 
 use crate::actions::Actions;
 use crate::state::{ClassState, Server};
@@ -14,7 +14,7 @@
         &self.classes[task.arrival.class]
     }
 
-    /// Puts a task that is not counted anywhere yet into a slot.
+    /// Puts a new task into a slot; `set_state` then counts it.
     pub(crate) fn insert(&mut self, task: Task) -> Handle {
         let next = Handle(self.tasks.len() as u32);
         let handle = self.free_slots.pop().unwrap_or(next);
@@ -26,7 +26,7 @@
         handle
     }
 
-    /// Moves a task to another state, with the counts and the memory.
+    /// Moves a task to another state and updates the counts and the memory use.
     pub(crate) fn set_state(&mut self, handle: Handle, state: TaskState) {
         let task = &mut self.tasks[handle.index()];
         let factor = self.parameters.running_memory_factor;
@@ -45,7 +45,7 @@
         task.state = state;
     }
 
-    /// Frees the slot of a task that is over.
+    /// Frees the slot of a task that has ended.
     pub(crate) fn release(&mut self, handle: Handle, actions: &mut dyn Actions) {
         self.set_state(handle, TaskState::Free);
         self.active.retain(|&other| other != handle);
