--- a/crates/asterdale-parameters/tests/from_json.rs
+++ b/crates/asterdale-parameters/tests/from_json.rs
@@ -1,4 +1,4 @@
-//! Which keys are read, and what absent and unknown ones mean.
+//! Which keys are read, and how absent and unknown keys and values are treated.
 
 use asterdale::parameters::{CapacityHint, Dependency, Idempotency, Preemption};
 use asterdale_parameters::read;
--- a/crates/asterdale/src/policy/tests/admission.rs
+++ b/crates/asterdale/src/policy/tests/admission.rs
@@ -67,7 +67,7 @@
                 ..Gauges::default()
             },
             &mut log,
-        ); // a sixth of 2 s is 333 ms
+        ); // a sixth of the objective of 2 s is 333 ms
         assert_eq!(log.count("reject"), rejected, "{cores} cores");
     }
 }
@@ -189,7 +189,7 @@
     assert_eq!(
         (log.count("start"), log.count("call"), log.count("skip")),
         (1, 0, 1)
-    ); // a quota of zero allows no call
+    ); // with a quota of zero no call starts
     task.run_ended(&mut server, 2_100.0, Outcome::Ok, &mut log);
     server.receive(2_200.0, arrival(0), &mut log);
     assert_eq!((log.count("start"), log.count("idle_timeout")), (2, 0)); // it still starts runs
--- a/crates/asterdale/src/policy/tests/calls.rs
+++ b/crates/asterdale/src/policy/tests/calls.rs
@@ -56,7 +56,7 @@
     (server.dependency.mean_call_ms, server.dependency.credit_ms) = (45.0, -1.0);
     (0..20).for_each(|_| put_task(&mut server, TaskState::CallQueued, 0));
     server.start_queued_calls(0.0, &mut log);
-    // Each turn takes 200 ms: ten calls fit before the objective at 2,000 ms, the other tasks skip theirs.
+    // Calls start 200 ms apart: ten of them fit before the objective at 2,000 ms, the other tasks skip theirs.
     assert_eq!((log.count("call"), log.count("skip")), (0, 10));
 }
 
@@ -90,6 +90,6 @@
         .skip(2)
         .for_each(|task| task.objective_ms = 1_500.0);
     server.start_queued_calls(1_000.0, &mut log);
-    // Task 2 has time for its call, task 3 has not; task 1 is past its objective and earns nothing any more.
+    // Task 2 has time for its call, task 3 has not; task 1 is past its objective, so its answer has no value.
     assert_eq!(log.0, ["call 2", "fail 1", "skip 3"]);
 }
--- a/crates/asterdale/src/policy/tests/capacity_report.rs
+++ b/crates/asterdale/src/policy/tests/capacity_report.rs
@@ -34,7 +34,7 @@
     server.report.cpu = 0.1;
     server.report_capacity(&mut log);
     assert!(server.report.returning_share > 0.5 && server.report.idle_timeout_ms == 30_000.0);
-    // doubled, as callers return
+    // the timeout is doubled, as callers return
 }
 
 #[test]
--- a/crates/asterdale/src/policy/tests/limiter.rs
+++ b/crates/asterdale/src/policy/tests/limiter.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn with_full_cores_the_limit_follows_the_clamped_gradient_plus_headroom() {
-    // Half of the limit runs; beside the complete limit runs would take twice as long.
+    // Half of the limit runs; with all of it running, runs would take twice as long.
     for (ratio, gradient) in [(1.0, 1.0f64), (50.0, 0.5), (1.333, 0.75)] {
         let mut server = started(parameters());
         server.classes[0].base_latency = 10.0;
@@ -157,7 +157,7 @@
     );
     server.limiter.unread_ms = 50.0;
     assert!((server.max_running() - 4.8).abs() < 1e-9);
-    server.limiter.mean_run_ms = 100.0; // requests unread for half a run are no backlog
+    server.limiter.mean_run_ms = 100.0; // requests that are unread for half a run are no backlog
     assert_eq!(server.max_running(), 6.0);
     server.limiter.unread_ms = 5_000.0;
     assert_eq!(server.max_running(), 3.0);
--- a/crates/asterdale/src/policy/tests/mod.rs
+++ b/crates/asterdale/src/policy/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, a file a policy.
+//! Tests of the decisions, one file per policy.
 
 mod admission;
 mod calls;
--- a/crates/asterdale/src/policy/tests/queue.rs
+++ b/crates/asterdale/src/policy/tests/queue.rs
@@ -31,6 +31,6 @@
 fn requests_beyond_the_quota_count_little() {
     let mut server = started(parameters());
     server.tenants = vec![tenant_with_quota(100.0)];
-    server.tenants[0].recent_arrivals.add(40.0); // 10 a second; its quota here is 100 / 20 servers
+    server.tenants[0].recent_arrivals.add(40.0); // 10 per second; the quota on this server is 100 / 20 servers
     assert!((server.quota_factor(&server.tenants[0]) - 0.55).abs() < 1e-9);
 }
--- a/crates/asterdale/src/policy/tests/rejection.rs
+++ b/crates/asterdale/src/policy/tests/rejection.rs
@@ -28,7 +28,7 @@
         tenants: vec![crate::parameters::TenantParameters { quota_per_s: 100.0 }],
         ..parameters()
     });
-    // 10 a second came here. The quota is 100 / 20 servers; with ten servers it is 10.
+    // 10 requests per second arrived here. The quota is 100 / 20 servers; with ten servers it is 10.
     server.tenants[0].recent_arrivals.add(40.0);
     assert!(server.quota_factor(&server.tenants[0]) < 1.0);
     server.set_peers(Some(PeerCounts {
@@ -43,13 +43,13 @@
         ready: 0.0,
     }));
     assert!(server.retry_advice().last_attempt);
-    // Without other servers there is nobody to move work to.
+    // Without other servers no work can be moved.
     server.set_peers(Some(PeerCounts {
         present: 0.0,
         ready: 0.0,
     }));
     assert!(server.retry_advice().last_attempt && server.retry_advice().retry_after_ms <= TICK_MS);
-    // Without a view the count of servers is that of the start.
+    // Without a view of the fleet the number of servers is that at the start.
     server.set_peers(None);
     assert!(!server.retry_advice().last_attempt && server.quota_factor(&server.tenants[0]) < 1.0);
 }
--- a/crates/asterdale/src/policy/tests/support.rs
+++ b/crates/asterdale/src/policy/tests/support.rs
@@ -80,7 +80,7 @@
     TenantState::new(&TenantParameters { quota_per_s }, 0.0)
 }
 
-/// A task in this state since time 0, as if it had been received.
+/// Inserts a task that has been in this state since time 0, as if it had been received.
 pub(super) fn put_task(server: &mut Server, state: TaskState, class: usize) {
     let mut task = Task::new(arrival(class), 0.0);
     (task.deadline_ms, task.objective_ms) = (10_000.0, 2_000.0);
@@ -89,13 +89,13 @@
     server.set_state(handle, state);
 }
 
-/// Adds samples of this ratio to the present window.
+/// Adds samples of this ratio to the current window.
 pub(super) fn add_ratios(server: &mut Server, ratio: f64, samples: usize) {
     let limiter = &mut server.limiter;
     (0..samples).for_each(|_| limiter.ratio_windows[limiter.current_window].add(ratio));
 }
 
-/// Records actions by name and task. (The log of the snapshot's tests records all arguments, to compare two servers.)
+/// Records actions by name and task. The log of the snapshot tests records all arguments, to compare two servers.
 #[derive(Default)]
 pub(super) struct Log(pub Vec<String>);
 
--- a/crates/asterdale/src/snapshot/tests.rs
+++ b/crates/asterdale/src/snapshot/tests.rs
@@ -7,7 +7,7 @@
 use crate::parameters::*;
 use crate::task::Handle;
 
-/// Records all actions with their arguments, and knows which tasks are open.
+/// Records all actions with their arguments, and which tasks are open and running.
 #[derive(Clone, Default)]
 struct Log {
     actions: Vec<String>,
@@ -125,7 +125,7 @@
     }
 }
 
-/// Plays one event; its kind and its values follow from the drawn numbers.
+/// Applies one event, whose kind and values are derived from random numbers.
 fn play(server: &mut Server, log: &mut Log, now_ms: f64, (kind, n): (u8, usize)) {
     let pick = |from: &[Handle]| from.get(n % from.len().max(1)).copied();
     match kind {
@@ -175,9 +175,9 @@
 }
 
 proptest! {
-    // The same cases each time: a run that fails can be run restored.
+    // The seed is fixed, so that a failing case can be repeated.
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
-    /// A restored server decides like the one that continues, to the last digit.
+    /// A restored server makes exactly the same decisions as the server that wrote the snapshot.
     #[test]
     fn restored_server_decides_like_the_original(
         events in prop::collection::vec((0u8..16, 0usize..10_000, 0.0f64..40.0), 20..300),
--- a/crates/asterdale/tests/stored_snapshot.rs
+++ b/crates/asterdale/tests/stored_snapshot.rs
@@ -1,6 +1,6 @@
-//! A snapshot that an earlier release wrote is restored, and is written again byte for byte. Structures of this file read
-//! its fields too, so that a change of a stored name or value is noticed even where reading and writing change together.
-//! `fixtures/snapshot/README.md` says how the snapshot was made.
+//! A snapshot that an earlier release wrote is restored, and is written again byte for byte. The structs of this file
+//! read its fields too, so that a change of a stored name or value is detected even if reading and writing change
+//! together. `fixtures/snapshot/README.md` describes how the snapshot was made.
 #![cfg(feature = "snapshot")]
 
 use asterdale::snapshot::{Summary, FORMAT_VERSION};
@@ -325,7 +325,7 @@
     assert!(server.tasks[13].arrival.is_repeat);
 }
 
-/// The snapshot above has one variant of each enum; settings may have any of them.
+/// The stored snapshot has one variant of each enum; settings may have any of them.
 #[test]
 fn every_stored_variant_name_is_read() {
     fn reads<T: serde::de::DeserializeOwned + PartialEq + std::fmt::Debug>(choices: &[(&str, T)]) {
