--- a/crates/asterdale/src/events.rs
+++ b/crates/asterdale/src/events.rs
@@ -11,7 +11,7 @@
     /// counts as the last tenant.
     #[cfg_attr(feature = "snapshot", serde(rename = "customer"))]
     pub tenant: usize,
-    /// The caller that sent it, as a small number: counts are kept in a list by this index.
+    /// The caller that sent it, as a small number, since counts are kept in a list by this index.
     pub caller: usize,
     /// Time from when its first byte could have been read until it was read, in milliseconds.
     pub unread_ms: f64,
--- a/crates/asterdale/src/policy/admission.rs
+++ b/crates/asterdale/src/policy/admission.rs
@@ -134,8 +134,8 @@
             && now_ms >= task.objective_ms
             && self.class(task).parameters.late_weight_share <= 0.0;
         // The queue wait is limited to a sixth of the time to the objective, plus half of the mean time until a core
-        // becomes free. A limit by the deadline let classes with long deadlines fill the queue; with all of the time
-        // until a core becomes free, tasks were rejected too late on servers with many cores.
+        // becomes free. A limit by the deadline would let classes with long deadlines fill the queue; with all of the
+        // time until a core becomes free, tasks would be rejected too late on servers with many cores.
         let max_wait_ms = (task.objective_ms - task.arrived_ms) / 6.0
             + 0.5 * self.limiter.mean_run_ms / self.parameters.cores;
         match task.state {
--- a/crates/asterdale/src/policy/calls.rs
+++ b/crates/asterdale/src/policy/calls.rs
@@ -205,7 +205,7 @@
             server.dependency.lingering_until_ms.push(until_ms);
         }
         if !task.answered && matches!(outcome, Outcome::Cancelled | Outcome::Stale) {
-            // A task that a decision aborts is answered before; this one was aborted by the runtime.
+            // Tasks that are aborted by a decision are answered before the abort; this one was aborted by the runtime.
             actions.fail(self);
         }
         server.release(self, actions);
--- a/crates/asterdale/src/policy/capacity_report.rs
+++ b/crates/asterdale/src/policy/capacity_report.rs
@@ -1,4 +1,4 @@
-//! What is set for callers at each update: the capacity hint, and the idle timeout of their connections.
+//! What callers get at each update: the capacity hint, and the idle timeout of their connections.
 
 use crate::actions::Actions;
 use crate::parameters::CapacityHint;
--- a/crates/asterdale/src/policy/dependency.rs
+++ b/crates/asterdale/src/policy/dependency.rs
@@ -84,8 +84,8 @@
         if self.calls_are_slow() {
             self.cut_call_window(now_ms);
         } else if self.calls_in_flight() >= self.dependency.window.floor() {
-            // Only a window that is completely in use is known to be safe. One that grew unused would be filled at once
-            // when calls slow down.
+            // The window grows only while it is completely in use, and so tested. One that grew unused would be filled
+            // at once when calls slow down.
             let grown = self.dependency.window + 1.0 / self.dependency.window;
             self.dependency.window = grown.min(self.max_concurrency());
         }
@@ -102,7 +102,8 @@
             dependency.lingering_until_ms.push(until_ms);
         }
         dependency.failure_share += FAILURE_WEIGHT * (1.0 - dependency.failure_share);
-        // One server of a tier may fail alone, and one bad reply is no sign of overload. That most calls fail is one.
+        // One server of a tier may fail alone, and one bad reply is no sign of overload, but the failure of most calls
+        // is.
         let shed = self.parameters.dependency == Dependency::Shared && outcome == Outcome::Rejected;
         if shed || self.dependency.failure_share > 0.5 {
             self.cut_call_window(now_ms);
@@ -118,9 +119,9 @@
             && dependency.mean_call_ms > SLOW_FACTOR * dependency.call_durations.quantile(0.5)
     }
 
-    /// Cuts the window, only once in the mean duration of a call, so that one fault causes one cut and not one for each
-    /// failed call. The window never falls below the number of cores, or below a fifth of the quota of a shared
-    /// dependency.
+    /// Cuts the window, at most once within the mean duration of a call, so that one fault causes one cut and not one
+    /// for each failed call. The window never falls below the number of cores, or for a shared dependency below a fifth
+    /// of the quota.
     pub(super) fn cut_call_window(&mut self, now_ms: f64) {
         let dependency = &mut self.dependency;
         if now_ms - dependency.last_cut_ms > dependency.mean_call_ms {
--- a/crates/asterdale/src/policy/limiter.rs
+++ b/crates/asterdale/src/policy/limiter.rs
@@ -172,7 +172,7 @@
             let ratio = run_ms / self.base_latency(task);
             self.limiter.ratio_windows[self.limiter.current_window].add(ratio);
         }
-        // Run times in a slow start are scaled by the guaranteed speed; unscaled they would raise the base latency for
+        // Core times of a slow start are scaled by the guaranteed speed; unscaled they would raise the base latency for
         // minutes.
         let core_ms = task.used_core_ms + self.core_clock.core_time_ms - task.resumed_at_core_ms;
         let unit = core_ms * self.guaranteed_speed(now_ms)
--- a/crates/asterdale/src/task.rs
+++ b/crates/asterdale/src/task.rs
@@ -118,7 +118,7 @@
         now_ms - self.started_ms - self.call_wait_ms
     }
 
-    /// The time after which its answer has no value. `late_earns` says whether an answer after the objective has any.
+    /// The time after which its answer has no value: the deadline if a late answer has one, else the objective.
     pub fn useful_until_ms(&self, late_earns: bool) -> f64 {
         if late_earns {
             self.deadline_ms
