--- a/crates/asterdale/src/policy/queue.rs
+++ b/crates/asterdale/src/policy/queue.rs
@@ -5,8 +5,8 @@
 
 impl Server {
     /// The factor on the weight of a tenant's tasks, 1 within its quota. Each server gets an equal part of the quota.
-    /// Requests beyond it count with `over_quota_weight_share`; as a single task can't be told to be beyond the quota,
-    /// all of them get the mean factor.
+    /// Requests beyond it count with `over_quota_weight_share`; as it isn't known which of the tasks are beyond the
+    /// quota, all of them get the mean factor.
     pub(super) fn quota_factor(&self, tenant: &TenantState) -> f64 {
         let rate_per_s = tenant.recent_arrivals.total() / (RECENT_MS / 1000.0);
         let quota_per_s = tenant.parameters.quota_per_s / self.server_count().max(1.0);
