--- a/crates/asterdale/src/measure.rs
+++ b/crates/asterdale/src/measure.rs
@@ -55,8 +55,8 @@
     }
 
     /// The value below which this fraction of all values lies; 0 without values.
-    pub fn quantile(&self, part: f64) -> f64 {
-        let mut remaining = (self.total as f64 * part).ceil().max(1.0) as u32;
+    pub fn quantile(&self, fraction: f64) -> f64 {
+        let mut remaining = (self.total as f64 * fraction).ceil().max(1.0) as u32;
         for (bucket, &count) in self.counts.iter().enumerate() {
             if count >= remaining {
                 return self.min * ((bucket as f64 + 0.5) * self.log_ratio).exp();
--- a/crates/asterdale/src/policy/admission.rs
+++ b/crates/asterdale/src/policy/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: whether a request is queued, joined or given up, and which queued tasks start.
 
-use super::MEMORY_PART;
+use super::USABLE_MEMORY_FRACTION;
 use crate::actions::Actions;
 use crate::events::Arrival;
 use crate::state::Server;
@@ -59,7 +59,7 @@
             if self.must_wait(&task) {
                 break;
             }
-            if self.cannot_finish(&task, now_ms) {
+            if self.cannot_finish_in_time(&task, now_ms) {
                 self.give_up(handle, actions);
                 continue;
             }
@@ -75,7 +75,7 @@
         let started = running + self.count(TaskState::CallQueued) + self.count(TaskState::Calling);
         let memory_kb =
             self.memory_kb + task.arrival.memory_kb * (self.parameters.running_memory_factor - 1.0);
-        let fits = memory_kb <= MEMORY_PART * self.parameters.memory_kb || started == 0;
+        let fits = memory_kb <= USABLE_MEMORY_FRACTION * self.parameters.memory_kb || started == 0;
         running as f64 >= self.max_running().floor()
             || started as f64 >= self.max_concurrency().floor()
             || !fits
@@ -114,22 +114,22 @@
 
     /// Whether a task would end too late for its answer to have a value. While no task runs, the estimated end is not
     /// considered: a server without any run would never measure the latency ratio again.
-    pub(super) fn cannot_finish(&self, task: &Task, now_ms: f64) -> bool {
+    pub(super) fn cannot_finish_in_time(&self, task: &Task, now_ms: f64) -> bool {
         let parameters = &self.class(task).parameters;
-        let late_earns = parameters.late_weight_share > 0.0 && !self.limiter.cores_full;
-        let last_ms = task.useful_until_ms(late_earns);
+        let late_has_value = parameters.late_weight_share > 0.0 && !self.limiter.cores_full;
+        let latest_end_ms = task.useful_until_ms(late_has_value);
         // A task that needs its call would only waste core time if the call queue is too long for it.
         let mut end_ms = now_ms + self.expected_run_ms(task);
         if parameters.makes_calls && parameters.degraded_weight_share <= 0.0 {
-            end_ms += self.count(TaskState::CallQueued) as f64 * self.call_turn_ms()
+            end_ms += self.count(TaskState::CallQueued) as f64 * self.call_start_interval_ms()
                 + self.dependency.mean_call_ms;
         }
-        now_ms >= last_ms || (end_ms > last_ms && self.count(TaskState::Running) > 0)
+        now_ms >= latest_end_ms || (end_ms > latest_end_ms && self.count(TaskState::Running) > 0)
     }
 
     /// Whether a task that has not ended should be given up before its deadline: its answer would have no value, or it
     /// has been queued for too long.
-    pub(super) fn is_useless(&self, task: &Task, now_ms: f64) -> bool {
+    pub(super) fn should_give_up_early(&self, task: &Task, now_ms: f64) -> bool {
         let without_value = self.limiter.cores_full
             && now_ms >= task.objective_ms
             && self.class(task).parameters.late_weight_share <= 0.0;
@@ -140,7 +140,7 @@
             + 0.5 * self.limiter.mean_run_ms / self.parameters.cores;
         match task.state {
             TaskState::Queued => {
-                self.cannot_finish(task, now_ms)
+                self.cannot_finish_in_time(task, now_ms)
                     || (self.limiter.cores_full && now_ms - task.arrived_ms > max_wait_ms)
             }
             // With full cores, a run without value takes core time from others. With idle cores it continues: a late
--- a/crates/asterdale/src/policy/calls.rs
+++ b/crates/asterdale/src/policy/calls.rs
@@ -29,29 +29,29 @@
         if self.count(TaskState::CallQueued) == 0 {
             return;
         }
-        let mut ahead = 0.0;
+        let mut calls_ahead = 0.0;
         for handle in self.queued_calls(now_ms) {
             let task = self.tasks[handle.index()];
             if task.answered {
                 continue;
             }
             let can_skip = self.can_skip_call(&task);
-            let spare_ms = self.spare_call_ms(&task, now_ms);
-            let wait_ms = ahead * self.call_turn_ms()
+            let budget_ms = self.call_budget_ms(&task, now_ms);
+            let wait_ms = calls_ahead * self.call_start_interval_ms()
                 + (-self.dependency.credit_ms).max(0.0) / self.paced_calls();
-            ahead += 1.0;
-            let too_late = spare_ms < wait_ms + self.dependency.mean_call_ms;
+            calls_ahead += 1.0;
+            let too_late = budget_ms < wait_ms + self.dependency.mean_call_ms;
             if can_skip && (too_late || task.failed_calls > 1) {
                 self.resume_run(handle, now_ms);
                 actions.skip_call(handle);
-            } else if spare_ms <= 0.0 {
+            } else if budget_ms <= 0.0 {
                 // Its answer would have no value, and it would take memory, a place and a call from other tasks.
                 self.give_up(handle, actions);
             } else if now_ms >= task.retry_not_before_ms
                 && self.dependency.credit_ms >= 0.0
-                && self.start_call(handle, spare_ms, now_ms, actions)
+                && self.start_call(handle, budget_ms, now_ms, actions)
             {
-                ahead -= 1.0;
+                calls_ahead -= 1.0;
             }
         }
     }
@@ -79,26 +79,26 @@
     }
 
     /// The time left for the call if the rest of the task, about half a run, is to end in time.
-    fn spare_call_ms(&self, task: &Task, now_ms: f64) -> f64 {
+    fn call_budget_ms(&self, task: &Task, now_ms: f64) -> f64 {
         let late_share = self.class(task).parameters.late_weight_share;
-        let late_earns = late_share > 0.0 && !self.can_skip_call(task);
-        let last_ms = task.useful_until_ms(late_earns);
-        last_ms - (0.5 * self.expected_run_ms(task)).max(2.0 * TICK_MS) - now_ms
+        let late_has_value = late_share > 0.0 && !self.can_skip_call(task);
+        let latest_end_ms = task.useful_until_ms(late_has_value);
+        latest_end_ms - (0.5 * self.expected_run_ms(task)).max(2.0 * TICK_MS) - now_ms
     }
 
     /// Starts a call if there is enough time for it, and returns whether it did.
     fn start_call(
         &mut self,
         handle: Handle,
-        spare_ms: f64,
+        budget_ms: f64,
         now_ms: f64,
         actions: &mut dyn Actions,
     ) -> bool {
         let mean_ms = self.dependency.mean_call_ms;
-        let spare_ms = spare_ms.min((CALL_LIMIT_FACTOR * mean_ms).max(MIN_CALL_LIMIT_MS));
+        let budget_ms = budget_ms.min((CALL_LIMIT_FACTOR * mean_ms).max(MIN_CALL_LIMIT_MS));
         let linger_ms = self.parameters.call_linger_ms;
-        let timeout_ms = spare_ms.min(self.available_call_ms(now_ms) - linger_ms);
-        let fits = timeout_ms >= spare_ms.min(MIN_CALL_FACTOR * mean_ms).max(TICK_MS);
+        let timeout_ms = budget_ms.min(self.available_call_ms(now_ms) - linger_ms);
+        let fits = timeout_ms >= budget_ms.min(MIN_CALL_FACTOR * mean_ms).max(TICK_MS);
         if fits {
             self.set_state(handle, TaskState::Calling);
             self.tasks[handle.index()].call_ends_ms = now_ms + timeout_ms + linger_ms;
--- a/crates/asterdale/src/policy/capacity_report.rs
+++ b/crates/asterdale/src/policy/capacity_report.rs
@@ -12,7 +12,7 @@
 /// 20 s, which is about as long as callers keep connections.
 const RETURNING_THRESHOLD: f64 = 0.01;
 /// The factor by which the count of recent tasks of a caller decays at each update.
-const CALLER_FADE: f64 = 0.9;
+const CALLER_DECAY: f64 = 0.9;
 /// The shortest idle timeout, unless that of the callers is shorter still.
 const MIN_IDLE_TIMEOUT_MS: f64 = 500.0;
 
@@ -40,7 +40,7 @@
         }
         self.rejections.since_update = 0;
         for tasks in &mut self.report.tasks_by_caller {
-            *tasks *= CALLER_FADE;
+            *tasks *= CALLER_DECAY;
         }
         self.update_idle_timeout(actions);
     }
@@ -85,12 +85,12 @@
         };
         // Where few callers return, at most half of the callers' own timeout: a shorter timeout takes effect only from
         // the next use of a connection on.
-        let max_part = if report.returning_share > 0.5 {
+        let max_fraction = if report.returning_share > 0.5 {
             1.0
         } else {
             0.5
         };
-        let max_ms = max_part * self.parameters.idle_timeout_ms;
+        let max_ms = max_fraction * self.parameters.idle_timeout_ms;
         let timeout_ms =
             (factor * report.idle_timeout_ms).clamp(max_ms.min(MIN_IDLE_TIMEOUT_MS), max_ms);
         if timeout_ms != report.idle_timeout_ms {
--- a/crates/asterdale/src/policy/dependency.rs
+++ b/crates/asterdale/src/policy/dependency.rs
@@ -10,17 +10,17 @@
 
 /// Fraction of this server's quota of a shared dependency that calls use on average. 0.3 starves servers in their slow
 /// start, 0.9 overloads the dependency.
-const PACED_PART: f64 = 0.45;
+const PACED_QUOTA_FRACTION: f64 = 0.45;
 /// Fraction of the quota that calls may use at most.
-const MAX_QUOTA_PART: f64 = 0.9;
+const MAX_QUOTA_FRACTION: f64 = 0.9;
 /// Fraction of the quota below which the window is never cut: a dependency becomes slow long before it fails.
-const MIN_QUOTA_PART: f64 = 0.2;
+const MIN_QUOTA_FRACTION: f64 = 0.2;
 /// The factor by which the window is multiplied at a cut.
-const WINDOW_CUT: f64 = 0.7;
+const WINDOW_CUT_FACTOR: f64 = 0.7;
 /// The time over which unused credit for calls accumulates: a tenth of a second.
 const CREDIT_SPAN_MS: f64 = 10.0 * TICK_MS;
 /// Calls that take this many times the usual duration are slow. The limiter allows the same doubling for runs.
-const SLOW_FACTOR: f64 = 2.0;
+const SLOW_CALL_FACTOR: f64 = 2.0;
 /// The minimum number of calls for a median.
 const MIN_SAMPLES: u32 = 20;
 /// The number of calls after which the counts of older ones are halved.
@@ -35,7 +35,7 @@
     /// that a single call can't dominate it.
     fn bounded_ms(&self, took_ms: f64) -> f64 {
         if self.mean_call_ms > 0.0 {
-            took_ms.min(SLOW_FACTOR * self.mean_call_ms)
+            took_ms.min(SLOW_CALL_FACTOR * self.mean_call_ms)
         } else {
             took_ms
         }
@@ -116,7 +116,7 @@
         let dependency = &self.dependency;
         self.parameters.dependency == Dependency::Shared
             && dependency.call_durations.total >= MIN_SAMPLES
-            && dependency.mean_call_ms > SLOW_FACTOR * dependency.call_durations.quantile(0.5)
+            && dependency.mean_call_ms > SLOW_CALL_FACTOR * dependency.call_durations.quantile(0.5)
     }
 
     /// Cuts the window, at most once within the mean duration of a call, so that one fault causes one cut and not one
@@ -127,21 +127,21 @@
         if now_ms - dependency.last_cut_ms > dependency.mean_call_ms {
             dependency.last_cut_ms = now_ms;
             let min = if self.parameters.dependency == Dependency::Shared {
-                (MIN_QUOTA_PART * self.parameters.dependency_quota).max(1.0)
+                (MIN_QUOTA_FRACTION * self.parameters.dependency_quota).max(1.0)
             } else {
                 self.parameters.cores
             };
-            dependency.window = (WINDOW_CUT * dependency.window).max(min);
+            dependency.window = (WINDOW_CUT_FACTOR * dependency.window).max(min);
         }
     }
 
     /// The number of calls in flight that pacing allows on average at a shared dependency, often less than one.
     pub(super) fn paced_calls(&self) -> f64 {
-        (PACED_PART * self.parameters.dependency_quota).max(1e-6)
+        (PACED_QUOTA_FRACTION * self.parameters.dependency_quota).max(1e-6)
     }
 
     /// The mean time between two starts of queued calls.
-    pub(super) fn call_turn_ms(&self) -> f64 {
+    pub(super) fn call_start_interval_ms(&self) -> f64 {
         let paced_calls = if self.parameters.dependency == Dependency::Shared {
             self.paced_calls()
         } else {
@@ -174,7 +174,7 @@
             .map(remaining_ms)
             .chain(lingering.map(|until_ms| until_ms - now_ms))
             .sum();
-        MAX_QUOTA_PART * self.parameters.dependency_quota * self.parameters.dependency_window_ms
+        MAX_QUOTA_FRACTION * self.parameters.dependency_quota * self.parameters.dependency_window_ms
             - self.dependency.spent_ms.total()
             - reserved_ms
     }
--- a/crates/asterdale/src/policy/idempotency.rs
+++ b/crates/asterdale/src/policy/idempotency.rs
@@ -1,6 +1,6 @@
 //! Retention of idempotency keys, and retries that join their earlier attempt.
 
-use super::MEMORY_PART;
+use super::USABLE_MEMORY_FRACTION;
 use crate::actions::Actions;
 use crate::events::Arrival;
 use crate::parameters::{Idempotency, Preemption};
@@ -27,7 +27,7 @@
             Idempotency::Keyed => self.parameters.idempotency_entry_kb,
             _ => 0.0,
         };
-        self.memory_kb + entry_kb > MEMORY_PART * self.parameters.memory_kb
+        self.memory_kb + entry_kb > USABLE_MEMORY_FRACTION * self.parameters.memory_kb
     }
 
     /// Retains the key of a task before it can start, as a retry must be recognised while the task is still queued.
--- a/crates/asterdale/src/policy/limiter.rs
+++ b/crates/asterdale/src/policy/limiter.rs
@@ -17,7 +17,7 @@
 const PINNED_RUNS: u32 = 60;
 /// Fraction of the survivable concurrency that is used. The rest is a margin, as the concurrency is an average and
 /// tasks return from calls between two ticks.
-const SURVIVABLE_PART: f64 = 0.8;
+const SURVIVABLE_FRACTION: f64 = 0.8;
 /// Weight of a new sample in the means of run times and of unread times.
 const MEAN_WEIGHT: f64 = 0.05;
 
@@ -62,7 +62,7 @@
     pub(super) fn max_concurrency(&self) -> f64 {
         let over_cores =
             (self.parameters.overload_factor - 1.0) * self.guaranteed_speed(self.last_event_ms);
-        (SURVIVABLE_PART * self.parameters.cores * (1.0 + over_cores)).max(1.0)
+        (SURVIVABLE_FRACTION * self.parameters.cores * (1.0 + over_cores)).max(1.0)
     }
 
     /// How many tasks of the limit may run. `LATENCY_BUFFER` allows latency to double, so half of it is waiting. With
@@ -77,13 +77,13 @@
         // unread for over half a run and over twice the minimum, fewer tasks may run: down to half, or to less where
         // reading costs under an eighth of a run. Where reading is expensive, half is the minimum, as quick rejections
         // lead to more requests to read.
-        let min_part = (4.0 * limiter.min_unread_ms / limiter.mean_run_ms)
+        let min_fraction = (4.0 * limiter.min_unread_ms / limiter.mean_run_ms)
             .clamp((1.0 / self.parameters.cores).min(0.5), 0.5);
-        let part_for_runs = ((2.0 * limiter.min_unread_ms).max(0.5 * limiter.mean_run_ms)
+        let run_fraction = ((2.0 * limiter.min_unread_ms).max(0.5 * limiter.mean_run_ms)
             / limiter.unread_ms)
-            .clamp(min_part, 1.0);
+            .clamp(min_fraction, 1.0);
         // At least one run, also with one core.
-        ((limiter.limit / 2.0).max(self.parameters.cores) * part_for_runs).max(1.0)
+        ((limiter.limit / 2.0).max(self.parameters.cores) * run_fraction).max(1.0)
     }
 
     /// Ends a latency window and sets the limit by the latencies of recent runs.
@@ -175,18 +175,18 @@
         // Core times of a slow start are scaled by the guaranteed speed; unscaled they would raise the base latency for
         // minutes.
         let core_ms = task.used_core_ms + self.core_clock.core_time_ms - task.resumed_at_core_ms;
-        let unit = core_ms * self.guaranteed_speed(now_ms)
+        let unit_core_ms = core_ms * self.guaranteed_speed(now_ms)
             / task.arrival.cost_hint_ms.unwrap_or(1.0).max(1e-3);
         let (pinned, pinned_since_ms) = (self.limiter.pinned, self.limiter.pinned_since_ms);
         let class = &mut self.classes[task.arrival.class];
         // Runs of over three times the base latency indicate a fault and not a new base; only a pin may raise it that
         // far.
         if !(task.uncontended || (pinned && task.started_ms >= pinned_since_ms))
-            || (!pinned && class.base_latency > 0.0 && unit > 3.0 * class.base_latency)
+            || (!pinned && class.base_latency > 0.0 && unit_core_ms > 3.0 * class.base_latency)
         {
             return;
         }
-        class.add_uncontended_run(unit);
+        class.add_uncontended_run(unit_core_ms);
         let samples = self
             .classes
             .iter()
@@ -198,12 +198,12 @@
     }
 
     /// The base latency of a class; a class that has none yet gets the largest of the others.
-    pub(super) fn base_or_largest(&self, class: &ClassState) -> f64 {
+    pub(super) fn base_latency_or_largest(&self, class: &ClassState) -> f64 {
         if class.base_latency > 0.0 {
             return class.base_latency;
         }
-        let bases = self.classes.iter().map(|class| class.base_latency);
-        bases.fold(0.0, f64::max)
+        let base_latencies = self.classes.iter().map(|class| class.base_latency);
+        base_latencies.fold(0.0, f64::max)
     }
 
     /// The base latency of a task: that of its class, times its cost hint if there is one. 0 if unknown.
@@ -212,7 +212,7 @@
         task.arrival
             .cost_hint_ms
             .map_or(class.base_latency, |hint| {
-                hint * self.base_or_largest(class)
+                hint * self.base_latency_or_largest(class)
             })
     }
 
@@ -223,8 +223,8 @@
 }
 
 impl ClassState {
-    fn add_uncontended_run(&mut self, unit: f64) {
-        self.uncontended_runs.add(unit);
+    fn add_uncontended_run(&mut self, unit_core_ms: f64) {
+        self.uncontended_runs.add(unit_core_ms);
         // The original design of the limiter waits for 500 runs, which would take minutes here.
         if self.uncontended_runs.total >= MIN_SAMPLES {
             self.base_latency = self.uncontended_runs.quantile(0.95);
--- a/crates/asterdale/src/policy/mod.rs
+++ b/crates/asterdale/src/policy/mod.rs
@@ -33,4 +33,4 @@
 /// Time between two ticks: much less than the delay that an answer may have.
 const TICK_MS: f64 = 10.0;
 /// Fraction of the memory that may be used; the rest is a reserve, as sizes are known only approximately.
-const MEMORY_PART: f64 = 0.9;
+const USABLE_MEMORY_FRACTION: f64 = 0.9;
--- a/crates/asterdale/src/policy/queue.rs
+++ b/crates/asterdale/src/policy/queue.rs
@@ -30,7 +30,7 @@
         let cost = if self.parameters.weight_per_work {
             1.0
         } else {
-            self.base_or_largest(class).max(1e-6)
+            self.base_latency_or_largest(class).max(1e-6)
         };
         weight * self.quota_factor(&self.tenants[task.arrival.tenant]) / cost
     }
--- a/crates/asterdale/src/policy/rejection.rs
+++ b/crates/asterdale/src/policy/rejection.rs
@@ -9,7 +9,7 @@
 
 /// Fraction of the requests read up to which rejections count as few. With 0.05 other servers stay idle; with 0.2
 /// retries cost too much reading in overload.
-const FEW_REJECTIONS: f64 = 0.1;
+const LOW_REJECTION_SHARE: f64 = 0.1;
 /// With up to this many servers in the tier, the work that a long Retry-After moves away would overload the others.
 const MIN_SERVERS_TO_MOVE_WORK: f64 = 4.0;
 
@@ -68,13 +68,13 @@
             .map(|tenant| tenant.recent_arrivals.total())
             .sum::<f64>()
             .max(1.0);
-        let share = self.rejections.recent.total() / arrivals;
-        let few = share <= FEW_REJECTIONS;
+        let rejected_share = self.rejections.recent.total() / arrivals;
+        let few_rejections = rejected_share <= LOW_REJECTION_SHARE;
         // Without credit, Retry-After is what steers callers: with few rejections, a long one moves work to servers
         // with capacity, except among four servers or fewer, which it would overload. Else it grows with the share of
         // rejections, so that no cores stay idle.
-        let moves_work = few && self.parameters.capacity_hint != CapacityHint::Credit;
-        let min_part = if moves_work {
+        let moves_work = few_rejections && self.parameters.capacity_hint != CapacityHint::Credit;
+        let min_fraction = if moves_work {
             1.0 - MIN_SERVERS_TO_MOVE_WORK / self.server_count().max(MIN_SERVERS_TO_MOVE_WORK)
         } else {
             0.0
@@ -83,8 +83,9 @@
         // its slow start.
         let no_peer_ready = self.peers.is_some_and(|peers| peers.ready < 1.0);
         RetryAdvice {
-            last_attempt: !few || no_peer_ready,
-            retry_after_ms: (share.max(min_part) * jittered_ms).max(max_ms.min(TICK_MS)),
+            last_attempt: !few_rejections || no_peer_ready,
+            retry_after_ms: (rejected_share.max(min_fraction) * jittered_ms)
+                .max(max_ms.min(TICK_MS)),
         }
     }
 
--- a/crates/asterdale/src/policy/saturation.rs
+++ b/crates/asterdale/src/policy/saturation.rs
@@ -11,7 +11,7 @@
         // The share of a core that each run received: runs, reading and health checks share the cores evenly.
         let share = gauges
             .on_cores
-            .map_or(1.0, |wanting| (cores / wanting.max(1.0)).min(1.0));
+            .map_or(1.0, |demand| (cores / demand.max(1.0)).min(1.0));
         self.core_clock.core_time_ms += share * (now_ms - self.core_clock.last_tick_ms);
         self.core_clock.last_tick_ms = now_ms;
         // The CPU gauge may be missing, late or wrong. With at least as many runs as cores, the cores are full whatever
--- a/crates/asterdale/src/policy/server.rs
+++ b/crates/asterdale/src/policy/server.rs
@@ -43,7 +43,7 @@
             if task.answered || task.state == TaskState::Free {
                 continue;
             }
-            if self.is_useless(&task, now_ms) || now_ms + TICK_MS >= task.deadline_ms {
+            if self.should_give_up_early(&task, now_ms) || now_ms + TICK_MS >= task.deadline_ms {
                 self.give_up(handle, actions);
             }
         }
--- a/crates/asterdale/src/policy/tests/admission.rs
+++ b/crates/asterdale/src/policy/tests/admission.rs
@@ -152,7 +152,7 @@
 
 #[test]
 fn one_core_with_zero_parameters_still_serves() {
-    let nothing = Parameters {
+    let zero_parameters = Parameters {
         cores: 1.0,
         servers: 0.0,
         callers: 0.0,
@@ -164,7 +164,7 @@
         capacity_hint: CapacityHint::Credit,
         ..parameters()
     };
-    let (mut server, mut log) = (started(nothing), Log::default());
+    let (mut server, mut log) = (started(zero_parameters), Log::default());
     server.tenants = vec![tenant_with_quota(0.0)];
     let task = server.receive(
         0.0,
--- a/crates/asterdale/src/policy/tests/calls.rs
+++ b/crates/asterdale/src/policy/tests/calls.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn non_idempotent_call_is_retried_only_if_it_never_ran() {
-    for (outcome, calls, end) in [
+    for (outcome, calls, failures) in [
         (Outcome::Rejected, 2, 0),
         (Outcome::TimedOut, 1, 1),
         (Outcome::Failed, 1, 1),
@@ -14,14 +14,14 @@
         server.tick(500.0, Gauges::default(), &mut log);
         assert_eq!(
             (log.count("call"), log.count("fail")),
-            (calls, end),
+            (calls, failures),
             "{outcome:?}"
         );
     }
 }
 
 #[test]
-fn call_that_is_too_late_is_skipped_where_that_earns() {
+fn late_call_is_skipped_if_a_degraded_answer_has_value() {
     let (mut server, mut log) = (started(parameters()), Log::default());
     server.dependency.mean_call_ms = 500.0;
     let task = server.receive(0.0, arrival(0), &mut log);
@@ -36,11 +36,11 @@
         server.dependency.mean_call_ms = call_ms;
         let task = server.receive(0.0, arrival(1), &mut log);
         task.call_needed(&mut server, 10.0, &mut log);
-        let patience =
+        let timeout_ms =
             server.tasks[task.index()].call_ends_ms - 10.0 - server.parameters.call_linger_ms;
         assert!(
-            log.count("call") == 1 && patience <= max_ms && patience >= max_ms * 0.9,
-            "{call_ms}: {patience}"
+            log.count("call") == 1 && timeout_ms <= max_ms && timeout_ms >= max_ms * 0.9,
+            "{call_ms}: {timeout_ms}"
         );
     }
 }
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn task_whose_call_cannot_help_is_given_up_at_once() {
+fn task_past_its_objective_is_given_up_instead_of_calling() {
     let (mut server, mut log) = (started(parameters()), Log::default());
     server.classes[1].parameters.late_weight_share = 0.0;
     (server.dependency.window, server.dependency.mean_call_ms) = (1.0, 300.0);
--- a/crates/asterdale/src/policy/tests/dependency.rs
+++ b/crates/asterdale/src/policy/tests/dependency.rs
@@ -1,7 +1,7 @@
 use super::support::*;
 
 #[test]
-fn abandoned_call_counts_while_it_may_linger() {
+fn given_up_call_counts_while_it_may_linger() {
     let (mut server, mut log) = (started(parameters()), Log::default());
     put_task(&mut server, TaskState::Calling, 0);
     Handle(0).run_ended(&mut server, 100.0, Outcome::Cancelled, &mut log);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn window_of_a_shared_dependency_floors_at_a_fifth_of_the_quota() {
+fn window_of_a_shared_dependency_is_at_least_a_fifth_of_the_quota() {
     for (quota, min) in [(15.0, 3.0), (0.5, 1.0)] {
         let mut server = started(Parameters {
             dependency: Dependency::Shared,
@@ -136,7 +136,7 @@
         dependency_quota: 0.5,
         ..parameters()
     };
-    for (took, pause) in [(10.0, 10.0 / 0.225 - 10.0), (60.0, 60.0 / 0.225 - 60.0)] {
+    for (took_ms, pause_ms) in [(10.0, 10.0 / 0.225 - 10.0), (60.0, 60.0 / 0.225 - 60.0)] {
         let (mut server, mut log) = (started(shared.clone()), Log::default());
         let tasks: Vec<Handle> = (0..3)
             .map(|_| server.receive(0.0, arrival(0), &mut log))
@@ -146,15 +146,15 @@
             .for_each(|task| task.call_needed(&mut server, 0.0, &mut log));
         // The window allows two calls, which is more than the paced quota.
         assert_eq!(log.count("call"), 2, "at the start nothing is owed");
-        tasks[0].call_ended(&mut server, took, Outcome::Ok, took, &mut log);
-        tasks[1].call_ended(&mut server, took, Outcome::Ok, took, &mut log);
-        let again = took + 2.0 * pause + took; // two calls need twice the pause of one
-        server.advance_time(again - 5.0);
-        server.start_queued_calls(again - 5.0, &mut log);
-        assert_eq!(log.count("call"), 2, "{took}");
-        server.advance_time(again + 5.0);
-        server.start_queued_calls(again + 5.0, &mut log);
-        assert_eq!(log.count("call"), 3, "{took}");
+        tasks[0].call_ended(&mut server, took_ms, Outcome::Ok, took_ms, &mut log);
+        tasks[1].call_ended(&mut server, took_ms, Outcome::Ok, took_ms, &mut log);
+        let next_start_ms = took_ms + 2.0 * pause_ms + took_ms; // two calls need twice the pause of one
+        server.advance_time(next_start_ms - 5.0);
+        server.start_queued_calls(next_start_ms - 5.0, &mut log);
+        assert_eq!(log.count("call"), 2, "{took_ms}");
+        server.advance_time(next_start_ms + 5.0);
+        server.start_queued_calls(next_start_ms + 5.0, &mut log);
+        assert_eq!(log.count("call"), 3, "{took_ms}");
     }
 }
 
--- a/crates/asterdale/src/policy/tests/limiter.rs
+++ b/crates/asterdale/src/policy/tests/limiter.rs
@@ -31,10 +31,10 @@
         (server.limiter.limit, server.limiter.peak_concurrency) = (16.0, [16.0; 2]);
         add_ratios(&mut server, ratio, 30);
         server.update_limit(500.0);
-        let want = 16.0 * gradient + (16.0 * gradient).sqrt();
+        let expected = 16.0 * gradient + (16.0 * gradient).sqrt();
         assert!(
-            (server.limiter.limit - want).abs() < 0.05 * want,
-            "{ratio}: {} for {want}",
+            (server.limiter.limit - expected).abs() < 0.05 * expected,
+            "{ratio}: {} for {expected}",
             server.limiter.limit
         );
     }
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn pin_waits_for_full_cores() {
+fn limit_is_not_pinned_before_the_cores_are_full() {
     let mut server = started(parameters());
     server.limiter.next_pin_ms = 0.0;
     server.update_limit(500.0);
@@ -127,16 +127,16 @@
         slow_start_share: 0.25,
         ..parameters()
     });
-    let cold = server.max_concurrency();
+    let at_start = server.max_concurrency();
     server.last_event_ms = 10_000.0;
     assert!(
-        (cold - 0.8 * 6.0 * 2.75).abs() < 1e-9
+        (at_start - 0.8 * 6.0 * 2.75).abs() < 1e-9
             && (server.max_concurrency() - 0.8 * 48.0).abs() < 1e-9
     );
 }
 
 #[test]
-fn runs_give_way_to_a_read_backlog() {
+fn fewer_tasks_run_with_a_read_backlog() {
     let (mut server, mut log) = (started(parameters()), Log::default());
     server.limiter.cores_full = true;
     server.receive(
--- a/crates/asterdale/src/policy/tests/queue.rs
+++ b/crates/asterdale/src/policy/tests/queue.rs
@@ -1,7 +1,7 @@
 use super::support::*;
 
 #[test]
-fn class_without_a_base_borrows_the_largest() {
+fn class_without_a_base_latency_gets_the_largest() {
     let mut server = started(parameters());
     server.classes[0].base_latency = 100.0;
     put_task(&mut server, TaskState::Queued, 0);
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn densest_task_starts_next_and_the_tenant_with_most_queued_loses() {
+fn densest_task_starts_next_and_the_tenant_with_most_queued_is_rejected_first() {
     let mut server = started(parameters());
     server.tenants = vec![tenant_with_quota(20.0), tenant_with_quota(200.0)];
     for (class, tenant) in [(0, 0), (1, 1), (0, 1), (0, 1)] {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn requests_beyond_the_quota_count_little() {
+fn requests_beyond_the_quota_have_a_reduced_weight() {
     let mut server = started(parameters());
     server.tenants = vec![tenant_with_quota(100.0)];
     server.tenants[0].recent_arrivals.add(40.0); // 10 per second; the quota on this server is 100 / 20 servers
--- a/crates/asterdale/src/policy/tests/rejection.rs
+++ b/crates/asterdale/src/policy/tests/rejection.rs
@@ -10,15 +10,18 @@
         });
         server.tenants[0].recent_arrivals.add(100.0);
         let advice = server.retry_advice();
-        let (last, stay) = (advice.last_attempt, advice.retry_after_ms);
+        let (last_attempt, retry_after_ms) = (advice.last_attempt, advice.retry_after_ms);
         assert!(
-            !last && (min_ms..=max_ms).contains(&stay),
-            "{servers}: {stay}"
+            !last_attempt && (min_ms..=max_ms).contains(&retry_after_ms),
+            "{servers}: {retry_after_ms}"
         );
         server.rejections.recent.add(40.0);
         let advice = server.retry_advice();
-        let (last, stay) = (advice.last_attempt, advice.retry_after_ms);
-        assert!(last && (200.0..=400.0).contains(&stay), "{servers}: {stay}");
+        let (last_attempt, retry_after_ms) = (advice.last_attempt, advice.retry_after_ms);
+        assert!(
+            last_attempt && (200.0..=400.0).contains(&retry_after_ms),
+            "{servers}: {retry_after_ms}"
+        );
     }
 }
 
--- a/crates/asterdale/src/snapshot/tests.rs
+++ b/crates/asterdale/src/snapshot/tests.rs
@@ -126,7 +126,7 @@
 }
 
 /// Applies one event, whose kind and values are derived from random numbers.
-fn play(server: &mut Server, log: &mut Log, now_ms: f64, (kind, n): (u8, usize)) {
+fn apply_event(server: &mut Server, log: &mut Log, now_ms: f64, (kind, n): (u8, usize)) {
     let pick = |from: &[Handle]| from.get(n % from.len().max(1)).copied();
     match kind {
         0..5 => {
@@ -188,7 +188,7 @@
         let (before, after) = events.split_at(split.index(events.len()));
         for &(kind, n, gap_ms) in before {
             now_ms += gap_ms;
-            play(&mut server, &mut log, now_ms, (kind, n));
+            apply_event(&mut server, &mut log, now_ms, (kind, n));
         }
         let bytes = server.snapshot();
         let mut restored = Server::restore(&bytes).unwrap();
@@ -196,8 +196,8 @@
         let mut restored_log = log.clone();
         for &(kind, n, gap_ms) in after {
             now_ms += gap_ms;
-            play(&mut server, &mut log, now_ms, (kind, n));
-            play(&mut restored, &mut restored_log, now_ms, (kind, n));
+            apply_event(&mut server, &mut log, now_ms, (kind, n));
+            apply_event(&mut restored, &mut restored_log, now_ms, (kind, n));
         }
         prop_assert_eq!(log.actions, restored_log.actions);
         prop_assert_eq!(server.snapshot(), restored.snapshot());
@@ -208,7 +208,7 @@
     fn damaged_bytes_never_panic(at in prop::sample::Index::arbitrary(), byte: u8, cut in prop::bool::ANY) {
         let mut log = Log::default();
         let mut server = Server::start(parameters(), 1e12, &mut log);
-        (0..30).for_each(|n| play(&mut server, &mut log, 1e12 + n as f64, ((n % 16) as u8, n * 31)));
+        (0..30).for_each(|n| apply_event(&mut server, &mut log, 1e12 + n as f64, ((n % 16) as u8, n * 31)));
         let mut bytes = server.snapshot();
         let at = at.index(bytes.len());
         if cut {
@@ -225,7 +225,7 @@
 fn inconsistent_snapshot_is_rejected() {
     let mut log = Log::default();
     let mut server = Server::start(parameters(), 1e12, &mut log);
-    (0..20).for_each(|n| play(&mut server, &mut log, 1e12 + n as f64, (0, n)));
+    (0..20).for_each(|n| apply_event(&mut server, &mut log, 1e12 + n as f64, (0, n)));
     let valid = server.snapshot();
     assert!(Server::restore(&valid).is_ok());
     type Change = fn(&mut Server);
--- a/crates/asterdale/src/state/mod.rs
+++ b/crates/asterdale/src/state/mod.rs
@@ -5,11 +5,11 @@
 
 mod dependency;
 mod limiter;
-mod rows;
+mod per_class_and_tenant;
 
 pub(crate) use dependency::DependencyState;
 pub(crate) use limiter::{LimiterState, LATENCY_WINDOWS, UPDATE_INTERVAL_MS};
-pub(crate) use rows::{recent_events, ClassState, TenantState, RECENT_MS};
+pub(crate) use per_class_and_tenant::{recent_events, ClassState, TenantState, RECENT_MS};
 
 use crate::events::PeerCounts;
 use crate::measure::{Pcg, TimeBuckets};
--- a/crates/asterdale/src/task.rs
+++ b/crates/asterdale/src/task.rs
@@ -119,8 +119,8 @@
     }
 
     /// The time after which its answer has no value: the deadline if a late answer has one, else the objective.
-    pub fn useful_until_ms(&self, late_earns: bool) -> f64 {
-        if late_earns {
+    pub fn useful_until_ms(&self, late_has_value: bool) -> f64 {
+        if late_has_value {
             self.deadline_ms
         } else {
             self.objective_ms
--- a/crates/asterdale/tests/stored_snapshot.rs
+++ b/crates/asterdale/tests/stored_snapshot.rs
@@ -328,29 +328,31 @@
 /// The stored snapshot has one variant of each enum; settings may have any of them.
 #[test]
 fn every_stored_variant_name_is_read() {
-    fn reads<T: serde::de::DeserializeOwned + PartialEq + std::fmt::Debug>(choices: &[(&str, T)]) {
-        for (name, choice) in choices {
+    fn assert_variants_are_read<T: serde::de::DeserializeOwned + PartialEq + std::fmt::Debug>(
+        variants: &[(&str, T)],
+    ) {
+        for (name, variant) in variants {
             let read: T = rmp_serde::from_slice(&rmp_serde::to_vec(name).unwrap()).unwrap();
-            assert_eq!(read, *choice, "{name}");
+            assert_eq!(read, *variant, "{name}");
         }
     }
     use asterdale::parameters::{CapacityHint, Dependency, Idempotency, Preemption};
-    reads(&[
+    assert_variants_are_read(&[
         ("Never", Preemption::Unsupported),
         ("Drop", Preemption::Abort),
         ("Pause", Preemption::Pause),
     ]);
-    reads(&[
+    assert_variants_are_read(&[
         ("Nothing", Dependency::Absent),
         ("Shared", Dependency::Shared),
         ("Tier", Dependency::Tier),
     ]);
-    reads(&[
+    assert_variants_are_read(&[
         ("Restartable", Idempotency::Idempotent),
         ("Fingerprinted", Idempotency::Keyed),
         ("SideEffecting", Idempotency::NonIdempotent),
     ]);
-    reads(&[
+    assert_variants_are_read(&[
         ("Unused", CapacityHint::Unused),
         ("Level", CapacityHint::Level),
         ("Credit", CapacityHint::Credit),
