--- a/crates/asterdale/src/measure.rs
+++ b/crates/asterdale/src/measure.rs
@@ -85,7 +85,9 @@
         let counts = Vec::<u32>::deserialize(deserializer)?;
         let length = counts.len();
         counts.try_into().map_err(|_| {
-            D::Error::custom(format!("{length} counts instead of {HISTOGRAM_BUCKETS}"))
+            D::Error::custom(format!(
+                "histogram with {length} counts instead of {HISTOGRAM_BUCKETS}"
+            ))
         })
     }
 }
--- a/crates/asterdale/src/policy/tests/dependency.rs
+++ b/crates/asterdale/src/policy/tests/dependency.rs
@@ -145,7 +145,7 @@
             .iter()
             .for_each(|task| task.call_needed(&mut server, 0.0, &mut log));
         // The window allows two calls, which is more than the paced quota.
-        assert_eq!(log.count("call"), 2, "at the start nothing is owed");
+        assert_eq!(log.count("call"), 2, "at the start no call is delayed");
         tasks[0].call_ended(&mut server, took_ms, Outcome::Ok, took_ms, &mut log);
         tasks[1].call_ended(&mut server, took_ms, Outcome::Ok, took_ms, &mut log);
         let next_start_ms = took_ms + 2.0 * pause_ms + took_ms; // two calls need twice the pause of one
