--- a/crates/asterdale/src/actions.rs
+++ b/crates/asterdale/src/actions.rs
@@ -18,7 +18,7 @@
     fn start_call(&mut self, task: Handle, timeout_ms: f64);
     /// Let a task that waits for a call continue without it.
     fn skip_call(&mut self, task: Handle);
-    /// Answer a task, which is not started, with the result of the earlier attempt that it repeats.
+    /// Answer a task that has not started with the result of the earlier attempt that it repeats.
     fn join_earlier_attempt(&mut self, task: Handle);
     /// Retain the task's idempotency key for `for_ms` from now.
     fn retain_idempotency_entry(&mut self, task: Handle, for_ms: f64);
--- a/crates/asterdale/src/lib.rs
+++ b/crates/asterdale/src/lib.rs
@@ -1,8 +1,8 @@
 //! Admission and scheduling decisions for one server behind load balancers that it does not control.
 //!
 //! The host starts a [`Server`] with its [`parameters`] and passes it [`events`] together with the current time. The
-//! server requests [`Actions`], which the host carries out. It does no I/O and reads no clock. Times are milliseconds
-//! on a clock that the host chooses.
+//! server requests [`Actions`], which the host carries out. The server itself does no I/O and reads no clock. Times are
+//! milliseconds on a clock that the host chooses.
 
 pub mod actions;
 pub mod events;
--- a/crates/asterdale/src/policy/admission.rs
+++ b/crates/asterdale/src/policy/admission.rs
@@ -7,7 +7,7 @@
 use crate::task::{Handle, Task, TaskState};
 
 impl Server {
-    /// Takes in a request that has just been read. It will get exactly one final answer.
+    /// Handles a request that has just been read. It will get exactly one final answer.
     pub fn receive(
         &mut self,
         now_ms: f64,
--- a/crates/asterdale/src/policy/drain.rs
+++ b/crates/asterdale/src/policy/drain.rs
@@ -7,7 +7,7 @@
 use crate::task::Task;
 
 impl Server {
-    /// Takes the notice of a graceful shutdown: the process will be stopped after `remaining_ms`.
+    /// Handles the notice of a graceful shutdown: the process will be stopped after `remaining_ms`.
     pub fn drain(&mut self, now_ms: f64, remaining_ms: f64, actions: &mut dyn Actions) {
         // Two ticks before the stop, since answers are sent at ticks.
         let deadline_ms = now_ms + remaining_ms - 2.0 * TICK_MS;
--- a/crates/asterdale/src/policy/limiter.rs
+++ b/crates/asterdale/src/policy/limiter.rs
@@ -22,7 +22,7 @@
 const MEAN_WEIGHT: f64 = 0.05;
 
 impl LimiterState {
-    /// Records for how long a request was readable and not yet read.
+    /// Records the time between arrival and reading of a request.
     pub(super) fn record_unread(&mut self, unread_ms: f64, tick_ms: f64) {
         let weight = if self.min_unread_ms.is_finite() {
             MEAN_WEIGHT
--- a/crates/asterdale/src/policy/mod.rs
+++ b/crates/asterdale/src/policy/mod.rs
@@ -30,7 +30,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Time between two ticks: much less than the delay that an answer may have.
+/// Time between two ticks: much less than an answer may be delayed.
 const TICK_MS: f64 = 10.0;
 /// Fraction of the memory that may be used; the rest is a reserve, as sizes are known only approximately.
 const USABLE_MEMORY_FRACTION: f64 = 0.9;
--- a/crates/asterdale/src/state/limiter.rs
+++ b/crates/asterdale/src/state/limiter.rs
@@ -34,7 +34,7 @@
     /// The median of recent ratios; 0 while there are none.
     #[cfg_attr(feature = "snapshot", serde(rename = "pace"))]
     pub median_ratio: f64,
-    /// Mean time for which recent requests were readable and not yet read.
+    /// Mean time between arrival and reading of recent requests.
     #[cfg_attr(feature = "snapshot", serde(rename = "unread"))]
     pub unread_ms: f64,
     /// The lowest such mean; infinite before the first request.
--- a/crates/asterdale/src/state/mod.rs
+++ b/crates/asterdale/src/state/mod.rs
@@ -47,7 +47,7 @@
 /// The core time that was available to one run so far (`policy::saturation`).
 #[cfg_attr(feature = "snapshot", derive(serde::Serialize, serde::Deserialize))]
 pub(crate) struct CoreClock {
-    /// Core time that a run would have received that was ready for a core since the start.
+    /// Core time that a run would have received if it had been ready for a core since the start.
     #[cfg_attr(feature = "snapshot", serde(rename = "core_time"))]
     pub core_time_ms: f64,
     #[cfg_attr(feature = "snapshot", serde(rename = "last_look"))]
