--- a/crates/asterdale/src/policy/tests/admission.rs
+++ b/crates/asterdale/src/policy/tests/admission.rs
@@ -67,7 +67,7 @@
                 ..Gauges::default()
             },
             &mut log,
-        ); // a sixth of 2 s is 333 ms
+        ); // a sixth of the objective of 2 s is 333 ms
         assert_eq!(log.count("reject"), rejected, "{cores} cores");
     }
 }
@@ -152,7 +152,7 @@
 
 #[test]
 fn one_core_with_zero_parameters_still_serves() {
-    let nothing = Parameters {
+    let zero_parameters = Parameters {
         cores: 1.0,
         servers: 0.0,
         callers: 0.0,
@@ -164,7 +164,7 @@
         capacity_hint: CapacityHint::Credit,
         ..parameters()
     };
-    let (mut server, mut log) = (started(nothing), Log::default());
+    let (mut server, mut log) = (started(zero_parameters), Log::default());
     server.tenants = vec![tenant_with_quota(0.0)];
     let task = server.receive(
         0.0,
@@ -189,7 +189,7 @@
     assert_eq!(
         (log.count("start"), log.count("call"), log.count("skip")),
         (1, 0, 1)
-    ); // a quota of zero allows no call
+    ); // with a quota of zero no call starts
     task.run_ended(&mut server, 2_100.0, Outcome::Ok, &mut log);
     server.receive(2_200.0, arrival(0), &mut log);
     assert_eq!((log.count("start"), log.count("idle_timeout")), (2, 0)); // it still starts runs
--- a/crates/asterdale/tests/stored_snapshot.rs
+++ b/crates/asterdale/tests/stored_snapshot.rs
@@ -1,6 +1,6 @@
-//! A snapshot that an earlier release wrote is restored, and is written again byte for byte. Structures of this file read
-//! its fields too, so that a change of a stored name or value is noticed even where reading and writing change together.
-//! `fixtures/snapshot/README.md` says how the snapshot was made.
+//! A snapshot that an earlier release wrote is restored, and is written again byte for byte. The structs of this file
+//! read its fields too, so that a change of a stored name or value is detected even if reading and writing change
+//! together. `fixtures/snapshot/README.md` describes how the snapshot was made.
 #![cfg(feature = "snapshot")]
 
 use asterdale::snapshot::{Summary, FORMAT_VERSION};
@@ -325,32 +325,34 @@
     assert!(server.tasks[13].arrival.is_repeat);
 }
 
-/// The snapshot above has one variant of each enum; settings may have any of them.
+/// The stored snapshot has one variant of each enum; settings may have any of them.
 #[test]
 fn every_stored_variant_name_is_read() {
-    fn reads<T: serde::de::DeserializeOwned + PartialEq + std::fmt::Debug>(choices: &[(&str, T)]) {
-        for (name, choice) in choices {
+    fn assert_variants_are_read<T: serde::de::DeserializeOwned + PartialEq + std::fmt::Debug>(
+        variants: &[(&str, T)],
+    ) {
+        for (name, variant) in variants {
             let read: T = rmp_serde::from_slice(&rmp_serde::to_vec(name).unwrap()).unwrap();
-            assert_eq!(read, *choice, "{name}");
+            assert_eq!(read, *variant, "{name}");
         }
     }
     use asterdale::parameters::{CapacityHint, Dependency, Idempotency, Preemption};
-    reads(&[
+    assert_variants_are_read(&[
         ("Never", Preemption::Unsupported),
         ("Drop", Preemption::Abort),
         ("Pause", Preemption::Pause),
     ]);
-    reads(&[
+    assert_variants_are_read(&[
         ("Nothing", Dependency::Absent),
         ("Shared", Dependency::Shared),
         ("Tier", Dependency::Tier),
     ]);
-    reads(&[
+    assert_variants_are_read(&[
         ("Restartable", Idempotency::Idempotent),
         ("Fingerprinted", Idempotency::Keyed),
         ("SideEffecting", Idempotency::NonIdempotent),
     ]);
-    reads(&[
+    assert_variants_are_read(&[
         ("Unused", CapacityHint::Unused),
         ("Level", CapacityHint::Level),
         ("Credit", CapacityHint::Credit),
