--- a/crates/asterdale-daemon/src/assembly/actors.rs
+++ b/crates/asterdale-daemon/src/assembly/actors.rs
@@ -14,7 +14,7 @@
 use crate::start::Start;
 use crate::threads::spawn;
 
-/// Starts the link to the runtime. Returns the way to change its address.
+/// Starts the link to the runtime. Returns the sender of its commands, which change the runtime's address.
 pub fn start_runtime_link(
     start: &Start,
     context: &ActorContext,
@@ -33,7 +33,7 @@
     Ok(sender)
 }
 
-/// Starts the actor that reports this process to the registry. Returns the way to it.
+/// Starts the actor that reports this process to the registry. Returns the sender of its commands.
 pub fn start_registry(
     start: &Start,
     context: &ActorContext,
@@ -62,17 +62,17 @@
     Ok(records)
 }
 
-/// The engine's connections to other processes and to whoever keeps claims.
+/// The engine's ports to the other processes of the fleet and to the store of claims.
 #[derive(Default)]
 pub struct OwnershipPorts {
-    /// The other processes of the fleet, where there is one.
+    /// The other processes of the fleet, if this process belongs to one.
     pub fleet: Option<Arc<dyn FleetView>>,
-    /// Keeps claims: the fleet's replicas or, without them, this process's journal.
+    /// Where claims are recorded: the fleet's replicas or, without them, this process's journal.
     #[cfg(any(feature = "fleet", feature = "journal"))]
     pub ownership: Option<Arc<dyn OwnershipClient>>,
 }
 
-/// Opens the journal and joins the fleet, where the start file has them.
+/// Opens the journal and joins the fleet, if the start file configures them.
 #[cfg(any(feature = "fleet", feature = "journal"))]
 pub fn start_journal_and_fleet(
     start: &Start,
@@ -102,7 +102,7 @@
     })
 }
 
-/// This build has neither.
+/// Starts nothing: this build has neither journal nor fleet.
 #[cfg(not(any(feature = "fleet", feature = "journal")))]
 pub fn start_journal_and_fleet(
     _: &Start,
--- a/crates/asterdale-daemon/src/assembly/frontends.rs
+++ b/crates/asterdale-daemon/src/assembly/frontends.rs
@@ -15,10 +15,10 @@
 use crate::start::Start;
 use crate::threads::spawn;
 
-/// The listeners that the start file has. They share the bounds of connections and memory.
+/// The listeners that the start file configures. They share the bounds of connections and memory.
 #[cfg(feature = "tls")]
 pub fn listener_settings(start: &Start) -> Result<Vec<ListenerSettings>, AssemblyError> {
-    /// Numbers of TLS connections start here: no plain connection ever gets one as high.
+    /// Numbers of TLS connections start here. Plain connections never reach such high numbers.
     const FIRST_TLS_CONNECTION: u64 = 1 << 48;
     let listener_count = 1 + usize::from(start.tls.is_some());
     let mut listeners = vec![ListenerSettings {
@@ -39,7 +39,7 @@
     Ok(listeners)
 }
 
-/// The listener that the start file has.
+/// The listener that the start file configures.
 #[cfg(not(feature = "tls"))]
 pub fn listener_settings(start: &Start) -> Result<Vec<ListenerSettings>, AssemblyError> {
     Ok(vec![ListenerSettings {
@@ -98,7 +98,7 @@
         let writer = self.writer;
         spawn("writer", move || writer.run())?;
         for (event_loop, socket) in self.event_loops.into_iter().zip(sockets) {
-            // Without its event loop a listener accepts nothing any more: the process ends, as with any panic.
+            // A listener accepts no connections without its event loop, so the process ends, as after any panic.
             spawn("frontend", move || {
                 event_loop
                     .run(socket)
--- a/crates/asterdale-daemon/src/assembly/hot_restart.rs
+++ b/crates/asterdale-daemon/src/assembly/hot_restart.rs
@@ -1,5 +1,5 @@
-//! The part of the start that differs if this process continues the work of a previous one: its listening sockets, the
-//! control socket and the engine's state are then inherited.
+//! The part of the startup that differs if this process takes over from a previous one in a hot restart: it then
+//! inherits the listening sockets, the control socket and the engine's state.
 
 use std::net::TcpListener;
 
@@ -15,20 +15,20 @@
 #[cfg(feature = "upgrade")]
 use crate::upgrade;
 
-/// What is inherited of a previous process, if there is one.
+/// What this process inherits from a previous one, if it was started for a hot restart.
 pub struct PreviousProcess {
     #[cfg(feature = "upgrade")]
     inherited: Option<upgrade::Inherited>,
 }
 
-/// A previous process that guards this one: it takes the work back if this process ends without releasing it.
+/// A previous process on standby: it takes the work back if this process ends without releasing it from this duty.
 pub struct Guard {
     #[cfg(feature = "upgrade")]
     previous: Option<upgrade::FrameWriter>,
 }
 
 impl Guard {
-    /// Tells the guarding process that this one has ended in order.
+    /// Notifies the previous process that this one has ended normally.
     pub fn release(self) {
         #[cfg(feature = "upgrade")]
         if let Some(previous) = self.previous {
@@ -47,14 +47,14 @@
         Ok(PreviousProcess { inherited })
     }
 
-    /// There is none.
+    /// Inherits nothing: this build can't do hot restarts.
     #[cfg(not(feature = "upgrade"))]
     pub fn inherit(_: &Start) -> Result<PreviousProcess, AssemblyError> {
         Ok(PreviousProcess {})
     }
 
-    /// Moves the ranges of connection numbers, so that no two connections of processes that exchange state have the same
-    /// number.
+    /// Offsets the ranges of connection numbers, so that no two connections of processes that exchange state have the
+    /// same number.
     pub fn separate_connection_numbers(&self, listeners: &mut [ListenerSettings]) {
         /// Bits of a connection number below the process's epoch.
         #[cfg(feature = "upgrade")]
@@ -90,7 +90,7 @@
         listeners.iter().map(socket).collect()
     }
 
-    /// Starts to serve the control socket, if the start file has one: a later process asks there for a hot restart.
+    /// Starts the server of the control socket, if the start file has one. Hot restarts are requested there.
     #[cfg(feature = "upgrade")]
     pub fn start_control_server(
         &self,
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// There is no control socket.
+    /// Starts nothing: this build has no control socket.
     #[cfg(not(feature = "upgrade"))]
     pub fn start_control_server(
         &self,
--- a/crates/asterdale-daemon/src/assembly/identity.rs
+++ b/crates/asterdale-daemon/src/assembly/identity.rs
@@ -1,4 +1,4 @@
-//! Starts what identifies callers, where the start file requires that.
+//! Sets up the authentication of callers, if the start file requires it.
 
 use asterdale_engine::engine::unix_ms;
 use asterdale_engine::issuer::{self, KeyRefresh};
@@ -11,20 +11,20 @@
 use crate::start::{KeySetSource, Start};
 use crate::threads::spawn;
 
-/// Commands that wait for the issuer's actor at most.
+/// Capacity of the mailbox of the issuer's actor, in commands.
 const ISSUER_MAILBOX_CAPACITY: usize = 16;
 
-/// How callers are identified. Both are absent where any caller is served.
+/// How callers are authenticated. Both fields are absent if any caller is served.
 #[derive(Default)]
 pub struct CallerIdentity {
-    /// Decides who a caller is and what it may do.
+    /// Authenticates and authorizes callers.
     pub identity: Option<Identity>,
     /// The actor that fetches keys from an issuer, if they come from one.
     pub issuer: Option<Sender<KeyRefresh>>,
 }
 
-/// Starts to get the set of keys: it is sent to the engine now if it comes from a file, or when the issuer's actor has
-/// fetched it.
+/// Creates the identity state and obtains the key set. A key set from a file is sent to the engine now; one from an
+/// issuer is sent when the issuer's actor has fetched it.
 pub fn start(start: &Start, context: &ActorContext) -> Result<CallerIdentity, AssemblyError> {
     let Some(settings) = &start.identity else {
         return Ok(CallerIdentity::default());
@@ -56,7 +56,7 @@
     })
 }
 
-/// Sends the set of keys in this file to the engine. If it can't be read, every caller is rejected until a reload.
+/// Sends the key set in this file to the engine. If it can't be read, every caller is rejected until a reload.
 fn send_key_set(file: &KeySetSource, context: &ActorContext) {
     match file.read_file() {
         // The engine's mailbox is open: it is created and run by the caller of `start`.
--- a/crates/asterdale-daemon/src/assembly/mod.rs
+++ b/crates/asterdale-daemon/src/assembly/mod.rs
@@ -1,7 +1,7 @@
 //! Starts all actors of the process, connects them with the engine, and runs the engine.
 //!
-//! Every actor has a thread of its own; the engine runs on the main thread. Actors exchange messages only, so this module
-//! and those below are the ones that know which actors there are.
+//! Every actor has a thread of its own; the engine runs on the main thread. Actors communicate only by messages, so
+//! only this module and its submodules know which actors exist.
 
 mod actors;
 mod error;
@@ -28,10 +28,11 @@
 use frontends::Frontends;
 use hot_restart::PreviousProcess;
 
-/// Messages that wait for the engine at most. Whoever sends more waits, so connections are read no further.
+/// Capacity of the engine's mailbox, in messages. Senders block while it is full, so frontends stop reading from their
+/// connections.
 const ENGINE_MAILBOX_CAPACITY: usize = 4096;
 
-/// What every actor gets: the way to the engine, the counters and the log.
+/// What every actor gets: the sender to the engine, the counters and the log.
 #[derive(Clone)]
 struct ActorContext {
     engine: Sender<EngineMessage>,
@@ -50,7 +51,8 @@
         counters: Arc::default(),
         log: log.clone(),
     };
-    // Before anything shows that the process is there: a signal that came sooner would end it.
+    // Signals are caught before anything makes the process visible to others: a signal that arrived earlier would end
+    // it.
     let caught_signals = signals::catch().map_err(AssemblyError::Signals)?;
     let mut listeners = frontends::listener_settings(&start)?;
     let mut previous = PreviousProcess::inherit(&start)?;
--- a/crates/asterdale-daemon/src/cli.rs
+++ b/crates/asterdale-daemon/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line. Without arguments the program serves.
+//! The command line. Without arguments, the program serves.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The exit code of a command that has failed.
+/// The exit code of a failed command.
 const FAILED: u8 = 2;
 
 const EXAMPLES: &str = "\
@@ -138,7 +138,7 @@
     serde_json::to_string_pretty(&schema).unwrap_or_default()
 }
 
-/// Reads a start file and prints its faults.
+/// Checks a start file and prints its faults.
 fn check(file: &Path) -> ExitCode {
     match start::from_file(file) {
         Ok(start) => {
@@ -169,7 +169,7 @@
     Upgrade(#[from] crate::upgrade::RequestUpgradeError),
 }
 
-/// Runs the command that the command line names, and prints its error.
+/// Runs the command that the command line names. Prints its error if it fails.
 pub fn run() -> ExitCode {
     match run_command(Line::parse().command) {
         Ok(code) => code,
--- a/crates/asterdale-daemon/src/error.rs
+++ b/crates/asterdale-daemon/src/error.rs
@@ -2,8 +2,8 @@
 
 use std::error::Error;
 
-/// An error's text, followed by those of its sources. Unlike `asterdale_engine::log::error_chain` it repeats no text of a
-/// source that the error includes in its own, as some errors of the start file do.
+/// An error's text, followed by those of its sources. Unlike `asterdale_engine::log::error_chain`, it leaves out the
+/// text of a source that the error's own text already ends with, as it does for some errors of the start file.
 pub fn with_sources(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/asterdale-daemon/src/frontend/command.rs
+++ b/crates/asterdale-daemon/src/frontend/command.rs
@@ -17,7 +17,7 @@
     /// Write these bytes once the socket accepts them: the writer could not. All later replies to this peer also come
     /// this way, so their order is kept.
     WriteUnsent {
-        /// The peer; holding it keeps the connection open.
+        /// The peer; this reference keeps the connection open.
         peer: Arc<dyn Connection>,
         /// The bytes, in order.
         bytes: Vec<u8>,
--- a/crates/asterdale-daemon/src/frontend/connection/closing.rs
+++ b/crates/asterdale-daemon/src/frontend/connection/closing.rs
@@ -1,4 +1,4 @@
-//! How a connection ends without losing requests or replies that are on their way.
+//! How a connection ends without losing requests or replies that are in transit.
 
 use std::io;
 use std::sync::Arc;
@@ -10,25 +10,26 @@
 use super::{Connection, Phase, ReadEnd, ReadOutcome, LINGER};
 use crate::frontend::context::ConnectionContext;
 
-/// Reads that find nothing for which a connection that is to end waits for the rest of a partial request. The event loop
-/// reads every 2 ms, so this is 50 ms: about the time in which a client sends a request again that crossed the close.
+/// A connection that is to end waits for the rest of a partial request until this many consecutive reads have found
+/// nothing. The event loop reads every 2 ms, so this is 50 ms: about the time in which a client resends a request that
+/// arrived after the close.
 const MAX_EMPTY_READS: usize = 25;
-/// Reads while lingering, at most: a client that keeps sending is cut off.
+/// Upper bound of reads while lingering, after which the connection is closed even if the client keeps sending.
 const MAX_LINGER_READS: usize = 64;
-/// Bytes that one read while lingering discards at most.
+/// Upper bound of the bytes that one read while lingering discards.
 const DISCARD_BUFFER_BYTES: usize = 1024;
 
 impl Connection {
     /// Reads from a connection that is to end, if everything on it is answered.
     ///
     /// A client can't know of the end before it has the last reply, so requests that it sends until then are still read
-    /// and answered. The socket's write side is shut down right after a read that found nothing, which keeps the time
-    /// short in which a request can cross the close, however long this process is descheduled.
+    /// and answered. The socket's write side is shut down right after a read that found nothing. This keeps the
+    /// interval short in which a request can arrive too late to be read, however long this process is descheduled.
     pub fn read_while_ending(&mut self, context: &mut ConnectionContext) -> ReadOutcome {
         let Phase::Reading(peer) = &self.phase else {
             return ReadOutcome::Drained;
         };
-        // Whoever else holds the peer owes a reply or is about to write one.
+        // Every other reference to the peer belongs to a reply that is outstanding or about to be written.
         let awaits_reply = peer.open_requests() > 0 || Arc::strong_count(peer) > 1;
         if awaits_reply {
             return ReadOutcome::Drained;
@@ -89,7 +90,7 @@
     }
 }
 
-/// Counts and logs why a connection is read no further; the engine is notified of one that failed.
+/// Counts and logs why reading from a connection ended, and notifies the engine if the connection failed.
 fn record_read_end(context: &ConnectionContext, connection: u64, end: ReadEnd) {
     static MALFORMED: LogLimit = LogLimit::new();
     static OUT_OF_MEMORY: LogLimit = LogLimit::new();
--- a/crates/asterdale-daemon/src/frontend/connection/dispatch.rs
+++ b/crates/asterdale-daemon/src/frontend/connection/dispatch.rs
@@ -16,24 +16,24 @@
 
 /// Open requests that one connection may carry; set by the platform's protocol.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Error replies and replies to management records in a row after which a connection ends. Edge nodes give no cause for
-/// them; a client that repeats a malformed request at once would keep a core busy.
+/// A connection ends after this many consecutive error replies and replies to management records. Edge nodes send
+/// nothing that leads to such replies; a client that repeats a malformed request without pause would keep a core busy.
 const MAX_CONSECUTIVE_ERROR_REPLIES: usize = 8;
 /// Input buffer that every connection has, in bytes. It is not counted as buffered input.
 const BASE_BUFFER_BYTES: usize = 8192;
 
-/// What follows from one record.
+/// The result of processing one record.
 enum Processed {
     /// Nothing to reply.
     Accepted,
     /// A reply to be sent at once.
     Reply(Response),
-    /// The connection is read no further.
+    /// Reading from the connection ends.
     End(ReadEnd),
 }
 
 impl Connection {
-    /// Processes the complete records that were read. Returns why the connection is read no further, if so.
+    /// Processes the complete records that were read. Returns the reason if reading from the connection ends.
     pub(super) fn process_records(
         &mut self,
         context: &mut ConnectionContext,
--- a/crates/asterdale-daemon/src/frontend/connection/mod.rs
+++ b/crates/asterdale-daemon/src/frontend/connection/mod.rs
@@ -1,4 +1,4 @@
-//! The state of one connection, as the event loop's thread holds it.
+//! The state of one connection, owned by the event loop's thread.
 //!
 //! A connection passes through three phases. While *reading*, its requests are parsed ([`dispatch`]) and passed to the
 //! engine. While *answering*, nothing more is read but outstanding replies still go out. While *lingering*, everything is
@@ -21,7 +21,7 @@
 pub use outcome::{ReadEnd, ReadOutcome};
 use unsent::UnsentReplies;
 
-/// Once everything is answered, the socket is closed when the client has sent nothing for so long.
+/// Once everything is answered, the socket is closed when the client has sent nothing for this long.
 pub const LINGER: Duration = Duration::from_millis(50);
 /// Bytes of unsent replies beyond which nothing more is read from a client: one that sends requests and reads no
 /// replies must not fill the memory. About the size of a socket's send buffer.
@@ -30,9 +30,9 @@
 enum Phase {
     /// Requests are read.
     Reading(Arc<Peer>),
-    /// Nothing more is read; somebody still holds the peer and may reply.
+    /// Nothing more is read. Replies may still be sent, because there are references to the peer.
     Answering,
-    /// Nobody holds the peer any more. Input is discarded until `close_at`.
+    /// There are no references to the peer left. Input is discarded until `close_at`.
     Lingering { close_at: Instant, reads: usize },
 }
 
@@ -45,25 +45,25 @@
     requests: RequestAssembler,
     /// Its part of [`ConnectionContext::buffered_bytes`].
     buffered_bytes: usize,
-    /// When it was accepted, in milliseconds since the frontend started.
+    /// When the connection was accepted, in milliseconds since the frontend started.
     pub accepted_at_ms: u64,
-    /// When bytes last arrived, likewise.
+    /// When bytes last arrived, in milliseconds since the frontend started.
     last_read_ms: u64,
     /// The request that is being read arrived no earlier than this: everything that arrived before then was read.
     received_not_before: Instant,
     /// When a read last found nothing.
     drained_at: Instant,
-    /// Any bytes have arrived.
+    /// Whether any bytes have arrived.
     has_received_bytes: bool,
-    /// A complete and valid request has arrived.
+    /// Whether a complete and valid request has arrived.
     pub has_received_request: bool,
     /// Error replies and replies to management records since the last valid request.
     consecutive_error_replies: usize,
-    /// It is to end as soon as nothing is open on it.
+    /// Whether the connection is to end as soon as all requests read from it are answered.
     pub end_requested: bool,
-    /// Reads since then that found nothing.
+    /// Consecutive reads without input since `end_requested` was set.
     empty_reads_while_ending: usize,
-    /// It is in the event loop's queue of connections to be read.
+    /// Whether the connection is in the event loop's queue of connections to be read.
     pub read_scheduled: bool,
     unsent: Option<UnsentReplies>,
 }
@@ -109,7 +109,7 @@
         self.peer().is_some()
     }
 
-    /// Whether it has ended, or is to end once nothing is open on it.
+    /// Whether it has ended, or is to end once all requests read from it are answered.
     pub fn is_ending(&self) -> bool {
         self.end_requested || !self.is_reading()
     }
@@ -130,7 +130,7 @@
         self.last_read_ms.max(last_write_ms)
     }
 
-    /// Accounts for `bytes` of buffered input. Returns `false` if that is more than there is memory for.
+    /// Accounts for `bytes` of buffered input. Returns `false` if the input of all connections then exceeds its bound.
     fn set_buffered_bytes(&mut self, context: &mut ConnectionContext, bytes: usize) -> bool {
         let fits = context.update_buffered_bytes(self.buffered_bytes, bytes);
         self.buffered_bytes = bytes;
@@ -145,7 +145,7 @@
         let peer = peer.clone();
         let too_many_unsent = |unsent: &UnsentReplies| unsent.len() > MAX_UNSENT_BYTES;
         if self.unsent.as_ref().is_some_and(too_many_unsent) {
-            // It is read again once the socket has accepted the replies.
+            // Reading continues once the socket has accepted the replies.
             return ReadOutcome::Drained;
         }
         let had_partial_request = self.has_partial_request();
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Takes note of `count` bytes that were read.
+    /// Records that `count` bytes were read.
     fn record_read(
         &mut self,
         context: &ConnectionContext,
@@ -177,7 +177,8 @@
         self.incoming.commit(count);
         self.last_read_ms = context.now_ms();
         self.empty_reads_while_ending = 0;
-        // The very first bytes may have arrived at any time since the connection did.
+        // The first bytes may have arrived at any time since the connection did, so `received_not_before` is not
+        // changed for them.
         if !had_partial_request && std::mem::replace(&mut self.has_received_bytes, true) {
             self.received_not_before = self.drained_at;
         }
--- a/crates/asterdale-daemon/src/frontend/connection/outcome.rs
+++ b/crates/asterdale-daemon/src/frontend/connection/outcome.rs
@@ -2,15 +2,15 @@
 
 use asterdale_fastcgi::ProtocolError;
 
-/// Why a connection is read no further.
+/// Why reading from a connection ended.
 pub enum ReadEnd {
-    /// The client sends nothing more, or nothing more is wanted from it. Open requests are still answered.
+    /// The client sends nothing more, or nothing more is to be read from it. Open requests are still answered.
     Finished,
     /// What it sent is not FastCGI. Open requests are still answered.
     Malformed(ProtocolError),
-    /// Its incomplete requests take more memory than there is. Open requests are still answered.
+    /// Incomplete requests take more memory than their bound. Open requests are still answered.
     OutOfMemory,
-    /// The connection failed: open requests have nobody left to answer.
+    /// The connection failed: replies to open requests can't be delivered.
     Broken,
 }
 
@@ -20,6 +20,6 @@
     Drained,
     /// There may be more. Other connections are read first.
     More,
-    /// The connection is read no further.
+    /// Reading from the connection ended.
     Ended(ReadEnd),
 }
--- a/crates/asterdale-daemon/src/frontend/connection/unsent.rs
+++ b/crates/asterdale-daemon/src/frontend/connection/unsent.rs
@@ -1,4 +1,4 @@
-//! Replies that a client's socket has not accepted yet. The event loop writes them when it becomes writable.
+//! Replies that a client's socket has not accepted yet. The event loop writes them when the socket becomes writable.
 
 use std::io;
 use std::net::Shutdown;
@@ -16,7 +16,7 @@
     bytes: Vec<u8>,
     /// How many of `bytes` are written.
     written: usize,
-    /// When the socket last accepted any, in milliseconds since the frontend started.
+    /// When the socket last accepted bytes, in milliseconds since the frontend started.
     last_progress_ms: u64,
 }
 
--- a/crates/asterdale-daemon/src/frontend/context.rs
+++ b/crates/asterdale-daemon/src/frontend/context.rs
@@ -1,4 +1,4 @@
-//! What all connections of one listener share: settings, memory account, and the way to the engine.
+//! What all connections of one listener share: settings, the number of buffered bytes, and the sender to the engine.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -13,7 +13,7 @@
 pub struct ConnectionContext {
     /// The service's settings, among them the request classes.
     pub settings: Arc<Settings>,
-    /// Callers must be identified, so the `Authorization` header is read.
+    /// Whether callers must be identified. If so, the `Authorization` header is read.
     pub identity_required: bool,
     /// Receives requests.
     pub engine: Sender<EngineMessage>,
@@ -25,7 +25,7 @@
     pub buffered_bytes: usize,
     /// Upper bound of `buffered_bytes`.
     pub max_buffered_bytes: usize,
-    /// The longest deadline of any request class, in milliseconds: no caller waits longer.
+    /// The longest deadline of any request class, in milliseconds. No caller waits longer for a reply.
     pub max_deadline_ms: u64,
     /// When the frontend started.
     pub started_at: Instant,
@@ -37,7 +37,7 @@
         self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Counts and logs a request of which this field is missing or invalid.
+    /// Counts and logs a request in which this field is missing or invalid.
     pub fn record_malformed_request(&self, field: &'static str) {
         static MALFORMED_REQUEST: LogLimit = LogLimit::new();
         self.counters.tasks_malformed.add();
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Accounts for a connection whose buffers change from `previous` to `current` bytes. Returns `false` if they
-    /// grow and all together exceed the bound.
+    /// Accounts for a connection whose buffers change from `previous` to `current` bytes. Returns `false` if the
+    /// buffers grow and the total of all connections exceeds its bound.
     pub fn update_buffered_bytes(&mut self, previous: usize, current: usize) -> bool {
         let grows = current > previous;
         self.buffered_bytes = self.buffered_bytes + current - previous;
--- a/crates/asterdale-daemon/src/frontend/event_loop/accept.rs
+++ b/crates/asterdale-daemon/src/frontend/event_loop/accept.rs
@@ -15,11 +15,12 @@
 use crate::frontend::peer::Peer;
 use crate::frontend::stream::ClientStream;
 
-/// Connections that are accepted before open ones are read again: after a release hundreds arrive at once.
+/// Upper bound of connections that are accepted before open ones are read again: after a release hundreds arrive at
+/// once.
 const ACCEPT_BATCH: usize = 32;
-/// How long accepting pauses at the bound of open connections.
+/// How long accepting pauses once the bound of open connections is reached.
 const MAX_CONNECTIONS_PAUSE: Duration = Duration::from_millis(2);
-/// How long accepting pauses where the system refuses a descriptor.
+/// How long accepting pauses after a failure, usually for want of a descriptor.
 const ACCEPT_FAILED_PAUSE: Duration = Duration::from_millis(20);
 
 static ACCEPT_FAULT: LogLimit = LogLimit::new();
@@ -35,8 +36,9 @@
             if listener.accept_not_before().is_none_or(|from| now < from) {
                 return;
             }
-            // Descriptors are left for the runtime, the records service and the registry. The idle check makes room
-            // ahead, ten times a second; if more connections than that arrive at once, half of the idle ones end.
+            // The bound leaves descriptors for the runtime, the records service and the registry. The idle check ends
+            // excess idle connections in advance, ten times a second. If the bound is reached all the same, idle
+            // connections are reduced to half their usual bound.
             if self.connections.len() >= self.context.max_connections {
                 listener.pause_until(now + MAX_CONNECTIONS_PAUSE);
                 self.context.counters.accept_pauses.add();
@@ -68,8 +70,8 @@
             Accepted::Retry => true,
             Accepted::BacklogEmpty => false,
             Accepted::Failed(e) => {
-                // The connection stays in the backlog until there is a descriptor. What its client has sent counts as
-                // accepted; closing it would lose that.
+                // The connection stays in the backlog until a descriptor is free. Data that its client has already sent
+                // counts as accepted, and closing the connection would lose it.
                 listener.pause_until(Instant::now() + ACCEPT_FAILED_PAUSE);
                 self.record_accept_failure(&e);
                 self.end_excess_idle_connections(|idle| idle / 2);
@@ -127,7 +129,7 @@
         );
         let peer = Peer::new(number, stream.clone(), writer, commands);
         let mut connection = Connection::new(stream, peer, now_ms, not_before);
-        // Most clients send their first request at once.
+        // Most clients send their first request at once, so the connection is read without waiting for an event.
         connection.read_scheduled = true;
         self.connections.insert(number, connection);
         self.settings
@@ -152,8 +154,8 @@
         } else {
             listener.register(registry, LISTENER)
         };
-        // The socket was registered before, so this is not expected to fail. If it did, the process would accept
-        // nothing any more.
+        // The socket was registered before, so this is not expected to fail. If registering it again fails, the
+        // listener accepts no further connections.
         if let Err(e) = result {
             slog::error!(self.context.log.lines, "frontend: listener registration failed"; "error" => %e);
         }
--- a/crates/asterdale-daemon/src/frontend/event_loop/closing.rs
+++ b/crates/asterdale-daemon/src/frontend/event_loop/closing.rs
@@ -5,8 +5,8 @@
 use super::EventLoop;
 use crate::frontend::connection::{Connection, ReadOutcome, LINGER};
 
-/// A connection accepted less than so many milliseconds ago is not ended to make room: its first request is taken to be
-/// on its way.
+/// A connection accepted less than this many milliseconds ago is not ended to reduce the number of idle ones, because
+/// its first request is probably still in transit.
 const FIRST_REQUEST_GRACE_MS: u64 = 200;
 
 impl EventLoop {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// No reply to this connection can follow: starts to linger.
+    /// Starts to linger on a connection to which no further reply can be sent.
     pub(super) fn start_lingering(&mut self, number: u64) {
         let now = Instant::now();
         let Some(connection) = self.connections.get_mut(&number) else {
@@ -83,9 +83,9 @@
         can_close
     }
 
-    /// Closes a connection whose peer nobody holds any more. The only place that does.
+    /// Closes a connection whose peer has no references left. Connections are closed nowhere else.
     fn remove(&mut self, number: u64) {
-        // Dropping the socket removes it from the poll: nobody else holds its descriptor.
+        // Dropping the socket also removes it from the poll, because its descriptor is not shared.
         if self.connections.remove(&number).is_some() {
             self.context.counters.connections_open.sub();
             self.settings
@@ -94,9 +94,9 @@
         }
     }
 
-    /// Ends connections without open requests until `max_idle` of their number are left: first those that never sent a
-    /// request, then those that were idle longest. A client whose request crosses the close sends it again on another
-    /// connection.
+    /// Ends connections without open requests: first those that never sent a request, then those that were idle
+    /// longest. `max_idle` is given the number of these connections and returns how many of them may stay. A client
+    /// whose request arrives too late to be read sends it again on another connection.
     pub(super) fn end_excess_idle_connections(&mut self, max_idle: impl Fn(usize) -> usize) {
         let now_ms = self.context.now_ms();
         let can_end = |connection: &Connection| {
--- a/crates/asterdale-daemon/src/frontend/event_loop/idle.rs
+++ b/crates/asterdale-daemon/src/frontend/event_loop/idle.rs
@@ -1,4 +1,4 @@
-//! Finds connections that are of no use any more: silent, stalled or idle ones, and those whose certificate has expired.
+//! Ends connections that are no longer useful: silent, stalled or idle ones, and those whose certificate has expired.
 
 use asterdale_engine::engine::unix_ms;
 use asterdale_engine::log::LogLimit;
@@ -6,11 +6,11 @@
 use super::EventLoop;
 use crate::frontend::connection::Connection;
 
-/// A connection without a complete request ends after so many milliseconds. Clients that misbehave must be answered or
-/// closed within 3 s; edge nodes connect only when they have a request.
+/// A connection ends if no complete request has arrived on it within this many milliseconds. Clients that misbehave
+/// must be answered or closed within 3 s; edge nodes connect only when they have a request.
 const FIRST_REQUEST_TIMEOUT_MS: u64 = 2000;
 
-/// Why a connection is of no use any more.
+/// Why a connection is ended.
 enum EndCause {
     /// Its client's certificate has expired: no further request on it would be admitted.
     CertificateExpired,
@@ -23,7 +23,8 @@
 }
 
 impl EventLoop {
-    /// Ends the connections that are of no use any more, and idle ones beyond the bound.
+    /// Ends the connections that have an [`EndCause`], those whose clients read no replies, and idle ones beyond the
+    /// bound.
     pub(super) fn end_idle_connections(&mut self, now_ms: u64) {
         let (mut ending, mut send_stalled) = (Vec::new(), Vec::new());
         for (&number, connection) in &self.connections {
@@ -55,8 +56,8 @@
             0 => u64::MAX,
             timeout_ms => timeout_ms,
         };
-        // Open requests are looked at before the last activity: the writer records its write before it lowers the count
-        // of open requests.
+        // Open requests are read before the last activity, because the writer records its write before it lowers the
+        // number of open requests.
         let has_open_requests = connection.has_open_requests();
         let quiet_ms = now_ms.saturating_sub(connection.last_activity_ms());
         let has_partial_request = connection.has_partial_request();
--- a/crates/asterdale-daemon/src/frontend/event_loop/mod.rs
+++ b/crates/asterdale-daemon/src/frontend/event_loop/mod.rs
@@ -1,7 +1,8 @@
-//! The event loop of one listener: waits with one poll for the listening socket, all connections and its mailbox, and
-//! serves whichever is ready, each in turn.
+//! The event loop of one listener: polls the listening socket, all connections and its mailbox, and serves those that
+//! are ready in turn.
 //!
-//! [`accept`] takes new connections, [`closing`] ends connections, [`idle`] finds those that are of no use any more.
+//! [`accept`] accepts new connections, [`closing`] ends connections, [`idle`] looks for those that are no longer
+//! useful.
 
 mod accept;
 mod closing;
@@ -33,20 +34,20 @@
 const LISTENER: Token = Token(usize::MAX - 1);
 /// Events that one poll returns at most.
 const MAX_EVENTS: usize = 256;
-/// How often idle and stalled connections are looked for.
+/// The interval between checks for idle and stalled connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How often a connection that is to end is read for requests that cross its close.
+/// The interval at which a connection that is to end is read. Its client may send requests until it notices the end.
 const ENDING_READ_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What an event loop needs beside what its connections share.
+/// What an event loop needs in addition to its [`ConnectionContext`].
 pub struct EventLoopSettings {
-    /// The handle that the engine holds.
+    /// The handle through which the engine controls this frontend.
     pub handle: Arc<FrontendHandle>,
-    /// Takes replies to any connection.
+    /// Receives replies to be written, for any connection.
     pub writer: Sender<OutgoingReply>,
     /// Upper bound of connections without open requests.
     pub max_idle_connections: usize,
-    /// Connections without traffic for so many milliseconds are closed; 0 turns this off.
+    /// Connections without traffic for this many milliseconds are closed; 0 turns this off.
     pub idle_timeout_ms: u64,
 }
 
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Serves this socket for as long as the process lives.
+    /// Serves this socket until the process ends.
     ///
     /// # Errors
     /// Returns only if the poll fails.
@@ -133,7 +134,7 @@
         Ok(())
     }
 
-    /// How long there is nothing to do unless the poll reports an event.
+    /// How long the poll may wait for events: until the next timer is due.
     fn poll_timeout(&self) -> Duration {
         if !self.read_queue.is_empty() {
             return Duration::ZERO;
@@ -162,7 +163,7 @@
         }
     }
 
-    /// A connection has input, or its socket accepts bytes again.
+    /// Handles a connection that has input, or whose socket accepts bytes again.
     fn handle_readiness(&mut self, number: u64, is_writable: bool) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Reads each connection once that is queued now.
+    /// Reads once from each connection that is queued now.
     fn read_queued_connections(&mut self) {
         for _ in 0..self.read_queue.len() {
             let Some(number) = self.read_queue.pop_front() else {
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Reads nothing more from this connection.
+    /// Stops reading from this connection.
     fn stop_reading(&mut self, number: u64, end: ReadEnd) {
         if let Some(connection) = self.connections.get_mut(&number) {
             connection.stop_reading(&mut self.context, end);
--- a/crates/asterdale-daemon/src/frontend/handle.rs
+++ b/crates/asterdale-daemon/src/frontend/handle.rs
@@ -8,7 +8,7 @@
 
 use super::command::FrontendCommand;
 
-/// The handle of one listener's frontend. The event loop keeps its counts current.
+/// The handle of one listener's frontend. The event loop updates the number of open connections and the closed state.
 pub struct FrontendHandle {
     commands: MailboxSender<FrontendCommand>,
     open_connections: AtomicUsize,
@@ -52,8 +52,8 @@
         });
     }
 
-    /// Open connections. A listener that is to stop and has not done so counts as one: connections from its backlog may
-    /// still follow.
+    /// The number of open connections. A listener that was asked to stop and is not closed yet counts as one more,
+    /// because it may still accept connections from its backlog.
     fn open_connections(&self) -> usize {
         let is_stopping = self.stop_requested.load(Ordering::SeqCst)
             && !self.listener_closed.load(Ordering::SeqCst);
@@ -74,7 +74,7 @@
     }
 }
 
-/// The frontends of all listeners, which the engine controls as one.
+/// The frontends of all listeners, which the engine controls together.
 pub struct FrontendGroup(pub Vec<Arc<FrontendHandle>>);
 
 impl Frontends for FrontendGroup {
--- a/crates/asterdale-daemon/src/frontend/listener.rs
+++ b/crates/asterdale-daemon/src/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket: how it is opened, and when it may have connections to accept.
+//! The listening socket: binding it, and tracking whether its backlog may contain connections.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -18,10 +18,10 @@
 /// How long [`bind`] waits for an address that is in use: well within the 10 s in which a restarted process must be
 /// ready.
 const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(6);
-/// How often [`bind`] tries again meanwhile.
+/// The interval between the attempts of [`bind`].
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What distinguishes one listener from another.
+/// The settings of one listener.
 #[derive(Clone)]
 pub struct ListenerSettings {
     /// The address.
@@ -30,13 +30,13 @@
     pub first_connection: u64,
     /// How many listeners share the bounds of connections and memory.
     pub listener_count: usize,
-    /// Starts TLS on its connections; without it they are unencrypted.
+    /// Starts TLS on the listener's connections. If absent, they are unencrypted.
     #[cfg(feature = "tls")]
     pub tls: Option<Arc<TlsAcceptor>>,
 }
 
-/// Listens at this address. A process that is about to exit may still have it: while it is in use, binding is tried
-/// again for up to 6 s.
+/// Listens at this address. A process that is about to exit may still use the address, so while it is in use, binding
+/// is retried for up to 6 s.
 pub fn bind(address: SocketAddr, log: &Log) -> io::Result<TcpListener> {
     let give_up_at = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
     let mut is_logged = false;
@@ -60,20 +60,20 @@
         stream: TcpStream,
         not_before: Instant,
     },
-    /// The client of a connection has given up meanwhile, or the call was interrupted.
+    /// The client closed the connection before it was accepted, or the call was interrupted.
     Retry,
     /// The backlog is empty.
     BacklogEmpty,
-    /// The system refused, commonly for want of a descriptor.
+    /// The call failed, usually because the process has no free descriptor.
     Failed(io::Error),
 }
 
 /// The listening socket of an event loop.
 pub struct Listener {
     socket: TcpListener,
-    /// The backlog may hold connections.
+    /// The backlog may contain connections.
     is_ready: bool,
-    /// Nothing is accepted before then.
+    /// No connection is accepted before this time.
     paused_until: Instant,
     /// When the backlog was last found empty.
     backlog_empty_at: Instant,
@@ -91,29 +91,30 @@
         })
     }
 
-    /// Adds it to the poll. Its backlog may hold connections that no event will announce.
+    /// Registers the socket with the poll. The listener counts as ready, because its backlog may already contain
+    /// connections for which the poll reports no event.
     pub fn register(&mut self, registry: &Registry, token: Token) -> io::Result<()> {
         self.is_ready = true;
         let fd = self.socket.as_raw_fd();
         registry.register(&mut SourceFd(&fd), token, Interest::READABLE)
     }
 
-    /// Removes it from the poll.
+    /// Deregisters the socket from the poll.
     pub fn deregister(&self, registry: &Registry) -> io::Result<()> {
         registry.deregister(&mut SourceFd(&self.socket.as_raw_fd()))
     }
 
-    /// The poll has reported connections.
+    /// Marks the listener as ready: the poll has reported connections.
     pub fn set_ready(&mut self) {
         self.is_ready = true;
     }
 
-    /// From when on it can be tried to accept a connection; `None` if the backlog was found empty.
+    /// The earliest time for the next attempt to accept a connection; `None` if the backlog was found empty.
     pub fn accept_not_before(&self) -> Option<Instant> {
         self.is_ready.then_some(self.paused_until)
     }
 
-    /// Accepts nothing until then.
+    /// Sets the time before which no connection is accepted.
     pub fn pause_until(&mut self, until: Instant) {
         self.paused_until = until;
     }
--- a/crates/asterdale-daemon/src/frontend/mod.rs
+++ b/crates/asterdale-daemon/src/frontend/mod.rs
@@ -1,9 +1,9 @@
 //! The FastCGI frontend: accepts connections on a listener, reads requests from them, passes complete requests to the
 //! engine and writes its replies.
 //!
-//! Two kinds of threads do this. Each listener has an [`EventLoop`], which waits for the listening socket and all its
-//! connections together and does all reading. One [`Writer`] writes the replies of all listeners; bytes that a socket
-//! does not accept at once go to the event loop, which writes them when the socket becomes writable.
+//! Two kinds of threads do this. Each listener has an [`EventLoop`], which polls the listening socket and all its
+//! connections and does all reading. One [`Writer`] writes the replies of all listeners; bytes that a socket does not
+//! accept at once go to the event loop, which writes them when the socket becomes writable.
 //!
 //! ```text
 //! socket -> event_loop -> connection -> request_head -> engine
@@ -50,16 +50,18 @@
 pub use tls::TlsAcceptor;
 pub use writer::Writer;
 
-/// Memory that a connection takes at most by itself, in bytes: its buffers, and those of its socket in the kernel.
+/// Upper bound of the memory that one connection takes, in bytes: its own buffers and the kernel's buffers for its
+/// socket.
 const CONNECTION_BYTES: usize = 64 * 1024;
 /// Descriptors kept free for connections to the runtime, the records service and the registry, and for health checks.
 const RESERVED_DESCRIPTORS: usize = 64;
-/// Idle connections that are kept in any case.
+/// Lower bound of [`max_idle_connections`], however few descriptors there are.
 const MIN_IDLE_CONNECTIONS: usize = 16;
-/// Lower bound of the longest deadline, in milliseconds: classes with short deadlines don't end slow clients sooner.
+/// Lower bound of [`ConnectionContext::max_deadline_ms`], in milliseconds. Connections of slow clients are not closed
+/// sooner than this, even if all classes have shorter deadlines.
 const MIN_LONGEST_DEADLINE_MS: f64 = 1000.0;
 
-/// What a frontend is connected to. All frontends of a process share these.
+/// The channels, counters and log that all frontends of a process share.
 #[derive(Clone)]
 pub struct FrontendPorts {
     /// Receives requests.
@@ -68,14 +70,14 @@
     pub writer: Sender<OutgoingReply>,
     pub counters: Arc<Counters>,
     pub log: Log,
-    /// Time 0 of the frontends, the same as the writer's.
+    /// The origin of the frontends' and the writer's timestamps.
     pub started_at: Instant,
 }
 
 /// Creates a frontend for this listener. It serves once its event loop runs.
 ///
 /// # Errors
-/// If the system refuses a poll or a waker.
+/// If the poll or its waker can't be created.
 pub fn create(
     start: &Start,
     listener: ListenerSettings,
@@ -121,14 +123,14 @@
     }
 }
 
-/// Several times the number of connections that edge nodes keep open for reuse.
+/// The upper bound of one listener's idle connections: several times the number that edge nodes keep open for reuse.
 fn max_idle_connections(start: &Start, listener_count: usize) -> usize {
     (start.max_descriptors / 8 / listener_count).max(MIN_IDLE_CONNECTIONS)
 }
 
-/// Edge nodes open as many connections as half of the descriptors at most. Some of the rest are for health checks, and
-/// [`RESERVED_DESCRIPTORS`] (fewer where there are few) for connections that this process opens. All connections take
-/// half of the memory at most.
+/// The upper bound of one listener's connections. Edge nodes open at most half as many connections as there are
+/// descriptors. Some of the other descriptors are for health checks, and [`RESERVED_DESCRIPTORS`] (fewer if the limit
+/// is low) for connections that this process opens. All connections together may take at most half of the memory.
 fn max_connections(start: &Start, listener_count: usize) -> usize {
     (start.max_descriptors * 3 / 4)
         .min(start.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS))
--- a/crates/asterdale-daemon/src/frontend/peer.rs
+++ b/crates/asterdale-daemon/src/frontend/peer.rs
@@ -1,4 +1,4 @@
-//! The client of one connection, as everyone refers to it who owes it a reply.
+//! The client of one connection, as referred to by everything that has to reply to it.
 
 use std::io::{self, IoSlice};
 use std::net::Shutdown;
@@ -21,11 +21,11 @@
     pub connection: u64,
     stream: Arc<ClientStream>,
     writer: Sender<OutgoingReply>,
-    /// Requests passed to the engine whose replies the writer has not taken up yet.
+    /// Requests passed to the engine whose replies the writer has not started to write.
     open_requests: AtomicUsize,
     /// When the writer last wrote, in milliseconds since the frontend started.
     last_write_ms: AtomicU64,
-    /// The socket's send buffer was full once; since then only the event loop writes.
+    /// Whether the socket's send buffer has ever been full. From then on, only the event loop writes.
     written_by_event_loop: AtomicBool,
     event_loop: MailboxSender<FrontendCommand>,
 }
@@ -38,7 +38,7 @@
     }
 }
 
-/// A reply on its way to the writer.
+/// A reply that is queued for the writer.
 pub struct OutgoingReply {
     /// Its recipient.
     pub peer: Arc<Peer>,
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Requests passed to the engine whose replies the writer has not taken up yet.
+    /// Requests passed to the engine whose replies the writer has not started to write.
     pub fn open_requests(&self) -> usize {
         self.open_requests.load(Ordering::Acquire)
     }
@@ -77,7 +77,7 @@
         self.open_requests.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes note that the writer writes at `now_ms` and thereby completes `completed_requests` requests.
+    /// Records that the writer writes at `now_ms`, and that this write answers `completed_requests` requests.
     pub fn record_write(&self, now_ms: u64, completed_requests: usize) {
         self.last_write_ms.store(now_ms, Ordering::Relaxed);
         self.open_requests
@@ -89,9 +89,9 @@
         self.last_write_ms.load(Ordering::Relaxed)
     }
 
-    /// Queues a record that replies to no request of the engine's.
+    /// Queues a record that does not answer a request that was passed to the engine.
     pub fn send_record(self: &Arc<Peer>, response: Response) {
-        // The writer's thread lives as long as the process; without it there is nobody to write anything.
+        // The writer's thread runs until the process ends; without it no reply could be written anyway.
         let _ = self.writer.send(OutgoingReply {
             peer: self.clone(),
             response,
@@ -131,7 +131,7 @@
         !self.written_by_event_loop.swap(true, Ordering::Relaxed)
     }
 
-    /// Leaves these bytes to the event loop.
+    /// Passes these bytes to the event loop, which writes them.
     pub fn send_unsent(self: &Arc<Peer>, bytes: Vec<u8>) {
         self.event_loop.send(FrontendCommand::WriteUnsent {
             peer: self.clone(),
@@ -152,7 +152,7 @@
     /// Queues the reply for the writer. The queue is bounded by the number of open requests.
     fn answer(self: Arc<Peer>, request: u16, reply: Reply) {
         let writer = self.writer.clone();
-        // The writer's thread lives as long as the process; without it there is nobody to write anything.
+        // The writer's thread runs until the process ends; without it no reply could be written anyway.
         let _ = writer.send(OutgoingReply {
             response: encode_reply(request, reply),
             peer: self,
--- a/crates/asterdale-daemon/src/frontend/reply.rs
+++ b/crates/asterdale-daemon/src/frontend/reply.rs
@@ -8,7 +8,7 @@
 
 const TEXT: &str = "Content-Type: text/plain\r\n";
 
-/// The header that asks the client to wait before it tries again; nothing for less than a millisecond.
+/// The header that asks the client to wait before it tries again; empty if the wait is less than a millisecond.
 fn retry_after(wait_ms: u64) -> String {
     if wait_ms >= 1 {
         format!("Retry-After-Ms: {wait_ms}\r\n")
@@ -58,8 +58,8 @@
     }
 }
 
-/// The status of a caller that is denied. `X-Denied` tells these responses from those of load shedding, which use the
-/// same status codes.
+/// The status and headers of the response to a denied caller. `X-Denied` distinguishes these responses from those of
+/// load shedding, which use the same status codes.
 fn denial_status(status: DenialStatus) -> &'static str {
     match status {
         DenialStatus::Unauthenticated => {
--- a/crates/asterdale-daemon/src/frontend/request_head.rs
+++ b/crates/asterdale-daemon/src/frontend/request_head.rs
@@ -1,5 +1,5 @@
 //! Reads the FastCGI parameters of a complete request: which request class or health check it is for, and the headers
-//! that the decisions use. The parameters' names are the platform's.
+//! that the decisions use. The platform defines the names of the parameters.
 
 use asterdale::parameters::Idempotency;
 use asterdale_engine::message::{IdempotencyKey, RequestHead, RequestId};
@@ -21,13 +21,13 @@
         /// It asks whether requests are being served, not only whether the process is alive.
         deep: bool,
     },
-    /// A request of some class, with the caller's token if there is one and it matters.
+    /// A request of some class, and the caller's token if there is one and callers must be identified.
     Task(RequestHead, Option<Box<[u8]>>),
     /// This field is missing or invalid.
     Invalid { field: &'static str },
 }
 
-/// The parameters that are used, as they arrived.
+/// The values of the parameters that are used, not validated yet.
 #[derive(Default)]
 struct RawHead<'a> {
     method: Option<&'a [u8]>,
@@ -48,7 +48,7 @@
 /// Reads a request's parameters. Unknown ones are ignored, and so is `Authorization` unless `identity_required`.
 ///
 /// # Errors
-/// If the parameters are not encoded as FastCGI has it.
+/// If the parameters are not valid FastCGI name-value pairs.
 pub fn parse(
     params: &[u8],
     settings: &Settings,
@@ -70,7 +70,7 @@
 }
 
 impl<'a> RawHead<'a> {
-    /// Picks the parameters that are used. Of one that is repeated, the last counts.
+    /// Collects the parameters that are used. If one is repeated, its last value is used.
     fn collect(params: &'a [u8], identity_required: bool) -> Result<RawHead<'a>, ProtocolError> {
         let mut raw = RawHead::default();
         for pair in Params(params) {
@@ -96,7 +96,7 @@
         Ok(raw)
     }
 
-    /// The head with every field checked; otherwise the name of the first field that is missing or invalid.
+    /// The validated head, or the name of the first field that is missing or invalid.
     fn validate(&self, settings: &Settings) -> Result<RequestHead, &'static str> {
         if self.method.is_some_and(|method| method != b"POST") {
             return Err("method");
@@ -142,8 +142,8 @@
             .ok_or("id")
     }
 
-    /// The key by which a repeat of this request is recognised: required for keyed classes, the object's name for
-    /// idempotent ones if it has one.
+    /// The key by which repeats of this request are recognised: for keyed classes the idempotency key, which is
+    /// required; for idempotent classes the object's name, if there is one.
     fn idempotency_key(
         &self,
         class: usize,
@@ -169,8 +169,8 @@
     }
 }
 
-/// The token in `Authorization: Bearer TOKEN` (RFC 6750). Of any other scheme the complete value, which is no valid
-/// token.
+/// The token in `Authorization: Bearer TOKEN` (RFC 6750). For any other scheme it is the complete value, which is not a
+/// valid token.
 fn bearer_token(value: &[u8]) -> Box<[u8]> {
     const SCHEME: &[u8] = b"Bearer ";
     match value.split_at_checked(SCHEME.len()) {
@@ -188,7 +188,7 @@
         .filter(|n: &f64| n.is_finite() && *n >= 0.0)
 }
 
-/// The number in a field that may be absent; its `name` if it is there but invalid.
+/// The number in a field that may be absent. Fails with the field's `name` if the field is present but invalid.
 fn optional_number(value: Option<&[u8]>, name: &'static str) -> Result<Option<f64>, &'static str> {
     match (value, number(value)) {
         (Some(_), None) => Err(name),
@@ -196,8 +196,8 @@
     }
 }
 
-/// The position of a tenant in the settings, `None` for an unknown name. Where the settings have no tenants or the
-/// request names none, it counts for the first.
+/// The position of a tenant in the settings, `None` for an unknown name. If the settings have no tenants or the request
+/// names none, it is the first position.
 fn tenant_index(name: Option<&[u8]>, settings: &Settings) -> Option<u32> {
     let Some(name) = name.filter(|_| !settings.tenant_names.is_empty()) else {
         return Some(0);
--- a/crates/asterdale-daemon/src/frontend/stream.rs
+++ b/crates/asterdale-daemon/src/frontend/stream.rs
@@ -76,7 +76,7 @@
 
     /// Shuts the socket down in one direction or both.
     pub fn shutdown(&self, how: Shutdown) {
-        // Fails only where the peer has closed already, and then there is nothing left to shut down.
+        // Fails only if the peer has already closed the connection; then there is nothing to shut down.
         let _ = self.socket().shutdown(how);
     }
 
--- a/crates/asterdale-daemon/src/frontend/tests.rs
+++ b/crates/asterdale-daemon/src/frontend/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the frontend that need its private state: requests that cross the end of a connection, and replies that a
-//! client's socket does not accept at once.
+//! Tests of the frontend that need its private state: requests that arrive while a connection is ending, and replies
+//! that a client's socket does not accept at once.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -142,7 +142,8 @@
         started_at: Instant::now(),
     };
     thread::spawn(move || writer.run());
-    // Nothing is read before the writer has met a full socket: a fast reader could keep it from ever filling up.
+    // The client reads nothing until the writer has found the socket's send buffer full: a fast reader could keep the
+    // buffer from ever filling up.
     poll.poll(&mut Events::with_capacity(1), Some(TEST_TIMEOUT))
         .unwrap();
     client
--- a/crates/asterdale-daemon/src/frontend/tls/certificate.rs
+++ b/crates/asterdale-daemon/src/frontend/tls/certificate.rs
@@ -6,7 +6,8 @@
 use x509_parser::extensions::GeneralName;
 use x509_parser::prelude::{FromDer, X509Certificate};
 
-/// Subject alternative names that are used, at most: certificates have a few, and the rest would cost memory.
+/// Upper bound of subject alternative names that are used. Certificates have a few; more would take memory without
+/// need.
 const MAX_NAMES: usize = 16;
 const MS_PER_SECOND: f64 = 1e3;
 
--- a/crates/asterdale-daemon/src/frontend/tls/mod.rs
+++ b/crates/asterdale-daemon/src/frontend/tls/mod.rs
@@ -1,5 +1,5 @@
-//! TLS for edge nodes that present a client certificate. For deployments that configure it; the platform's build has
-//! none.
+//! TLS for edge nodes that present a client certificate. Used only by deployments that configure it; the platform's
+//! build does not include it.
 
 mod certificate;
 mod session;
@@ -15,7 +15,7 @@
 
 pub use session::TlsSession;
 
-/// Starts TLS sessions. Its certificates are read anew at SIGHUP, for sessions that start from then on.
+/// Starts TLS sessions. Its certificates are read again on SIGHUP, for sessions that start from then on.
 pub struct TlsAcceptor {
     config: RwLock<Arc<ServerConfig>>,
 }
@@ -24,7 +24,7 @@
     /// Reads the files that the start file's section names.
     ///
     /// # Errors
-    /// What is wrong with them, each fault with the path of its field.
+    /// The first fault of these files, with the path of the field in the start file.
     pub fn new(tls: &TlsSettings) -> Result<TlsAcceptor, StartError> {
         Ok(TlsAcceptor {
             config: RwLock::new(settings::load(tls)?),
@@ -50,8 +50,8 @@
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
         let mut state = ServerConnection::new(config).map_err(io::Error::other)?;
-        // Unsent replies are bounded by the open requests. A reply that is encrypted in part could not be taken back,
-        // so the session takes any amount.
+        // Unsent replies are bounded by the open requests. A partially encrypted reply could not be withdrawn, so the
+        // session's buffer has no limit of its own.
         state.set_buffer_limit(None);
         Ok(TlsSession::new(stream, state))
     }
--- a/crates/asterdale-daemon/src/frontend/tls/session.rs
+++ b/crates/asterdale-daemon/src/frontend/tls/session.rs
@@ -3,7 +3,8 @@
 //! A session's cryptographic state is shared by both directions. Its lock is taken only for computation, never during a
 //! system call: the event loop reads from the socket without the lock and then takes it to decrypt; the writer takes it
 //! to encrypt, and writes to the socket without it. Encrypted bytes that are not written yet are kept in order behind a
-//! second lock, which is held while writing. The socket is non-blocking, so nobody waits for it under a lock.
+//! second lock, which is held while writing. The socket is non-blocking, so no thread waits for it while holding a
+//! lock.
 
 use std::io::{self, IoSlice, Read, Write};
 use std::net::TcpStream;
@@ -14,7 +15,7 @@
 
 use super::certificate;
 
-/// Encrypted bytes that one read takes. Their plain text always fits into the session's buffer.
+/// Upper bound of encrypted bytes that one read takes. Their plain text always fits into the session's buffer.
 const READ_BYTES: usize = 4096;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -28,7 +29,7 @@
     state: Mutex<ServerConnection>,
     /// Encrypted bytes that are not written yet.
     unsent: Mutex<Vec<u8>>,
-    /// Used by the event loop's thread alone.
+    /// Used only by the event loop's thread.
     read_buffer: Mutex<Vec<u8>>,
     certificate: OnceLock<Option<Arc<Certificate>>>,
 }
@@ -64,8 +65,8 @@
                 return Ok(0);
             }
             let decrypted = self.decrypt(&encrypted[..count]);
-            // Flushed in any case: after an error there is an alert that says why. What the socket does not accept now
-            // goes out when it becomes writable.
+            // Flushed even after an error, to send the alert that tells the client the reason. What the socket does not
+            // accept now is written when the socket becomes writable.
             let flushed = self.flush();
             decrypted?;
             match flushed {
--- a/crates/asterdale-daemon/src/frontend/tls/settings.rs
+++ b/crates/asterdale-daemon/src/frontend/tls/settings.rs
@@ -20,7 +20,7 @@
 /// Reads the files of this section of the start file.
 ///
 /// # Errors
-/// What is wrong with them, with the path of the field.
+/// The first fault of these files, with the path of the field in the start file.
 pub fn load(tls: &TlsSettings) -> Result<Arc<ServerConfig>, StartError> {
     let chain = certificates("tls.certificate", &tls.certificate_path)?;
     let key = PrivateKeyDer::from_pem_file(&tls.key_path)
--- a/crates/asterdale-daemon/src/frontend/writer.rs
+++ b/crates/asterdale-daemon/src/frontend/writer.rs
@@ -1,5 +1,5 @@
-//! The thread that writes replies to all connections. What a socket does not accept at once is left to the event loop,
-//! which waits for all sockets together, so that no slow client delays the replies to others.
+//! The thread that writes replies to all connections. What a socket does not accept at once is passed to the event
+//! loop, which polls all sockets, so that no slow client delays the replies to others.
 
 use std::io::IoSlice;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 use super::peer::OutgoingReply;
 
-/// Replies that one round takes from the queue after the first, at most: bounds the memory of the gathered writes.
+/// Upper bound of the replies that a batch contains after its first one. It bounds the memory of the gathered writes.
 const MAX_BATCH: usize = 256;
 
 /// The writer of all connections.
--- a/crates/asterdale-daemon/src/main.rs
+++ b/crates/asterdale-daemon/src/main.rs
@@ -23,10 +23,10 @@
 
 use std::process::ExitCode;
 
-/// Activates the failpoint that the environment names.
+/// Activates the failpoint that the environment variable `ASTERDALE_FAILPOINT` names.
 ///
 /// # Panics
-/// If no failpoint has this name.
+/// If there is no failpoint of this name.
 #[cfg(feature = "failpoints")]
 fn activate_failpoint() {
     let Ok(name) = std::env::var("ASTERDALE_FAILPOINT") else {
--- a/crates/asterdale-daemon/src/reload.rs
+++ b/crates/asterdale-daemon/src/reload.rs
@@ -13,7 +13,7 @@
 use crate::frontend::TlsAcceptor;
 use crate::start::{self, KeySetSource, ReadKeySetError, Start, StartError};
 
-/// Reads this start file, or the one that the environment names.
+/// Reads this start file or, if absent, the one that the environment names.
 ///
 /// # Errors
 /// Everything that is wrong with it.
@@ -27,12 +27,12 @@
     /// The start file or a file that it names is invalid.
     #[error(transparent)]
     Invalid(#[from] StartError),
-    /// The set of keys can't be read; everything else was applied.
+    /// The key set can't be read; everything else was applied.
     #[error(transparent)]
     KeySet(#[from] ReadKeySetError),
 }
 
-/// Those that use settings which can change, except for the engine.
+/// The parts of the process, other than the engine, whose settings a reload can change.
 pub struct Reload {
     /// The start file; if absent, an environment variable names it.
     pub start_file: Option<PathBuf>,
@@ -46,7 +46,8 @@
     /// Reads the start file and applies it. Returns `false` if the engine has ended.
     ///
     /// # Errors
-    /// If a file is invalid. Nothing has changed then, except where only the set of keys is.
+    /// If a file is invalid. Nothing has changed then, unless only the key set is invalid: everything else was applied
+    /// in this case.
     pub fn run(&self, engine: &Sender<EngineMessage>) -> Result<bool, ReloadError> {
         let start = read_start(self.start_file.as_deref())?;
         #[cfg(feature = "tls")]
@@ -66,7 +67,8 @@
             .is_ok();
         match (key_source, &self.issuer) {
             (Some(KeySetSource::Issuer(source)), Some(issuer)) => {
-                // A full mailbox means that the actor has not read previous changes; the next SIGHUP repeats this one.
+                // A full mailbox means that the actor has not processed previous changes yet. This one is dropped; the
+                // next SIGHUP sends it again.
                 let _ = issuer.try_send(KeyRefresh::SetSource(source));
             }
             (Some(source), _) => {
--- a/crates/asterdale-daemon/src/serve.rs
+++ b/crates/asterdale-daemon/src/serve.rs
@@ -12,10 +12,10 @@
 
 /// Exit code of a process that ends by a panic; the one that Rust uses for a panic of the main thread.
 const EXIT_PANIC: i32 = 101;
-/// Exit code if the start file can't be read.
+/// Exit code if the start file can't be read or is invalid.
 const EXIT_INVALID_START: u8 = 2;
 
-/// How to serve.
+/// The options of [`serve`].
 #[derive(Default)]
 pub struct ServeOptions {
     /// The start file. If absent, an environment variable names it.
@@ -26,7 +26,8 @@
     pub log_level: Option<slog::Level>,
 }
 
-/// Prints what is wrong with a start file on standard error, a line each, and returns the exit code for it.
+/// Prints the faults of a start file on standard error, one per line, and returns the exit code for an invalid start
+/// file.
 pub fn report_start_error(error: &StartError) -> ExitCode {
     error
         .faults()
@@ -35,7 +36,7 @@
     ExitCode::from(EXIT_INVALID_START)
 }
 
-/// Serves until the process is told to stop.
+/// Serves until the process has drained after a signal to stop, or can't serve.
 pub fn serve(options: ServeOptions) -> ExitCode {
     exit_on_panic();
     let start = match read_start(options.start_file.as_deref()) {
@@ -48,7 +49,8 @@
     if let Err(e) = &result {
         slog::crit!(log.lines, "daemon: cannot serve"; "error" => with_sources(e));
     }
-    // The guard writes what is still buffered; that needs the last user of the log to be gone.
+    // Dropping the guard writes the lines that are still buffered. The last reference to the log must be dropped
+    // before.
     drop(log);
     drop(guard);
     if result.is_ok() {
@@ -58,8 +60,8 @@
     }
 }
 
-/// Makes a panic of any thread end the process: with one of its actors gone, the others would accept requests that nobody
-/// completes.
+/// Makes a panic of any thread end the process: if one actor ended alone, the others would accept requests that are
+/// never completed.
 fn exit_on_panic() {
     let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
--- a/crates/asterdale-daemon/src/signals.rs
+++ b/crates/asterdale-daemon/src/signals.rs
@@ -24,17 +24,17 @@
 #[cfg(not(feature = "upgrade"))]
 const CAUGHT: [i32; 4] = [SIGTERM, SIGINT, SIGUSR1, SIGHUP];
 
-/// Catches the signals that [`SignalHandler`] handles. From now on they don't end the process any more.
+/// Catches the signals that [`SignalHandler`] handles. From now on these signals no longer end the process.
 pub fn catch() -> io::Result<Signals> {
     Signals::new(CAUGHT)
 }
 
-/// Handles signals: SIGTERM and SIGINT drain the process, SIGUSR1 prints the counters, SIGHUP reads the start file again,
-/// SIGUSR2 asks for a hot restart.
+/// Handles signals: SIGTERM and SIGINT drain the process, SIGUSR1 prints the counters, SIGHUP reads the start file
+/// again, SIGUSR2 requests a hot restart.
 pub struct SignalHandler {
     pub engine: Sender<EngineMessage>,
     pub reload: Reload,
-    /// The control socket on which this process is asked for a hot restart.
+    /// The control socket of this process, on which hot restarts are requested.
     #[cfg(feature = "upgrade")]
     pub control_socket: Option<PathBuf>,
     pub counters: Arc<Counters>,
@@ -63,7 +63,7 @@
         self.engine.send(message).is_ok()
     }
 
-    /// Reads the start file again; one that is invalid changes nothing. Returns `false` if the engine has ended.
+    /// Reads the start file again; an invalid one changes nothing. Returns `false` if the engine has ended.
     fn reload(&self) -> bool {
         static RELOAD_FAILED: LogLimit = LogLimit::new();
         match self.reload.run(&self.engine) {
@@ -78,15 +78,15 @@
         }
     }
 
-    /// Asks for a hot restart on a thread of its own, as it takes longer than other signals may wait. The log tells how
-    /// it goes.
+    /// Requests a hot restart on a thread of its own, because it takes longer than other signals may be delayed. Its
+    /// progress and result are logged.
     #[cfg(feature = "upgrade")]
     fn start_hot_restart(&self) -> bool {
         let Some(control_socket) = self.control_socket.clone() else {
             return true;
         };
         let request = move || {
-            // The control server logs every outcome, also a failure.
+            // The control server logs every outcome, including failures.
             let _ = crate::upgrade::request_upgrade(&control_socket, "", |_| ());
         };
         if let Err(e) = threads::spawn("upgrade", request) {
--- a/crates/asterdale-daemon/src/token.rs
+++ b/crates/asterdale-daemon/src/token.rs
@@ -1,4 +1,4 @@
-//! `asterdale token`: makes tokens, prints the claims of one, and verifies one as a server would.
+//! `asterdale token`: creates tokens, prints a token's claims, and verifies a token as a server would.
 
 use std::path::{Path, PathBuf};
 
@@ -12,7 +12,7 @@
 use crate::keys::{parse_duration_ms, read_secret_key, unix_ms, KeysError};
 use crate::start::{self, KeySetSource, ReadKeySetError, Start, StartError};
 
-/// The commands on tokens. Their texts are the help of the command line.
+/// The token commands. The comments on variants and fields are their help texts.
 #[derive(Subcommand)]
 pub enum Command {
     /// Make a token and print it
@@ -73,13 +73,13 @@
     /// The secret key can't be read.
     #[error(transparent)]
     Key(#[from] KeysError),
-    /// No id can be made for the token.
+    /// No id can be generated for the token.
     #[error(transparent)]
     Id(#[from] SecretKeyError),
-    /// The new token breaks a rule that servers have.
+    /// The new token breaks a rule that servers enforce.
     #[error("no server would take this token: {0:?}")]
     Unusable(#[source] DenialReason),
-    /// The text is no token.
+    /// The text is not a token.
     #[error("this can't be read as a token: {0:?}")]
     Malformed(#[source] DenialReason),
     /// The claims can't be printed.
@@ -88,9 +88,9 @@
     /// The start file can't be read.
     #[error("{}: {source}", path.display())]
     StartFile {
-        /// Its path.
+        /// The path of the start file.
         path: PathBuf,
-        /// Why.
+        /// The error of reading it.
         source: std::io::Error,
     },
     /// The start file has faults.
@@ -105,7 +105,7 @@
     /// The key set can't be read.
     #[error(transparent)]
     KeySetFile(#[from] ReadKeySetError),
-    /// The identity settings are of no use.
+    /// The identity settings can't be used.
     #[error(transparent)]
     Identity(#[from] IdentityError),
     /// The key set is rejected.
@@ -119,7 +119,7 @@
     UnknownRequestClass(String),
 }
 
-/// The faults of a start file, a line each.
+/// The faults of a start file, one per line.
 fn fault_lines(error: &StartError) -> String {
     let lines: Vec<String> = error.faults().iter().map(ToString::to_string).collect();
     lines.join("\n")
@@ -167,7 +167,7 @@
     Ok(())
 }
 
-/// An id that no other token has: the public key of a new secret key.
+/// A unique token id: the public key of a newly generated secret key.
 fn random_id() -> Result<String, TokenError> {
     Ok(SecretKey::generate("id")?.public_key_text())
 }
@@ -232,7 +232,8 @@
     Ok(())
 }
 
-/// Reads the start file. Its name and address are of no use here: the variables for them are not read.
+/// Reads the start file. The process's name and address are not used here, so the environment variables for them are
+/// not read.
 fn read_start_file(path: &Path) -> Result<Start, TokenError> {
     let text = std::fs::read(path).map_err(|source| TokenError::StartFile {
         path: path.to_owned(),
