--- a/crates/asterdale-daemon/src/assembly/error.rs
+++ b/crates/asterdale-daemon/src/assembly/error.rs
@@ -12,7 +12,7 @@
 /// Why the process can't serve.
 #[derive(Debug, thiserror::Error)]
 pub enum AssemblyError {
-    #[error("signals")]
+    #[error("cannot catch signals")]
     Signals(#[source] io::Error),
     #[error(transparent)]
     Thread(#[from] SpawnError),
@@ -20,18 +20,18 @@
     #[cfg(feature = "tls")]
     #[error(transparent)]
     Invalid(#[from] StartError),
-    #[error("frontend")]
+    #[error("cannot create a frontend")]
     Frontend(#[source] io::Error),
-    #[error("listen: {address}")]
+    #[error("cannot listen on {address}")]
     Listen {
         address: SocketAddr,
         source: io::Error,
     },
-    #[error("registry")]
+    #[error("cannot start the registry client")]
     Registry(#[source] io::Error),
-    #[error("records")]
+    #[error("cannot start the records client")]
     Records(#[source] io::Error),
-    #[error("identity")]
+    #[error("cannot use the identity settings")]
     Identity(#[source] asterdale_identity::IdentityError),
     /// The state of the previous process can't be taken over, or the control socket can't be opened.
     #[cfg(feature = "upgrade")]
--- a/crates/asterdale-daemon/src/assembly/frontends.rs
+++ b/crates/asterdale-daemon/src/assembly/frontends.rs
@@ -102,7 +102,7 @@
             spawn("frontend", move || {
                 event_loop
                     .run(socket)
-                    .unwrap_or_else(|e| panic!("frontend: {e}"))
+                    .unwrap_or_else(|e| panic!("event loop of a frontend failed: {e}"))
             })?;
         }
         Ok(FrontendGroup(self.handles))
--- a/crates/asterdale-daemon/src/cli.rs
+++ b/crates/asterdale-daemon/src/cli.rs
@@ -26,7 +26,7 @@
   asterdale keys new --id root --out root.jwk
   asterdale token mint --key key.jwk --issuer office --audience asterdale --tenant house --subject ann --role clerk";
 
-/// Decides admission and scheduling for a server behind other people's balancers, and serves.
+/// A backend that makes admission and scheduling decisions behind load balancers it does not control.
 #[derive(Parser)]
 #[command(name = "asterdale", version, after_help = EXAMPLES)]
 struct Line {
@@ -36,36 +36,36 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve: what the program does without words, too
+    /// Serve requests; the default without a command
     Serve(Serve),
-    /// Tell all that is wrong with a start file; exit code 2 if anything is
+    /// Print all faults of a start file; exit code 2 if there are any
     Check {
         /// The start file
         file: PathBuf,
     },
     /// Print the JSON Schema of the start file
     Schema,
-    /// Make, read and judge tokens
+    /// Create, inspect and verify tokens
     #[command(subcommand)]
     Token(token::Command),
-    /// Keep keys and sets of keys, on files
+    /// Manage keys and key sets in files
     #[command(subcommand)]
     Keys(keys::Command),
-    /// Ask a serving process to hand over to a new one, and tell how far it is
+    /// Request a hot restart of a serving process, and print its phases
     #[cfg(feature = "upgrade")]
     Upgrade {
         /// The control socket, as the start file names it
         #[arg(long)]
         control: PathBuf,
-        /// The new program; the one that serves if absent
+        /// The program of the new process; if absent, that of the serving process
         #[arg(long)]
         binary: Option<PathBuf>,
     },
-    /// Look at the fleet as a serving process holds it, or have that process leave it
+    /// Show the fleet as a serving process sees it, or make that process leave it
     #[cfg(feature = "fleet")]
     #[command(subcommand)]
     Fleet(crate::fleet::Command),
-    /// Look at what a process has on disk, also while it serves
+    /// Inspect a process's journal on disk, also while it serves
     #[cfg(feature = "journal")]
     #[command(subcommand)]
     Journal(crate::journal::Command),
@@ -79,12 +79,12 @@
 /// The options of `serve`.
 #[derive(Args)]
 struct Serve {
-    /// The start file; the variable ROUTER_CONFIG if absent
+    /// The start file; if absent, the environment variable ROUTER_CONFIG names it
     file: Option<PathBuf>,
-    /// The form of the log's lines
+    /// The format of the log lines
     #[arg(long, value_enum, default_value_t)]
     log: Form,
-    /// The least weighty lines that are written
+    /// The lowest severity of log lines that are written
     #[arg(long, value_enum, default_value_t)]
     level: Level,
 }
@@ -106,29 +106,29 @@
     }
 }
 
-/// The form of the log's lines.
+/// The format of the log lines.
 #[derive(Clone, Copy, Default, ValueEnum)]
 enum Form {
-    /// For people
+    /// Human-readable text
     #[default]
     Plain,
-    /// A JSON object a line
+    /// One JSON object per line
     Json,
 }
 
-/// How weighty a line is.
+/// The severity of a log line.
 #[derive(Clone, Copy, Default, ValueEnum)]
 enum Level {
-    /// The program can't go on
+    /// The program can't continue
     Critical,
-    /// Something was lost or passed over
+    /// Something was lost or skipped
     Error,
-    /// Something is not as it should be
+    /// Something unexpected happened
     Warning,
     /// A change of state
     #[default]
     Info,
-    /// More than is wanted day by day
+    /// Details that are not needed in normal operation
     Debug,
 }
 
--- a/crates/asterdale-daemon/src/threads.rs
+++ b/crates/asterdale-daemon/src/threads.rs
@@ -9,7 +9,7 @@
 
 /// A thread could not be started.
 #[derive(Debug, thiserror::Error)]
-#[error("no thread for {name}")]
+#[error("cannot start thread {name}")]
 pub struct SpawnError {
     /// The thread's name.
     pub name: &'static str,
--- a/crates/asterdale-daemon/src/token.rs
+++ b/crates/asterdale-daemon/src/token.rs
@@ -15,24 +15,24 @@
 /// The token commands. The comments on variants and fields are their help texts.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Make a token and print it
+    /// Create a token and print it
     Mint(Box<Mint>),
-    /// Print what a token says of itself, which proves nothing
+    /// Print the header and claims of a token, without verifying it
     Inspect {
         /// The token
         token: String,
     },
-    /// Judge a token as a server with this start file would; exit code 2 if it turns the caller away
+    /// Verify a token as a server with this start file would; exit code 2 if the caller is denied
     Verify {
         /// The token
         token: String,
         /// The start file, with a section `identity`
         #[arg(long)]
         start: PathBuf,
-        /// The signed set of keys; the file that the start file names if absent
+        /// The signed key set; if absent, the file that the start file names
         #[arg(long)]
         set: Option<PathBuf>,
-        /// Ask for a task of this stage, too
+        /// Also verify that the caller may request this stage
         #[arg(long = "stage", value_name = "STAGE")]
         request_class: Option<String>,
     },
@@ -41,28 +41,28 @@
 /// The claims of a new token.
 #[derive(Args)]
 pub struct Mint {
-    /// The secret key that signs it
+    /// The secret key that signs the token
     #[arg(long)]
     key: PathBuf,
-    /// Who issues it
+    /// The issuer
     #[arg(long)]
     issuer: String,
-    /// For whom it is meant
+    /// The audience: the service that the token is for
     #[arg(long)]
     audience: String,
     /// The tenant
     #[arg(long)]
     tenant: String,
-    /// Whom it speaks for
+    /// The subject: the caller that the token identifies
     #[arg(long)]
     subject: String,
-    /// What the subject is there for; may come several times
+    /// A role of the subject; may be repeated
     #[arg(long = "role", required = true)]
     roles: Vec<String>,
-    /// How long it lives
+    /// The token's lifetime
     #[arg(long = "lives", value_name = "LIVES", default_value = "10m", value_parser = parse_duration_ms)]
     lifetime_ms: f64,
-    /// Its id; one made at random if absent
+    /// The token's id; if absent, a random one
     #[arg(long)]
     id: Option<String>,
 }
@@ -77,10 +77,10 @@
     #[error(transparent)]
     Id(#[from] SecretKeyError),
     /// The new token breaks a rule that servers enforce.
-    #[error("no server would take this token: {0:?}")]
+    #[error("every server would reject this token: {0:?}")]
     Unusable(#[source] DenialReason),
     /// The text is not a token.
-    #[error("this can't be read as a token: {0:?}")]
+    #[error("cannot parse the token: {0:?}")]
     Malformed(#[source] DenialReason),
     /// The claims can't be printed.
     #[error(transparent)]
@@ -109,13 +109,13 @@
     #[error(transparent)]
     Identity(#[from] IdentityError),
     /// The key set is rejected.
-    #[error("the set of keys is refused: {0:?}")]
+    #[error("the key set is rejected: {0:?}")]
     KeySetRejected(#[source] KeySetError),
     /// A server would deny the request.
-    #[error("turned away: {0:?}")]
+    #[error("access denied: {0:?}")]
     Denied(#[source] DenialReason),
     /// There is no such request class.
-    #[error("--stage {0}: no name in settings.lanes")]
+    #[error("--stage {0}: not a name in settings.lanes")]
     UnknownRequestClass(String),
 }
 
@@ -228,7 +228,7 @@
     identity
         .authorize(now_ms, &caller, &request)
         .map_err(|denial| TokenError::Denied(denial.reason))?;
-    println!("may ask for {name}");
+    println!("may request {name}");
     Ok(())
 }
 
