--- a/crates/asterdale-daemon/src/assembly/hot_restart.rs
+++ b/crates/asterdale-daemon/src/assembly/hot_restart.rs
@@ -102,7 +102,7 @@
             return Ok(());
         };
         let io_error =
-            |e: std::io::Error| AssemblyError::HotRestart(format!("cannot duplicate a socket for the control server: {e}").into());
+            |e: std::io::Error| AssemblyError::HotRestart(format!("control socket: {e}").into());
         let path = std::path::PathBuf::from(path);
         let socket = match &self.inherited {
             Some(inherited) => inherited.control.try_clone().map_err(io_error)?,
--- a/crates/asterdale-daemon/src/main.rs
+++ b/crates/asterdale-daemon/src/main.rs
@@ -39,7 +39,10 @@
         || asterdale_ownership::failpoint::activate(&name);
     #[cfg(feature = "journal")]
     let is_known = is_known || asterdale_journal::failpoint::activate(&name);
-    assert!(is_known, "ASTERDALE_FAILPOINT: there is no failpoint {name}");
+    assert!(
+        is_known,
+        "ASTERDALE_FAILPOINT: there is no failpoint {name}"
+    );
 }
 
 fn main() -> ExitCode {
