--- a/crates/asterdale-daemon/src/assembly/actors.rs
+++ b/crates/asterdale-daemon/src/assembly/actors.rs
@@ -1,4 +1,5 @@
-//! Starts the actors that need nothing but their settings: runtime link, registry, records client, journal and fleet.
+//! Starts the actors that depend only on the start file and the engine: runtime link, registry, records client, journal
+//! and fleet.
 
 use std::sync::Arc;
 
--- a/crates/asterdale-daemon/src/assembly/mod.rs
+++ b/crates/asterdale-daemon/src/assembly/mod.rs
@@ -43,7 +43,7 @@
 /// Serves until the engine ends, which is when the process is drained.
 ///
 /// # Errors
-/// If any actor can't be started. The process must exit then, as others may be running.
+/// If any actor can't be started. The process must exit then, as other actors may be running.
 pub fn run(start: Start, start_file: Option<PathBuf>, log: &Log) -> Result<(), AssemblyError> {
     let (engine, mailbox) = bounded(ENGINE_MAILBOX_CAPACITY);
     let context = ActorContext {
--- a/crates/asterdale-daemon/src/frontend/connection/mod.rs
+++ b/crates/asterdale-daemon/src/frontend/connection/mod.rs
@@ -1,4 +1,4 @@
-//! The state of one connection, owned by the event loop's thread.
+//! The state of one connection, which belongs to the event loop's thread.
 //!
 //! A connection passes through three phases. While *reading*, its requests are parsed ([`dispatch`]) and passed to the
 //! engine. While *answering*, nothing more is read but outstanding replies still go out. While *lingering*, everything is
--- a/crates/asterdale-daemon/src/frontend/handle.rs
+++ b/crates/asterdale-daemon/src/frontend/handle.rs
@@ -12,9 +12,9 @@
 pub struct FrontendHandle {
     commands: MailboxSender<FrontendCommand>,
     open_connections: AtomicUsize,
-    /// [`Frontends::stop_listening`] was called.
+    /// Whether [`Frontends::stop_listening`] was called.
     stop_requested: AtomicBool,
-    /// The listener is closed.
+    /// Whether the listener is closed.
     listener_closed: AtomicBool,
 }
 
--- a/crates/asterdale-daemon/src/frontend/peer.rs
+++ b/crates/asterdale-daemon/src/frontend/peer.rs
@@ -44,7 +44,7 @@
     pub peer: Arc<Peer>,
     /// The encoded reply.
     pub response: Response,
-    /// It answers a request that [`Peer::open_requests`] counts.
+    /// Whether it answers a request that [`Peer::open_requests`] counts.
     pub closes_request: bool,
 }
 
