--- a/crates/asterdale-daemon/src/assembly/actors.rs
+++ b/crates/asterdale-daemon/src/assembly/actors.rs
@@ -52,14 +52,14 @@
 
 /// Starts the client of the records service.
 pub fn start_records(start: &Start, context: &ActorContext) -> Result<Records, AssemblyError> {
-    let (records, caller) = records::new(
+    let (records, call_actor) = records::new(
         start.endpoints.records,
         context.engine.clone(),
         context.counters.clone(),
         context.log.clone(),
     )
     .map_err(AssemblyError::Records)?;
-    spawn("calls", move || caller.serve())?;
+    spawn("calls", move || call_actor.serve())?;
     Ok(records)
 }
 
--- a/crates/asterdale-daemon/src/assembly/hot_restart.rs
+++ b/crates/asterdale-daemon/src/assembly/hot_restart.rs
@@ -22,12 +22,12 @@
 }
 
 /// A previous process on standby: it takes the work back if this process ends without releasing it from this duty.
-pub struct Guard {
+pub struct Standby {
     #[cfg(feature = "upgrade")]
     previous: Option<upgrade::FrameWriter>,
 }
 
-impl Guard {
+impl Standby {
     /// Notifies the previous process that this one has ended normally.
     pub fn release(self) {
         #[cfg(feature = "upgrade")]
@@ -147,9 +147,9 @@
         settings: EngineSettings,
         ports: EnginePorts,
         context: &ActorContext,
-    ) -> Result<(Engine, Guard), AssemblyError> {
+    ) -> Result<(Engine, Standby), AssemblyError> {
         let Some(inherited) = self.inherited else {
-            return Ok((Engine::new(settings, ports), Guard { previous: None }));
+            return Ok((Engine::new(settings, ports), Standby { previous: None }));
         };
         let (classes, epoch) = (settings.settings.class_names.len(), inherited.epoch);
         let previous = Some(inherited.old_process());
@@ -167,7 +167,7 @@
         spawn("hearing", move || {
             inherited.relay_from_old_process(&messages, classes);
         })?;
-        Ok((engine, Guard { previous }))
+        Ok((engine, Standby { previous }))
     }
 
     /// An empty engine.
@@ -177,7 +177,7 @@
         settings: EngineSettings,
         ports: EnginePorts,
         _: &ActorContext,
-    ) -> Result<(Engine, Guard), AssemblyError> {
-        Ok((Engine::new(settings, ports), Guard {}))
+    ) -> Result<(Engine, Standby), AssemblyError> {
+        Ok((Engine::new(settings, ports), Standby {}))
     }
 }
--- a/crates/asterdale-daemon/src/assembly/mod.rs
+++ b/crates/asterdale-daemon/src/assembly/mod.rs
@@ -60,10 +60,10 @@
     let frontends = Frontends::create(&start, &listeners, &context)?;
     let sockets = previous.listening_sockets(&listeners, log)?;
     previous.start_control_server(&start, &sockets, &context)?;
-    let callers = identity::start(&start, &context)?;
+    let caller_identity = identity::start(&start, &context)?;
     let reload = Reload {
         start_file,
-        issuer: callers.issuer.clone(),
+        issuer: caller_identity.issuer.clone(),
         #[cfg(feature = "tls")]
         tls: listeners.iter().find_map(|listener| listener.tls.clone()),
     };
@@ -73,26 +73,26 @@
     let registry = actors::start_registry(&start, &context)?;
     let frontends = frontends.start(sockets)?;
     let records = actors::start_records(&start, &context)?;
-    let others = actors::start_journal_and_fleet(&start, &context)?;
+    let ownership_ports = actors::start_journal_and_fleet(&start, &context)?;
     let ports = EnginePorts {
         records,
         frontends: Arc::new(frontends),
         registry,
         runtime_link,
-        issuer: callers.issuer,
-        fleet: others.fleet,
+        issuer: caller_identity.issuer,
+        fleet: ownership_ports.fleet,
         #[cfg(any(feature = "fleet", feature = "journal"))]
-        ownership: others.ownership,
+        ownership: ownership_ports.ownership,
         counters: context.counters.clone(),
         log: log.clone(),
     };
     let address = start.listen;
-    let settings = engine_settings(start, callers.identity);
-    let (mut engine, guard) = previous.into_engine(settings, ports, &context)?;
+    let settings = engine_settings(start, caller_identity.identity);
+    let (mut engine, standby) = previous.into_engine(settings, ports, &context)?;
     slog::info!(log.lines, "daemon: serving"; "address" => %address);
     engine.run(&mailbox);
     engine.print_counters();
-    guard.release();
+    standby.release();
     Ok(())
 }
 
--- a/crates/asterdale-daemon/src/cli.rs
+++ b/crates/asterdale-daemon/src/cli.rs
@@ -15,7 +15,7 @@
 mod tests;
 
 /// The exit code of a failed command.
-const FAILED: u8 = 2;
+const EXIT_COMMAND_FAILED: u8 = 2;
 
 const EXAMPLES: &str = "\
 Examples:
@@ -29,7 +29,7 @@
 /// A backend that makes admission and scheduling decisions behind load balancers it does not control.
 #[derive(Parser)]
 #[command(name = "asterdale", version, after_help = EXAMPLES)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -83,7 +83,7 @@
     file: Option<PathBuf>,
     /// The format of the log lines
     #[arg(long, value_enum, default_value_t)]
-    log: Form,
+    log: LogFormat,
     /// The lowest severity of log lines that are written
     #[arg(long, value_enum, default_value_t)]
     level: Level,
@@ -100,7 +100,7 @@
         };
         ServeOptions {
             start_file: file,
-            json_log: matches!(log, Form::Json),
+            json_log: matches!(log, LogFormat::Json),
             log_level: Some(level),
         }
     }
@@ -108,7 +108,7 @@
 
 /// The format of the log lines.
 #[derive(Clone, Copy, Default, ValueEnum)]
-enum Form {
+enum LogFormat {
     /// Human-readable text
     #[default]
     Plain,
@@ -171,11 +171,11 @@
 
 /// Runs the command that the command line names. Prints its error if it fails.
 pub fn run() -> ExitCode {
-    match run_command(Line::parse().command) {
+    match run_command(CommandLine::parse().command) {
         Ok(code) => code,
         Err(error) => {
             eprintln!("asterdale: {error}");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_COMMAND_FAILED)
         }
     }
 }
@@ -216,7 +216,7 @@
 fn print_completions(shell: clap_complete::Shell) {
     clap_complete::generate(
         shell,
-        &mut Line::command(),
+        &mut CommandLine::command(),
         "asterdale",
         &mut std::io::stdout(),
     );
--- a/crates/asterdale-daemon/src/frontend/connection/closing.rs
+++ b/crates/asterdale-daemon/src/frontend/connection/closing.rs
@@ -7,7 +7,7 @@
 use asterdale_engine::log::LogLimit;
 use asterdale_engine::message::EngineMessage;
 
-use super::{Connection, Phase, ReadEnd, ReadOutcome, LINGER};
+use super::{Connection, Phase, ReadEnd, ReadOutcome, LINGER_TIMEOUT};
 use crate::frontend::context::ConnectionContext;
 
 /// A connection that is to end waits for the rest of a partial request until this many consecutive reads have found
@@ -64,7 +64,7 @@
     pub fn start_lingering(&mut self, now: Instant) {
         self.stream.finish();
         self.phase = Phase::Lingering {
-            close_at: now + LINGER,
+            close_at: now + LINGER_TIMEOUT,
             reads: 0,
         };
     }
@@ -79,7 +79,7 @@
         while *reads < MAX_LINGER_READS {
             *reads += 1;
             match self.stream.read(&mut discarded) {
-                Ok(1..) => *close_at = now + LINGER,
+                Ok(1..) => *close_at = now + LINGER_TIMEOUT,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     return self.end_requested || now >= *close_at
                 }
--- a/crates/asterdale-daemon/src/frontend/connection/dispatch.rs
+++ b/crates/asterdale-daemon/src/frontend/connection/dispatch.rs
@@ -25,7 +25,7 @@
 /// The result of processing one record.
 enum Processed {
     /// Nothing to reply.
-    Accepted,
+    NoReply,
     /// A reply to be sent at once.
     Reply(Response),
     /// Reading from the connection ends.
@@ -53,7 +53,7 @@
                 Err(malformed) => Processed::End(ReadEnd::Malformed(malformed)),
             };
             match processed {
-                Processed::Accepted => continue,
+                Processed::NoReply => continue,
                 Processed::End(end) => return Some(end),
                 Processed::Reply(reply) => peer.send_record(reply),
             }
@@ -77,7 +77,7 @@
         event: AssemblyEvent,
     ) -> Processed {
         match event {
-            AssemblyEvent::Pending => Processed::Accepted,
+            AssemblyEvent::Pending => Processed::NoReply,
             AssemblyEvent::Complete(request_id, request) => {
                 self.process_complete_request(context, peer, request_id, request)
             }
@@ -88,7 +88,7 @@
                 };
                 // The engine's mailbox closes only when the process ends.
                 let _ = context.engine.send(EngineMessage::Abort(route));
-                Processed::Accepted
+                Processed::NoReply
             }
             AssemblyEvent::EndRequest(request_id, status) => {
                 if status == protocol_status::OVERLOADED {
@@ -121,7 +121,7 @@
         match self.pass_to_engine(context, peer, request_id, request) {
             Ok(true) if keep_connection => {
                 self.consecutive_error_replies = 0;
-                Processed::Accepted
+                Processed::NoReply
             }
             Ok(true) => Processed::End(ReadEnd::Finished),
             Ok(false) => Processed::Reply(encode_reply(request_id, Reply::Malformed)),
--- a/crates/asterdale-daemon/src/frontend/connection/mod.rs
+++ b/crates/asterdale-daemon/src/frontend/connection/mod.rs
@@ -22,7 +22,7 @@
 use unsent::UnsentReplies;
 
 /// Once everything is answered, the socket is closed when the client has sent nothing for this long.
-pub const LINGER: Duration = Duration::from_millis(50);
+pub const LINGER_TIMEOUT: Duration = Duration::from_millis(50);
 /// Bytes of unsent replies beyond which nothing more is read from a client: one that sends requests and reads no
 /// replies must not fill the memory. About the size of a socket's send buffer.
 const MAX_UNSENT_BYTES: usize = 64 * 1024;
--- a/crates/asterdale-daemon/src/frontend/event_loop/closing.rs
+++ b/crates/asterdale-daemon/src/frontend/event_loop/closing.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use super::EventLoop;
-use crate::frontend::connection::{Connection, ReadOutcome, LINGER};
+use crate::frontend::connection::{Connection, ReadOutcome, LINGER_TIMEOUT};
 
 /// A connection accepted less than this many milliseconds ago is not ended to reduce the number of idle ones, because
 /// its first request is probably still in transit.
@@ -53,7 +53,7 @@
         };
         connection.start_lingering(now);
         if !self.linger(number, now) {
-            self.lingering.push_back((now + LINGER, number));
+            self.lingering.push_back((now + LINGER_TIMEOUT, number));
         }
     }
 
@@ -65,7 +65,7 @@
             }
             self.lingering.pop_front();
             if !self.linger(number, now) {
-                self.lingering.push_back((now + LINGER, number));
+                self.lingering.push_back((now + LINGER_TIMEOUT, number));
             }
         }
     }
--- a/crates/asterdale-daemon/src/frontend/tests.rs
+++ b/crates/asterdale-daemon/src/frontend/tests.rs
@@ -46,7 +46,7 @@
     clippy::too_many_lines,
     reason = "one scenario, read from top to bottom"
 )]
-fn request_that_crosses_the_connection_end_is_answered_while_another_is_open() {
+fn request_sent_to_an_ending_connection_is_answered_while_another_is_open() {
     let start = start_file();
     let ((engine, mailbox), (writer, replies)) = (bounded(9), unbounded());
     let (log, _guard) = Log::to_stderr("n", false, slog::Level::Info);
--- a/crates/asterdale-daemon/src/frontend/writer.rs
+++ b/crates/asterdale-daemon/src/frontend/writer.rs
@@ -12,7 +12,7 @@
 use super::peer::OutgoingReply;
 
 /// Upper bound of the replies that a batch contains after its first one. It bounds the memory of the gathered writes.
-const MAX_BATCH: usize = 256;
+const MAX_BATCH_REPLIES: usize = 256;
 
 /// The writer of all connections.
 pub struct Writer {
@@ -31,7 +31,7 @@
     pub fn run(&self) {
         while let Ok(first) = self.replies.recv() {
             let mut batch = vec![first];
-            batch.extend(self.replies.try_iter().take(MAX_BATCH));
+            batch.extend(self.replies.try_iter().take(MAX_BATCH_REPLIES));
             // The sort is stable: replies of one connection stay in order.
             batch.sort_by_key(|reply| reply.peer.connection);
             batch
--- a/crates/asterdale-daemon/src/signals.rs
+++ b/crates/asterdale-daemon/src/signals.rs
@@ -20,13 +20,13 @@
 use crate::threads;
 
 #[cfg(feature = "upgrade")]
-const CAUGHT: [i32; 5] = [SIGTERM, SIGINT, SIGUSR1, SIGHUP, SIGUSR2];
+const CAUGHT_SIGNALS: [i32; 5] = [SIGTERM, SIGINT, SIGUSR1, SIGHUP, SIGUSR2];
 #[cfg(not(feature = "upgrade"))]
-const CAUGHT: [i32; 4] = [SIGTERM, SIGINT, SIGUSR1, SIGHUP];
+const CAUGHT_SIGNALS: [i32; 4] = [SIGTERM, SIGINT, SIGUSR1, SIGHUP];
 
 /// Catches the signals that [`SignalHandler`] handles. From now on these signals no longer end the process.
 pub fn catch() -> io::Result<Signals> {
-    Signals::new(CAUGHT)
+    Signals::new(CAUGHT_SIGNALS)
 }
 
 /// Handles signals: SIGTERM and SIGINT drain the process, SIGUSR1 prints the counters, SIGHUP reads the start file
