--- a/crates/asterdale-daemon/src/assembly/hot_restart.rs
+++ b/crates/asterdale-daemon/src/assembly/hot_restart.rs
@@ -1,5 +1,5 @@
-//! The part of the start that differs if this process continues the work of a previous one: its listening sockets, the
-//! control socket and the engine's state are then inherited.
+//! The part of the startup that differs if this process takes over from a previous one in a hot restart: it then
+//! inherits the listening sockets, the control socket and the engine's state.
 
 use std::net::TcpListener;
 
@@ -15,20 +15,20 @@
 #[cfg(feature = "upgrade")]
 use crate::upgrade;
 
-/// What is inherited of a previous process, if there is one.
+/// What this process inherits from a previous one, if it was started for a hot restart.
 pub struct PreviousProcess {
     #[cfg(feature = "upgrade")]
     inherited: Option<upgrade::Inherited>,
 }
 
-/// A previous process that guards this one: it takes the work back if this process ends without releasing it.
-pub struct Guard {
+/// A previous process on standby: it takes the work back if this process ends without releasing it from this duty.
+pub struct Standby {
     #[cfg(feature = "upgrade")]
     previous: Option<upgrade::FrameWriter>,
 }
 
-impl Guard {
-    /// Tells the guarding process that this one has ended in order.
+impl Standby {
+    /// Notifies the previous process that this one has ended normally.
     pub fn release(self) {
         #[cfg(feature = "upgrade")]
         if let Some(previous) = self.previous {
@@ -47,14 +47,14 @@
         Ok(PreviousProcess { inherited })
     }
 
-    /// There is none.
+    /// Inherits nothing: this build can't do hot restarts.
     #[cfg(not(feature = "upgrade"))]
     pub fn inherit(_: &Start) -> Result<PreviousProcess, AssemblyError> {
         Ok(PreviousProcess {})
     }
 
-    /// Moves the ranges of connection numbers, so that no two connections of processes that exchange state have the same
-    /// number.
+    /// Offsets the ranges of connection numbers, so that no two connections of processes that exchange state have the
+    /// same number.
     pub fn separate_connection_numbers(&self, listeners: &mut [ListenerSettings]) {
         /// Bits of a connection number below the process's epoch.
         #[cfg(feature = "upgrade")]
@@ -90,7 +90,7 @@
         listeners.iter().map(socket).collect()
     }
 
-    /// Starts to serve the control socket, if the start file has one: a later process asks there for a hot restart.
+    /// Starts the server of the control socket, if the start file has one. Hot restarts are requested there.
     #[cfg(feature = "upgrade")]
     pub fn start_control_server(
         &self,
@@ -102,7 +102,7 @@
             return Ok(());
         };
         let io_error =
-            |e: std::io::Error| AssemblyError::HotRestart(format!("upgrade: {e}").into());
+            |e: std::io::Error| AssemblyError::HotRestart(format!("control socket: {e}").into());
         let path = std::path::PathBuf::from(path);
         let socket = match &self.inherited {
             Some(inherited) => inherited.control.try_clone().map_err(io_error)?,
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// There is no control socket.
+    /// Starts nothing: this build has no control socket.
     #[cfg(not(feature = "upgrade"))]
     pub fn start_control_server(
         &self,
@@ -147,9 +147,9 @@
         settings: EngineSettings,
         ports: EnginePorts,
         context: &ActorContext,
-    ) -> Result<(Engine, Guard), AssemblyError> {
+    ) -> Result<(Engine, Standby), AssemblyError> {
         let Some(inherited) = self.inherited else {
-            return Ok((Engine::new(settings, ports), Guard { previous: None }));
+            return Ok((Engine::new(settings, ports), Standby { previous: None }));
         };
         let (classes, epoch) = (settings.settings.class_names.len(), inherited.epoch);
         let previous = Some(inherited.old_process());
@@ -167,7 +167,7 @@
         spawn("hearing", move || {
             inherited.relay_from_old_process(&messages, classes);
         })?;
-        Ok((engine, Guard { previous }))
+        Ok((engine, Standby { previous }))
     }
 
     /// An empty engine.
@@ -177,7 +177,7 @@
         settings: EngineSettings,
         ports: EnginePorts,
         _: &ActorContext,
-    ) -> Result<(Engine, Guard), AssemblyError> {
-        Ok((Engine::new(settings, ports), Guard {}))
+    ) -> Result<(Engine, Standby), AssemblyError> {
+        Ok((Engine::new(settings, ports), Standby {}))
     }
 }
--- a/crates/asterdale-daemon/src/assembly/mod.rs
+++ b/crates/asterdale-daemon/src/assembly/mod.rs
@@ -1,7 +1,7 @@
 //! Starts all actors of the process, connects them with the engine, and runs the engine.
 //!
-//! Every actor has a thread of its own; the engine runs on the main thread. Actors exchange messages only, so this module
-//! and those below are the ones that know which actors there are.
+//! Every actor has a thread of its own; the engine runs on the main thread. Actors communicate only by messages, so
+//! only this module and its submodules know which actors exist.
 
 mod actors;
 mod error;
@@ -28,10 +28,11 @@
 use frontends::Frontends;
 use hot_restart::PreviousProcess;
 
-/// Messages that wait for the engine at most. Whoever sends more waits, so connections are read no further.
+/// Capacity of the engine's mailbox, in messages. Senders block while it is full, so frontends stop reading from their
+/// connections.
 const ENGINE_MAILBOX_CAPACITY: usize = 4096;
 
-/// What every actor gets: the way to the engine, the counters and the log.
+/// What every actor gets: the sender to the engine, the counters and the log.
 #[derive(Clone)]
 struct ActorContext {
     engine: Sender<EngineMessage>,
@@ -42,7 +43,7 @@
 /// Serves until the engine ends, which is when the process is drained.
 ///
 /// # Errors
-/// If any actor can't be started. The process must exit then, as others may be running.
+/// If any actor can't be started. The process must exit then, as other actors may be running.
 pub fn run(start: Start, start_file: Option<PathBuf>, log: &Log) -> Result<(), AssemblyError> {
     let (engine, mailbox) = bounded(ENGINE_MAILBOX_CAPACITY);
     let context = ActorContext {
@@ -50,7 +51,8 @@
         counters: Arc::default(),
         log: log.clone(),
     };
-    // Before anything shows that the process is there: a signal that came sooner would end it.
+    // Signals are caught before anything makes the process visible to others: a signal that arrived earlier would end
+    // it.
     let caught_signals = signals::catch().map_err(AssemblyError::Signals)?;
     let mut listeners = frontends::listener_settings(&start)?;
     let mut previous = PreviousProcess::inherit(&start)?;
@@ -58,10 +60,10 @@
     let frontends = Frontends::create(&start, &listeners, &context)?;
     let sockets = previous.listening_sockets(&listeners, log)?;
     previous.start_control_server(&start, &sockets, &context)?;
-    let callers = identity::start(&start, &context)?;
+    let caller_identity = identity::start(&start, &context)?;
     let reload = Reload {
         start_file,
-        issuer: callers.issuer.clone(),
+        issuer: caller_identity.issuer.clone(),
         #[cfg(feature = "tls")]
         tls: listeners.iter().find_map(|listener| listener.tls.clone()),
     };
@@ -71,26 +73,26 @@
     let registry = actors::start_registry(&start, &context)?;
     let frontends = frontends.start(sockets)?;
     let records = actors::start_records(&start, &context)?;
-    let others = actors::start_journal_and_fleet(&start, &context)?;
+    let ownership_ports = actors::start_journal_and_fleet(&start, &context)?;
     let ports = EnginePorts {
         records,
         frontends: Arc::new(frontends),
         registry,
         runtime_link,
-        issuer: callers.issuer,
-        fleet: others.fleet,
+        issuer: caller_identity.issuer,
+        fleet: ownership_ports.fleet,
         #[cfg(any(feature = "fleet", feature = "journal"))]
-        ownership: others.ownership,
+        ownership: ownership_ports.ownership,
         counters: context.counters.clone(),
         log: log.clone(),
     };
     let address = start.listen;
-    let settings = engine_settings(start, callers.identity);
-    let (mut engine, guard) = previous.into_engine(settings, ports, &context)?;
+    let settings = engine_settings(start, caller_identity.identity);
+    let (mut engine, standby) = previous.into_engine(settings, ports, &context)?;
     slog::info!(log.lines, "daemon: serving"; "address" => %address);
     engine.run(&mailbox);
     engine.print_counters();
-    guard.release();
+    standby.release();
     Ok(())
 }
 
--- a/crates/asterdale-daemon/src/cli.rs
+++ b/crates/asterdale-daemon/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line. Without arguments the program serves.
+//! The command line. Without arguments, the program serves.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -14,8 +14,8 @@
 #[cfg(test)]
 mod tests;
 
-/// The exit code of a command that has failed.
-const FAILED: u8 = 2;
+/// The exit code of a failed command.
+const EXIT_COMMAND_FAILED: u8 = 2;
 
 const EXAMPLES: &str = "\
 Examples:
@@ -26,46 +26,46 @@
   asterdale keys new --id root --out root.jwk
   asterdale token mint --key key.jwk --issuer office --audience asterdale --tenant house --subject ann --role clerk";
 
-/// Decides admission and scheduling for a server behind other people's balancers, and serves.
+/// A backend that makes admission and scheduling decisions behind load balancers it does not control.
 #[derive(Parser)]
 #[command(name = "asterdale", version, after_help = EXAMPLES)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Option<Command>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve: what the program does without words, too
+    /// Serve requests; the default without a command
     Serve(Serve),
-    /// Tell all that is wrong with a start file; exit code 2 if anything is
+    /// Print all faults of a start file; exit code 2 if there are any
     Check {
         /// The start file
         file: PathBuf,
     },
     /// Print the JSON Schema of the start file
     Schema,
-    /// Make, read and judge tokens
+    /// Create, inspect and verify tokens
     #[command(subcommand)]
     Token(token::Command),
-    /// Keep keys and sets of keys, on files
+    /// Manage keys and key sets in files
     #[command(subcommand)]
     Keys(keys::Command),
-    /// Ask a serving process to hand over to a new one, and tell how far it is
+    /// Request a hot restart of a serving process, and print its phases
     #[cfg(feature = "upgrade")]
     Upgrade {
         /// The control socket, as the start file names it
         #[arg(long)]
         control: PathBuf,
-        /// The new program; the one that serves if absent
+        /// The program of the new process; if absent, that of the serving process
         #[arg(long)]
         binary: Option<PathBuf>,
     },
-    /// Look at the fleet as a serving process holds it, or have that process leave it
+    /// Show the fleet as a serving process sees it, or make that process leave it
     #[cfg(feature = "fleet")]
     #[command(subcommand)]
     Fleet(crate::fleet::Command),
-    /// Look at what a process has on disk, also while it serves
+    /// Inspect a process's journal on disk, also while it serves
     #[cfg(feature = "journal")]
     #[command(subcommand)]
     Journal(crate::journal::Command),
@@ -79,12 +79,12 @@
 /// The options of `serve`.
 #[derive(Args)]
 struct Serve {
-    /// The start file; the variable ROUTER_CONFIG if absent
+    /// The start file; if absent, the environment variable ROUTER_CONFIG names it
     file: Option<PathBuf>,
-    /// The form of the log's lines
+    /// The format of the log lines
     #[arg(long, value_enum, default_value_t)]
-    log: Form,
-    /// The least weighty lines that are written
+    log: LogFormat,
+    /// The lowest severity of log lines that are written
     #[arg(long, value_enum, default_value_t)]
     level: Level,
 }
@@ -100,35 +100,35 @@
         };
         ServeOptions {
             start_file: file,
-            json_log: matches!(log, Form::Json),
+            json_log: matches!(log, LogFormat::Json),
             log_level: Some(level),
         }
     }
 }
 
-/// The form of the log's lines.
+/// The format of the log lines.
 #[derive(Clone, Copy, Default, ValueEnum)]
-enum Form {
-    /// For people
+enum LogFormat {
+    /// Human-readable text
     #[default]
     Plain,
-    /// A JSON object a line
+    /// One JSON object per line
     Json,
 }
 
-/// How weighty a line is.
+/// The severity of a log line.
 #[derive(Clone, Copy, Default, ValueEnum)]
 enum Level {
-    /// The program can't go on
+    /// The program can't continue
     Critical,
-    /// Something was lost or passed over
+    /// Something was lost or skipped
     Error,
-    /// Something is not as it should be
+    /// Something unexpected happened
     Warning,
     /// A change of state
     #[default]
     Info,
-    /// More than is wanted day by day
+    /// Details that are not needed in normal operation
     Debug,
 }
 
@@ -138,7 +138,7 @@
     serde_json::to_string_pretty(&schema).unwrap_or_default()
 }
 
-/// Reads a start file and prints its faults.
+/// Checks a start file and prints its faults.
 fn check(file: &Path) -> ExitCode {
     match start::from_file(file) {
         Ok(start) => {
@@ -169,13 +169,13 @@
     Upgrade(#[from] crate::upgrade::RequestUpgradeError),
 }
 
-/// Runs the command that the command line names, and prints its error.
+/// Runs the command that the command line names. Prints its error if it fails.
 pub fn run() -> ExitCode {
-    match run_command(Line::parse().command) {
+    match run_command(CommandLine::parse().command) {
         Ok(code) => code,
         Err(error) => {
             eprintln!("asterdale: {error}");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_COMMAND_FAILED)
         }
     }
 }
@@ -216,7 +216,7 @@
 fn print_completions(shell: clap_complete::Shell) {
     clap_complete::generate(
         shell,
-        &mut Line::command(),
+        &mut CommandLine::command(),
         "asterdale",
         &mut std::io::stdout(),
     );
--- a/crates/asterdale-daemon/src/main.rs
+++ b/crates/asterdale-daemon/src/main.rs
@@ -23,10 +23,10 @@
 
 use std::process::ExitCode;
 
-/// Activates the failpoint that the environment names.
+/// Activates the failpoint that the environment variable `ASTERDALE_FAILPOINT` names.
 ///
 /// # Panics
-/// If no failpoint has this name.
+/// If there is no failpoint of this name.
 #[cfg(feature = "failpoints")]
 fn activate_failpoint() {
     let Ok(name) = std::env::var("ASTERDALE_FAILPOINT") else {
@@ -39,7 +39,10 @@
         || asterdale_ownership::failpoint::activate(&name);
     #[cfg(feature = "journal")]
     let is_known = is_known || asterdale_journal::failpoint::activate(&name);
-    assert!(is_known, "there is no failpoint {name}");
+    assert!(
+        is_known,
+        "ASTERDALE_FAILPOINT: there is no failpoint {name}"
+    );
 }
 
 fn main() -> ExitCode {
--- a/crates/asterdale-daemon/src/token.rs
+++ b/crates/asterdale-daemon/src/token.rs
@@ -1,4 +1,4 @@
-//! `asterdale token`: makes tokens, prints the claims of one, and verifies one as a server would.
+//! `asterdale token`: creates tokens, prints a token's claims, and verifies a token as a server would.
 
 use std::path::{Path, PathBuf};
 
@@ -12,27 +12,27 @@
 use crate::keys::{parse_duration_ms, read_secret_key, unix_ms, KeysError};
 use crate::start::{self, KeySetSource, ReadKeySetError, Start, StartError};
 
-/// The commands on tokens. Their texts are the help of the command line.
+/// The token commands. The comments on variants and fields are their help texts.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Make a token and print it
+    /// Create a token and print it
     Mint(Box<Mint>),
-    /// Print what a token says of itself, which proves nothing
+    /// Print the header and claims of a token, without verifying it
     Inspect {
         /// The token
         token: String,
     },
-    /// Judge a token as a server with this start file would; exit code 2 if it turns the caller away
+    /// Verify a token as a server with this start file would; exit code 2 if the caller is denied
     Verify {
         /// The token
         token: String,
         /// The start file, with a section `identity`
         #[arg(long)]
         start: PathBuf,
-        /// The signed set of keys; the file that the start file names if absent
+        /// The signed key set; if absent, the file that the start file names
         #[arg(long)]
         set: Option<PathBuf>,
-        /// Ask for a task of this stage, too
+        /// Also verify that the caller may request this stage
         #[arg(long = "stage", value_name = "STAGE")]
         request_class: Option<String>,
     },
@@ -41,28 +41,28 @@
 /// The claims of a new token.
 #[derive(Args)]
 pub struct Mint {
-    /// The secret key that signs it
+    /// The secret key that signs the token
     #[arg(long)]
     key: PathBuf,
-    /// Who issues it
+    /// The issuer
     #[arg(long)]
     issuer: String,
-    /// For whom it is meant
+    /// The audience: the service that the token is for
     #[arg(long)]
     audience: String,
     /// The tenant
     #[arg(long)]
     tenant: String,
-    /// Whom it speaks for
+    /// The subject: the caller that the token identifies
     #[arg(long)]
     subject: String,
-    /// What the subject is there for; may come several times
+    /// A role of the subject; may be repeated
     #[arg(long = "role", required = true)]
     roles: Vec<String>,
-    /// How long it lives
+    /// The token's lifetime
     #[arg(long = "lives", value_name = "LIVES", default_value = "10m", value_parser = parse_duration_ms)]
     lifetime_ms: f64,
-    /// Its id; one made at random if absent
+    /// The token's id; if absent, a random one
     #[arg(long)]
     id: Option<String>,
 }
@@ -73,14 +73,14 @@
     /// The secret key can't be read.
     #[error(transparent)]
     Key(#[from] KeysError),
-    /// No id can be made for the token.
+    /// No id can be generated for the token.
     #[error(transparent)]
     Id(#[from] SecretKeyError),
-    /// The new token breaks a rule that servers have.
-    #[error("no server would take this token: {0:?}")]
+    /// The new token breaks a rule that servers enforce.
+    #[error("every server would reject this token: {0:?}")]
     Unusable(#[source] DenialReason),
-    /// The text is no token.
-    #[error("this can't be read as a token: {0:?}")]
+    /// The text is not a token.
+    #[error("cannot parse the token: {0:?}")]
     Malformed(#[source] DenialReason),
     /// The claims can't be printed.
     #[error(transparent)]
@@ -88,9 +88,9 @@
     /// The start file can't be read.
     #[error("{}: {source}", path.display())]
     StartFile {
-        /// Its path.
+        /// The path of the start file.
         path: PathBuf,
-        /// Why.
+        /// The error of reading it.
         source: std::io::Error,
     },
     /// The start file has faults.
@@ -105,21 +105,21 @@
     /// The key set can't be read.
     #[error(transparent)]
     KeySetFile(#[from] ReadKeySetError),
-    /// The identity settings are of no use.
+    /// The identity settings can't be used.
     #[error(transparent)]
     Identity(#[from] IdentityError),
     /// The key set is rejected.
-    #[error("the set of keys is refused: {0:?}")]
+    #[error("the key set is rejected: {0:?}")]
     KeySetRejected(#[source] KeySetError),
     /// A server would deny the request.
-    #[error("turned away: {0:?}")]
+    #[error("access denied: {0:?}")]
     Denied(#[source] DenialReason),
     /// There is no such request class.
-    #[error("--stage {0}: no name in settings.lanes")]
+    #[error("--stage {0}: not a name in settings.lanes")]
     UnknownRequestClass(String),
 }
 
-/// The faults of a start file, a line each.
+/// The faults of a start file, one per line.
 fn fault_lines(error: &StartError) -> String {
     let lines: Vec<String> = error.faults().iter().map(ToString::to_string).collect();
     lines.join("\n")
@@ -167,7 +167,7 @@
     Ok(())
 }
 
-/// An id that no other token has: the public key of a new secret key.
+/// A unique token id: the public key of a newly generated secret key.
 fn random_id() -> Result<String, TokenError> {
     Ok(SecretKey::generate("id")?.public_key_text())
 }
@@ -228,11 +228,12 @@
     identity
         .authorize(now_ms, &caller, &request)
         .map_err(|denial| TokenError::Denied(denial.reason))?;
-    println!("may ask for {name}");
+    println!("may request {name}");
     Ok(())
 }
 
-/// Reads the start file. Its name and address are of no use here: the variables for them are not read.
+/// Reads the start file. The process's name and address are not used here, so the environment variables for them are
+/// not read.
 fn read_start_file(path: &Path) -> Result<Start, TokenError> {
     let text = std::fs::read(path).map_err(|source| TokenError::StartFile {
         path: path.to_owned(),
