--- a/crates/asterdale-daemon/src/start/decisions.rs
+++ b/crates/asterdale-daemon/src/start/decisions.rs
@@ -8,7 +8,7 @@
 use super::error::{Faults, Problem};
 use super::value::Positive;
 
-/// Parameters of the decisions. Times are in nanoseconds. What is absent is zero.
+/// Parameters of the decisions. Times are in nanoseconds. Absent values are zero.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[cfg_attr(feature = "tools", derive(JsonSchema))]
 #[serde(
@@ -33,14 +33,14 @@
     pub classes: Option<Vec<RequestClassSection>>,
     /// The tenants, with their quotas.
     pub tenants: Option<Vec<QuotaSection>>,
-    /// The weight of a request beyond its tenant's quota, as a part of its usual priority weight.
+    /// The weight of a request beyond its tenant's quota, as a fraction of its usual priority weight.
     #[serde(rename = "overShareWorth")]
     pub over_quota_weight: Option<f64>,
-    /// Servers of this tier at the start.
+    /// The number of servers of this tier at startup.
     pub servers: Option<f64>,
-    /// The shortest time between two batches of events.
+    /// The minimum time between two batches of events.
     pub tick_ns: Option<f64>,
-    /// `work` if the priority weight counts for each unit of work, else for each request.
+    /// `work` if the priority weight applies to each unit of work; any other value: to each request.
     #[serde(rename = "worthBy")]
     pub weight_unit: Option<String>,
 }
@@ -55,16 +55,16 @@
     rename_all = "camelCase"
 )]
 pub struct MachineSection {
-    /// The dependency: `shared`, `tier`, or anything else for none.
+    /// The dependency: `shared` by all servers of this tier, another `tier` of servers, or any other value for none.
     #[serde(rename = "below")]
     pub dependency: Option<String>,
     /// Memory of a running request divided by that of a queued one.
     #[serde(rename = "blowup")]
     pub running_memory_factor: Option<f64>,
-    /// This server's part of the concurrent calls that the shared dependency can take.
+    /// This server's part of the concurrent calls that the shared dependency can process.
     #[serde(rename = "callsOut")]
     pub max_dependency_calls: Option<f64>,
-    /// Whether requests of each class may call the dependency, in the order of `lanes`.
+    /// For each class, in the order of `lanes`: whether its requests may call the dependency.
     #[serde(rename = "classCalls")]
     pub calls_dependency: Option<Vec<bool>>,
     /// The server starts with cold caches and has to warm up.
@@ -75,12 +75,12 @@
     /// The time over which calls of the dependency are averaged.
     #[serde(rename = "depWindowNs")]
     pub dependency_window_ns: Option<f64>,
-    /// Memory of a retained idempotency key, in KB.
+    /// Memory of a retained idempotency entry, in KB.
     #[serde(rename = "entryKb")]
     pub idempotency_entry_kb: Option<f64>,
     /// How long the response to a read may be reused for other requests.
     pub fresh_for_ns: Option<f64>,
-    /// How a running request can be stopped: `drop`, `pause`, or anything else for not at all.
+    /// How a running request can be preempted: `drop` to abort it, `pause`, or any other value for not at all.
     #[serde(rename = "halt")]
     pub preemption: Option<String>,
     /// How long callers keep an idle connection open.
@@ -94,12 +94,14 @@
     /// Names of the runtime's gauges, in the order of their values.
     #[serde(rename = "ownStats")]
     pub gauge_names: Option<Vec<String>>,
-    /// How callers use the value that servers publish: `level`, `credit`, `weight`, or anything else for not at all.
+    /// How callers use the capacity hint that servers publish: `level`, `credit`, `weight`, or any other value for not
+    /// at all.
     #[serde(rename = "say")]
     pub published_value: Option<String>,
-    /// Callers of this tier at the start.
+    /// The number of callers of this tier at startup.
     pub upstreams: Option<f64>,
-    /// The part of the priority weight that a response without the dependency earns, in the order of `lanes`.
+    /// For each class, in the order of `lanes`: the fraction of the priority weight that a response made without the
+    /// dependency counts for.
     #[serde(rename = "worthWithout")]
     pub weight_without_dependency: Option<Vec<f64>>,
 }
@@ -114,14 +116,14 @@
     rename_all = "camelCase"
 )]
 pub struct GuaranteesSection {
-    /// A cold server has warmed up within this time.
+    /// The longest time that a server with cold caches takes to warm up.
     #[serde(rename = "coldNs")]
     pub warmup_ns: Option<f64>,
-    /// A request that arrives later than this after the notice to drain must not run.
+    /// The grace period: a request that arrives later than this after the notice to drain must not run.
     pub drain_grace_ns: Option<f64>,
-    /// Running requests for each core that a warm server can take.
+    /// The number of running requests per core that a warm server can process.
     pub overload_factor: Option<f64>,
-    /// A cold server has at least this part of its usual speed.
+    /// The minimum speed of a server with cold caches, as a fraction of its usual speed.
     #[serde(rename = "startCapacity")]
     pub cold_capacity: Option<f64>,
 }
@@ -152,20 +154,20 @@
     rename_all = "camelCase"
 )]
 pub struct RequestClassSection {
-    /// Its name, as request paths carry it.
+    /// Its name, as it appears in request paths.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub name: Option<String>,
-    /// How long a client waits in total.
+    /// The deadline: how long a client waits in total.
     pub deadline_ns: Option<f64>,
-    /// The part of the priority weight that a late response earns.
+    /// The fraction of the priority weight that a response after the latency objective counts for.
     #[serde(rename = "lateShare")]
     pub late_weight: Option<f64>,
-    /// How long after its arrival a keyed request may be retried.
+    /// The retry window: how long after its arrival a keyed request may be retried.
     #[serde(rename = "memorySpanNs")]
     pub retry_window_ns: Option<f64>,
-    /// The latency objective: a response within this time earns the full priority weight.
+    /// The latency objective: a response within this time counts with the full priority weight.
     pub objective_ns: Option<f64>,
-    /// `repeatable` for idempotent requests, `by_key` for keyed ones, anything else for non-idempotent ones.
+    /// `repeatable` for idempotent requests, `by_key` for keyed ones, any other value for non-idempotent ones.
     #[serde(rename = "repeat")]
     pub idempotency: Option<String>,
     /// The priority weight of one request.
@@ -183,7 +185,7 @@
     rename_all = "camelCase"
 )]
 pub struct QuotaSection {
-    /// Requests a second, over the whole fleet, that count as within the quota.
+    /// The quota, in requests per second over the whole fleet.
     pub allowance_per_s: Option<f64>,
 }
 
--- a/crates/asterdale-daemon/src/start/deserialize.rs
+++ b/crates/asterdale-daemon/src/start/deserialize.rs
@@ -1,4 +1,4 @@
-//! Deserializing a start file field by field, so that one wrong value does not hide the others.
+//! Deserializes a start file and reports every invalid value, not only the first one.
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -6,8 +6,8 @@
 
 use super::error::{Faults, Problem, MAX_FAULTS};
 
-/// Reads a value into `T`. Each field that can't be read is reported and removed until the rest can be read, so `T` must
-/// not require any field. A value that can't be read at all gives `T::default()`.
+/// Deserializes a value into `T`. A field that fails is reported and removed, and the rest is deserialized again, so
+/// `T` must not require any field. Returns `T::default()` if nothing of the value can be deserialized.
 pub fn deserialize_reporting<T: DeserializeOwned + Default>(
     mut value: Value,
     faults: &mut Faults,
@@ -30,7 +30,8 @@
     T::default()
 }
 
-/// Removes the value at this path, or else the nearest one around it; `false` if there was none to remove.
+/// Removes the value at this path, or else the innermost enclosing value that can be removed. Returns `false` if there
+/// is none.
 fn remove(value: &mut Value, path: &[&Segment]) -> bool {
     let Some((first, rest)) = path.split_first() else {
         return false;
@@ -45,7 +46,7 @@
             return remove_item(items, *index)
         }
         (Segment::Seq { index }, Value::Array(items)) => items.get_mut(*index),
-        // These have no place in a JSON value: the caller removes the value around them.
+        // These don't address a JSON value, so the caller removes the enclosing value.
         (Segment::Enum { .. } | Segment::Unknown, _) => return false,
         _ => None,
     };
@@ -53,7 +54,7 @@
     remove(inner, rest) || !std::mem::replace(inner, Value::Null).is_null()
 }
 
-/// Removes one item of a list; `false` if there is no such item.
+/// Removes one item of a list. Returns `false` if there is no such item.
 fn remove_item(items: &mut Vec<Value>, index: usize) -> bool {
     let is_inside = index < items.len();
     if is_inside {
--- a/crates/asterdale-daemon/src/start/error.rs
+++ b/crates/asterdale-daemon/src/start/error.rs
@@ -1,11 +1,11 @@
-//! The error of reading a start file: every fault that was found, each with the path of its field.
+//! The error of loading a start file: every fault that was found, each with the path of its field.
 
 use std::fmt;
 use std::io;
 
 use thiserror::Error;
 
-/// The longest list of faults that is reported, to bound the output for a file of another kind.
+/// The maximum number of reported faults. Bounds the output if the file is not a start file at all.
 pub const MAX_FAULTS: usize = 64;
 
 /// What is wrong with one field.
@@ -20,7 +20,7 @@
     /// A text is empty.
     #[error("is empty")]
     Empty,
-    /// A name that must be unique stands twice in its list.
+    /// A name that must be unique occurs twice in its list.
     #[error("{0:?} comes twice")]
     Duplicate(String),
     /// A text is not an IP address with a port.
@@ -29,7 +29,8 @@
     /// The value has the wrong type, or can't be parsed.
     #[error("{0}")]
     Malformed(String),
-    /// The value breaks a rule of its field, or the build or another section rules the section out.
+    /// The value breaks a rule of its field, or the section is not supported by this build or conflicts with another
+    /// one.
     #[error("{0}")]
     Invalid(String),
     /// A file that the field names can't be read.
@@ -40,7 +41,7 @@
         /// Why it can't be read.
         source: io::Error,
     },
-    /// A file that the field names was read, and its content is of no use.
+    /// A file that the field names was read, but its content is invalid.
     #[error("{file}: {reason}")]
     UnusableFile {
         /// The file's path, as the field has it.
@@ -62,11 +63,12 @@
     }
 }
 
-/// One fault: where, and what.
+/// One fault: a field and what is wrong with it.
 #[derive(Debug, Error)]
 #[error("{path}: {problem}")]
 pub struct Fault {
-    /// The path of the field, as `fleet.seeds[0]`; the name of the variable or file for faults outside of a field.
+    /// The path of the field, such as `fleet.seeds[0]`; for faults outside of a field, the environment variable or
+    /// `start file`.
     pub path: String,
     /// What is wrong with it.
     #[source]
@@ -137,7 +139,7 @@
         self.0.iter().any(|fault| fault.path == path)
     }
 
-    /// Passes a required value on. If it is absent, that is reported, unless the path has a fault already.
+    /// Returns a required value unchanged. Reports an absent one, unless its path has a fault already.
     pub fn require<T>(&mut self, path: &str, value: Option<T>) -> Option<T> {
         if value.is_none() && !self.has(path) {
             self.add(path, Problem::Missing);
@@ -145,7 +147,7 @@
         value
     }
 
-    /// Ends the check: an error if anything was reported.
+    /// Returns an error with all reported faults, if there are any.
     pub fn into_result(self) -> Result<(), StartError> {
         if self.0.is_empty() {
             Ok(())
--- a/crates/asterdale-daemon/src/start/file.rs
+++ b/crates/asterdale-daemon/src/start/file.rs
@@ -1,5 +1,6 @@
-//! The start file as it is written: the type from which its JSON Schema is made. No field is required by the
-//! deserializer, so that all faults are reported at once; [`super::parse`] says which fields must be there.
+//! The start file as deserialized from JSON: the type from which its JSON Schema is generated. The deserializer
+//! requires no field, so that all faults are reported at once; [`super::parse`] checks that the required fields are
+//! present.
 
 #[cfg(feature = "tools")]
 use schemars::JsonSchema;
@@ -25,22 +26,22 @@
     pub name: Option<String>,
     /// The address that it listens on for edge nodes; the variable `ROUTER_LISTEN` takes precedence.
     pub listen: Option<Address>,
-    /// Address of the runtime, which runs the requests.
+    /// Address of the runtime, which executes requests.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub runtime: Option<Address>,
     /// Address of the registry, through which edge nodes find this backend.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub registry: Option<Address>,
-    /// Address of the records service, the dependency that requests call.
+    /// Address of the records service, the dependency that running requests call.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub records: Option<Address>,
-    /// Seed of the random numbers; a new one for each start.
+    /// Seed of the random number generator; use a new one for each start.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub seed: Option<Hexadecimal>,
     /// The time from SIGTERM to SIGKILL, in milliseconds.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub stop_ms: Option<Positive>,
-    /// What this process may use of its machine.
+    /// Resource limits of this process.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub limits: Option<LimitsSection>,
     /// Parameters of the decisions.
@@ -51,11 +52,12 @@
     pub identity: Option<IdentitySection>,
     /// A second listener, for edge nodes that present a client certificate. Absent: none.
     pub tls: Option<TlsSection>,
-    /// Hot restart: how another process takes over while this one serves. Absent: none can.
+    /// Hot restart: how another process takes over while this one serves. Absent: hot restart is disabled.
     pub upgrade: Option<UpgradeSection>,
-    /// The fleet that this process is a member of. Absent: it is a member of none.
+    /// The fleet that this process is a member of. Absent: it is not a member of a fleet.
     pub fleet: Option<FleetSection>,
-    /// Replicated ownership of requests, which needs a section `fleet`. Absent: no request survives its backend.
+    /// Replicated ownership of requests, which needs a section `fleet`. Absent: if a backend fails, its requests are
+    /// lost.
     #[serde(rename = "takeover")]
     pub ownership: Option<OwnershipSection>,
     /// State on a local disk that survives a crash of this process. Absent: none.
--- a/crates/asterdale-daemon/src/start/fleet.rs
+++ b/crates/asterdale-daemon/src/start/fleet.rs
@@ -10,14 +10,14 @@
 use super::error::{Faults, Problem};
 use super::value::{Address, Positive};
 
-/// The shortest key, in bytes: 128 bits are not found by trying.
+/// The minimum length of the key, in bytes. A key of 128 bits can't be found by brute force.
 const MIN_KEY_BYTES: usize = 16;
-/// The longest part of a key file that is read, in bytes, whatever the path leads to.
+/// How much of a key file is read at most, in bytes. Bounds memory if the path names a large file or a device.
 const MAX_KEY_BYTES: u64 = 4096;
-/// The protocol period where the file has none, in milliseconds.
+/// The default protocol period, in milliseconds.
 const DEFAULT_PROTOCOL_PERIOD_MS: f64 = 1000.0;
-/// Protocol periods that are accepted, in milliseconds: below, gossip would crowd out requests; above, failures would
-/// go unnoticed for minutes.
+/// The accepted protocol periods, in milliseconds. With a shorter one, gossip would take capacity from requests; with a
+/// longer one, failures would go undetected for minutes.
 const PROTOCOL_PERIOD_MS: std::ops::RangeInclusive<f64> = 20.0..=60_000.0;
 
 /// The fleet that a process is a member of. It gossips over UDP and TCP, at the same port.
@@ -35,14 +35,15 @@
     pub listen: Option<Address>,
     /// The address at which the others reach it; `listen` if absent.
     pub advertise: Option<Address>,
-    /// Addresses of members through which it joins. Without any it waits until another member contacts it.
+    /// Addresses of members through which it joins. If there are none, it waits until another member contacts it.
     pub seeds: Option<Vec<Address>>,
     /// Path of a file with the fleet's key: any bytes, at least 16, without white space at either end.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub key: Option<String>,
-    /// The time between two health checks of other members, in milliseconds; 1000 if absent. The same in the whole fleet.
+    /// The time between two health checks of other members, in milliseconds; 1000 if absent. Must be the same in the
+    /// whole fleet.
     pub interval_ms: Option<Positive>,
-    /// Path of the control socket of `asterdale fleet`, in a folder that is closed to other users. Absent: none.
+    /// Path of the control socket of `asterdale fleet`, in a directory that other users can't access. Absent: none.
     pub control: Option<String>,
 }
 
@@ -94,8 +95,8 @@
     })
 }
 
-/// Reads the key file without the white space around the key. A key that can't be used is reported and returned as it is;
-/// `None` if the path is missing.
+/// Reads the key file and trims the white space around the key. An unusable key is reported, and returned so that the
+/// remaining checks are made; `None` if the path is missing.
 fn read_key(path: Option<String>, faults: &mut Faults) -> Option<Vec<u8>> {
     let path = faults.require("fleet.key", path)?;
     let mut key = Vec::new();
--- a/crates/asterdale-daemon/src/start/identity/callers.rs
+++ b/crates/asterdale-daemon/src/start/identity/callers.rs
@@ -7,14 +7,14 @@
 use crate::start::error::Faults;
 use crate::start::unique_names;
 
-/// Requests of one tenant that may be open in a role at once where the section has no limit.
+/// The default maximum number of open requests of one tenant in a role.
 const DEFAULT_MAX_OPEN: u32 = 256;
-/// The burst of a role where the section has none, in seconds of its rate.
+/// The default burst of a role, in seconds at its rate.
 const DEFAULT_BURST_SECONDS: f64 = 2.0;
-/// Prefixes of a subject alternative name, one for each kind.
+/// Prefixes of subject alternative names, one for each kind of name.
 const NAME_KINDS: [&str; 3] = ["dns:", "uri:", "email:"];
 
-/// The roles. What is wrong is reported and left out.
+/// Checks the roles. Faults are reported, and unknown request classes left out.
 pub fn check_roles(
     sections: Option<Vec<RoleSection>>,
     settings: &Settings,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The tenants. What is wrong is reported.
+/// Checks the tenants and reports faults.
 pub fn check_tenants(
     sections: Option<Vec<TenantSection>>,
     roles: &[Role],
@@ -101,7 +101,7 @@
     tenants
 }
 
-/// The callers that client certificates stand for. What is wrong is reported.
+/// Checks the mapping from client certificates to callers, and reports faults.
 pub fn check_certificates(
     sections: Option<Vec<CertificateSection>>,
     roles: &[Role],
@@ -135,7 +135,7 @@
     certificates
 }
 
-/// A subject alternative name with its prefix. DNS names are compared in lower case.
+/// Checks the prefix of a subject alternative name. Returns DNS names in lower case, in which they are compared.
 fn check_certificate_name(path: &str, name: Option<String>, faults: &mut Faults) -> String {
     let mut name = name.unwrap_or_default();
     if !NAME_KINDS.iter().any(|kind| name.starts_with(kind)) {
@@ -150,7 +150,7 @@
     name
 }
 
-/// A required list of names, each of which must be a role's. All are returned.
+/// Checks a required list of role names. Returns all of them; unknown ones are reported.
 fn check_role_names(
     path: &str,
     names: Option<Vec<String>>,
--- a/crates/asterdale-daemon/src/start/identity/mod.rs
+++ b/crates/asterdale-daemon/src/start/identity/mod.rs
@@ -14,21 +14,21 @@
 use super::error::{Faults, Problem};
 use section::{IdentitySection, IssuerSection, KeySetSection};
 
-/// The difference of clocks that is allowed where the section has none, in milliseconds.
+/// The default clock skew that is tolerated, in milliseconds.
 const DEFAULT_SKEW_MS: f64 = 500.0;
-/// Differences of clocks that are accepted, in milliseconds: a larger one would let tokens live long past their end.
+/// The accepted clock skews, in milliseconds. With a larger one, tokens would be accepted long after they expired.
 const SKEW_MS: std::ops::RangeInclusive<f64> = 0.0..=300_000.0;
-/// The size of the token cache where the section has none, in tokens.
+/// The default size of the token cache, in tokens.
 const DEFAULT_CACHED_TOKENS: u32 = 2048;
-/// The largest size of the token cache, in tokens, to bound its memory.
+/// The maximum size of the token cache, in tokens. Bounds its memory.
 const MAX_CACHED_TOKENS: u32 = 65_536;
-/// Signatures a second for one edge node where the section has none: a small part of one core.
+/// The default limit of signature verifications per second for one edge node; they take a small part of one core.
 const DEFAULT_SIGNATURES_PER_EDGE: f64 = 50.0;
-/// Signatures a second for all edge nodes together where the section has none.
+/// The default limit of signature verifications per second for all edge nodes together.
 const DEFAULT_SIGNATURES: f64 = 400.0;
-/// The time between two polls of the issuer where the section has none, in milliseconds.
+/// The default time between two polls of the issuer, in milliseconds.
 const DEFAULT_POLL_INTERVAL_MS: f64 = 30_000.0;
-/// The longest path of a key set at its issuer, in bytes, so that a request for it fits in one packet.
+/// The maximum length of a key set's path at its issuer, in bytes, so that a request for it fits in one packet.
 const MAX_ISSUER_PATH_BYTES: usize = 1024;
 
 /// Which callers are accepted, and where the keys that verify them come from.
@@ -49,7 +49,7 @@
     Issuer(KeySource),
 }
 
-/// The file of a key set can't be read.
+/// A key set file can't be read.
 #[derive(Debug, Error)]
 #[error("{path}: {source}")]
 pub struct ReadKeySetError {
@@ -58,8 +58,8 @@
 }
 
 impl KeySetSource {
-    /// Reads the key set, without the white space around it; `None` if it comes from an issuer. A file that is longer than
-    /// a key set may be is cut one byte beyond that, so that the check of the set rejects it for its length.
+    /// Reads the key set file and trims the white space around it; `None` if key sets come from an issuer. Reads at
+    /// most one byte more than a key set may have, so that the check of the set rejects a longer file for its length.
     pub fn read_file(&self) -> Option<Result<Vec<u8>, ReadKeySetError>> {
         let KeySetSource::File(path) = self else {
             return None;
@@ -128,7 +128,7 @@
     })
 }
 
-/// A required text; empty if it is missing or empty, which is reported.
+/// Returns a required text. A missing or empty one is reported, and returned as an empty text.
 fn require_text(path: &str, text: Option<String>, faults: &mut Faults) -> String {
     let text = faults.require(path, text).unwrap_or_default();
     if text.is_empty() && !faults.has(path) {
@@ -137,7 +137,7 @@
     text
 }
 
-/// The texts of the public keys that sign key sets; at least one is required.
+/// Returns the texts of the root public keys, which sign key sets. Reports a fault if there are none.
 fn require_roots(roots: Option<Vec<String>>, faults: &mut Faults) -> Vec<String> {
     let roots = faults.require("identity.roots", roots).unwrap_or_default();
     if roots.is_empty() {
@@ -146,7 +146,7 @@
     roots
 }
 
-/// The source of key sets; `None` if it is missing or incomplete.
+/// Checks the source of key sets; `None` if it is missing, ambiguous or incomplete.
 fn check_key_source(section: Option<KeySetSection>, faults: &mut Faults) -> Option<KeySetSource> {
     let section = faults.require("identity.keys", section)?;
     match (section.file, section.fetch) {
--- a/crates/asterdale-daemon/src/start/identity/section.rs
+++ b/crates/asterdale-daemon/src/start/identity/section.rs
@@ -1,4 +1,4 @@
-//! Section `identity` of the start file as it is written: the types from which its schema is made.
+//! Section `identity` of the start file as deserialized from JSON: the types from which its schema is generated.
 
 #[cfg(feature = "tools")]
 use schemars::JsonSchema;
@@ -6,7 +6,7 @@
 
 use crate::start::value::{Address, Positive};
 
-/// Which callers are accepted. Unknown keys are errors here.
+/// Which callers are accepted. Unknown keys are errors in this section.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[cfg_attr(feature = "tools", derive(JsonSchema))]
 #[serde(
@@ -16,27 +16,28 @@
     deny_unknown_fields
 )]
 pub struct IdentitySection {
-    /// The `iss` of tokens that are accepted.
+    /// The `iss` claim of accepted tokens.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub issuer: Option<String>,
-    /// Their `aud`: the name of this service.
+    /// Their `aud` claim: the name of this service.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub audience: Option<String>,
-    /// Public keys (Ed25519, 32 bytes in base64url); one of them must have signed a key set.
+    /// Root public keys (Ed25519, 32 bytes in base64url). A key set must be signed by one of them.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub roots: Option<Vec<String>>,
     /// Where key sets come from.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub keys: Option<KeySetSection>,
-    /// How long a key set is valid after it was signed, in milliseconds; absent: forever.
+    /// How long a key set is valid after it was signed, in milliseconds; absent: without limit.
     pub max_age_ms: Option<Positive>,
-    /// The largest difference between clocks, in milliseconds; 500 if absent.
+    /// The maximum clock skew that is tolerated, in milliseconds; 500 if absent.
     pub skew_ms: Option<f64>,
-    /// The most verified tokens that are cached; 2048 if absent.
+    /// The maximum number of verified tokens in the cache; 2048 if absent.
     pub cache: Option<u32>,
-    /// The most signatures a second that are verified for one edge node; 50 if absent.
+    /// The maximum number of signatures verified per second for one edge node; 50 if absent.
     pub signatures_per_edge: Option<Positive>,
-    /// The same for all edge nodes together; 400 if absent, half of it for edge nodes that sent valid tokens recently.
+    /// The same for all edge nodes together; 400 if absent. Half of it is for edge nodes that sent valid tokens
+    /// recently.
     pub signatures: Option<Positive>,
     /// The roles that callers may have.
     #[cfg_attr(feature = "tools", schemars(required))]
@@ -48,7 +49,7 @@
     pub certificates: Option<Vec<CertificateSection>>,
 }
 
-/// Where key sets come from: exactly one of the two.
+/// Where key sets come from: exactly one of the two fields.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[cfg_attr(feature = "tools", derive(JsonSchema))]
 #[serde(
@@ -78,7 +79,7 @@
     #[serde(rename = "at")]
     #[cfg_attr(feature = "tools", schemars(required))]
     pub address: Option<Address>,
-    /// The path of the key set in its URL.
+    /// The path of the key set in the issuer's URL.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub path: Option<String>,
     /// The time between two polls, in milliseconds; 30,000 if absent.
@@ -96,22 +97,22 @@
     deny_unknown_fields
 )]
 pub struct RoleSection {
-    /// Its name, as tokens carry it.
+    /// Its name, as it appears in tokens.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub name: Option<String>,
-    /// Names of the request classes that it may use.
+    /// Names of the request classes that its callers may use.
     #[serde(rename = "stages")]
     #[cfg_attr(feature = "tools", schemars(required))]
     pub classes: Option<Vec<String>>,
-    /// The most requests of one tenant that are open in this role at once; 256 if absent.
+    /// The maximum number of open requests of one tenant in this role; 256 if absent.
     #[serde(rename = "open")]
     pub max_open: Option<u32>,
-    /// The most requests a second of one tenant in this role; absent: no limit.
+    /// The maximum number of requests per second of one tenant in this role; absent: no limit.
     #[serde(rename = "per_s")]
     pub rate_per_s: Option<Positive>,
-    /// The largest burst above that rate; absent: the requests of two seconds, at least one.
+    /// The maximum burst above that rate, in requests; absent: those of two seconds at the rate, at least one.
     pub burst: Option<Positive>,
-    /// The largest cost that a request may claim, in milliseconds of one core; absent: no limit.
+    /// The maximum cost that a request may declare, in milliseconds of one core; absent: no limit.
     pub max_cost_ms: Option<Positive>,
 }
 
@@ -125,7 +126,7 @@
     deny_unknown_fields
 )]
 pub struct TenantSection {
-    /// Its name, as tokens carry it.
+    /// Its name, as it appears in tokens.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub name: Option<String>,
     /// The index in `settings.tenants` of the quota that its requests count against; 0 if absent.
@@ -136,7 +137,7 @@
     pub roles: Option<Vec<String>>,
 }
 
-/// The caller that a client certificate with this name stands for.
+/// The caller that a client certificate with this name identifies.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[cfg_attr(feature = "tools", derive(JsonSchema))]
 #[serde(
--- a/crates/asterdale-daemon/src/start/journal.rs
+++ b/crates/asterdale-daemon/src/start/journal.rs
@@ -10,12 +10,12 @@
 use super::error::Faults;
 use super::value::Positive;
 
-/// The size of the file where the section has none, in megabytes.
+/// The default maximum size of the journal file, in megabytes.
 const DEFAULT_DISK_MB: f64 = 256.0;
-/// Sizes of the file that are accepted, in megabytes: a smaller one has no space for a burst of keys, a larger one takes
-/// too long to check at the start.
+/// The accepted maximum sizes of the journal file, in megabytes. A smaller file has no space for a burst of keys; a
+/// larger one takes too long to check at startup.
 const DISK_MB: std::ops::RangeInclusive<f64> = 8.0..=65_536.0;
-/// The size of the part in memory where the section has none, in megabytes.
+/// The default maximum size of the index in memory, in megabytes.
 const DEFAULT_MEMORY_MB: f64 = 16.0;
 
 /// State on a local disk that survives a crash of this process.
@@ -28,31 +28,32 @@
     deny_unknown_fields
 )]
 pub struct JournalSection {
-    /// A folder on a local disk, for this process alone.
+    /// The journal directory, on a local disk; it must belong to this process alone.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub folder: Option<String>,
-    /// The largest size of its file, in megabytes; 256 if absent.
+    /// The maximum size of the journal file, in megabytes; 256 if absent.
     pub disk_mb: Option<Positive>,
-    /// The largest size of its part in memory, in megabytes; 16 if absent.
+    /// The maximum size of the index in memory, in megabytes; 16 if absent.
     pub memory_mb: Option<Positive>,
 }
 
-/// The journal of this process.
+/// The journal's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JournalSettings {
-    /// The folder.
+    /// The journal directory.
     pub folder: String,
-    /// The largest size of its file, in bytes.
+    /// The maximum size of the journal file, in bytes.
     pub max_disk_bytes: u64,
-    /// The largest size of its part in memory, in bytes.
+    /// The maximum size of the index in memory, in bytes.
     pub max_memory_bytes: usize,
-    /// How long a key is kept: the longest retry window of any keyed request class, and `max_unread_ms`.
+    /// How long a key is retained, in milliseconds: the longest retry window of any keyed request class plus
+    /// `max_unread_ms`.
     pub retention_ms: f64,
-    /// The longest that a request may wait unread in a socket, in milliseconds: the longest deadline of any class.
+    /// How long a request may wait in a socket before it is read, in milliseconds: the longest deadline of any class.
     pub max_unread_ms: f64,
 }
 
-/// Checks the section; `None` if the folder is missing.
+/// Checks the section; `None` if the journal directory is missing.
 pub fn check(
     section: JournalSection,
     settings: &Settings,
--- a/crates/asterdale-daemon/src/start/limits.rs
+++ b/crates/asterdale-daemon/src/start/limits.rs
@@ -1,4 +1,4 @@
-//! Section `limits` of the start file: what this process may use of its machine.
+//! Section `limits` of the start file: resource limits of this process.
 
 #[cfg(feature = "tools")]
 use schemars::JsonSchema;
@@ -7,30 +7,30 @@
 use super::error::Faults;
 use super::value::Positive;
 
-/// What this process may use of its machine.
+/// Resource limits of this process.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[cfg_attr(feature = "tools", derive(JsonSchema))]
 #[serde(rename = "Limits", expecting = "struct Limits", default)]
 pub struct LimitsSection {
-    /// Cores; for information only.
+    /// Number of cores; for information only.
     pub cores: Option<Positive>,
     /// Memory, in megabytes.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub memory_mb: Option<Positive>,
-    /// Open file descriptors.
+    /// Maximum number of open file descriptors.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub sockets: Option<Positive>,
 }
 
-/// Checked limits of this process.
+/// The limits after the check.
 pub struct Limits {
     /// Memory, in bytes.
     pub memory_bytes: usize,
-    /// Open file descriptors.
+    /// Maximum number of open file descriptors.
     pub max_descriptors: usize,
 }
 
-/// Checks the section. What is missing is reported and stands as a small number.
+/// Checks the section. A missing value is reported and replaced by a small number.
 pub fn check(section: Option<LimitsSection>, faults: &mut Faults) -> Limits {
     let Some(section) = faults.require("limits", section) else {
         return Limits {
@@ -46,7 +46,7 @@
     }
 }
 
-/// A required number; 1 where it is missing, which is reported.
+/// Returns a required number. A missing one is reported and replaced by 1.
 pub fn require_number(faults: &mut Faults, path: &str, value: Option<Positive>) -> f64 {
     faults.require(path, value).map_or(1.0, |number| number.0)
 }
--- a/crates/asterdale-daemon/src/start/load.rs
+++ b/crates/asterdale-daemon/src/start/load.rs
@@ -1,4 +1,4 @@
-//! Loading the start file: finds it, reads all sections in order, and checks what they demand of each other.
+//! Loads the start file: finds it, checks all sections in order, and checks what sections require of each other.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,13 +15,13 @@
 use super::{decisions, fleet, identity, journal, limits, ownership, tls, upgrade};
 use super::{FleetSettings, JournalSettings, OwnershipSettings, Start, TlsSettings};
 
-/// The variable that names the start file.
+/// The environment variable with the path of the start file.
 const FILE_VARIABLE: &str = "ROUTER_CONFIG";
-/// The variable with the backend's name, which takes precedence over the file.
+/// The environment variable with the backend's name, which takes precedence over the file.
 const NAME_VARIABLE: &str = "ROUTER_NAME";
-/// The variable with the address to listen on, which takes precedence over the file.
+/// The environment variable with the address to listen on, which takes precedence over the file.
 const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
-/// What faults of the file as a whole are reported under.
+/// The path under which faults of the file as a whole are reported.
 const FILE: &str = "start file";
 
 /// The value of an environment variable; `None` if it is absent or empty.
@@ -29,7 +29,7 @@
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-/// Loads the file that the variable `ROUTER_CONFIG` names.
+/// Loads the file that the environment variable `ROUTER_CONFIG` names.
 ///
 /// # Errors
 /// Every fault, if the variable is not set, the file can't be read, or its content is wrong.
@@ -59,7 +59,7 @@
     )
 }
 
-/// Reads the text of a start file. A name and an address that are given take precedence over the file's.
+/// Parses and checks the text of a start file. `name` and `listen`, if given, take precedence over the file's values.
 ///
 /// # Errors
 /// Every fault that was found, each with the path of its field.
@@ -76,8 +76,8 @@
     faults.into_result().map(|()| start)
 }
 
-/// Checks all sections in the order in which their faults are reported. What is wrong is reported, and a placeholder
-/// stands for it in the result.
+/// Checks all sections in the order in which their faults are reported. An invalid value is reported, and replaced by a
+/// placeholder in the result.
 fn check(
     file: StartFile,
     json: &Value,
@@ -127,7 +127,7 @@
     }
 }
 
-/// A required address; an unspecified one if it is missing, which is reported.
+/// Returns a required address. A missing one is reported and replaced by the unspecified address.
 fn require_address(path: &str, address: Option<Address>, faults: &mut Faults) -> SocketAddr {
     faults
         .require(path, address)
@@ -138,7 +138,7 @@
     SocketAddr::from(([0, 0, 0, 0], 0))
 }
 
-/// The address to listen on: the variable's, else the file's.
+/// The address to listen on: from the environment variable if it is set, else from the file.
 fn listen_address(
     variable: Option<String>,
     field: Option<Address>,
--- a/crates/asterdale-daemon/src/start/mod.rs
+++ b/crates/asterdale-daemon/src/start/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of this process: reads, checks and holds the start file, a module for each of its sections.
+//! The settings of this process: reads and checks the start file. Each of its sections has a module.
 
 mod decisions;
 mod deserialize;
@@ -45,11 +45,11 @@
     pub listen: SocketAddr,
     /// The addresses of the services that it connects to.
     pub endpoints: Endpoints,
-    /// The time from the notice to drain until the process is killed, in milliseconds.
+    /// The time from SIGTERM, which starts draining, to SIGKILL, in milliseconds.
     pub stop_ms: f64,
-    /// Memory of this process, in bytes.
+    /// Memory limit of this process, in bytes.
     pub memory_bytes: usize,
-    /// Open file descriptors of this process.
+    /// Maximum number of open file descriptors of this process.
     pub max_descriptors: usize,
     /// Parameters of the decisions.
     pub settings: Arc<Settings>,
@@ -58,36 +58,51 @@
     /// The listener for edge nodes that present a client certificate.
     #[cfg_attr(
         not(feature = "tls"),
-        expect(dead_code, reason = "a build without TLS rejects such a file")
+        expect(
+            dead_code,
+            reason = "a build without TLS rejects a start file with this section"
+        )
     )]
     pub tls: Option<TlsSettings>,
-    /// Path of the control socket for a hot restart.
+    /// Path of the control socket for hot restarts.
     #[cfg_attr(
         not(feature = "upgrade"),
-        expect(dead_code, reason = "a build without hot restart rejects such a file")
+        expect(
+            dead_code,
+            reason = "a build without hot restart rejects a start file with this section"
+        )
     )]
     pub control_socket: Option<String>,
     /// The fleet that this process is a member of.
     #[cfg_attr(
         not(any(feature = "fleet", feature = "journal")),
-        expect(dead_code, reason = "a build without a fleet rejects such a file")
+        expect(
+            dead_code,
+            reason = "a build without a fleet rejects a start file with this section"
+        )
     )]
     pub fleet: Option<FleetSettings>,
     /// Replicated ownership of requests.
     #[cfg_attr(
         not(feature = "fleet"),
-        expect(dead_code, reason = "a build without a fleet rejects such a file")
+        expect(
+            dead_code,
+            reason = "a build without a fleet rejects a start file with this section"
+        )
     )]
     pub ownership: Option<OwnershipSettings>,
     /// State on a local disk that survives a crash.
     #[cfg_attr(
         not(feature = "journal"),
-        expect(dead_code, reason = "a build without a journal rejects such a file")
+        expect(
+            dead_code,
+            reason = "a build without a journal rejects a start file with this section"
+        )
     )]
     pub journal: Option<JournalSettings>,
 }
 
-/// Checks that each entry of a list has a name that is not empty and differs from all before it.
+/// Reports each entry of a list whose name is missing, empty, or the same as that of an earlier entry.
 fn unique_names<'a>(
     list_path: &str,
     names: impl Iterator<Item = Option<&'a String>>,
--- a/crates/asterdale-daemon/src/start/ownership.rs
+++ b/crates/asterdale-daemon/src/start/ownership.rs
@@ -14,19 +14,20 @@
 use super::unique_names;
 use super::value::{Address, Positive};
 
-/// The most replicas: each one more makes a claim dearer, and hardly safer.
+/// The maximum number of replicas. Each further one makes a claim more expensive and adds hardly any safety.
 const MAX_REPLICAS: usize = 7;
-/// The lease where the section has none, in milliseconds.
+/// The default lease, in milliseconds.
 const DEFAULT_LEASE_MS: f64 = 2000.0;
-/// Leases that are accepted, in milliseconds: a shorter one ends at a short pause of a process, a longer one leaves
-/// requests without an owner for minutes.
+/// The accepted leases, in milliseconds. A shorter one would expire during a short pause of a process; a longer one
+/// would leave requests without an owner for minutes.
 const LEASE_MS: std::ops::RangeInclusive<f64> = 400.0..=60_000.0;
-/// The size of the replicated state where the section has none, in megabytes.
+/// The default maximum size of the replicated state, in megabytes.
 const DEFAULT_MEMORY_MB: f64 = 16.0;
-/// The largest size of the replicated state, in megabytes: a snapshot of it is sent in one message.
+/// The upper bound of the maximum size of the replicated state, in megabytes: a snapshot of it is sent in one message.
 const MAX_MEMORY_MB: f64 = 20.0;
 
-/// Replicated ownership of requests, which survive the failure of their backend. The same in the whole fleet.
+/// Replicated ownership of requests, so that they survive the failure of their backend. Must be the same in the whole
+/// fleet.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[cfg_attr(feature = "tools", derive(JsonSchema))]
 #[serde(
@@ -44,9 +45,9 @@
     #[serde(rename = "stages")]
     #[cfg_attr(feature = "tools", schemars(required))]
     pub classes: Option<Vec<ReplicatedClassSection>>,
-    /// An owner that is silent for this long loses what it owns; in milliseconds, 2000 if absent.
+    /// The lease: an owner that does not renew it within this time loses its requests; in milliseconds, 2000 if absent.
     pub lease_ms: Option<Positive>,
-    /// The largest size of the replicated state, in megabytes of each replica's memory; 16 if absent.
+    /// The maximum size of the replicated state in each replica's memory, in megabytes; 16 if absent.
     pub memory_mb: Option<Positive>,
 }
 
@@ -60,7 +61,7 @@
     deny_unknown_fields
 )]
 pub struct ReplicaSection {
-    /// Its name, as its own start file has it.
+    /// Its name, as given in its own start file.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub name: Option<String>,
     /// Its address: its `fleet.advertise`.
@@ -82,8 +83,9 @@
     /// Its name.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub name: Option<String>,
-    /// The service that has the effect checks the key and the fencing token of each call: it has the effect of a key once,
-    /// and rejects an older token. Only then is a request run again that may have started before; false if absent.
+    /// Whether the service that performs the effect checks the key and the fencing token of each call: it performs the
+    /// effect of a key once and rejects older tokens. Only then is a request that may have started before run again;
+    /// false if absent.
     pub fenced: Option<bool>,
 }
 
@@ -94,15 +96,15 @@
     pub replicas: Vec<(String, SocketAddr)>,
     /// For each request class: `None` if it is not replicated, else whether its effects are fenced.
     pub replicated_classes: Vec<Option<bool>>,
-    /// An owner that is silent for this long loses what it owns, in milliseconds.
+    /// The lease, in milliseconds: an owner that does not renew it within this time loses its requests.
     pub lease_ms: f64,
     /// The longest retry window of the replicated classes, in milliseconds.
     pub retry_window_ms: f64,
-    /// The largest size of the replicated state, in bytes.
+    /// The maximum size of the replicated state, in bytes.
     pub max_bytes: usize,
 }
 
-/// Checks the section. What is missing or wrong is reported and left out.
+/// Checks the section. Faults are reported; incomplete replicas and unknown or unkeyed classes are left out.
 pub fn check(
     section: OwnershipSection,
     settings: &Settings,
@@ -136,7 +138,7 @@
     }
 }
 
-/// The replicas that have a name and an address.
+/// Checks the list of replicas, and returns those that have a name and an address.
 fn check_replicas(
     sections: Option<Vec<ReplicaSection>>,
     faults: &mut Faults,
--- a/crates/asterdale-daemon/src/start/tests.rs
+++ b/crates/asterdale-daemon/src/start/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of reading the start file: precedence, faults and their paths, defaults, the schema, the files in `deploy`.
+//! Tests of loading the start file: precedence, faults and their paths, defaults, the schema, the files in `deploy`.
 
 use serde_json::{json, Value};
 
@@ -21,7 +21,7 @@
     all
 }
 
-/// The paths of all faults that are found in this file.
+/// The paths of all faults in this file.
 fn paths(all: &Value) -> Vec<String> {
     parse(all.to_string().as_bytes(), None, None)
         .unwrap_err()
--- a/crates/asterdale-daemon/src/start/tls.rs
+++ b/crates/asterdale-daemon/src/start/tls.rs
@@ -23,7 +23,7 @@
     /// Path of its private key, in PEM.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub key: Option<String>,
-    /// Path of the certificates of the authorities that sign the edge nodes' certificates, in PEM.
+    /// Path of the certificates of the CAs that sign the edge nodes' certificates, in PEM.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub clients: Option<String>,
 }
@@ -37,7 +37,7 @@
     pub certificate_path: String,
     /// Its private key.
     pub key_path: String,
-    /// The certificate authorities of the edge nodes.
+    /// The CA certificates of the edge nodes.
     pub client_ca_path: String,
 }
 
--- a/crates/asterdale-daemon/src/start/upgrade.rs
+++ b/crates/asterdale-daemon/src/start/upgrade.rs
@@ -16,12 +16,12 @@
     deny_unknown_fields
 )]
 pub struct UpgradeSection {
-    /// Path of the control socket, in a folder that is closed to other users.
+    /// Path of the control socket, in a directory that other users can't access.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub control: Option<String>,
 }
 
-/// Checks the section: the path of the control socket, `None` if it is missing.
+/// Checks the section and returns the path of the control socket; `None` if it is missing.
 pub fn check(section: UpgradeSection, faults: &mut Faults) -> Option<String> {
     if !cfg!(feature = "upgrade") {
         faults.add("upgrade", "this build can't hand over");
--- a/crates/asterdale-daemon/src/start/value.rs
+++ b/crates/asterdale-daemon/src/start/value.rs
@@ -9,7 +9,7 @@
 
 use super::error::Problem;
 
-/// An IP address with a port, as `127.0.0.1:8080`. Host names are not looked up.
+/// An IP address with a port, such as `127.0.0.1:8080`. Host names are not resolved.
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "tools", derive(JsonSchema))]
 #[cfg_attr(feature = "tools", schemars(transparent))]
@@ -24,7 +24,7 @@
     }
 }
 
-/// A number of up to 16 hexadecimal digits, as text.
+/// A number of up to 16 hexadecimal digits, as a string.
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "tools", derive(JsonSchema))]
 #[cfg_attr(feature = "tools", schemars(transparent))]
