--- a/crates/asterdale-daemon/src/fleet/command.rs
+++ b/crates/asterdale-daemon/src/fleet/command.rs
@@ -1,4 +1,4 @@
-//! The command `asterdale fleet`: asks a serving process about its fleet, over its control socket.
+//! The command `asterdale fleet`: queries a serving process about its fleet, over its control socket.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,10 +10,10 @@
 use clap::{Args, Subcommand};
 use serde_json::Value;
 
-/// How to reach the process.
+/// The process to query.
 #[derive(Args)]
 pub struct At {
-    /// The control socket, as the start file names it in `fleet.control`
+    /// Control socket of the process: `fleet.control` of its start file
     #[arg(long)]
     control: PathBuf,
 }
@@ -21,43 +21,43 @@
 /// Subcommands of `asterdale fleet`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Print what the process holds of its fleet; exit code 1 if it is not certain of it
+    /// Print the process's view of its fleet; exit code 1 if it can't reach a majority
     Show {
         #[command(flatten)]
         at: At,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Print each change, as it is held, until interrupted or the process ends
+    /// Print each change of a member, until interrupted or the process ends
     Watch {
         #[command(flatten)]
         at: At,
-        /// How often to look, in milliseconds
+        /// Polling interval, in milliseconds
         #[arg(long, default_value_t = 500)]
         every_ms: u64,
     },
-    /// Print what the process holds as a keeper of work in hand; exit code 1 if it is in no group, or nobody leads it
+    /// Print the process's state as an ownership replica; exit code 1 if it is in no group or the group has no leader
     Keepers {
         #[command(flatten)]
         at: At,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Have the process leave its fleet: it serves on, and counts as gone
+    /// Make the process leave its fleet: it continues to serve, and the other members regard it as gone
     Leave {
         #[command(flatten)]
         at: At,
     },
 }
 
-/// How often [`Command::Watch`] looks at most, in milliseconds.
+/// The minimum polling interval of [`Command::Watch`], in milliseconds.
 const MIN_WATCH_INTERVAL_MS: u64 = 10;
-/// Exit code if the process can't be asked.
+/// Exit code if the process can't be queried.
 const EXIT_FAILED: u8 = 2;
 
-/// Prints each change of a member, until the process can't be asked any more.
+/// Prints each change of a member, until a query fails.
 fn watch(at: &At, every_ms: u64) -> Result<ExitCode, ControlError> {
     let mut previous: BTreeMap<String, (u64, String)> = BTreeMap::new();
     loop {
@@ -125,7 +125,7 @@
     names.join(" ")
 }
 
-/// A replica's status, for people.
+/// A replica's status as readable text.
 fn replica_text(status: &Value) -> String {
     let counts = status["kept"].as_object().into_iter().flatten();
     let counts: Vec<String> = counts
--- a/crates/asterdale-daemon/src/fleet/mod.rs
+++ b/crates/asterdale-daemon/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Joins the fleet that the start file names: starts the transport of membership and ownership, and passes their events to
-//! the engine, the journal and the log.
+//! Joins the fleet that the start file configures: starts the transport of membership and ownership, and passes their
+//! events to the engine, the journal and the log.
 
 #[cfg(feature = "tools")]
 mod command;
@@ -26,12 +26,12 @@
 use ownership::ReplicatedOwnership;
 use view::TransportFleetView;
 
-/// How much of a protocol period a probe's acknowledgement may take. The default of [`Settings`], which has both in
-/// milliseconds.
+/// The timeout of a probe's acknowledgement, as a fraction of the protocol period. The same as in the default
+/// [`Settings`], which have both in milliseconds.
 const PROBE_TIMEOUT_RATIO: f64 = 0.3;
-/// One part of a lease in so many is a margin against clocks that run at different rates.
+/// A lease divided by this number is the safety margin against clocks that run at different rates.
 const LEASE_MARGIN_DIVISOR: f64 = 4.0;
-/// Raft ticks in a lease. An election takes ten to twenty ticks: half a lease to one.
+/// Raft ticks per lease. An election takes ten to twenty ticks, which is half a lease to a full one.
 const TICKS_PER_LEASE: f64 = 20.0;
 const MIN_TICK_MS: f64 = 20.0;
 const MAX_TICK_MS: f64 = 200.0;
@@ -52,16 +52,16 @@
     Replica(#[from] crate::journal::JournalError),
 }
 
-/// The engine's connections to the fleet. All are absent where the start file has no fleet.
+/// The engine's interfaces to the fleet. Both fields are `None` if the start file configures no fleet.
 #[derive(Default)]
 pub struct FleetPorts {
     /// The other members.
     pub view: Option<Arc<dyn FleetView>>,
-    /// The replicas that keep claims, where the start file has them.
+    /// The replicas that store claims; `None` if the start file configures none.
     pub ownership: Option<Arc<dyn OwnershipClient>>,
 }
 
-/// Joins the fleet, if the start file has one.
+/// Joins the fleet, if the start file configures one.
 pub fn start(
     start: &Start,
     engine: &Sender<EngineMessage>,
@@ -166,7 +166,7 @@
     }
 }
 
-/// Passes notifications of ownership to the engine or the log.
+/// Returns a handler that passes ownership notifications to the engine or the log.
 fn ownership_event_handler(
     engine: Sender<EngineMessage>,
     lines: slog::Logger,
@@ -188,8 +188,8 @@
                 return;
             }
         };
-        // The engine empties its mailbox quickly; while it is full, every sender waits. It closes only when the process
-        // ends.
+        // Blocks while the engine's mailbox is full, which the engine empties quickly. The mailbox closes only when the
+        // process ends, so a failed send is ignored.
         let _ = engine.send(message);
     }
 }
--- a/crates/asterdale-daemon/src/fleet/ownership.rs
+++ b/crates/asterdale-daemon/src/fleet/ownership.rs
@@ -1,4 +1,4 @@
-//! The replicas that keep claims on behalf of the fleet, as the engine uses them.
+//! The engine's client of the replicas that store the claims of the fleet.
 
 use std::hash::Hasher as _;
 
@@ -12,8 +12,8 @@
 /// Ownership that is replicated among the fleet's replicas.
 pub struct ReplicatedOwnership {
     handle: OwnershipHandle,
-    /// By request class: whether its requests are replicated, and if so whether the receiver of their effects rejects
-    /// older fences.
+    /// By request class: whether its requests are replicated, and if so whether the service that performs their effects
+    /// rejects older fences.
     replicated_classes: Vec<Option<bool>>,
     /// Keys of the body digest, derived from the fleet's key: digests are the same in all processes of the fleet, and
     /// can't be predicted outside of it.
@@ -21,7 +21,7 @@
 }
 
 impl ReplicatedOwnership {
-    /// Ownership by way of this handle, in a fleet with this key.
+    /// Ownership through this handle, in a fleet with this key.
     pub fn new(
         handle: OwnershipHandle,
         settings: &OwnershipSettings,
--- a/crates/asterdale-daemon/src/fleet/view.rs
+++ b/crates/asterdale-daemon/src/fleet/view.rs
@@ -1,4 +1,4 @@
-//! The other members of the fleet, as the engine sees them.
+//! The engine's view of the other members of the fleet.
 
 use asterdale::events::PeerCounts;
 use asterdale_engine::message::{FleetView, LocalStatus};
@@ -8,7 +8,7 @@
 /// Published load is rounded to this many percent, so that small changes are not gossiped.
 const LOAD_STEP_PERCENT: u8 = 10;
 
-/// The fleet's members by their gossip.
+/// A view of the fleet's members from their gossip.
 pub struct TransportFleetView(pub Transport);
 
 impl FleetView for TransportFleetView {
--- a/crates/asterdale-daemon/src/journal/command.rs
+++ b/crates/asterdale-daemon/src/journal/command.rs
@@ -1,4 +1,4 @@
-//! The command `asterdale journal`: checks and prints a journal's folder, also while a process uses it.
+//! The command `asterdale journal`: checks and prints a journal directory, even while a process uses it.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -8,30 +8,31 @@
 use clap::Subcommand;
 use serde_json::json;
 
-/// What is asked about a folder. Nothing in it is changed.
+/// Subcommands of `asterdale journal`. None of them changes the directory.
 #[derive(Subcommand)]
 pub enum Command {
     /// Check every page and entry; exit code 1 if anything is damaged
     Check {
-        /// The folder
+        /// Journal directory
         folder: PathBuf,
     },
-    /// Print what it holds, a JSON object a key
+    /// Print the entries, one JSON object per key
     Dump {
-        /// The folder
+        /// Journal directory
         folder: PathBuf,
     },
-    /// Print what it says of itself, and counts
+    /// Print the header of the journal file, and counts of its entries
     Stats {
-        /// The folder
+        /// Journal directory
         folder: PathBuf,
     },
 }
 
-/// Reads that meet a commit are made again so often.
+/// How often the file is read at most: a read that coincides with a commit is repeated.
 const TRIES: u32 = 5;
 
-/// What the file holds at this moment, and whether all of its pages are sound.
+/// Reads the present state of the journal file. Returns the state, whether all pages are intact, and the length of the
+/// file in bytes.
 fn read(folder: &Path) -> Result<(StoredState, bool, u64), String> {
     let file = folder.join(STATE_FILE);
     let mut why = String::new();
@@ -103,7 +104,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Does it.
+/// Runs the command, and prints its error.
 pub fn run(command: &Command) -> ExitCode {
     done(command).unwrap_or_else(|why| {
         eprintln!("asterdale: {why}");
--- a/crates/asterdale-daemon/src/journal/generation.rs
+++ b/crates/asterdale-daemon/src/journal/generation.rs
@@ -1,11 +1,12 @@
-//! Tells the journal which generations of this process's name the fleet knows, so that it notices an outdated folder.
+//! Notifies the journal of the generations of this process's name that the fleet knows, so that the journal detects an
+//! outdated directory.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use asterdale_journal::{Journal, JournalCommand};
 use asterdale_membership::Event;
 
-/// Passes the generations in membership events to the journal. Used by the membership's thread alone.
+/// Passes the generations in membership events to the journal. Used by the membership thread only.
 pub struct GenerationRecorder {
     journal: Journal,
     /// The highest generation that the fleet remembered before this process joined.
@@ -13,7 +14,7 @@
 }
 
 impl GenerationRecorder {
-    /// A recorder for this journal.
+    /// Returns a recorder for this journal.
     pub fn new(journal: Journal) -> GenerationRecorder {
         GenerationRecorder {
             journal,
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Records an event of the membership. Events arrive in order, the prior generation before the join.
+    /// Records a membership event. Events arrive in order: the prior generation before the join.
     pub fn record(&self, event: &Event) {
         match event {
             Event::PriorGeneration(generation) => {
--- a/crates/asterdale-daemon/src/journal/mod.rs
+++ b/crates/asterdale-daemon/src/journal/mod.rs
@@ -1,9 +1,10 @@
-//! Opens the journal that the start file names, which preserves claims and their outcomes over a crash of this process.
+//! Opens the journal that the start file configures, which preserves claims and their outcomes across a crash of this
+//! process.
 //!
-//! Without replicas the journal itself keeps claims ([`ownership`]): a request with an idempotency key starts only after
-//! its claim is on disk, and is answered only after its outcome is. With replicas, claims are kept by them, and the disk
-//! has this process's part of the replicated log ([`replica`]). In a fleet, the members' memory of this process's name
-//! shows whether the journal's folder is outdated ([`generation`]).
+//! Without replicas, the journal itself stores claims ([`ownership`]): a request with an idempotency key starts only
+//! after its claim is on disk, and is answered only after its outcome is on disk. With replicas, the replicas store
+//! claims, and the disk has this process's part of the replicated log ([`replica`]). In a fleet, the generation that
+//! the members know for this process's name shows whether the journal directory is outdated ([`generation`]).
 
 #[cfg(feature = "tools")]
 mod command;
@@ -32,7 +33,7 @@
 #[cfg(feature = "fleet")]
 pub use replica::open_replica_disk;
 
-/// Memory that a key takes besides its result, in bytes.
+/// Memory that an entry takes besides its result, in bytes.
 const ENTRY_BYTES: usize = 512;
 
 /// Why the journal can't be opened.
@@ -40,25 +41,25 @@
 pub enum JournalError {
     #[error("journal: no random bytes")]
     Random(#[source] getrandom::Error),
-    /// The folder can't be used.
+    /// The journal directory can't be used.
     #[error("journal")]
     Open(#[source] Box<dyn Error + Send + Sync>),
 }
 
-/// An open journal. Both are absent where the start file has none.
+/// An open journal. Both fields are `None` if the start file configures no journal.
 #[derive(Default)]
 pub struct OpenJournal {
-    /// The journal, for the fleet.
+    /// The journal, for the fleet's membership.
     #[cfg_attr(
         not(feature = "fleet"),
-        expect(dead_code, reason = "without a fleet nobody needs it")
+        expect(dead_code, reason = "only the fleet uses it")
     )]
     pub journal: Option<Journal>,
-    /// The journal as it keeps claims, for the engine; absent if replicas keep them.
+    /// The journal as the store of claims, for the engine; `None` if replicas store them.
     pub ownership: Option<Arc<dyn OwnershipClient>>,
 }
 
-/// Opens the journal, if the start file has one.
+/// Opens the journal, if the start file configures one.
 pub fn start(
     start: &Start,
     engine: &Sender<EngineMessage>,
@@ -104,7 +105,7 @@
     })
 }
 
-/// Passes the journal's answers to the engine, and its other events to the log.
+/// Returns a handler that passes the journal's answers to the engine and its other events to the log.
 fn event_handler(
     engine: Sender<EngineMessage>,
     lines: slog::Logger,
@@ -112,7 +113,7 @@
     move |event| match event {
         JournalEvent::Answered(request, answer) => {
             let answer = ownership::to_ownership_answer(answer);
-            // The engine's mailbox closes only when the process ends.
+            // The mailbox closes only when the process ends, so a failed send is ignored.
             let _ = engine.send(EngineMessage::OwnershipAnswer(request, answer));
         }
         JournalEvent::RecoveryChecked {
--- a/crates/asterdale-daemon/src/journal/ownership.rs
+++ b/crates/asterdale-daemon/src/journal/ownership.rs
@@ -1,4 +1,4 @@
-//! Ownership without replicas: this process's journal keeps the claims.
+//! Ownership without replicas: this process's journal stores the claims.
 
 use std::hash::Hasher as _;
 
@@ -8,12 +8,12 @@
 use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
 use siphasher::sip::SipHasher13;
 
-/// Retry advice while the journal is full or its disk fails, in milliseconds: entries expire within seconds.
+/// The Retry-After while the journal is full or its disk fails, in milliseconds: entries expire within seconds.
 const RETRY_AFTER_MS: f64 = 1000.0;
-/// A claim without an answer for so many milliseconds is given up: a disk that takes longer is about to fail.
+/// The timeout of a claim, in milliseconds: a disk that takes longer is about to fail.
 const CLAIM_TIMEOUT_MS: f64 = 2000.0;
 
-/// Ownership of this process alone, kept by its journal.
+/// Ownership within this process alone, stored in its journal.
 pub struct LocalOwnership {
     journal: Journal,
     /// By request class: whether its requests have an idempotency key.
@@ -22,7 +22,7 @@
 }
 
 impl LocalOwnership {
-    /// Ownership kept by this journal. A retry may be read up to `max_unread_ms` milliseconds after it arrived.
+    /// Ownership stored in this journal. A retry may be read up to `max_unread_ms` milliseconds after it arrived.
     pub fn new(
         journal: Journal,
         classes: &[ClassParameters],
@@ -74,8 +74,8 @@
                 claim: fence,
                 result,
             },
-            // Nobody else uses this journal, so there is no process to hand the request to. It is looked up, and then
-            // rejected as it would have been.
+            // No other process uses this journal, so the request can't be handed over. It is looked up instead, and
+            // then rejected as it would have been without a handover.
             OwnershipRequest::HandOver(handed_over) => JournalCommand::Lookup {
                 request: number,
                 key: handed_over.key,
@@ -100,7 +100,7 @@
         true
     }
 
-    /// A claim's number has no meaning outside this journal.
+    /// Claim numbers have no meaning outside this journal.
     fn sends_fences(&self) -> bool {
         false
     }
@@ -114,7 +114,7 @@
     }
 }
 
-/// The journal's answer in the terms of ownership.
+/// Converts the journal's answer to an answer of the ownership client.
 pub fn to_ownership_answer(journal_answer: JournalAnswer) -> Answer {
     let mut answer = Answer::default();
     let verdict = match journal_answer {
--- a/crates/asterdale-daemon/src/journal/replica.rs
+++ b/crates/asterdale-daemon/src/journal/replica.rs
@@ -1,4 +1,5 @@
-//! This process's disk as a replica of ownership: its identity, its Raft hard state, and its part of the replicated log.
+//! The storage of this process as an ownership replica: its identity, its Raft hard state, and its part of the
+//! replicated log.
 
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -13,7 +14,7 @@
 
 /// Name under which the replica's identity is stored.
 pub const IDENTITY: &str = "face";
-/// Name under which its hard state is stored.
+/// Name under which its Raft hard state is stored.
 pub const HARD_STATE: &str = "hard";
 /// Name under which its snapshot is stored.
 pub const SNAPSHOT: &str = "whole";
@@ -30,7 +31,7 @@
     }
 }
 
-/// Adds the changes that `write` takes, in the order in which they must be made.
+/// Adds the changes that make up `write`, in the order in which they must be applied.
 fn add_changes(changes: &mut Vec<ReplicaChange>, write: StorageWrite) {
     match write {
         StorageWrite::Identity(identity) => {
@@ -60,7 +61,7 @@
     }
 }
 
-/// Opens the disk of this process as a replica. `None` if it is no replica or has no journal.
+/// Opens the storage of this process as a replica. Returns `None` if it is not a replica or has no journal.
 pub fn open_replica_disk(start: &Start, log: &Log) -> Result<Option<ReplicaDisk>, JournalError> {
     let (Some(journal), Some(ownership)) = (&start.journal, &start.ownership) else {
         return Ok(None);
--- a/crates/asterdale-daemon/src/journal/stored.rs
+++ b/crates/asterdale-daemon/src/journal/stored.rs
@@ -1,5 +1,5 @@
-//! The names under which a keeper's facts are stored: the fixture of the journal's package was left under them, and a
-//! release that looks under others would find nothing.
+//! The names under which a replica's metadata is stored. The fixture of the journal's package was written with them; a
+//! release that uses other names would not find the metadata of earlier releases.
 
 use super::replica::{HARD_STATE, IDENTITY, SNAPSHOT};
 
--- a/crates/asterdale-daemon/src/keys/duration.rs
+++ b/crates/asterdale-daemon/src/keys/duration.rs
@@ -1,22 +1,22 @@
-//! Durations as people write them on the command line: a number and a unit.
+//! Durations on the command line: a number with a unit, such as `90s`.
 
 use thiserror::Error;
 
-/// A text is no duration.
+/// A text is not a duration.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum DurationError {
     /// The unit is missing or unknown.
     #[error("a number with ms, s, m, h or d is wanted")]
     UnknownUnit,
-    /// What stands before the unit is no number.
+    /// The part before the unit is not a number.
     #[error("{0:?} is no number")]
     NotANumber(String),
 }
 
-/// Reads a duration, in milliseconds.
+/// Parses a duration, in milliseconds.
 ///
 /// # Errors
-/// If the text is no number with a unit.
+/// If the text is not a number with a unit.
 pub fn parse_duration_ms(text: &str) -> Result<f64, DurationError> {
     let unit_start = text
         .find(|character: char| !character.is_ascii_digit() && character != '.')
--- a/crates/asterdale-daemon/src/keys/error.rs
+++ b/crates/asterdale-daemon/src/keys/error.rs
@@ -1,4 +1,4 @@
-//! The errors of `asterdale keys` and of what `asterdale token` shares with it.
+//! The errors of `asterdale keys`, and of the functions that `asterdale token` shares with it.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 use asterdale_identity::mint::SecretKeyError;
 use thiserror::Error;
 
-/// A command on keys or key sets has failed.
+/// A command on keys or key sets failed.
 #[derive(Debug, Error)]
 pub enum KeysError {
     /// A file can't be read or written.
@@ -15,10 +15,10 @@
     File {
         /// Its path.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// A file holds no secret key.
+    /// A file does not contain a secret key.
     #[error("{}: {source}", path.display())]
     SecretKeyFile {
         /// Its path.
@@ -26,7 +26,7 @@
         /// What is wrong with its content.
         source: SecretKeyError,
     },
-    /// A file holds no key set.
+    /// A file does not contain a key set.
     #[error("{}: {source}", path.display())]
     KeySetFile {
         /// Its path.
@@ -39,28 +39,28 @@
     RejectedKeySet {
         /// Its path.
         path: PathBuf,
-        /// Why.
+        /// Why it would be rejected.
         source: KeySetError,
     },
-    /// A secret key can't be made.
+    /// A secret key can't be generated.
     #[error(transparent)]
     MakeSecretKey(#[from] SecretKeyError),
-    /// The key set can't be changed in this way.
+    /// The key set rejects the change.
     #[error(transparent)]
     Rotation(#[from] RotationError),
     /// The key set can't be serialized.
     #[error(transparent)]
     Serialize(#[from] serde_json::Error),
-    /// Servers would reject the key set that was signed.
+    /// Servers would reject the key set that was just signed.
     #[error("no server would take this set: {0:?}")]
     UnusableKeySet(#[source] KeySetError),
-    /// A subject has no tenant.
+    /// A subject is given without its tenant.
     #[error("--subject {0}: TENANT/SUBJECT is wanted")]
     SubjectWithoutTenant(String),
 }
 
 impl KeysError {
-    /// An error of reading or writing this file.
+    /// Returns a function that makes the error of reading or writing this file.
     pub fn file(path: &Path) -> impl Fn(io::Error) -> KeysError + '_ {
         |source| KeysError::File {
             path: path.to_owned(),
--- a/crates/asterdale-daemon/src/keys/files.rs
+++ b/crates/asterdale-daemon/src/keys/files.rs
@@ -1,4 +1,5 @@
-//! Files of secret keys and key sets. A file is replaced atomically: whoever reads it meanwhile has the old content.
+//! Files of secret keys and key sets. A file is replaced atomically: a concurrent reader sees the old content or the
+//! new one, never a part.
 
 use std::fs::{self, OpenOptions};
 use std::io::Write;
@@ -10,13 +11,13 @@
 
 use super::error::KeysError;
 
-/// Permissions of a secret key: readable and writable by its owner alone.
+/// Permissions of a secret key file: only its owner can read and write it.
 const SECRET_KEY_MODE: u32 = 0o600;
 
 /// Reads a secret key.
 ///
 /// # Errors
-/// If the file can't be read, or holds no secret key.
+/// If the file can't be read, or does not contain a secret key.
 pub fn read_secret_key(path: &Path) -> Result<SecretKey, KeysError> {
     let text = fs::read_to_string(path).map_err(KeysError::file(path))?;
     let text = zeroize::Zeroizing::new(text);
@@ -26,7 +27,7 @@
     })
 }
 
-/// Writes a secret key to a new file. One that exists is not replaced, as it may hold a key that is in use.
+/// Writes a secret key to a new file. Fails if the file exists, as it may contain a key that is in use.
 pub fn create_secret_key(path: &Path, key: &SecretKey) -> Result<(), KeysError> {
     let mut file = OpenOptions::new()
         .write(true)
@@ -54,7 +55,7 @@
     replace(path, &text)
 }
 
-/// Reads a key set, changes it and writes it again.
+/// Reads a key set, changes it and writes it back.
 pub fn change_key_set(
     path: &Path,
     change: impl FnOnce(&mut KeySet) -> Result<(), KeysError>,
@@ -64,7 +65,7 @@
     write_key_set(path, &set)
 }
 
-/// Replaces a file by way of a temporary one beside it.
+/// Replaces a file: writes a temporary file in the same directory and renames it.
 pub fn replace(path: &Path, content: &[u8]) -> Result<(), KeysError> {
     let mut temporary = path.as_os_str().to_owned();
     temporary.push(format!(".{}", std::process::id()));
@@ -73,7 +74,7 @@
         .and_then(|mut file| file.write_all(content).and_then(|()| file.sync_all()))
         .and_then(|()| fs::rename(&temporary, path));
     replaced.map_err(|e| {
-        // The first error is the one to report.
+        // A failed removal is ignored: the first error is the one to report.
         let _ = fs::remove_file(&temporary);
         KeysError::file(path)(e)
     })
--- a/crates/asterdale-daemon/src/keys/list.rs
+++ b/crates/asterdale-daemon/src/keys/list.rs
@@ -1,4 +1,4 @@
-//! `asterdale keys list`: prints a key set as servers would see it now.
+//! `asterdale keys list`: prints the state that servers would derive from a key set now.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 use super::files::read_key_set;
 use super::unix_ms;
 
-/// Prints the keys of a set with their phases, and what is revoked.
+/// Prints the keys of a set with their phases, and its revocations.
 pub fn print_key_set(path: &Path) -> Result<(), KeysError> {
     let set = read_key_set(path)?;
     let now_ms = unix_ms();
@@ -36,7 +36,8 @@
     Ok(())
 }
 
-/// A keyring with this set, signed for the purpose: it tells the phases as a server's would.
+/// Returns a keyring that has adopted a copy of this set, signed with a fixed key. It computes the same phases as a
+/// server's keyring.
 fn keyring_of(path: &Path, set: &KeySet, now_ms: f64) -> Result<Keyring, KeysError> {
     let root = SecretKey::from_seed([0; 32], "show");
     let mut signed = set.clone();
--- a/crates/asterdale-daemon/src/keys/mod.rs
+++ b/crates/asterdale-daemon/src/keys/mod.rs
@@ -1,5 +1,5 @@
-//! `asterdale keys`: makes secret keys, and changes and signs key sets, on files. What a command does to a key set is
-//! decided in `asterdale_identity`.
+//! `asterdale keys`: generates secret keys, and changes and signs key set files. The operations on key sets are those
+//! of `asterdale_identity`.
 
 mod duration;
 mod error;
@@ -21,76 +21,76 @@
 pub use files::read_secret_key;
 use files::{change_key_set, create_secret_key, read_key_set, replace, write_key_set};
 
-/// The commands on keys. Their texts are the help of the command line.
+/// The subcommands of `asterdale keys`. Their doc comments are the help texts of the command line.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Make a secret key (a root, or one that signs tokens), and print its public half
+    /// Generate a secret key (a root key, or one that signs tokens) and print its public key
     New {
-        /// Its id, which no other key may have had
+        /// Id of the key; must differ from the id of every earlier key
         #[arg(long)]
         id: String,
-        /// The file to make, readable by its owner alone
+        /// File to create; only its owner can read it
         #[arg(long)]
         out: PathBuf,
     },
-    /// Print the keys of a set and where each is in its life, and what is revoked
+    /// Print the keys of a set with their phases, and what is revoked
     List {
-        /// The set, as the other commands keep it
+        /// Key set file, as written by the other commands
         set: PathBuf,
     },
-    /// Put a key into the set that signs from a later time on; makes the set if there is none
+    /// Add a key that will sign from a later time on; creates the key set file if there is none
     Announce {
-        /// The set
+        /// Key set file
         set: PathBuf,
-        /// The secret key, of which only the public half goes into the set
+        /// Secret key file; only the public key is added to the set
         #[arg(long)]
         key: PathBuf,
-        /// From when on it signs: so long from now, as 90s, 10m, 2h or 1d
+        /// When the key starts to sign, as a time from now: 90s, 10m, 2h or 1d
         #[arg(long = "in", value_name = "AFTER", default_value = "0s", value_parser = parse_duration_ms)]
         delay_ms: f64,
     },
-    /// Let a key sign from now on; the one that signed goes, and is served for the overlap
+    /// Make a key the signing key from now on; the previous one is retired after the overlap
     Activate {
-        /// The set
+        /// Key set file
         set: PathBuf,
-        /// The key's id
+        /// Id of the key
         id: String,
-        /// How long the outgoing key is still served
+        /// How long tokens of the outgoing key are still accepted
         #[arg(long = "overlap", value_name = "OVERLAP", default_value = "1h", value_parser = parse_duration_ms)]
         overlap_ms: f64,
     },
-    /// Let a key be served no more
+    /// Retire a key: its tokens are no longer accepted
     Retire {
-        /// The set
+        /// Key set file
         set: PathBuf,
-        /// The key's id
+        /// Id of the key
         id: String,
-        /// So long from now
+        /// When the key is retired, as a time from now
         #[arg(long = "in", value_name = "AFTER", default_value = "0s", value_parser = parse_duration_ms)]
         delay_ms: f64,
     },
-    /// Revoke keys, tokens, subjects or tenants, at once and for good
+    /// Revoke keys, tokens, subjects or tenants, immediately and permanently
     Revoke {
-        /// The set
+        /// Key set file
         set: PathBuf,
-        /// What
+        /// What to revoke
         #[command(flatten)]
         names: RevokedNames,
     },
-    /// Number, date and sign the set: the file that servers read, or an issuer hands out
+    /// Sign the set with a new sequence number and date, for servers to read or an issuer to serve
     SignSet {
-        /// The set
+        /// Key set file
         set: PathBuf,
-        /// The root's secret key
+        /// Secret key file of the root
         #[arg(long)]
         root: PathBuf,
-        /// The file to write
+        /// File to write the signed set to
         #[arg(long)]
         out: PathBuf,
     },
 }
 
-/// What is revoked.
+/// What to revoke.
 #[derive(Args)]
 #[group(required = true, multiple = true)]
 pub struct RevokedNames {
@@ -166,7 +166,8 @@
     Ok(())
 }
 
-/// Signs a key set. Its new sequence number is written before the signed set, so that no two signed sets have the same.
+/// Signs a key set. Writes the new sequence number to the key set before it writes the signed set, so that no two
+/// signed sets have the same number.
 fn sign_key_set(path: &Path, root: &Path, out: &Path) -> Result<(), KeysError> {
     let root = read_secret_key(root)?;
     let mut set = read_key_set(path)?;
--- a/crates/asterdale-daemon/src/keys/tests.rs
+++ b/crates/asterdale-daemon/src/keys/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the commands on keys: durations, and the life of a key set on files.
+//! Tests of the commands on keys: durations, and the lifecycle of a key set in files.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
