--- a/crates/asterdale-daemon/src/fleet/command.rs
+++ b/crates/asterdale-daemon/src/fleet/command.rs
@@ -141,9 +141,9 @@
         format!("owners: {}", joined_names(&status["owners"])),
         format!("kept: {}; {} bytes", counts.join(", "), status["bytes"]),
         if quiet_s > 0.0 {
-            format!("nothing is claimed for {quiet_s:.1} s")
+            format!("no claims are granted for {quiet_s:.1} s")
         } else {
-            "claims are taken".to_owned()
+            "claims are granted".to_owned()
         },
     ]
     .join("\n")
--- a/crates/asterdale-daemon/src/keys/duration.rs
+++ b/crates/asterdale-daemon/src/keys/duration.rs
@@ -6,10 +6,10 @@
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum DurationError {
     /// The unit is missing or unknown.
-    #[error("a number with ms, s, m, h or d is wanted")]
+    #[error("expected a number with the unit ms, s, m, h or d")]
     UnknownUnit,
     /// The part before the unit is not a number.
-    #[error("{0:?} is no number")]
+    #[error("{0:?} is not a number")]
     NotANumber(String),
 }
 
--- a/crates/asterdale-daemon/src/keys/error.rs
+++ b/crates/asterdale-daemon/src/keys/error.rs
@@ -52,10 +52,10 @@
     #[error(transparent)]
     Serialize(#[from] serde_json::Error),
     /// Servers would reject the key set that was just signed.
-    #[error("no server would take this set: {0:?}")]
+    #[error("servers would reject this key set: {0:?}")]
     UnusableKeySet(#[source] KeySetError),
     /// A subject is given without its tenant.
-    #[error("--subject {0}: TENANT/SUBJECT is wanted")]
+    #[error("--subject {0}: expected TENANT/SUBJECT")]
     SubjectWithoutTenant(String),
 }
 
--- a/crates/asterdale-daemon/src/keys/tests.rs
+++ b/crates/asterdale-daemon/src/keys/tests.rs
@@ -48,7 +48,7 @@
     }
     assert!(
         make_secret_key("one", &one).is_err(),
-        "a key was overwritten"
+        "an existing key was overwritten"
     );
     let announce = |key: &PathBuf, delay_ms| Command::Announce {
         set: set.clone(),
--- a/crates/asterdale-daemon/src/start/decisions.rs
+++ b/crates/asterdale-daemon/src/start/decisions.rs
@@ -202,7 +202,7 @@
         return;
     };
     if classes.is_empty() {
-        faults.add("settings.lanes", "at least one is wanted");
+        faults.add("settings.lanes", "must have at least one entry");
     }
     for (index, class) in classes.iter().enumerate() {
         let path = format!("settings.lanes[{index}].name");
--- a/crates/asterdale-daemon/src/start/error.rs
+++ b/crates/asterdale-daemon/src/start/error.rs
@@ -21,10 +21,10 @@
     #[error("is empty")]
     Empty,
     /// A name that must be unique occurs twice in its list.
-    #[error("{0:?} comes twice")]
+    #[error("duplicate name {0:?}")]
     Duplicate(String),
     /// A text is not an IP address with a port.
-    #[error("{0:?} is no address with a port")]
+    #[error("{0:?} is not an IP address with a port")]
     NotAnAddress(String),
     /// The value has the wrong type, or can't be parsed.
     #[error("{0}")]
--- a/crates/asterdale-daemon/src/start/fleet.rs
+++ b/crates/asterdale-daemon/src/start/fleet.rs
@@ -67,21 +67,21 @@
 /// Checks the section and reads the key; `None` if a required field is missing.
 pub fn check(section: FleetSection, faults: &mut Faults) -> Option<FleetSettings> {
     if !cfg!(feature = "fleet") {
-        faults.add("fleet", "this build talks with nobody");
+        faults.add("fleet", "this build does not support fleets");
     }
     let listen = faults.require("fleet.listen", section.listen);
     let advertise = section.advertise.or(section.listen);
     if advertise.is_some_and(|address| address.0.ip().is_unspecified() || address.0.port() == 0) {
         faults.add(
             "fleet.advertise",
-            "an address that the others can reach is wanted",
+            "must be an address that the other members can reach",
         );
     }
     let protocol_period_ms = section
         .interval_ms
         .map_or(DEFAULT_PROTOCOL_PERIOD_MS, |ms| ms.0);
     if !PROTOCOL_PERIOD_MS.contains(&protocol_period_ms) {
-        faults.add("fleet.interval_ms", "from 20 to 60000 is wanted");
+        faults.add("fleet.interval_ms", "must be from 20 to 60000");
     }
     let key = read_key(section.key, faults)?;
     let seeds = section.seeds.unwrap_or_default();
@@ -106,7 +106,7 @@
     match read {
         Err(source) => faults.add("fleet.key", Problem::UnreadableFile { file: path, source }),
         Ok(_) if key.len() < MIN_KEY_BYTES => {
-            let reason = format!("{MIN_KEY_BYTES} bytes are wanted at the least");
+            let reason = format!("the key must have at least {MIN_KEY_BYTES} bytes");
             faults.add("fleet.key", Problem::UnusableFile { file: path, reason });
         }
         Ok(_) => {}
--- a/crates/asterdale-daemon/src/start/identity/callers.rs
+++ b/crates/asterdale-daemon/src/start/identity/callers.rs
@@ -26,7 +26,7 @@
     let names = sections.iter().map(|role| role.name.as_ref());
     unique_names("identity.roles", names, faults);
     if sections.len() > MAX_ROLES {
-        let rule = format!("no more than {MAX_ROLES} are taken");
+        let rule = format!("must have at most {MAX_ROLES} entries");
         faults.add("identity.roles", rule);
     }
     let sections = sections.into_iter().enumerate();
@@ -49,7 +49,7 @@
             Some(class) => classes.push(class),
             None => faults.add(
                 format!("{path}[{position}]"),
-                format!("{name:?} is no name in settings.lanes"),
+                format!("{name:?} is not a name in settings.lanes"),
             ),
         }
     }
@@ -80,7 +80,7 @@
     let names = sections.iter().map(|tenant| tenant.name.as_ref());
     unique_names("identity.tenants", names, faults);
     if sections.len() > MAX_TENANTS {
-        let rule = format!("no more than {MAX_TENANTS} are taken");
+        let rule = format!("must have at most {MAX_TENANTS} entries");
         faults.add("identity.tenants", rule);
     }
     let quotas = settings.decisions.tenants.len();
@@ -89,7 +89,7 @@
         let path = format!("identity.tenants[{index}]");
         let quota = section.quota_index.unwrap_or(0) as usize;
         if section.quota_index.is_some() && quota >= quotas {
-            let rule = format!("{quota} is no position in settings.tenants, which has {quotas}");
+            let rule = format!("{quota} is not an index of settings.tenants, which has {quotas} entries");
             faults.add(format!("{path}.customer"), rule);
         }
         tenants.push(Tenant {
@@ -120,7 +120,7 @@
             .require(&tenant_path, section.tenant)
             .unwrap_or_default();
         if !tenants.iter().any(|known| known.name == tenant) {
-            let rule = format!("{tenant:?} is no name in identity.tenants");
+            let rule = format!("{tenant:?} is not a name in identity.tenants");
             faults.add(tenant_path, rule);
         }
         let roles = check_role_names(&format!("{path}.roles"), section.roles, roles, faults);
@@ -141,7 +141,7 @@
     if !NAME_KINDS.iter().any(|kind| name.starts_with(kind)) {
         faults.add(
             format!("{path}.name"),
-            "dns:, uri: or email: and a name is wanted",
+            "must be dns:, uri: or email: followed by a name",
         );
     }
     if name.starts_with("dns:") {
@@ -160,7 +160,7 @@
     let names = faults.require(path, names).unwrap_or_default();
     for (index, name) in names.iter().enumerate() {
         if !roles.iter().any(|role| role.name == *name) {
-            let rule = format!("{name:?} is no name in identity.roles");
+            let rule = format!("{name:?} is not a name in identity.roles");
             faults.add(format!("{path}[{index}]"), rule);
         }
     }
--- a/crates/asterdale-daemon/src/start/identity/mod.rs
+++ b/crates/asterdale-daemon/src/start/identity/mod.rs
@@ -93,13 +93,13 @@
             Some(root) => roots.push(root),
             None => faults.add(
                 format!("identity.roots[{index}]"),
-                "is no public key: 32 bytes in base64url",
+                "is not a public key (32 bytes in base64url)",
             ),
         }
     }
     let skew_ms = section.skew_ms.unwrap_or(DEFAULT_SKEW_MS);
     if !SKEW_MS.contains(&skew_ms) {
-        faults.add("identity.skew_ms", "from 0 to 300000 is wanted");
+        faults.add("identity.skew_ms", "must be from 0 to 300000");
     }
     let roles = callers::check_roles(section.roles, settings, faults);
     let tenants = callers::check_tenants(section.tenants, &roles, settings, faults);
@@ -141,7 +141,7 @@
 fn require_roots(roots: Option<Vec<String>>, faults: &mut Faults) -> Vec<String> {
     let roots = faults.require("identity.roots", roots).unwrap_or_default();
     if roots.is_empty() {
-        faults.add("identity.roots", "at least one is wanted");
+        faults.add("identity.roots", "must have at least one entry");
     }
     roots
 }
@@ -153,7 +153,7 @@
         (Some(path), None) => Some(KeySetSource::File(path)),
         (None, Some(issuer)) => check_issuer(issuer, faults).map(KeySetSource::Issuer),
         _ => {
-            faults.add("identity.keys", "one of file and fetch is wanted");
+            faults.add("identity.keys", "must have either file or fetch");
             None
         }
     }
@@ -166,7 +166,7 @@
     if !path.starts_with('/') || !is_printable || path.len() > MAX_ISSUER_PATH_BYTES {
         faults.add(
             "identity.keys.fetch.path",
-            "a path that begins with / is wanted",
+            "must begin with / and be at most 1024 printable ASCII characters, without spaces",
         );
     }
     Some(KeySource {
--- a/crates/asterdale-daemon/src/start/journal.rs
+++ b/crates/asterdale-daemon/src/start/journal.rs
@@ -60,12 +60,12 @@
     faults: &mut Faults,
 ) -> Option<JournalSettings> {
     if !cfg!(feature = "journal") {
-        faults.add("journal", "this build keeps nothing on disk");
+        faults.add("journal", "this build does not support a journal");
     }
     let folder = faults.require("journal.folder", section.folder);
     let disk_mb = section.disk_mb.map_or(DEFAULT_DISK_MB, |mb| mb.0);
     if !DISK_MB.contains(&disk_mb) {
-        faults.add("journal.disk_mb", "from 8 to 65536 is wanted");
+        faults.add("journal.disk_mb", "must be from 8 to 65536");
     }
     let memory_mb = section.memory_mb.map_or(DEFAULT_MEMORY_MB, |mb| mb.0);
     let classes = &settings.decisions.classes;
--- a/crates/asterdale-daemon/src/start/load.rs
+++ b/crates/asterdale-daemon/src/start/load.rs
@@ -162,7 +162,7 @@
     if settings.is_some() && !has_identity {
         faults.add(
             "tls",
-            "means nothing without identity, which says for whom certificates speak",
+            "requires the section identity, which maps client certificates to callers",
         );
     }
     settings
@@ -177,7 +177,7 @@
     if settings.is_some() && is_upgradable {
         faults.add(
             "fleet",
-            "can't be told together with upgrade: two processes would have one address",
+            "can't be combined with upgrade: two processes would use the same address",
         );
     }
     settings
@@ -193,7 +193,7 @@
     if !has_fleet {
         faults.add(
             "takeover",
-            "means nothing without fleet, whose processes keep it",
+            "requires the section fleet, whose members replicate the ownership",
         );
     }
     Some(ownership::check(section, settings, faults))
@@ -209,7 +209,7 @@
     if is_upgradable {
         faults.add(
             "journal",
-            "can't be told together with upgrade yet: two processes would have one folder",
+            "can't be combined with upgrade yet: two processes would use the same directory",
         );
     }
     journal::check(section, settings, faults)
--- a/crates/asterdale-daemon/src/start/ownership.rs
+++ b/crates/asterdale-daemon/src/start/ownership.rs
@@ -114,13 +114,13 @@
     let replicated_classes = check_classes(section.classes, settings, faults);
     let lease_ms = section.lease_ms.map_or(DEFAULT_LEASE_MS, |ms| ms.0);
     if !LEASE_MS.contains(&lease_ms) {
-        faults.add("takeover.lease_ms", "from 400 to 60000 is wanted");
+        faults.add("takeover.lease_ms", "must be from 400 to 60000");
     }
     let memory_mb = section.memory_mb.map_or(DEFAULT_MEMORY_MB, |mb| mb.0);
     if memory_mb > MAX_MEMORY_MB {
         faults.add(
             "takeover.memory_mb",
-            "no more than 20 is wanted: the whole of it goes in one letter",
+            "must be at most 20, as a snapshot of the replicated state is sent in one message",
         );
     }
     let classes = settings.decisions.classes.iter();
@@ -149,7 +149,7 @@
     let names = sections.iter().map(|replica| replica.name.as_ref());
     unique_names("takeover.keepers", names, faults);
     if sections.len() > MAX_REPLICAS || sections.len() % 2 == 0 {
-        let rule = format!("an odd number up to {MAX_REPLICAS} is wanted");
+        let rule = format!("must have an odd number of entries, at most {MAX_REPLICAS}");
         faults.add("takeover.keepers", rule);
     }
     let mut replicas = Vec::new();
@@ -180,11 +180,11 @@
         let path = format!("takeover.stages[{index}].name");
         let class = settings.class_names.iter().position(|known| *known == name);
         match class {
-            None => faults.add(path, format!("{name:?} is no stage of settings.lanes")),
+            None => faults.add(path, format!("{name:?} is not a name in settings.lanes")),
             Some(class) if settings.decisions.classes[class].idempotency != Idempotency::Keyed => {
                 faults.add(
                     path,
-                    "only tasks with a key can be known again, and so be kept",
+                    "must be a class of keyed requests: retries of others can't be recognized",
                 );
             }
             Some(class) => replicated[class] = Some(section.fenced.unwrap_or(false)),
--- a/crates/asterdale-daemon/src/start/tests.rs
+++ b/crates/asterdale-daemon/src/start/tests.rs
@@ -278,7 +278,7 @@
     assert_eq!(
         kept.trim_end(),
         made.trim_end(),
-        "write it anew: asterdale schema > docs/start.schema.json"
+        "outdated; regenerate it with: asterdale schema > docs/start.schema.json"
     );
 }
 
@@ -313,14 +313,14 @@
         [
             // Values of a wrong type come first, in the order of the JSON's keys.
             r#"limits.sockets: invalid type: string "many", expected f64"#,
-            r#"runtime: "nowhere" is no address with a port"#,
-            r#"seed: "xyz" is not hexadecimal"#,
-            "stop_ms: 0 is no number above 0",
-            r#"ROUTER_LISTEN: "here" is no address with a port"#,
+            r#"runtime: "nowhere" is not an IP address with a port"#,
+            r#"seed: "xyz" is not a hexadecimal number of up to 16 digits"#,
+            "stop_ms: 0 is not a number above 0",
+            r#"ROUTER_LISTEN: "here" is not an IP address with a port"#,
             "settings.lanes[0].name: is empty",
             "identity.issuer: is empty",
-            r#"identity.roles[1].name: "phone" comes twice"#,
-            r#"identity.roles[0].stages[0]: "bid" is no name in settings.lanes"#,
+            r#"identity.roles[1].name: duplicate name "phone""#,
+            r#"identity.roles[0].stages[0]: "bid" is not a name in settings.lanes"#,
         ]
     );
     assert_eq!(error.to_string(), texts.join("; "));
--- a/crates/asterdale-daemon/src/start/tls.rs
+++ b/crates/asterdale-daemon/src/start/tls.rs
@@ -44,7 +44,7 @@
 /// Checks the section; `None` if a field is missing.
 pub fn check(section: TlsSection, faults: &mut Faults) -> Option<TlsSettings> {
     if !cfg!(feature = "tls") {
-        faults.add("tls", "this build has no TLS");
+        faults.add("tls", "this build does not support TLS");
     }
     let listen = faults.require("tls.listen", section.listen);
     let certificate = faults.require("tls.certificate", section.certificate);
--- a/crates/asterdale-daemon/src/start/upgrade.rs
+++ b/crates/asterdale-daemon/src/start/upgrade.rs
@@ -24,7 +24,7 @@
 /// Checks the section and returns the path of the control socket; `None` if it is missing.
 pub fn check(section: UpgradeSection, faults: &mut Faults) -> Option<String> {
     if !cfg!(feature = "upgrade") {
-        faults.add("upgrade", "this build can't hand over");
+        faults.add("upgrade", "this build does not support hot restart");
     }
     faults.require("upgrade.control", section.control)
 }
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -663,7 +663,7 @@
     assert_eq!(output.status.code(), Some(2));
     assert_eq!(
         text,
-        "asterdale: runtime: \"nowhere\" is no address with a port\n"
+        "asterdale: runtime: \"nowhere\" is not an IP address with a port\n"
     );
 }
 
