--- a/crates/asterdale-daemon/src/fleet/command.rs
+++ b/crates/asterdale-daemon/src/fleet/command.rs
@@ -12,7 +12,7 @@
 
 /// The process to query.
 #[derive(Args)]
-pub struct At {
+pub struct ProcessArgs {
     /// Control socket of the process: `fleet.control` of its start file
     #[arg(long)]
     control: PathBuf,
@@ -24,7 +24,7 @@
     /// Print the process's view of its fleet; exit code 1 if it can't reach a majority
     Show {
         #[command(flatten)]
-        at: At,
+        process: ProcessArgs,
         /// Print JSON
         #[arg(long)]
         json: bool,
@@ -32,15 +32,16 @@
     /// Print each change of a member, until interrupted or the process ends
     Watch {
         #[command(flatten)]
-        at: At,
+        process: ProcessArgs,
         /// Polling interval, in milliseconds
         #[arg(long, default_value_t = 500)]
         every_ms: u64,
     },
     /// Print the process's state as an ownership replica; exit code 1 if it is in no group or the group has no leader
-    Keepers {
+    #[command(name = "keepers")]
+    Replicas {
         #[command(flatten)]
-        at: At,
+        process: ProcessArgs,
         /// Print JSON
         #[arg(long)]
         json: bool,
@@ -48,7 +49,7 @@
     /// Make the process leave its fleet: it continues to serve, and the other members regard it as gone
     Leave {
         #[command(flatten)]
-        at: At,
+        process: ProcessArgs,
     },
 }
 
@@ -58,10 +59,10 @@
 const EXIT_FAILED: u8 = 2;
 
 /// Prints each change of a member, until a query fails.
-fn watch(at: &At, every_ms: u64) -> Result<ExitCode, ControlError> {
+fn watch(process: &ProcessArgs, every_ms: u64) -> Result<ExitCode, ControlError> {
     let mut previous: BTreeMap<String, (u64, String)> = BTreeMap::new();
     loop {
-        let report = control::show(&at.control)?;
+        let report = control::show(&process.control)?;
         let current: BTreeMap<_, _> = std::iter::once(&report.local)
             .chain(&report.members)
             .map(|member| {
@@ -82,8 +83,8 @@
     }
 }
 
-fn show(at: &At, as_json: bool) -> Result<ExitCode, ControlError> {
-    let report = control::show(&at.control)?;
+fn show(process: &ProcessArgs, as_json: bool) -> Result<ExitCode, ControlError> {
+    let report = control::show(&process.control)?;
     let text = if as_json {
         serde_json::to_string(&report).unwrap_or_default()
     } else {
@@ -93,8 +94,8 @@
     Ok(success_if(report.has_majority))
 }
 
-fn show_replica(at: &At, as_json: bool) -> Result<ExitCode, ControlError> {
-    let status = control::replica_status(&at.control)?;
+fn show_replica(process: &ProcessArgs, as_json: bool) -> Result<ExitCode, ControlError> {
+    let status = control::replica_status(&process.control)?;
     let text = if as_json {
         status.to_string()
     } else {
@@ -152,10 +153,10 @@
 /// Runs the command, and prints its error.
 pub fn run(command: &Command) -> ExitCode {
     let result = match command {
-        Command::Show { at, json } => show(at, *json),
-        Command::Watch { at, every_ms } => watch(at, *every_ms),
-        Command::Keepers { at, json } => show_replica(at, *json),
-        Command::Leave { at } => control::leave(&at.control).map(|()| ExitCode::SUCCESS),
+        Command::Show { process, json } => show(process, *json),
+        Command::Watch { process, every_ms } => watch(process, *every_ms),
+        Command::Replicas { process, json } => show_replica(process, *json),
+        Command::Leave { process } => control::leave(&process.control).map(|()| ExitCode::SUCCESS),
     };
     result.unwrap_or_else(|e| {
         eprintln!("asterdale: {e}");
--- a/crates/asterdale-daemon/src/fleet/mod.rs
+++ b/crates/asterdale-daemon/src/fleet/mod.rs
@@ -52,9 +52,9 @@
     Replica(#[from] crate::journal::JournalError),
 }
 
-/// The engine's interfaces to the fleet. Both fields are `None` if the start file configures no fleet.
+/// The engine's clients of the fleet. Both fields are `None` if the start file configures no fleet.
 #[derive(Default)]
-pub struct FleetPorts {
+pub struct FleetClients {
     /// The other members.
     pub view: Option<Arc<dyn FleetView>>,
     /// The replicas that store claims; `None` if the start file configures none.
@@ -67,9 +67,9 @@
     engine: &Sender<EngineMessage>,
     log: &Log,
     #[cfg(feature = "journal")] journal: Option<asterdale_journal::Journal>,
-) -> Result<FleetPorts, FleetError> {
+) -> Result<FleetClients, FleetError> {
     let Some(fleet) = &start.fleet else {
-        return Ok(FleetPorts::default());
+        return Ok(FleetClients::default());
     };
     #[cfg(feature = "journal")]
     let last_generation = journal.as_ref().map_or(0, |journal| journal.generation);
@@ -90,14 +90,14 @@
             .map(|settings| ownership_settings(settings, disk)),
     };
     #[cfg(feature = "journal")]
-    let generations = journal.map(crate::journal::GenerationRecorder::new);
+    let generation_recorder = journal.map(crate::journal::GenerationRecorder::new);
     let lines = log.lines.clone();
     let on_membership_event = move |event: &Event| {
         event_log::log_membership_event(&lines, event);
         #[cfg(feature = "journal")]
-        generations
+        generation_recorder
             .iter()
-            .for_each(|generations| generations.record(event));
+            .for_each(|generation_recorder| generation_recorder.record(event));
     };
     let on_ownership_event = ownership_event_handler(engine.clone(), log.lines.clone());
     let transport = asterdale_transport::start(settings, on_membership_event, on_ownership_event)
@@ -105,20 +105,20 @@
         address: fleet.listen,
         source,
     })?;
-    Ok(ports(transport, start.ownership.as_ref(), &fleet.key))
+    Ok(engine_clients(transport, start.ownership.as_ref(), &fleet.key))
 }
 
-fn ports(
+fn engine_clients(
     transport: Transport,
     ownership: Option<&OwnershipSettings>,
     fleet_key: &[u8],
-) -> FleetPorts {
+) -> FleetClients {
     let ownership = transport
         .ownership
         .clone()
         .zip(ownership)
         .map(|(handle, settings)| ReplicatedOwnership::new(handle, settings, fleet_key));
-    FleetPorts {
+    FleetClients {
         view: Some(Arc::new(TransportFleetView(transport))),
         ownership: ownership.map(|ownership| Arc::new(ownership) as Arc<dyn OwnershipClient>),
     }
--- a/crates/asterdale-daemon/src/journal/command.rs
+++ b/crates/asterdale-daemon/src/journal/command.rs
@@ -29,64 +29,64 @@
 }
 
 /// How often the file is read at most: a read that coincides with a commit is repeated.
-const TRIES: u32 = 5;
+const MAX_READ_ATTEMPTS: u32 = 5;
 
 /// Reads the present state of the journal file. Returns the state, whether all pages are intact, and the length of the
 /// file in bytes.
-fn read(folder: &Path) -> Result<(StoredState, bool, u64), String> {
+fn read_state(folder: &Path) -> Result<(StoredState, bool, u64), String> {
     let file = folder.join(STATE_FILE);
-    let mut why = String::new();
-    for _ in 0..TRIES {
+    let mut error_text = String::new();
+    for _ in 0..MAX_READ_ATTEMPTS {
         let bytes = std::fs::read(&file).map_err(|e| format!("{}: {e}", file.display()))?;
         let length = bytes.len() as u64;
-        let looked = catch_library_panic(|| {
+        let result = catch_library_panic(|| {
             Store::from_image(bytes)
                 .and_then(|mut store| Ok((store.check_integrity()?, store.load()?)))
         });
-        match looked {
-            Ok((sound, found)) => return Ok((found, sound, length)),
-            Err(e) => why = e.to_string(),
+        match result {
+            Ok((pages_intact, state)) => return Ok((state, pages_intact, length)),
+            Err(e) => error_text = e.to_string(),
         }
     }
-    Err(format!("{}: {why}", file.display()))
+    Err(format!("{}: {error_text}", file.display()))
 }
 
-fn text(bytes: &[u8]) -> String {
+fn printable(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).replace('\0', "/")
 }
 
-fn done(command: &Command) -> Result<ExitCode, String> {
+fn execute(command: &Command) -> Result<ExitCode, String> {
     let (Command::Check { folder } | Command::Dump { folder } | Command::Stats { folder }) =
         command;
-    let (found, sound, length) = read(folder)?;
-    let face = found.header.clone().unwrap_or_default();
-    let count = |stage| {
+    let (state, pages_intact, length) = read_state(folder)?;
+    let header = state.header.clone().unwrap_or_default();
+    let count = |execution_state| {
         found
             .entries
             .iter()
-            .filter(|(_, entry)| entry.state() == stage)
+            .filter(|(_, entry)| entry.state() == execution_state)
             .count()
     };
     match command {
         Command::Check { .. } => {
-            let good = sound && found.damaged_entries == 0 && found.header.is_some();
+            let is_intact = pages_intact && state.damaged_entries == 0 && state.header.is_some();
             println!(
                 "{}",
-                json!({"good": good, "pages": sound, "damaged_entries": found.damaged_entries,
-                "keys": found.entries.len()})
+                json!({"good": is_intact, "pages": pages_intact, "damaged_entries": state.damaged_entries,
+                "keys": state.entries.len()})
             );
-            return Ok(if good {
+            return Ok(if is_intact {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
             });
         }
         Command::Dump { .. } => {
-            for (key, entry) in &found.entries {
+            for (key, entry) in &state.entries {
                 println!(
                     "{}",
-                    json!({"key": text(key), "stage": entry.state().to_string(),
-                    "id": text(&entry.attempt_id), "run": entry.run, "left_ms": (entry.expires_at_ms - face.folder_time_ms).round(),
+                    json!({"key": printable(key), "stage": entry.state().to_string(),
+                    "id": printable(&entry.attempt_id), "run": entry.run, "left_ms": (entry.expires_at_ms - header.folder_time_ms).round(),
                     "result_bytes": entry.result.len()})
                 );
             }
@@ -94,10 +94,10 @@
         Command::Stats { .. } => {
             println!(
                 "{}",
-                json!({"name": face.name, "folder": format!("{:016x}", face.folder_id), "run": face.run,
-                "generation": face.generation, "quiet_ms": (face.quiet_until_ms - face.folder_time_ms).max(0.0).round(),
-                "marked_unix_ms": face.unix_time_ms.round(), "bytes": length, "intents": count(ExecutionState::Intent),
-                "passed": count(ExecutionState::Succeeded), "failed": count(ExecutionState::Failed), "damaged_entries": found.damaged_entries})
+                json!({"name": header.name, "folder": format!("{:016x}", header.folder_id), "run": header.run,
+                "generation": header.generation, "quiet_ms": (header.quiet_until_ms - header.folder_time_ms).max(0.0).round(),
+                "marked_unix_ms": header.unix_time_ms.round(), "bytes": length, "intents": count(ExecutionState::Intent),
+                "passed": count(ExecutionState::Succeeded), "failed": count(ExecutionState::Failed), "damaged_entries": state.damaged_entries})
             );
         }
     }
@@ -106,8 +106,8 @@
 
 /// Runs the command, and prints its error.
 pub fn run(command: &Command) -> ExitCode {
-    done(command).unwrap_or_else(|why| {
-        eprintln!("asterdale: {why}");
+    execute(command).unwrap_or_else(|error| {
+        eprintln!("asterdale: {error}");
         ExitCode::from(2)
     })
 }
--- a/crates/asterdale-daemon/src/journal/mod.rs
+++ b/crates/asterdale-daemon/src/journal/mod.rs
@@ -34,7 +34,7 @@
 pub use replica::open_replica_disk;
 
 /// Memory that an entry takes besides its result, in bytes.
-const ENTRY_BYTES: usize = 512;
+const ENTRY_OVERHEAD_BYTES: usize = 512;
 
 /// Why the journal can't be opened.
 #[derive(Debug, thiserror::Error)]
@@ -97,7 +97,7 @@
         name: name.to_owned(),
         max_file_bytes: settings.max_disk_bytes,
         index_limits: IndexLimits {
-            max_entries: settings.max_memory_bytes / ENTRY_BYTES,
+            max_entries: settings.max_memory_bytes / ENTRY_OVERHEAD_BYTES,
             max_bytes: settings.max_memory_bytes,
         },
         max_window_ms: settings.retention_ms,
--- a/crates/asterdale-daemon/src/keys/error.rs
+++ b/crates/asterdale-daemon/src/keys/error.rs
@@ -44,7 +44,7 @@
     },
     /// A secret key can't be generated.
     #[error(transparent)]
-    MakeSecretKey(#[from] SecretKeyError),
+    GenerateSecretKey(#[from] SecretKeyError),
     /// The key set rejects the change.
     #[error(transparent)]
     Rotation(#[from] RotationError),
--- a/crates/asterdale-daemon/src/keys/files.rs
+++ b/crates/asterdale-daemon/src/keys/files.rs
@@ -52,7 +52,7 @@
 /// Writes a key set.
 pub fn write_key_set(path: &Path, set: &KeySet) -> Result<(), KeysError> {
     let text = serde_json::to_vec_pretty(set)?;
-    replace(path, &text)
+    replace_file(path, &text)
 }
 
 /// Reads a key set, changes it and writes it back.
@@ -66,14 +66,14 @@
 }
 
 /// Replaces a file: writes a temporary file in the same directory and renames it.
-pub fn replace(path: &Path, content: &[u8]) -> Result<(), KeysError> {
+pub fn replace_file(path: &Path, content: &[u8]) -> Result<(), KeysError> {
     let mut temporary = path.as_os_str().to_owned();
     temporary.push(format!(".{}", std::process::id()));
     let temporary = PathBuf::from(temporary);
-    let replaced = fs::File::create(&temporary)
+    let result = fs::File::create(&temporary)
         .and_then(|mut file| file.write_all(content).and_then(|()| file.sync_all()))
         .and_then(|()| fs::rename(&temporary, path));
-    replaced.map_err(|e| {
+    result.map_err(|e| {
         // A failed removal is ignored: the first error is the one to report.
         let _ = fs::remove_file(&temporary);
         KeysError::file(path)(e)
--- a/crates/asterdale-daemon/src/keys/list.rs
+++ b/crates/asterdale-daemon/src/keys/list.rs
@@ -13,7 +13,7 @@
 pub fn print_key_set(path: &Path) -> Result<(), KeysError> {
     let set = read_key_set(path)?;
     let now_ms = unix_ms();
-    let keyring = keyring_of(path, &set, now_ms)?;
+    let keyring = keyring_with_set(path, &set, now_ms)?;
     let age_seconds = (now_ms - set.issued_ms) / 1e3;
     match set.seq {
         0 => println!("not signed yet"),
@@ -38,7 +38,7 @@
 
 /// Returns a keyring that has adopted a copy of this set, signed with a fixed key. It computes the same phases as a
 /// server's keyring.
-fn keyring_of(path: &Path, set: &KeySet, now_ms: f64) -> Result<Keyring, KeysError> {
+fn keyring_with_set(path: &Path, set: &KeySet, now_ms: f64) -> Result<Keyring, KeysError> {
     let root = SecretKey::from_seed([0; 32], "show");
     let mut signed = set.clone();
     signed.seq = signed.seq.max(1);
--- a/crates/asterdale-daemon/src/keys/mod.rs
+++ b/crates/asterdale-daemon/src/keys/mod.rs
@@ -19,7 +19,7 @@
 pub use duration::parse_duration_ms;
 pub use error::KeysError;
 pub use files::read_secret_key;
-use files::{change_key_set, create_secret_key, read_key_set, replace, write_key_set};
+use files::{change_key_set, create_secret_key, read_key_set, replace_file, write_key_set};
 
 /// The subcommands of `asterdale keys`. Their doc comments are the help texts of the command line.
 #[derive(Subcommand)]
@@ -114,7 +114,7 @@
 /// If a file can't be read or written, or the key set rejects the change.
 pub fn run(command: Command) -> Result<(), KeysError> {
     match command {
-        Command::New { id, out } => make_secret_key(&id, &out),
+        Command::New { id, out } => generate_secret_key(&id, &out),
         Command::List { set } => list::print_key_set(&set),
         Command::Announce { set, key, delay_ms } => announce(&set, &key, delay_ms),
         Command::Activate {
@@ -130,7 +130,7 @@
     }
 }
 
-fn make_secret_key(id: &str, out: &Path) -> Result<(), KeysError> {
+fn generate_secret_key(id: &str, out: &Path) -> Result<(), KeysError> {
     let key = SecretKey::generate(id)?;
     create_secret_key(out, &key)?;
     println!("{}", key.public_key_text());
@@ -178,7 +178,7 @@
     keyring
         .offer_key_set(unix_ms(), text.as_bytes())
         .map_err(KeysError::UnusableKeySet)?;
-    replace(out, text.as_bytes())?;
+    replace_file(out, text.as_bytes())?;
     println!("set {} with {} keys", set.seq, set.keys.len());
     Ok(())
 }
--- a/crates/asterdale-daemon/src/keys/tests.rs
+++ b/crates/asterdale-daemon/src/keys/tests.rs
@@ -28,7 +28,7 @@
     clippy::too_many_lines,
     reason = "one scenario, read from top to bottom"
 )]
-fn keys_are_made_announced_activated_revoked_and_signed_on_files() {
+fn keys_are_generated_announced_activated_revoked_and_signed_on_files() {
     let folder = std::env::temp_dir().join(format!("asterdale-keys-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
     let path = |name: &str| folder.join(name);
@@ -40,14 +40,14 @@
         path("out"),
     );
     for (id, file) in [("root", &root), ("one", &one), ("two", &two)] {
-        make_secret_key(id, file).unwrap();
+        generate_secret_key(id, file).unwrap();
         assert_eq!(
             fs::metadata(file).unwrap().permissions().mode() & 0o777,
             0o600
         );
     }
     assert!(
-        make_secret_key("one", &one).is_err(),
+        generate_secret_key("one", &one).is_err(),
         "an existing key was overwritten"
     );
     let announce = |key: &PathBuf, delay_ms| Command::Announce {
--- a/crates/asterdale-daemon/src/start/decisions.rs
+++ b/crates/asterdale-daemon/src/start/decisions.rs
@@ -87,7 +87,7 @@
     pub idle_ns: Option<f64>,
     /// How long the dependency may go on with a call after its caller has timed out.
     #[serde(rename = "lingersNs")]
-    pub timed_out_call_ns: Option<f64>,
+    pub call_linger_ns: Option<f64>,
     /// Memory of the runtime, in KB.
     #[cfg_attr(feature = "tools", schemars(required))]
     pub memory_kb: Option<Positive>,
@@ -97,7 +97,7 @@
     /// How callers use the capacity hint that servers publish: `level`, `credit`, `weight`, or any other value for not
     /// at all.
     #[serde(rename = "say")]
-    pub published_value: Option<String>,
+    pub capacity_hint: Option<String>,
     /// The number of callers of this tier at startup.
     pub upstreams: Option<f64>,
     /// For each class, in the order of `lanes`: the fraction of the priority weight that a response made without the
@@ -161,7 +161,7 @@
     pub deadline_ns: Option<f64>,
     /// The fraction of the priority weight that a response after the latency objective counts for.
     #[serde(rename = "lateShare")]
-    pub late_weight: Option<f64>,
+    pub late_weight_share: Option<f64>,
     /// The retry window: how long after its arrival a keyed request may be retried.
     #[serde(rename = "memorySpanNs")]
     pub retry_window_ns: Option<f64>,
--- a/crates/asterdale-daemon/src/start/deserialize.rs
+++ b/crates/asterdale-daemon/src/start/deserialize.rs
@@ -8,13 +8,13 @@
 
 /// Deserializes a value into `T`. A field that fails is reported and removed, and the rest is deserialized again, so
 /// `T` must not require any field. Returns `T::default()` if nothing of the value can be deserialized.
-pub fn deserialize_reporting<T: DeserializeOwned + Default>(
+pub fn deserialize_collecting_faults<T: DeserializeOwned + Default>(
     mut value: Value,
     faults: &mut Faults,
 ) -> T {
     for _ in 0..MAX_FAULTS {
         let error = match serde_path_to_error::deserialize::<_, T>(value.clone()) {
-            Ok(read) => return read,
+            Ok(parsed) => return parsed,
             Err(error) => error,
         };
         let segments: Vec<&Segment> = error.path().iter().collect();
@@ -56,9 +56,9 @@
 
 /// Removes one item of a list. Returns `false` if there is no such item.
 fn remove_item(items: &mut Vec<Value>, index: usize) -> bool {
-    let is_inside = index < items.len();
-    if is_inside {
+    let exists = index < items.len();
+    if exists {
         items.remove(index);
     }
-    is_inside
+    exists
 }
--- a/crates/asterdale-daemon/src/start/fleet.rs
+++ b/crates/asterdale-daemon/src/start/fleet.rs
@@ -18,7 +18,7 @@
 const DEFAULT_PROTOCOL_PERIOD_MS: f64 = 1000.0;
 /// The accepted protocol periods, in milliseconds. With a shorter one, gossip would take capacity from requests; with a
 /// longer one, failures would go undetected for minutes.
-const PROTOCOL_PERIOD_MS: std::ops::RangeInclusive<f64> = 20.0..=60_000.0;
+const PROTOCOL_PERIOD_RANGE_MS: std::ops::RangeInclusive<f64> = 20.0..=60_000.0;
 
 /// The fleet that a process is a member of. It gossips over UDP and TCP, at the same port.
 #[derive(Clone, Debug, Default, Deserialize)]
@@ -80,7 +80,7 @@
     let protocol_period_ms = section
         .interval_ms
         .map_or(DEFAULT_PROTOCOL_PERIOD_MS, |ms| ms.0);
-    if !PROTOCOL_PERIOD_MS.contains(&protocol_period_ms) {
+    if !PROTOCOL_PERIOD_RANGE_MS.contains(&protocol_period_ms) {
         faults.add("fleet.interval_ms", "must be from 20 to 60000");
     }
     let key = read_key(section.key, faults)?;
--- a/crates/asterdale-daemon/src/start/identity/callers.rs
+++ b/crates/asterdale-daemon/src/start/identity/callers.rs
@@ -5,14 +5,14 @@
 
 use super::section::{CertificateSection, RoleSection, TenantSection};
 use crate::start::error::Faults;
-use crate::start::unique_names;
+use crate::start::check_unique_names;
 
 /// The default maximum number of open requests of one tenant in a role.
 const DEFAULT_MAX_OPEN: u32 = 256;
 /// The default burst of a role, in seconds at its rate.
 const DEFAULT_BURST_SECONDS: f64 = 2.0;
 /// Prefixes of subject alternative names, one for each kind of name.
-const NAME_KINDS: [&str; 3] = ["dns:", "uri:", "email:"];
+const ALTERNATIVE_NAME_PREFIXES: [&str; 3] = ["dns:", "uri:", "email:"];
 
 /// Checks the roles. Faults are reported, and unknown request classes left out.
 pub fn check_roles(
@@ -24,7 +24,7 @@
         .require("identity.roles", sections)
         .unwrap_or_default();
     let names = sections.iter().map(|role| role.name.as_ref());
-    unique_names("identity.roles", names, faults);
+    check_unique_names("identity.roles", names, faults);
     if sections.len() > MAX_ROLES {
         let rule = format!("must have at most {MAX_ROLES} entries");
         faults.add("identity.roles", rule);
@@ -78,23 +78,23 @@
         .require("identity.tenants", sections)
         .unwrap_or_default();
     let names = sections.iter().map(|tenant| tenant.name.as_ref());
-    unique_names("identity.tenants", names, faults);
+    check_unique_names("identity.tenants", names, faults);
     if sections.len() > MAX_TENANTS {
         let rule = format!("must have at most {MAX_TENANTS} entries");
         faults.add("identity.tenants", rule);
     }
-    let quotas = settings.decisions.tenants.len();
+    let quota_count = settings.decisions.tenants.len();
     let mut tenants = Vec::new();
     for (index, section) in sections.into_iter().enumerate() {
         let path = format!("identity.tenants[{index}]");
-        let quota = section.quota_index.unwrap_or(0) as usize;
-        if section.quota_index.is_some() && quota >= quotas {
-            let rule = format!("{quota} is not an index of settings.tenants, which has {quotas} entries");
+        let quota_index = section.quota_index.unwrap_or(0) as usize;
+        if section.quota_index.is_some() && quota_index >= quota_count {
+            let rule = format!("{quota_index} is not an index of settings.tenants, which has {quota_count} entries");
             faults.add(format!("{path}.customer"), rule);
         }
         tenants.push(Tenant {
             name: section.name.unwrap_or_default(),
-            scheduling_tenant: quota,
+            scheduling_tenant: quota_index,
             roles: check_role_names(&format!("{path}.roles"), section.roles, roles, faults),
         });
     }
@@ -110,7 +110,7 @@
 ) -> Vec<CertificateMapping> {
     let sections = sections.unwrap_or_default();
     let names = sections.iter().map(|certificate| certificate.name.as_ref());
-    unique_names("identity.certificates", names, faults);
+    check_unique_names("identity.certificates", names, faults);
     let mut certificates = Vec::new();
     for (index, section) in sections.into_iter().enumerate() {
         let path = format!("identity.certificates[{index}]");
@@ -138,7 +138,7 @@
 /// Checks the prefix of a subject alternative name. Returns DNS names in lower case, in which they are compared.
 fn check_certificate_name(path: &str, name: Option<String>, faults: &mut Faults) -> String {
     let mut name = name.unwrap_or_default();
-    if !NAME_KINDS.iter().any(|kind| name.starts_with(kind)) {
+    if !ALTERNATIVE_NAME_PREFIXES.iter().any(|prefix| name.starts_with(prefix)) {
         faults.add(
             format!("{path}.name"),
             "must be dns:, uri: or email: followed by a name",
--- a/crates/asterdale-daemon/src/start/identity/mod.rs
+++ b/crates/asterdale-daemon/src/start/identity/mod.rs
@@ -17,15 +17,15 @@
 /// The default clock skew that is tolerated, in milliseconds.
 const DEFAULT_SKEW_MS: f64 = 500.0;
 /// The accepted clock skews, in milliseconds. With a larger one, tokens would be accepted long after they expired.
-const SKEW_MS: std::ops::RangeInclusive<f64> = 0.0..=300_000.0;
+const SKEW_RANGE_MS: std::ops::RangeInclusive<f64> = 0.0..=300_000.0;
 /// The default size of the token cache, in tokens.
 const DEFAULT_CACHED_TOKENS: u32 = 2048;
 /// The maximum size of the token cache, in tokens. Bounds its memory.
 const MAX_CACHED_TOKENS: u32 = 65_536;
 /// The default limit of signature verifications per second for one edge node; they take a small part of one core.
-const DEFAULT_SIGNATURES_PER_EDGE: f64 = 50.0;
+const DEFAULT_SIGNATURES_PER_EDGE_PER_S: f64 = 50.0;
 /// The default limit of signature verifications per second for all edge nodes together.
-const DEFAULT_SIGNATURES: f64 = 400.0;
+const DEFAULT_SIGNATURES_PER_S: f64 = 400.0;
 /// The default time between two polls of the issuer, in milliseconds.
 const DEFAULT_POLL_INTERVAL_MS: f64 = 30_000.0;
 /// The maximum length of a key set's path at its issuer, in bytes, so that a request for it fits in one packet.
@@ -98,7 +98,7 @@
         }
     }
     let skew_ms = section.skew_ms.unwrap_or(DEFAULT_SKEW_MS);
-    if !SKEW_MS.contains(&skew_ms) {
+    if !SKEW_RANGE_MS.contains(&skew_ms) {
         faults.add("identity.skew_ms", "must be from 0 to 300000");
     }
     let roles = callers::check_roles(section.roles, settings, faults);
@@ -116,8 +116,8 @@
         cached_tokens: cached_tokens.clamp(1, MAX_CACHED_TOKENS) as usize,
         signatures_per_edge_per_s: section
             .signatures_per_edge
-            .map_or(DEFAULT_SIGNATURES_PER_EDGE, |rate| rate.0),
-        signatures_per_s: section.signatures.map_or(DEFAULT_SIGNATURES, |rate| rate.0),
+            .map_or(DEFAULT_SIGNATURES_PER_EDGE_PER_S, |rate| rate.0),
+        signatures_per_s: section.signatures.map_or(DEFAULT_SIGNATURES_PER_S, |rate| rate.0),
         roles,
         tenants,
         certificate_mappings: certificates,
--- a/crates/asterdale-daemon/src/start/journal.rs
+++ b/crates/asterdale-daemon/src/start/journal.rs
@@ -14,7 +14,7 @@
 const DEFAULT_DISK_MB: f64 = 256.0;
 /// The accepted maximum sizes of the journal file, in megabytes. A smaller file has no space for a burst of keys; a
 /// larger one takes too long to check at startup.
-const DISK_MB: std::ops::RangeInclusive<f64> = 8.0..=65_536.0;
+const DISK_RANGE_MB: std::ops::RangeInclusive<f64> = 8.0..=65_536.0;
 /// The default maximum size of the index in memory, in megabytes.
 const DEFAULT_MEMORY_MB: f64 = 16.0;
 
@@ -64,7 +64,7 @@
     }
     let folder = faults.require("journal.folder", section.folder);
     let disk_mb = section.disk_mb.map_or(DEFAULT_DISK_MB, |mb| mb.0);
-    if !DISK_MB.contains(&disk_mb) {
+    if !DISK_RANGE_MB.contains(&disk_mb) {
         faults.add("journal.disk_mb", "must be from 8 to 65536");
     }
     let memory_mb = section.memory_mb.map_or(DEFAULT_MEMORY_MB, |mb| mb.0);
--- a/crates/asterdale-daemon/src/start/load.rs
+++ b/crates/asterdale-daemon/src/start/load.rs
@@ -8,7 +8,7 @@
 use asterdale_parameters::Settings;
 use serde_json::Value;
 
-use super::deserialize::deserialize_reporting;
+use super::deserialize::deserialize_collecting_faults;
 use super::error::{Fault, Faults, Problem, StartError};
 use super::file::StartFile;
 use super::value::Address;
@@ -22,7 +22,7 @@
 /// The environment variable with the address to listen on, which takes precedence over the file.
 const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
 /// The path under which faults of the file as a whole are reported.
-const FILE: &str = "start file";
+const FILE_FAULT_PATH: &str = "start file";
 
 /// The value of an environment variable; `None` if it is absent or empty.
 fn environment_variable(name: &str) -> Option<String> {
@@ -44,13 +44,13 @@
 /// # Errors
 /// Every fault, if the file can't be read or its content is wrong.
 pub fn from_file(path: &Path) -> Result<Start, StartError> {
-    load(path, FILE)
+    load(path, FILE_FAULT_PATH)
 }
 
-fn load(path: &Path, reported_as: &str) -> Result<Start, StartError> {
+fn load(path: &Path, fault_path: &str) -> Result<Start, StartError> {
     let text = std::fs::read(path).map_err(|source| {
         let file = path.display().to_string();
-        Fault::new(reported_as, Problem::UnreadableFile { file, source })
+        Fault::new(fault_path, Problem::UnreadableFile { file, source })
     })?;
     parse(
         &text,
@@ -69,9 +69,9 @@
     listen: Option<String>,
 ) -> Result<Start, StartError> {
     let json: Value = serde_json::from_slice(text)
-        .map_err(|e| Fault::new(FILE, Problem::Malformed(e.to_string())))?;
+        .map_err(|e| Fault::new(FILE_FAULT_PATH, Problem::Malformed(e.to_string())))?;
     let mut faults = Faults::default();
-    let file: StartFile = deserialize_reporting(json.clone(), &mut faults);
+    let file: StartFile = deserialize_collecting_faults(json.clone(), &mut faults);
     let start = check(file, &json, name, listen, &mut faults);
     faults.into_result().map(|()| start)
 }
@@ -103,10 +103,10 @@
     let control_socket = file
         .upgrade
         .and_then(|section| upgrade::check(section, faults));
-    let is_upgradable = control_socket.is_some();
-    let fleet = check_fleet(file.fleet, is_upgradable, faults);
+    let is_hot_restart_enabled = control_socket.is_some();
+    let fleet = check_fleet(file.fleet, is_hot_restart_enabled, faults);
     let ownership = check_ownership(file.ownership, fleet.is_some(), &settings, faults);
-    let journal = check_journal(file.journal, is_upgradable, &settings, faults);
+    let journal = check_journal(file.journal, is_hot_restart_enabled, &settings, faults);
     let identity = file
         .identity
         .and_then(|section| identity::check(section, seed, &settings, faults));
@@ -170,11 +170,11 @@
 
 fn check_fleet(
     section: Option<fleet::FleetSection>,
-    is_upgradable: bool,
+    is_hot_restart_enabled: bool,
     faults: &mut Faults,
 ) -> Option<FleetSettings> {
     let settings = fleet::check(section?, faults);
-    if settings.is_some() && is_upgradable {
+    if settings.is_some() && is_hot_restart_enabled {
         faults.add(
             "fleet",
             "can't be combined with upgrade: two processes would use the same address",
@@ -201,12 +201,12 @@
 
 fn check_journal(
     section: Option<journal::JournalSection>,
-    is_upgradable: bool,
+    is_hot_restart_enabled: bool,
     settings: &Settings,
     faults: &mut Faults,
 ) -> Option<JournalSettings> {
     let section = section?;
-    if is_upgradable {
+    if is_hot_restart_enabled {
         faults.add(
             "journal",
             "can't be combined with upgrade yet: two processes would use the same directory",
--- a/crates/asterdale-daemon/src/start/ownership.rs
+++ b/crates/asterdale-daemon/src/start/ownership.rs
@@ -11,7 +11,7 @@
 use asterdale_parameters::Settings;
 
 use super::error::Faults;
-use super::unique_names;
+use super::check_unique_names;
 use super::value::{Address, Positive};
 
 /// The maximum number of replicas. Each further one makes a claim more expensive and adds hardly any safety.
@@ -20,7 +20,7 @@
 const DEFAULT_LEASE_MS: f64 = 2000.0;
 /// The accepted leases, in milliseconds. A shorter one would expire during a short pause of a process; a longer one
 /// would leave requests without an owner for minutes.
-const LEASE_MS: std::ops::RangeInclusive<f64> = 400.0..=60_000.0;
+const LEASE_RANGE_MS: std::ops::RangeInclusive<f64> = 400.0..=60_000.0;
 /// The default maximum size of the replicated state, in megabytes.
 const DEFAULT_MEMORY_MB: f64 = 16.0;
 /// The upper bound of the maximum size of the replicated state, in megabytes: a snapshot of it is sent in one message.
@@ -113,7 +113,7 @@
     let replicas = check_replicas(section.replicas, faults);
     let replicated_classes = check_classes(section.classes, settings, faults);
     let lease_ms = section.lease_ms.map_or(DEFAULT_LEASE_MS, |ms| ms.0);
-    if !LEASE_MS.contains(&lease_ms) {
+    if !LEASE_RANGE_MS.contains(&lease_ms) {
         faults.add("takeover.lease_ms", "must be from 400 to 60000");
     }
     let memory_mb = section.memory_mb.map_or(DEFAULT_MEMORY_MB, |mb| mb.0);
@@ -147,7 +147,7 @@
         .require("takeover.keepers", sections)
         .unwrap_or_default();
     let names = sections.iter().map(|replica| replica.name.as_ref());
-    unique_names("takeover.keepers", names, faults);
+    check_unique_names("takeover.keepers", names, faults);
     if sections.len() > MAX_REPLICAS || sections.len() % 2 == 0 {
         let rule = format!("must have an odd number of entries, at most {MAX_REPLICAS}");
         faults.add("takeover.keepers", rule);
@@ -174,7 +174,7 @@
         .require("takeover.stages", sections)
         .unwrap_or_default();
     let names = sections.iter().map(|class| class.name.as_ref());
-    unique_names("takeover.stages", names, faults);
+    check_unique_names("takeover.stages", names, faults);
     for (index, section) in sections.into_iter().enumerate() {
         let Some(name) = section.name else { continue };
         let path = format!("takeover.stages[{index}].name");
--- a/crates/asterdale-daemon/src/start/tests.rs
+++ b/crates/asterdale-daemon/src/start/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-fn minimal() -> Value {
+fn minimal_config() -> Value {
     json!({"name": "n3", "listen": "127.0.0.1:8080", "runtime": "127.0.0.2:1", "registry": "127.0.0.3:1",
         "records": "127.0.0.4:1", "seed": "8c1f30d27a5be964", "stop_ms": 3200,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -12,18 +12,18 @@
             "tenants": [{}, {}]}})
 }
 
-fn with_identity() -> Value {
-    let mut all = minimal();
+fn config_with_identity() -> Value {
+    let mut config = minimal_config();
     let root = asterdale_identity::mint::SecretKey::from_seed([1; 32], "r").public_key_text();
-    all["identity"] = json!({"issuer": "i", "audience": "a", "roots": [root], "keys": {"file": "/k"},
+    config["identity"] = json!({"issuer": "i", "audience": "a", "roots": [root], "keys": {"file": "/k"},
         "roles": [{"name": "phone", "stages": ["bid"]}],
         "tenants": [{"name": "t", "customer": 1, "roles": ["phone"]}]});
-    all
+    config
 }
 
 /// The paths of all faults in this file.
-fn paths(all: &Value) -> Vec<String> {
-    parse(all.to_string().as_bytes(), None, None)
+fn fault_paths(config: &Value) -> Vec<String> {
+    parse(config.to_string().as_bytes(), None, None)
         .unwrap_err()
         .faults()
         .iter()
@@ -33,7 +33,7 @@
 
 #[test]
 fn environment_variables_take_precedence_over_the_file() {
-    let text = minimal().to_string();
+    let text = minimal_config().to_string();
     let start = parse(
         text.as_bytes(),
         Some("n9".into()),
@@ -77,12 +77,12 @@
             "settings.extra.cores",
         ),
     ] {
-        let mut all = minimal();
-        all[field] = value.clone();
+        let mut config = minimal_config();
+        config[field] = value.clone();
         assert!(
-            paths(&all).contains(&path.to_owned()),
+            fault_paths(&config).contains(&path.to_owned()),
             "{path} of {value}: {:?}",
-            paths(&all)
+            fault_paths(&config)
         );
     }
     let broken = parse(b"{", None, None).unwrap_err();
@@ -94,9 +94,9 @@
 fn faults_in_the_fleet_section_have_their_paths() {
     let key = std::env::temp_dir().join(format!("asterdale-start-{}", std::process::id()));
     std::fs::write(&key, "sixteen bytes ok\n").unwrap();
-    let mut all = minimal();
-    all["fleet"] = json!({"listen": "127.0.0.1:7000", "seeds": ["10.0.0.1:7000"], "key": key});
-    let fleet = parse(all.to_string().as_bytes(), None, None)
+    let mut config = minimal_config();
+    config["fleet"] = json!({"listen": "127.0.0.1:7000", "seeds": ["10.0.0.1:7000"], "key": key});
+    let fleet = parse(config.to_string().as_bytes(), None, None)
         .unwrap()
         .fleet
         .unwrap();
@@ -113,29 +113,29 @@
         ("key", json!("/nowhere"), "fleet.key"),
         ("keys", json!("x"), "fleet.keys"),
     ] {
-        let mut wrong = all.clone();
+        let mut wrong = config.clone();
         wrong["fleet"][field] = value;
-        assert_eq!(paths(&wrong), [path], "{wrong}");
+        assert_eq!(fault_paths(&wrong), [path], "{wrong}");
     }
     std::fs::write(&key, "short").unwrap();
-    assert_eq!(paths(&all), ["fleet.key"]);
-    all["upgrade"] = json!({"control": "/c"});
-    assert_eq!(paths(&all), ["fleet.key", "fleet"]);
+    assert_eq!(fault_paths(&config), ["fleet.key"]);
+    config["upgrade"] = json!({"control": "/c"});
+    assert_eq!(fault_paths(&config), ["fleet.key", "fleet"]);
     std::fs::remove_file(key).unwrap();
 }
 
 #[cfg(feature = "fleet")]
 #[test]
 fn faults_in_the_ownership_section_have_their_paths() {
-    let key = std::env::temp_dir().join(format!("asterdale-custody-{}", std::process::id()));
+    let key = std::env::temp_dir().join(format!("asterdale-start-ownership-{}", std::process::id()));
     std::fs::write(&key, "sixteen bytes ok\n").unwrap();
-    let mut all = minimal();
+    let mut config = minimal_config();
     let class = json!({"name": "bid", "repeat": "by_key", "memorySpanNs": 5_000_000_000u64});
-    all["settings"]["lanes"] = json!([{"name": "page", "repeat": "repeatable"}, class]);
-    all["fleet"] = json!({"listen": "127.0.0.1:7000", "key": key});
-    all["takeover"] = json!({"keepers": [{"name": "n0", "at": "127.0.0.1:7000"}],
+    config["settings"]["lanes"] = json!([{"name": "page", "repeat": "repeatable"}, class]);
+    config["fleet"] = json!({"listen": "127.0.0.1:7000", "key": key});
+    config["takeover"] = json!({"keepers": [{"name": "n0", "at": "127.0.0.1:7000"}],
         "stages": [{"name": "bid", "fenced": true}], "lease_ms": 1000});
-    let section = parse(all.to_string().as_bytes(), None, None)
+    let section = parse(config.to_string().as_bytes(), None, None)
         .unwrap()
         .ownership
         .unwrap();
@@ -164,23 +164,23 @@
         ("memory_mb", json!(100), "takeover.memory_mb"),
         ("leases", json!(1), "takeover.leases"),
     ] {
-        let mut wrong = all.clone();
+        let mut wrong = config.clone();
         wrong["takeover"][field] = value;
-        assert_eq!(paths(&wrong), [path], "{wrong}");
+        assert_eq!(fault_paths(&wrong), [path], "{wrong}");
     }
-    all["fleet"] = Value::Null;
-    assert_eq!(paths(&all), ["takeover"]);
+    config["fleet"] = Value::Null;
+    assert_eq!(fault_paths(&config), ["takeover"]);
     std::fs::remove_file(key).unwrap();
 }
 
 #[cfg(feature = "journal")]
 #[test]
 fn faults_in_the_journal_section_have_their_paths() {
-    let mut all = minimal();
+    let mut config = minimal_config();
     let class = json!({"name": "bid", "repeat": "by_key", "memorySpanNs": 5_000_000_000u64, "deadlineNs": 2_000_000_000u64});
-    all["settings"]["lanes"] = json!([class]);
-    all["journal"] = json!({"folder": "/var/lib/asterdale"});
-    let section = parse(all.to_string().as_bytes(), None, None)
+    config["settings"]["lanes"] = json!([class]);
+    config["journal"] = json!({"folder": "/var/lib/asterdale"});
+    let section = parse(config.to_string().as_bytes(), None, None)
         .unwrap()
         .journal
         .unwrap();
@@ -198,30 +198,30 @@
         ("memory_mb", json!(0), "journal.memory_mb"),
         ("folders", json!("x"), "journal.folders"),
     ] {
-        let mut wrong = all.clone();
+        let mut wrong = config.clone();
         wrong["journal"][field] = value;
-        assert_eq!(paths(&wrong), [path], "{wrong}");
+        assert_eq!(fault_paths(&wrong), [path], "{wrong}");
     }
-    all["upgrade"] = json!({"control": "/c"});
-    assert_eq!(paths(&all), ["journal"]);
+    config["upgrade"] = json!({"control": "/c"});
+    assert_eq!(fault_paths(&config), ["journal"]);
 }
 
 #[test]
 fn all_faults_are_reported_at_once_and_unknown_keys_in_strict_sections_only() {
-    let mut all = with_identity();
-    all["new"] = json!(1);
-    all["settings"]["extra"]["new"] = json!({"a": []});
-    assert!(parse(all.to_string().as_bytes(), None, None).is_ok());
-    all["registry"] = Value::Null;
-    all["stop_ms"] = json!("soon");
-    all["settings"]["lanes"] = json!([{"name": "bid", "worth": "much"}, {"name": 5}]);
-    all["identity"]["new"] = json!(1);
-    all["identity"]["roots"] = json!(["short"]);
-    all["identity"]["keys"] = json!({"file": "/k", "fetch": {"at": "127.0.0.1:1", "path": "/"}});
-    all["identity"]["roles"][0]["stages"] = json!(["page"]);
-    all["identity"]["tenants"] = json!([{"name": "t", "customer": 2, "roles": ["clerk"]},
+    let mut config = config_with_identity();
+    config["new"] = json!(1);
+    config["settings"]["extra"]["new"] = json!({"a": []});
+    assert!(parse(config.to_string().as_bytes(), None, None).is_ok());
+    config["registry"] = Value::Null;
+    config["stop_ms"] = json!("soon");
+    config["settings"]["lanes"] = json!([{"name": "bid", "worth": "much"}, {"name": 5}]);
+    config["identity"]["new"] = json!(1);
+    config["identity"]["roots"] = json!(["short"]);
+    config["identity"]["keys"] = json!({"file": "/k", "fetch": {"at": "127.0.0.1:1", "path": "/"}});
+    config["identity"]["roles"][0]["stages"] = json!(["page"]);
+    config["identity"]["tenants"] = json!([{"name": "t", "customer": 2, "roles": ["clerk"]},
         {"name": "t", "roles": []}]);
-    let found = paths(&all);
+    let found = fault_paths(&config);
     for path in [
         "registry",
         "stop_ms",
@@ -245,7 +245,7 @@
 
 #[test]
 fn identity_defaults_are_applied() {
-    let start = parse(with_identity().to_string().as_bytes(), None, None).unwrap();
+    let start = parse(config_with_identity().to_string().as_bytes(), None, None).unwrap();
     let IdentitySettings {
         parameters,
         key_source: keys,
@@ -273,11 +273,11 @@
 #[test]
 fn the_schema_in_the_docs_is_up_to_date() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/start.schema.json");
-    let kept = std::fs::read_to_string(path).unwrap();
-    let made = crate::cli::schema();
+    let stored = std::fs::read_to_string(path).unwrap();
+    let generated = crate::cli::schema();
     assert_eq!(
-        kept.trim_end(),
-        made.trim_end(),
+        stored.trim_end(),
+        generated.trim_end(),
         "outdated; regenerate it with: asterdale schema > docs/start.schema.json"
     );
 }
@@ -297,16 +297,16 @@
 
 #[test]
 fn faults_have_these_texts() {
-    let mut all = with_identity();
-    all["runtime"] = json!("nowhere");
-    all["seed"] = json!("xyz");
-    all["stop_ms"] = json!(0);
-    all["limits"] = json!({"memory_mb": 192, "sockets": "many"});
-    all["settings"]["lanes"] = json!([{"name": ""}]);
-    all["identity"]["issuer"] = json!("");
-    all["identity"]["roles"] =
+    let mut config = config_with_identity();
+    config["runtime"] = json!("nowhere");
+    config["seed"] = json!("xyz");
+    config["stop_ms"] = json!(0);
+    config["limits"] = json!({"memory_mb": 192, "sockets": "many"});
+    config["settings"]["lanes"] = json!([{"name": ""}]);
+    config["identity"]["issuer"] = json!("");
+    config["identity"]["roles"] =
         json!([{"name": "phone", "stages": ["bid"]}, {"name": "phone", "stages": []}]);
-    let error = parse(all.to_string().as_bytes(), None, Some("here".to_owned())).unwrap_err();
+    let error = parse(config.to_string().as_bytes(), None, Some("here".to_owned())).unwrap_err();
     let texts: Vec<String> = error.faults().iter().map(ToString::to_string).collect();
     assert_eq!(
         texts,
