--- a/crates/asterdale-daemon/src/journal/mod.rs
+++ b/crates/asterdale-daemon/src/journal/mod.rs
@@ -140,4 +140,4 @@
 }
 
 #[cfg(all(test, feature = "fleet"))]
-mod stored;
+mod tests;
--- a/crates/asterdale-daemon/src/journal/stored.rs
+++ b/crates/asterdale-daemon/src/journal/tests.rs
@@ -4,6 +4,6 @@
 use super::replica::{HARD_STATE, IDENTITY, SNAPSHOT};
 
 #[test]
-fn a_keepers_facts_are_stored_under_these_names() {
+fn replica_metadata_is_stored_under_these_names() {
     assert_eq!([IDENTITY, HARD_STATE, SNAPSHOT], ["face", "hard", "whole"]);
 }
