--- a/crates/asterdale-daemon/src/journal/command.rs
+++ b/crates/asterdale-daemon/src/journal/command.rs
@@ -61,7 +61,7 @@
     let (state, pages_intact, length) = read_state(folder)?;
     let header = state.header.clone().unwrap_or_default();
     let count = |execution_state| {
-        found
+        state
             .entries
             .iter()
             .filter(|(_, entry)| entry.state() == execution_state)
--- a/crates/asterdale-daemon/src/start/fleet.rs
+++ b/crates/asterdale-daemon/src/start/fleet.rs
@@ -12,7 +12,7 @@
 
 /// The minimum length of the key, in bytes. A key of 128 bits can't be found by brute force.
 const MIN_KEY_BYTES: usize = 16;
-/// How much of a key file is read at most, in bytes. Bounds memory if the path names a large file or a device.
+/// The maximum number of bytes that are read from a key file. Bounds memory if the path names a large file or a device.
 const MAX_KEY_BYTES: u64 = 4096;
 /// The default protocol period, in milliseconds.
 const DEFAULT_PROTOCOL_PERIOD_MS: f64 = 1000.0;
