--- a/crates/asterdale-daemon/src/fleet/mod.rs
+++ b/crates/asterdale-daemon/src/fleet/mod.rs
@@ -105,7 +105,11 @@
         address: fleet.listen,
         source,
     })?;
-    Ok(engine_clients(transport, start.ownership.as_ref(), &fleet.key))
+    Ok(engine_clients(
+        transport,
+        start.ownership.as_ref(),
+        &fleet.key,
+    ))
 }
 
 fn engine_clients(
--- a/crates/asterdale-daemon/src/start/identity/callers.rs
+++ b/crates/asterdale-daemon/src/start/identity/callers.rs
@@ -4,8 +4,8 @@
 use asterdale_parameters::Settings;
 
 use super::section::{CertificateSection, RoleSection, TenantSection};
-use crate::start::error::Faults;
 use crate::start::check_unique_names;
+use crate::start::error::Faults;
 
 /// The default maximum number of open requests of one tenant in a role.
 const DEFAULT_MAX_OPEN: u32 = 256;
@@ -138,7 +138,10 @@
 /// Checks the prefix of a subject alternative name. Returns DNS names in lower case, in which they are compared.
 fn check_certificate_name(path: &str, name: Option<String>, faults: &mut Faults) -> String {
     let mut name = name.unwrap_or_default();
-    if !ALTERNATIVE_NAME_PREFIXES.iter().any(|prefix| name.starts_with(prefix)) {
+    if !ALTERNATIVE_NAME_PREFIXES
+        .iter()
+        .any(|prefix| name.starts_with(prefix))
+    {
         faults.add(
             format!("{path}.name"),
             "must be dns:, uri: or email: followed by a name",
--- a/crates/asterdale-daemon/src/start/identity/mod.rs
+++ b/crates/asterdale-daemon/src/start/identity/mod.rs
@@ -117,7 +117,9 @@
         signatures_per_edge_per_s: section
             .signatures_per_edge
             .map_or(DEFAULT_SIGNATURES_PER_EDGE_PER_S, |rate| rate.0),
-        signatures_per_s: section.signatures.map_or(DEFAULT_SIGNATURES_PER_S, |rate| rate.0),
+        signatures_per_s: section
+            .signatures
+            .map_or(DEFAULT_SIGNATURES_PER_S, |rate| rate.0),
         roles,
         tenants,
         certificate_mappings: certificates,
--- a/crates/asterdale-daemon/src/start/ownership.rs
+++ b/crates/asterdale-daemon/src/start/ownership.rs
@@ -10,8 +10,8 @@
 use asterdale::parameters::Idempotency;
 use asterdale_parameters::Settings;
 
-use super::error::Faults;
 use super::check_unique_names;
+use super::error::Faults;
 use super::value::{Address, Positive};
 
 /// The maximum number of replicas. Each further one makes a claim more expensive and adds hardly any safety.
--- a/crates/asterdale-daemon/src/start/tests.rs
+++ b/crates/asterdale-daemon/src/start/tests.rs
@@ -127,7 +127,8 @@
 #[cfg(feature = "fleet")]
 #[test]
 fn faults_in_the_ownership_section_have_their_paths() {
-    let key = std::env::temp_dir().join(format!("asterdale-start-ownership-{}", std::process::id()));
+    let key =
+        std::env::temp_dir().join(format!("asterdale-start-ownership-{}", std::process::id()));
     std::fs::write(&key, "sixteen bytes ok\n").unwrap();
     let mut config = minimal_config();
     let class = json!({"name": "bid", "repeat": "by_key", "memorySpanNs": 5_000_000_000u64});
--- a/crates/asterdale-daemon/src/start/value.rs
+++ b/crates/asterdale-daemon/src/start/value.rs
@@ -41,7 +41,11 @@
         let text = String::deserialize(deserializer)?;
         u64::from_str_radix(&text, 16)
             .map(Hexadecimal)
-            .map_err(|_| D::Error::custom(format!("{text:?} is not a hexadecimal number of up to 16 digits")))
+            .map_err(|_| {
+                D::Error::custom(format!(
+                    "{text:?} is not a hexadecimal number of up to 16 digits"
+                ))
+            })
     }
 }
 
@@ -59,6 +63,8 @@
         if number.is_finite() && number > 0.0 {
             return Ok(Positive(number));
         }
-        Err(D::Error::custom(format!("{number} is not a number above 0")))
+        Err(D::Error::custom(format!(
+            "{number} is not a number above 0"
+        )))
     }
 }
