--- a/crates/asterdale-daemon/src/keys/mod.rs
+++ b/crates/asterdale-daemon/src/keys/mod.rs
@@ -45,7 +45,7 @@
         /// Secret key file; only the public key is added to the set
         #[arg(long)]
         key: PathBuf,
-        /// When the key starts to sign, as a time from now: 90s, 10m, 2h or 1d
+        /// When the key starts to sign, as a time from now such as 90s, 10m, 2h or 1d
         #[arg(long = "in", value_name = "AFTER", default_value = "0s", value_parser = parse_duration_ms)]
         delay_ms: f64,
     },
--- a/crates/asterdale-daemon/src/start/identity/callers.rs
+++ b/crates/asterdale-daemon/src/start/identity/callers.rs
@@ -4,8 +4,8 @@
 use asterdale_parameters::Settings;
 
 use super::section::{CertificateSection, RoleSection, TenantSection};
-use crate::start::check_unique_names;
 use crate::start::error::Faults;
+use crate::start::require_unique_names;
 
 /// The default maximum number of open requests of one tenant in a role.
 const DEFAULT_MAX_OPEN: u32 = 256;
@@ -24,7 +24,7 @@
         .require("identity.roles", sections)
         .unwrap_or_default();
     let names = sections.iter().map(|role| role.name.as_ref());
-    check_unique_names("identity.roles", names, faults);
+    require_unique_names("identity.roles", names, faults);
     if sections.len() > MAX_ROLES {
         let rule = format!("must have at most {MAX_ROLES} entries");
         faults.add("identity.roles", rule);
@@ -78,7 +78,7 @@
         .require("identity.tenants", sections)
         .unwrap_or_default();
     let names = sections.iter().map(|tenant| tenant.name.as_ref());
-    check_unique_names("identity.tenants", names, faults);
+    require_unique_names("identity.tenants", names, faults);
     if sections.len() > MAX_TENANTS {
         let rule = format!("must have at most {MAX_TENANTS} entries");
         faults.add("identity.tenants", rule);
@@ -110,7 +110,7 @@
 ) -> Vec<CertificateMapping> {
     let sections = sections.unwrap_or_default();
     let names = sections.iter().map(|certificate| certificate.name.as_ref());
-    check_unique_names("identity.certificates", names, faults);
+    require_unique_names("identity.certificates", names, faults);
     let mut certificates = Vec::new();
     for (index, section) in sections.into_iter().enumerate() {
         let path = format!("identity.certificates[{index}]");
--- a/crates/asterdale-daemon/src/start/mod.rs
+++ b/crates/asterdale-daemon/src/start/mod.rs
@@ -103,7 +103,7 @@
 }
 
 /// Reports each entry of a list whose name is missing, empty, or the same as that of an earlier entry.
-fn check_unique_names<'a>(
+fn require_unique_names<'a>(
     list_path: &str,
     names: impl Iterator<Item = Option<&'a String>>,
     faults: &mut Faults,
--- a/crates/asterdale-daemon/src/start/ownership.rs
+++ b/crates/asterdale-daemon/src/start/ownership.rs
@@ -10,8 +10,8 @@
 use asterdale::parameters::Idempotency;
 use asterdale_parameters::Settings;
 
-use super::check_unique_names;
 use super::error::Faults;
+use super::require_unique_names;
 use super::value::{Address, Positive};
 
 /// The maximum number of replicas. Each further one makes a claim more expensive and adds hardly any safety.
@@ -147,7 +147,7 @@
         .require("takeover.keepers", sections)
         .unwrap_or_default();
     let names = sections.iter().map(|replica| replica.name.as_ref());
-    check_unique_names("takeover.keepers", names, faults);
+    require_unique_names("takeover.keepers", names, faults);
     if sections.len() > MAX_REPLICAS || sections.len() % 2 == 0 {
         let rule = format!("must have an odd number of entries, at most {MAX_REPLICAS}");
         faults.add("takeover.keepers", rule);
@@ -174,7 +174,7 @@
         .require("takeover.stages", sections)
         .unwrap_or_default();
     let names = sections.iter().map(|class| class.name.as_ref());
-    check_unique_names("takeover.stages", names, faults);
+    require_unique_names("takeover.stages", names, faults);
     for (index, section) in sections.into_iter().enumerate() {
         let Some(name) = section.name else { continue };
         let path = format!("takeover.stages[{index}].name");
