--- a/crates/asterdale-daemon/src/start/tests.rs
+++ b/crates/asterdale-daemon/src/start/tests.rs
@@ -315,7 +315,7 @@
             // Values of a wrong type come first, in the order of the JSON's keys.
             r#"limits.sockets: invalid type: string "many", expected f64"#,
             r#"runtime: "nowhere" is not an IP address with a port"#,
-            r#"seed: "xyz" is not a hexadecimal number of up to 16 digits"#,
+            r#"seed: "xyz" is not 1 to 16 hexadecimal digits"#,
             "stop_ms: 0 is not a number above 0",
             r#"ROUTER_LISTEN: "here" is not an IP address with a port"#,
             "settings.lanes[0].name: is empty",
--- a/crates/asterdale-daemon/src/start/value.rs
+++ b/crates/asterdale-daemon/src/start/value.rs
@@ -41,11 +41,7 @@
         let text = String::deserialize(deserializer)?;
         u64::from_str_radix(&text, 16)
             .map(Hexadecimal)
-            .map_err(|_| {
-                D::Error::custom(format!(
-                    "{text:?} is not a hexadecimal number of up to 16 digits"
-                ))
-            })
+            .map_err(|_| D::Error::custom(format!("{text:?} is not 1 to 16 hexadecimal digits")))
     }
 }
 
