--- a/crates/asterdale-daemon/src/fleet/command.rs
+++ b/crates/asterdale-daemon/src/fleet/command.rs
@@ -1,4 +1,4 @@
-//! The command `asterdale fleet`: asks a serving process about its fleet, over its control socket.
+//! The command `asterdale fleet`: queries a serving process about its fleet, over its control socket.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,10 +10,10 @@
 use clap::{Args, Subcommand};
 use serde_json::Value;
 
-/// How to reach the process.
+/// The process to query.
 #[derive(Args)]
-pub struct At {
-    /// The control socket, as the start file names it in `fleet.control`
+pub struct ProcessArgs {
+    /// Control socket of the process: `fleet.control` of its start file
     #[arg(long)]
     control: PathBuf,
 }
@@ -21,47 +21,48 @@
 /// Subcommands of `asterdale fleet`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Print what the process holds of its fleet; exit code 1 if it is not certain of it
+    /// Print the process's view of its fleet; exit code 1 if it can't reach a majority
     Show {
         #[command(flatten)]
-        at: At,
-        /// As JSON
+        process: ProcessArgs,
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Print each change, as it is held, until interrupted or the process ends
+    /// Print each change of a member, until interrupted or the process ends
     Watch {
         #[command(flatten)]
-        at: At,
-        /// How often to look, in milliseconds
+        process: ProcessArgs,
+        /// Polling interval, in milliseconds
         #[arg(long, default_value_t = 500)]
         every_ms: u64,
     },
-    /// Print what the process holds as a keeper of work in hand; exit code 1 if it is in no group, or nobody leads it
-    Keepers {
+    /// Print the process's state as an ownership replica; exit code 1 if it is in no group or the group has no leader
+    #[command(name = "keepers")]
+    Replicas {
         #[command(flatten)]
-        at: At,
-        /// As JSON
+        process: ProcessArgs,
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Have the process leave its fleet: it serves on, and counts as gone
+    /// Make the process leave its fleet: it continues to serve, and the other members regard it as gone
     Leave {
         #[command(flatten)]
-        at: At,
+        process: ProcessArgs,
     },
 }
 
-/// How often [`Command::Watch`] looks at most, in milliseconds.
+/// The minimum polling interval of [`Command::Watch`], in milliseconds.
 const MIN_WATCH_INTERVAL_MS: u64 = 10;
-/// Exit code if the process can't be asked.
+/// Exit code if the process can't be queried.
 const EXIT_FAILED: u8 = 2;
 
-/// Prints each change of a member, until the process can't be asked any more.
-fn watch(at: &At, every_ms: u64) -> Result<ExitCode, ControlError> {
+/// Prints each change of a member, until a query fails.
+fn watch(process: &ProcessArgs, every_ms: u64) -> Result<ExitCode, ControlError> {
     let mut previous: BTreeMap<String, (u64, String)> = BTreeMap::new();
     loop {
-        let report = control::show(&at.control)?;
+        let report = control::show(&process.control)?;
         let current: BTreeMap<_, _> = std::iter::once(&report.local)
             .chain(&report.members)
             .map(|member| {
@@ -82,8 +83,8 @@
     }
 }
 
-fn show(at: &At, as_json: bool) -> Result<ExitCode, ControlError> {
-    let report = control::show(&at.control)?;
+fn show(process: &ProcessArgs, as_json: bool) -> Result<ExitCode, ControlError> {
+    let report = control::show(&process.control)?;
     let text = if as_json {
         serde_json::to_string(&report).unwrap_or_default()
     } else {
@@ -93,8 +94,8 @@
     Ok(success_if(report.has_majority))
 }
 
-fn show_replica(at: &At, as_json: bool) -> Result<ExitCode, ControlError> {
-    let status = control::replica_status(&at.control)?;
+fn show_replica(process: &ProcessArgs, as_json: bool) -> Result<ExitCode, ControlError> {
+    let status = control::replica_status(&process.control)?;
     let text = if as_json {
         status.to_string()
     } else {
@@ -125,7 +126,7 @@
     names.join(" ")
 }
 
-/// A replica's status, for people.
+/// A replica's status as readable text.
 fn replica_text(status: &Value) -> String {
     let counts = status["kept"].as_object().into_iter().flatten();
     let counts: Vec<String> = counts
@@ -141,9 +142,9 @@
         format!("owners: {}", joined_names(&status["owners"])),
         format!("kept: {}; {} bytes", counts.join(", "), status["bytes"]),
         if quiet_s > 0.0 {
-            format!("nothing is claimed for {quiet_s:.1} s")
+            format!("no claims are granted for {quiet_s:.1} s")
         } else {
-            "claims are taken".to_owned()
+            "claims are granted".to_owned()
         },
     ]
     .join("\n")
@@ -152,10 +153,10 @@
 /// Runs the command, and prints its error.
 pub fn run(command: &Command) -> ExitCode {
     let result = match command {
-        Command::Show { at, json } => show(at, *json),
-        Command::Watch { at, every_ms } => watch(at, *every_ms),
-        Command::Keepers { at, json } => show_replica(at, *json),
-        Command::Leave { at } => control::leave(&at.control).map(|()| ExitCode::SUCCESS),
+        Command::Show { process, json } => show(process, *json),
+        Command::Watch { process, every_ms } => watch(process, *every_ms),
+        Command::Replicas { process, json } => show_replica(process, *json),
+        Command::Leave { process } => control::leave(&process.control).map(|()| ExitCode::SUCCESS),
     };
     result.unwrap_or_else(|e| {
         eprintln!("asterdale: {e}");
--- a/crates/asterdale-daemon/src/start/identity/callers.rs
+++ b/crates/asterdale-daemon/src/start/identity/callers.rs
@@ -5,16 +5,16 @@
 
 use super::section::{CertificateSection, RoleSection, TenantSection};
 use crate::start::error::Faults;
-use crate::start::unique_names;
+use crate::start::require_unique_names;
 
-/// Requests of one tenant that may be open in a role at once where the section has no limit.
+/// The default maximum number of open requests of one tenant in a role.
 const DEFAULT_MAX_OPEN: u32 = 256;
-/// The burst of a role where the section has none, in seconds of its rate.
+/// The default burst of a role, in seconds at its rate.
 const DEFAULT_BURST_SECONDS: f64 = 2.0;
-/// Prefixes of a subject alternative name, one for each kind.
-const NAME_KINDS: [&str; 3] = ["dns:", "uri:", "email:"];
+/// Prefixes of subject alternative names, one for each kind of name.
+const ALTERNATIVE_NAME_PREFIXES: [&str; 3] = ["dns:", "uri:", "email:"];
 
-/// The roles. What is wrong is reported and left out.
+/// Checks the roles. Faults are reported, and unknown request classes left out.
 pub fn check_roles(
     sections: Option<Vec<RoleSection>>,
     settings: &Settings,
@@ -24,9 +24,9 @@
         .require("identity.roles", sections)
         .unwrap_or_default();
     let names = sections.iter().map(|role| role.name.as_ref());
-    unique_names("identity.roles", names, faults);
+    require_unique_names("identity.roles", names, faults);
     if sections.len() > MAX_ROLES {
-        let rule = format!("no more than {MAX_ROLES} are taken");
+        let rule = format!("must have at most {MAX_ROLES} entries");
         faults.add("identity.roles", rule);
     }
     let sections = sections.into_iter().enumerate();
@@ -49,7 +49,7 @@
             Some(class) => classes.push(class),
             None => faults.add(
                 format!("{path}[{position}]"),
-                format!("{name:?} is no name in settings.lanes"),
+                format!("{name:?} is not a name in settings.lanes"),
             ),
         }
     }
@@ -67,7 +67,7 @@
     }
 }
 
-/// The tenants. What is wrong is reported.
+/// Checks the tenants and reports faults.
 pub fn check_tenants(
     sections: Option<Vec<TenantSection>>,
     roles: &[Role],
@@ -78,30 +78,30 @@
         .require("identity.tenants", sections)
         .unwrap_or_default();
     let names = sections.iter().map(|tenant| tenant.name.as_ref());
-    unique_names("identity.tenants", names, faults);
+    require_unique_names("identity.tenants", names, faults);
     if sections.len() > MAX_TENANTS {
-        let rule = format!("no more than {MAX_TENANTS} are taken");
+        let rule = format!("must have at most {MAX_TENANTS} entries");
         faults.add("identity.tenants", rule);
     }
-    let quotas = settings.decisions.tenants.len();
+    let quota_count = settings.decisions.tenants.len();
     let mut tenants = Vec::new();
     for (index, section) in sections.into_iter().enumerate() {
         let path = format!("identity.tenants[{index}]");
-        let quota = section.quota_index.unwrap_or(0) as usize;
-        if section.quota_index.is_some() && quota >= quotas {
-            let rule = format!("{quota} is no position in settings.tenants, which has {quotas}");
+        let quota_index = section.quota_index.unwrap_or(0) as usize;
+        if section.quota_index.is_some() && quota_index >= quota_count {
+            let rule = format!("{quota_index} is not an index of settings.tenants, which has {quota_count} entries");
             faults.add(format!("{path}.customer"), rule);
         }
         tenants.push(Tenant {
             name: section.name.unwrap_or_default(),
-            scheduling_tenant: quota,
+            scheduling_tenant: quota_index,
             roles: check_role_names(&format!("{path}.roles"), section.roles, roles, faults),
         });
     }
     tenants
 }
 
-/// The callers that client certificates stand for. What is wrong is reported.
+/// Checks the mapping from client certificates to callers, and reports faults.
 pub fn check_certificates(
     sections: Option<Vec<CertificateSection>>,
     roles: &[Role],
@@ -110,7 +110,7 @@
 ) -> Vec<CertificateMapping> {
     let sections = sections.unwrap_or_default();
     let names = sections.iter().map(|certificate| certificate.name.as_ref());
-    unique_names("identity.certificates", names, faults);
+    require_unique_names("identity.certificates", names, faults);
     let mut certificates = Vec::new();
     for (index, section) in sections.into_iter().enumerate() {
         let path = format!("identity.certificates[{index}]");
@@ -120,7 +120,7 @@
             .require(&tenant_path, section.tenant)
             .unwrap_or_default();
         if !tenants.iter().any(|known| known.name == tenant) {
-            let rule = format!("{tenant:?} is no name in identity.tenants");
+            let rule = format!("{tenant:?} is not a name in identity.tenants");
             faults.add(tenant_path, rule);
         }
         let roles = check_role_names(&format!("{path}.roles"), section.roles, roles, faults);
@@ -135,13 +135,16 @@
     certificates
 }
 
-/// A subject alternative name with its prefix. DNS names are compared in lower case.
+/// Checks the prefix of a subject alternative name. Returns DNS names in lower case, in which they are compared.
 fn check_certificate_name(path: &str, name: Option<String>, faults: &mut Faults) -> String {
     let mut name = name.unwrap_or_default();
-    if !NAME_KINDS.iter().any(|kind| name.starts_with(kind)) {
+    if !ALTERNATIVE_NAME_PREFIXES
+        .iter()
+        .any(|prefix| name.starts_with(prefix))
+    {
         faults.add(
             format!("{path}.name"),
-            "dns:, uri: or email: and a name is wanted",
+            "must be dns:, uri: or email: followed by a name",
         );
     }
     if name.starts_with("dns:") {
@@ -150,7 +153,7 @@
     name
 }
 
-/// A required list of names, each of which must be a role's. All are returned.
+/// Checks a required list of role names. Returns all of them; unknown ones are reported.
 fn check_role_names(
     path: &str,
     names: Option<Vec<String>>,
@@ -160,7 +163,7 @@
     let names = faults.require(path, names).unwrap_or_default();
     for (index, name) in names.iter().enumerate() {
         if !roles.iter().any(|role| role.name == *name) {
-            let rule = format!("{name:?} is no name in identity.roles");
+            let rule = format!("{name:?} is not a name in identity.roles");
             faults.add(format!("{path}[{index}]"), rule);
         }
     }
--- a/crates/asterdale-daemon/src/start/load.rs
+++ b/crates/asterdale-daemon/src/start/load.rs
@@ -1,4 +1,4 @@
-//! Loading the start file: finds it, reads all sections in order, and checks what they demand of each other.
+//! Loads the start file: finds it, checks all sections in order, and checks what sections require of each other.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,28 +8,28 @@
 use asterdale_parameters::Settings;
 use serde_json::Value;
 
-use super::deserialize::deserialize_reporting;
+use super::deserialize::deserialize_collecting_faults;
 use super::error::{Fault, Faults, Problem, StartError};
 use super::file::StartFile;
 use super::value::Address;
 use super::{decisions, fleet, identity, journal, limits, ownership, tls, upgrade};
 use super::{FleetSettings, JournalSettings, OwnershipSettings, Start, TlsSettings};
 
-/// The variable that names the start file.
+/// The environment variable with the path of the start file.
 const FILE_VARIABLE: &str = "ROUTER_CONFIG";
-/// The variable with the backend's name, which takes precedence over the file.
+/// The environment variable with the backend's name, which takes precedence over the file.
 const NAME_VARIABLE: &str = "ROUTER_NAME";
-/// The variable with the address to listen on, which takes precedence over the file.
+/// The environment variable with the address to listen on, which takes precedence over the file.
 const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
-/// What faults of the file as a whole are reported under.
-const FILE: &str = "start file";
+/// The path under which faults of the file as a whole are reported.
+const FILE_FAULT_PATH: &str = "start file";
 
 /// The value of an environment variable; `None` if it is absent or empty.
 fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-/// Loads the file that the variable `ROUTER_CONFIG` names.
+/// Loads the file that the environment variable `ROUTER_CONFIG` names.
 ///
 /// # Errors
 /// Every fault, if the variable is not set, the file can't be read, or its content is wrong.
@@ -44,13 +44,13 @@
 /// # Errors
 /// Every fault, if the file can't be read or its content is wrong.
 pub fn from_file(path: &Path) -> Result<Start, StartError> {
-    load(path, FILE)
+    load(path, FILE_FAULT_PATH)
 }
 
-fn load(path: &Path, reported_as: &str) -> Result<Start, StartError> {
+fn load(path: &Path, fault_path: &str) -> Result<Start, StartError> {
     let text = std::fs::read(path).map_err(|source| {
         let file = path.display().to_string();
-        Fault::new(reported_as, Problem::UnreadableFile { file, source })
+        Fault::new(fault_path, Problem::UnreadableFile { file, source })
     })?;
     parse(
         &text,
@@ -59,7 +59,7 @@
     )
 }
 
-/// Reads the text of a start file. A name and an address that are given take precedence over the file's.
+/// Parses and checks the text of a start file. `name` and `listen`, if given, take precedence over the file's values.
 ///
 /// # Errors
 /// Every fault that was found, each with the path of its field.
@@ -69,15 +69,15 @@
     listen: Option<String>,
 ) -> Result<Start, StartError> {
     let json: Value = serde_json::from_slice(text)
-        .map_err(|e| Fault::new(FILE, Problem::Malformed(e.to_string())))?;
+        .map_err(|e| Fault::new(FILE_FAULT_PATH, Problem::Malformed(e.to_string())))?;
     let mut faults = Faults::default();
-    let file: StartFile = deserialize_reporting(json.clone(), &mut faults);
+    let file: StartFile = deserialize_collecting_faults(json.clone(), &mut faults);
     let start = check(file, &json, name, listen, &mut faults);
     faults.into_result().map(|()| start)
 }
 
-/// Checks all sections in the order in which their faults are reported. What is wrong is reported, and a placeholder
-/// stands for it in the result.
+/// Checks all sections in the order in which their faults are reported. An invalid value is reported, and replaced by a
+/// placeholder in the result.
 fn check(
     file: StartFile,
     json: &Value,
@@ -103,10 +103,10 @@
     let control_socket = file
         .upgrade
         .and_then(|section| upgrade::check(section, faults));
-    let is_upgradable = control_socket.is_some();
-    let fleet = check_fleet(file.fleet, is_upgradable, faults);
+    let is_hot_restart_enabled = control_socket.is_some();
+    let fleet = check_fleet(file.fleet, is_hot_restart_enabled, faults);
     let ownership = check_ownership(file.ownership, fleet.is_some(), &settings, faults);
-    let journal = check_journal(file.journal, is_upgradable, &settings, faults);
+    let journal = check_journal(file.journal, is_hot_restart_enabled, &settings, faults);
     let identity = file
         .identity
         .and_then(|section| identity::check(section, seed, &settings, faults));
@@ -127,7 +127,7 @@
     }
 }
 
-/// A required address; an unspecified one if it is missing, which is reported.
+/// Returns a required address. A missing one is reported and replaced by the unspecified address.
 fn require_address(path: &str, address: Option<Address>, faults: &mut Faults) -> SocketAddr {
     faults
         .require(path, address)
@@ -138,7 +138,7 @@
     SocketAddr::from(([0, 0, 0, 0], 0))
 }
 
-/// The address to listen on: the variable's, else the file's.
+/// The address to listen on: from the environment variable if it is set, else from the file.
 fn listen_address(
     variable: Option<String>,
     field: Option<Address>,
@@ -162,7 +162,7 @@
     if settings.is_some() && !has_identity {
         faults.add(
             "tls",
-            "means nothing without identity, which says for whom certificates speak",
+            "requires the section identity, which maps client certificates to callers",
         );
     }
     settings
@@ -170,14 +170,14 @@
 
 fn check_fleet(
     section: Option<fleet::FleetSection>,
-    is_upgradable: bool,
+    is_hot_restart_enabled: bool,
     faults: &mut Faults,
 ) -> Option<FleetSettings> {
     let settings = fleet::check(section?, faults);
-    if settings.is_some() && is_upgradable {
+    if settings.is_some() && is_hot_restart_enabled {
         faults.add(
             "fleet",
-            "can't be told together with upgrade: two processes would have one address",
+            "can't be combined with upgrade: two processes would use the same address",
         );
     }
     settings
@@ -193,7 +193,7 @@
     if !has_fleet {
         faults.add(
             "takeover",
-            "means nothing without fleet, whose processes keep it",
+            "requires the section fleet, whose members replicate the ownership",
         );
     }
     Some(ownership::check(section, settings, faults))
@@ -201,15 +201,15 @@
 
 fn check_journal(
     section: Option<journal::JournalSection>,
-    is_upgradable: bool,
+    is_hot_restart_enabled: bool,
     settings: &Settings,
     faults: &mut Faults,
 ) -> Option<JournalSettings> {
     let section = section?;
-    if is_upgradable {
+    if is_hot_restart_enabled {
         faults.add(
             "journal",
-            "can't be told together with upgrade yet: two processes would have one folder",
+            "can't be combined with upgrade yet: two processes would use the same directory",
         );
     }
     journal::check(section, settings, faults)
--- a/crates/asterdale-daemon/src/start/value.rs
+++ b/crates/asterdale-daemon/src/start/value.rs
@@ -9,7 +9,7 @@
 
 use super::error::Problem;
 
-/// An IP address with a port, as `127.0.0.1:8080`. Host names are not looked up.
+/// An IP address with a port, such as `127.0.0.1:8080`. Host names are not resolved.
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "tools", derive(JsonSchema))]
 #[cfg_attr(feature = "tools", schemars(transparent))]
@@ -24,7 +24,7 @@
     }
 }
 
-/// A number of up to 16 hexadecimal digits, as text.
+/// A number of up to 16 hexadecimal digits, as a string.
 #[derive(Clone, Copy, Debug)]
 #[cfg_attr(feature = "tools", derive(JsonSchema))]
 #[cfg_attr(feature = "tools", schemars(transparent))]
@@ -41,7 +41,7 @@
         let text = String::deserialize(deserializer)?;
         u64::from_str_radix(&text, 16)
             .map(Hexadecimal)
-            .map_err(|_| D::Error::custom(format!("{text:?} is not hexadecimal")))
+            .map_err(|_| D::Error::custom(format!("{text:?} is not 1 to 16 hexadecimal digits")))
     }
 }
 
@@ -59,6 +59,8 @@
         if number.is_finite() && number > 0.0 {
             return Ok(Positive(number));
         }
-        Err(D::Error::custom(format!("{number} is no number above 0")))
+        Err(D::Error::custom(format!(
+            "{number} is not a number above 0"
+        )))
     }
 }
