--- a/crates/asterdale-daemon/src/upgrade/old_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/old_process.rs
@@ -217,7 +217,7 @@
         match action {
             Action::SendListeners => self.send_listeners(),
             Action::SendTrialState => {
-                self.send_state(HotRestartStep::Rehearse, Payload::TrialState, 0)
+                self.send_state(HotRestartStep::SendTrialState, Payload::TrialState, 0)
             }
             Action::FreezeAndSendState(epoch) => {
                 self.send_state(HotRestartStep::Freeze, Payload::State, epoch)
@@ -234,7 +234,7 @@
             Action::TakeOverAgain => {
                 self.shared.set_paused(false);
                 self.shared.epoch.fetch_add(1, Ordering::SeqCst);
-                self.send_to_engine(HotRestartStep::Resume);
+                self.send_to_engine(HotRestartStep::TakeBack);
                 None
             }
             Action::Exit => {
--- a/crates/asterdale-engine/src/engine/mod.rs
+++ b/crates/asterdale-engine/src/engine/mod.rs
@@ -243,7 +243,7 @@
             #[cfg(feature = "hot-restart")]
             EngineMessage::HotRestart(_) => {} // `dispatch` has handled it
         }
-        self.settle();
+        self.report_queued_events();
     }
 
     /// Starts the policies, unless they have started. `uptime_ms` is the runtime's.
@@ -279,7 +279,7 @@
         if let Some(server) = &mut self.server {
             server.tick(now, self.gauges, tasks);
         }
-        self.settle();
+        self.report_queued_events();
         self.gauges_due_at = self.tasks.next_tick_at - GAUGES_LEAD_MS;
     }
 
--- a/crates/asterdale-engine/src/engine/queued_events.rs
+++ b/crates/asterdale-engine/src/engine/queued_events.rs
@@ -34,7 +34,7 @@
 impl Engine {
     /// Reports queued events to the policies until there are none: joined results first, then calls that were not
     /// made, then runs that were not started.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn report_queued_events(&mut self) {
         let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
             return;
         };
--- a/crates/asterdale-engine/src/message/hot_restart.rs
+++ b/crates/asterdale-engine/src/message/hot_restart.rs
@@ -10,7 +10,7 @@
 /// A step of a hot restart, as the engine carries it out.
 pub enum HotRestartStep {
     /// Send the state for a trial restore, and continue.
-    Rehearse(Sender<Vec<u8>>),
+    SendTrialState(Sender<Vec<u8>>),
     /// Stop, and send the state.
     Freeze(Sender<Vec<u8>>),
     /// Continue: the work stays in this process.
@@ -22,7 +22,7 @@
     /// An event of the new process.
     Mirrored(MirroredEvent),
     /// The new process has ended: take the work back.
-    Resume,
+    TakeBack,
     /// Exit once the connections have ended: no process needs this one as a guard any more.
     Exit,
     /// The old process guards this one no longer.
--- a/crates/asterdale-engine/src/ownership/tick.rs
+++ b/crates/asterdale-engine/src/ownership/tick.rs
@@ -69,7 +69,7 @@
             };
             self.tasks.answer_detached(responder, reply);
         }
-        self.settle();
+        self.report_queued_events();
     }
 
     fn claim_timed_out(&mut self, number: TaskId) {
--- a/crates/asterdale-engine/src/state_transfer/steps.rs
+++ b/crates/asterdale-engine/src/state_transfer/steps.rs
@@ -26,9 +26,9 @@
     ) {
         match step {
             // A draining process has no state to give: the channel is dropped, which says so.
-            HotRestartStep::Rehearse(_) | HotRestartStep::Freeze(_)
+            HotRestartStep::SendTrialState(_) | HotRestartStep::Freeze(_)
                 if self.drain_deadline.is_some() => {}
-            HotRestartStep::Rehearse(to) => {
+            HotRestartStep::SendTrialState(to) => {
                 // Nobody receives it where the rehearsal was given up.
                 let _ = to.send(self.export());
             }
@@ -42,7 +42,7 @@
             HotRestartStep::Commit(successor) => self.commit_to_successor(successor, mailbox),
             HotRestartStep::PeerReply(route, reply) => self.relay_reply(route, reply),
             HotRestartStep::Mirrored(event) => self.apply_mirrored(event),
-            HotRestartStep::Resume => self.resume(mailbox),
+            HotRestartStep::TakeBack => self.resume(mailbox),
             HotRestartStep::Exit => {
                 if let Some(guard) = &mut self.paused.guard {
                     guard.guard_until = f64::NEG_INFINITY;
