--- a/crates/asterdale-engine/src/access.rs
+++ b/crates/asterdale-engine/src/access.rs
@@ -1,4 +1,4 @@
-//! The two identity checks of a request: who is calling, and whether the caller may have this request now.
+//! The two identity checks of a request: authentication of the caller, and authorization of the request.
 
 use std::sync::Arc;
 
@@ -14,8 +14,8 @@
 use crate::tasks::{TaskRecord, Tasks};
 
 impl Tasks {
-    /// The first check: authenticates the caller. The idempotency key is its tenant's from then on. No state of the
-    /// policies changes.
+    /// The first check: authenticates the caller, and assigns the idempotency key to the caller's tenant. Changes no
+    /// state of the policies.
     ///
     /// # Errors
     /// The reply to a caller that is not authenticated.
@@ -40,13 +40,14 @@
         if let (DenialReason::KeyUnknown, Some(issuer)) =
             (denied.reason, &self.identity_gate.key_refresh)
         {
-            // A full channel means that a refresh is requested already.
+            // A full channel means that a refresh has already been requested.
             let _ = issuer.try_send(KeyRefresh::Requested);
         }
         self.log_denied(&head.id, head.class, "", denied.reason);
         let reply = self.identity_gate.denial_reply(denied);
-        // A caller that cannot be judged now is told that this attempt never ran, which is true. But under a key that
-        // anybody's request has used, nothing is said that could be read as more than that.
+        // While callers cannot be authenticated, the reply states that this attempt never ran. That is true of this
+        // attempt, but an earlier one under the same key may have run. For a key that is known for any tenant, the
+        // reply must therefore state nothing about whether the request ran.
         let is_unable = denied.reason.status() == DenialStatus::Unavailable;
         let key = head.idempotency_key.as_ref();
         if is_unable && self.is_repeat_of_any_tenant(key, credentials.received_ms) {
@@ -69,10 +70,10 @@
         })
     }
 
-    /// The second check: whether the caller may have this request now.
+    /// The second check: authorizes the request of an authenticated caller.
     ///
     /// # Errors
-    /// The reply to a caller that may not.
+    /// The reply to a caller that is not authorized.
     pub fn authorize(
         &mut self,
         caller: Option<&Caller>,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Tasks that wait for a reply, have not started, and whose caller is revoked by now, with the reply to each.
+    /// The unanswered tasks that have not started and whose caller has been revoked, with the reply to each.
     pub fn revoked_tasks(&self) -> Vec<(TaskId, Reply)> {
         let Some(identity) = &self.identity_gate.identity else {
             return Vec::new();
--- a/crates/asterdale-engine/src/draining.rs
+++ b/crates/asterdale-engine/src/draining.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: the signal to drain, and the end of the connections.
+//! Graceful shutdown: draining, and then closing the connections.
 
 use std::time::{Duration, Instant};
 
@@ -7,14 +7,16 @@
 use crate::engine::Engine;
 use crate::message::{EngineMessage, RegistryCommand};
 
-/// The part of the termination grace that is left for replies to get out and connections to end. Of a very short grace
-/// it is a quarter.
+/// The part of the termination grace period that is reserved for sending the last replies and closing connections. If
+/// the grace period is short, it is limited to a quarter of it.
 const CLOSE_ALLOWANCE_MS: f64 = 300.0;
-/// The share of that allowance which the engine itself waits; the rest is for the end of the process.
+/// The share of that allowance for which the engine waits for connections to close; the rest is for the exit of the
+/// process.
 const CLOSE_WAIT_SHARE: f64 = 0.8;
-/// The interval at which answered connections are closed: longer than a request takes to cross a close.
+/// The interval between attempts to close connections without open requests. It is longer than the time in which a
+/// request can still arrive that was sent before the edge node saw the close.
 const CLOSE_INTERVAL: Duration = Duration::from_millis(50);
-/// The longest wait for a message while connections end.
+/// The longest wait for a message while connections are being closed.
 const MESSAGE_WAIT: Duration = Duration::from_millis(2);
 
 impl Engine {
@@ -37,15 +39,15 @@
         }
     }
 
-    /// Once everything that was read is answered: closes the connections, and waits for their end. `true` when the
-    /// process may exit.
+    /// Closes the connections, once every request that was read has been answered, and waits for them to end. Returns
+    /// `true` when the process may exit.
     pub(crate) fn close_connections(&mut self, mailbox: &Receiver<EngineMessage>) -> bool {
         self.tasks.frontends.stop_listening();
         let wait_ms = CLOSE_WAIT_SHARE * self.close_allowance_ms();
         let deadline = Instant::now() + Duration::from_millis(wait_ms as u64);
         let mut next_close = Instant::now();
         while self.tasks.frontends.open_connections() > 0 && Instant::now() < deadline {
-            // Repeatedly, so that connections that were accepted last have had time to bring their request.
+            // Repeated, so that the connections that were accepted last have time to deliver their request.
             if Instant::now() >= next_close {
                 self.tasks.frontends.end_answered_connections();
                 next_close += CLOSE_INTERVAL;
@@ -67,7 +69,8 @@
         true
     }
 
-    /// The part of the termination grace that replies and connections need after the last answer, in milliseconds.
+    /// The part of the termination grace period, in milliseconds, that replies and connections need after the last
+    /// request has been answered.
     pub(crate) fn close_allowance_ms(&self) -> f64 {
         CLOSE_ALLOWANCE_MS.min(self.termination_grace_ms / 4.0)
     }
--- a/crates/asterdale-engine/src/exchange.rs
+++ b/crates/asterdale-engine/src/exchange.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 exchange on a non-blocking connection of its own: one request, one response. Dropping it closes the
-//! connection, which abandons the request.
+//! One HTTP/1.1 exchange on its own non-blocking connection: one request, one response. Dropping the exchange closes
+//! the connection, which abandons the request.
 
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -9,23 +9,23 @@
 
 use crate::http::{Collector, Reply};
 
-/// The size of a read, in bytes: responses are seldom longer.
+/// The size of the read buffer, in bytes: responses are seldom longer.
 const CHUNK_BYTES: usize = 4096;
 
-/// An exchange under way.
+/// An exchange in progress.
 pub(crate) struct Exchange {
     stream: TcpStream,
     is_connected: bool,
-    /// The part of the request that is not written.
+    /// The part of the request that is not yet written.
     unwritten: Vec<u8>,
     reply: Collector,
 }
 
 impl Exchange {
-    /// Starts to connect. The poll says by this token when [`Exchange::go_on`] is to be called.
+    /// Starts connecting. Events of the poll with this token indicate when to call [`Exchange::go_on`].
     ///
     /// # Errors
-    /// The system refuses a connection, or its registration.
+    /// The system cannot create the connection or register it with the poll.
     pub(crate) fn begin(
         poll: &Poll,
         token: Token,
@@ -33,7 +33,7 @@
         request: Vec<u8>,
     ) -> io::Result<Exchange> {
         let mut stream = TcpStream::connect(address)?;
-        // Without it the exchange is slower, no more.
+        // Best effort: without this option the exchange is only slower.
         let _ = stream.set_nodelay(true);
         poll.registry()
             .register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
@@ -45,12 +45,12 @@
         })
     }
 
-    /// Whether the connection was made: from then on the peer may have read something.
+    /// Whether the connection is established. From then on the peer may have read part of the request.
     pub(crate) fn connected(&self) -> bool {
         self.is_connected
     }
 
-    /// Goes on as far as it can without blocking; the response, once it is complete.
+    /// Makes as much progress as possible without blocking. Returns the response once it is complete.
     ///
     /// # Errors
     /// The connection fails, or the response is malformed.
@@ -64,7 +64,7 @@
         self.read()
     }
 
-    /// Whether the connection is made.
+    /// Returns whether the connection is established.
     fn connect(&mut self) -> io::Result<bool> {
         if let Some(e) = self.stream.take_error()? {
             return Err(e);
@@ -77,7 +77,7 @@
         Ok(self.is_connected)
     }
 
-    /// Whether the request is written.
+    /// Writes as much of the request as possible. Returns whether all of it is written.
     fn write(&mut self) -> io::Result<bool> {
         while !self.unwritten.is_empty() {
             match self.stream.write(&self.unwritten) {
--- a/crates/asterdale-engine/src/health_check.rs
+++ b/crates/asterdale-engine/src/health_check.rs
@@ -4,10 +4,10 @@
 
 use crate::message::{Reply, Responder};
 
-/// A deep health check without a verdict fails after this time: by then nobody waits for it.
+/// A deep health check fails if the runtime has not answered within this time: no client waits longer.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A deep health check under way.
+/// A deep health check in progress.
 pub struct HealthCheck {
     responder: Responder,
     since: Instant,
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Whether nobody waits for it any more.
+    /// Whether it has timed out.
     pub fn is_expired(&self) -> bool {
         self.since.elapsed() >= TIMEOUT
     }
 
-    /// Answers it.
+    /// Answers the health check.
     pub fn answer(&self, is_healthy: bool) {
         self.responder
             .clone()
--- a/crates/asterdale-engine/src/http.rs
+++ b/crates/asterdale-engine/src/http.rs
@@ -1,19 +1,20 @@
-//! The small part of HTTP/1.1 that is spoken to the records service, the registry and the issuer: one request a
-//! connection, and its response.
+//! The subset of HTTP/1.1 that is needed for the records service, the registry and the issuer: one request and its
+//! response per connection.
 
 use std::io::{self, Read};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// The longest head, and the longest body, in bytes: the services' bodies are a few KiB.
+/// The maximum size of a response's head, and of its body, in bytes: the services' bodies are a few KiB.
 const MAX_PART_BYTES: usize = 64 * 1024;
-/// The longest entity tag that is retained, in bytes: a longer one would make the next request long.
+/// The maximum length of an entity tag, in bytes. Longer ones are ignored: the tag is part of the next request, which
+/// would become long as well.
 const MAX_TAG_BYTES: usize = 128;
-/// The most header fields of a response.
+/// The maximum number of header fields in a response.
 const MAX_HEADERS: usize = 32;
-/// The size of a read, in bytes: responses are seldom longer.
+/// The size of the read buffer, in bytes: responses are seldom longer.
 const CHUNK_BYTES: usize = 4096;
-/// The shortest read timeout: zero would mean none.
+/// The minimum read timeout: zero would mean no timeout.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// A response.
@@ -21,7 +22,7 @@
 pub struct Reply {
     /// Its status code.
     pub status: u16,
-    /// It carries `Op-Not-Begun: 1`: the request had no effect.
+    /// Whether it carries `Op-Not-Begun: 1`, which says that the request had no effect.
     pub never_ran: bool,
     /// Its entity tag, if it has a short one.
     pub tag: Option<Vec<u8>>,
@@ -33,14 +34,14 @@
     io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
-/// The bytes of one response, as they come.
+/// Collects the bytes of one response until it is complete.
 #[derive(Default)]
 pub struct Collector {
     received: Vec<u8>,
 }
 
 impl Collector {
-    /// Takes more bytes; the response, once it is complete. Bytes after it are ignored.
+    /// Appends received bytes. Returns the response once it is complete; bytes after it are ignored.
     ///
     /// # Errors
     /// The response is malformed or too long.
@@ -55,7 +56,7 @@
     }
 }
 
-/// Reads one response, until this deadline. Bytes after it are ignored.
+/// Reads one response before this deadline. Bytes after the response are ignored.
 ///
 /// # Errors
 /// The deadline passes, the connection fails, or the response is malformed.
@@ -84,7 +85,8 @@
     }
 }
 
-/// The response that these bytes start with, once it is complete. Interim responses before it are skipped.
+/// Parses the response at the start of these bytes; `None` while it is incomplete. Interim responses before it are
+/// skipped.
 fn parse(mut received: &[u8]) -> io::Result<Option<Reply>> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -107,12 +109,13 @@
     }
 }
 
-/// Whether another response follows. 101 switches protocols: nothing follows it.
+/// Whether this is an interim response, which another response follows. 101 switches protocols, so no HTTP response
+/// follows it.
 fn is_interim(status: u16) -> bool {
     (100..200).contains(&status) && status != 101
 }
 
-/// The response with this head, if its body is complete.
+/// The response with this head; `None` while its body is incomplete.
 fn complete(
     head: &httparse::Response<'_, '_>,
     status: u16,
@@ -145,7 +148,8 @@
     }))
 }
 
-/// The length of the body: digits alone, and the same in every field that says it.
+/// The length of the body. `None` unless it consists of digits only and is the same in every field that states it.
+/// Without such a field only responses that never have a body are accepted, with length 0.
 fn body_length<'a>(mut lengths: impl Iterator<Item = &'a [u8]>, status: u16) -> Option<usize> {
     let Some(first) = lengths.next() else {
         return (status == 204 || status == 304).then_some(0);
--- a/crates/asterdale-engine/src/http/tests.rs
+++ b/crates/asterdale-engine/src/http/tests.rs
@@ -1,4 +1,4 @@
-//! Where a response ends.
+//! Parsing of responses, in particular where a response ends.
 
 use super::*;
 
--- a/crates/asterdale-engine/src/idempotency.rs
+++ b/crates/asterdale-engine/src/idempotency.rs
@@ -1,5 +1,5 @@
-//! The idempotency table: which tasks are retained under a key, who joined them, and how they ended. What is retained,
-//! and for how long, the policies decide.
+//! The idempotency table: which tasks are retained under an idempotency key, which tasks joined them, and how they
+//! ended. The policies decide what is retained, and for how long.
 
 use std::collections::HashMap;
 use std::hash::Hasher;
@@ -9,28 +9,28 @@
 
 use crate::message::{IdempotencyKey, TaskId};
 
-/// The part of the process's memory that results may take: a quarter.
+/// Cached results may use a quarter of the process's memory.
 const RESULT_MEMORY_DIVISOR: usize = 4;
-/// The part of the process's memory that entries may take: an eighth.
+/// Entries may use an eighth of the process's memory.
 const ENTRY_MEMORY_DIVISOR: usize = 8;
-/// What an entry takes at most, in bytes.
+/// The maximum size of an entry without its result, in bytes.
 const ENTRY_BYTES: usize = 512;
 
-/// How a retained task ended, if it has.
+/// The state of a retained task.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "hot-restart", derive(serde::Serialize, serde::Deserialize))]
 pub enum EntryState {
-    /// It is queued or runs; tasks that join it are told of its end.
+    /// It is queued or running; tasks that join it are notified when it ends.
     #[cfg_attr(feature = "hot-restart", serde(rename = "Open"))]
     Pending,
     /// It ended with this result.
     #[cfg_attr(feature = "hot-restart", serde(rename = "Passed"))]
     Served(Arc<[u8]>),
-    /// It has no result that could be given.
+    /// It ended without a result, or its result is not cached.
     Failed,
 }
 
-/// The task that an entry is about.
+/// The task that an entry belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Owner {
     /// Its number.
@@ -48,7 +48,7 @@
     /// Requests that arrived before this time are repeats.
     #[cfg_attr(feature = "hot-restart", serde(rename = "until"))]
     window_end: f64,
-    /// For reads: how long a result serves repeats once it is there, in milliseconds.
+    /// For reads: how long repeats are answered with the result after the read has ended, in milliseconds.
     fresh_ms: Option<f64>,
     #[cfg_attr(feature = "hot-restart", serde(rename = "fate"))]
     state: EntryState,
@@ -56,7 +56,7 @@
     waiting: Vec<TaskId>,
 }
 
-/// A table as another process needs it to continue.
+/// The content of a table, for the process that takes it over.
 #[cfg(feature = "hot-restart")]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct ExportedTable {
@@ -71,15 +71,16 @@
     result_bytes: usize,
     max_result_bytes: usize,
     max_entries: usize,
-    /// How long a request may lie unread after it arrived: entries outlive their window by this.
+    /// The longest time that a request may remain unread after its arrival, in milliseconds. Entries are retained for
+    /// this long after the end of their window, because requests that arrived within the window may be read that late.
     max_unread_ms: f64,
     secret: u64,
 }
 
 impl IdempotencyTable {
-    /// An empty table in a process with this much memory. Results beyond its part are not cached: repeats of them fail,
-    /// but never run. `max_unread_ms` is the longest time that a request may lie unread. The secret makes digests that
-    /// nobody outside can predict.
+    /// An empty table for a process with this much memory. Results beyond their part of the memory are not cached:
+    /// repeats of their requests fail, but never run. `max_unread_ms` is the longest time that a request may remain
+    /// unread after its arrival. The secret makes the body digests unpredictable for clients.
     pub fn new(memory_bytes: usize, max_unread_ms: f64, secret: u64) -> IdempotencyTable {
         IdempotencyTable {
             entries: HashMap::new(),
@@ -91,19 +92,20 @@
         }
     }
 
-    /// Whether no further entry fits.
+    /// Whether the table has no capacity for another entry.
     pub fn is_full(&self) -> bool {
         self.entries.len() >= self.max_entries
     }
 
-    /// The digest of a body. Nobody outside can make two bodies with the same digest.
+    /// The digest of a body. It depends on the secret, so that clients cannot construct two bodies with the same
+    /// digest.
     pub fn digest(&self, body: &[u8]) -> u64 {
         let mut hasher = SipHasher13::new_with_keys(self.secret, !self.secret);
         hasher.write(body);
         hasher.finish()
     }
 
-    /// Whether this key is known with another body. Reads may differ in theirs.
+    /// Whether this key is retained with another body. Reads under one key may have different bodies.
     pub fn has_other_body(&self, key: &IdempotencyKey, body_digest: u64) -> bool {
         self.entries
             .get(key)
@@ -117,8 +119,9 @@
             .is_some_and(|entry| arrived_at < entry.window_end)
     }
 
-    /// Retains a task. `fresh_ms` is set for reads, whose window opens with their result. Returns the tasks that joined
-    /// the one that it replaces: they have failed.
+    /// Retains a task. `fresh_ms` is set for reads, whose window starts when their result is there: until then every
+    /// request with their key is a repeat. Returns the tasks that joined the entry that this one replaces; they have
+    /// failed.
     pub fn retain(
         &mut self,
         key: IdempotencyKey,
@@ -142,7 +145,7 @@
         replaced.map_or_else(Vec::new, |entry| self.release_result(entry))
     }
 
-    /// Drops the entry of this task; the tasks that joined it.
+    /// Drops the entry of this task. Returns the tasks that joined it.
     pub fn forget(&mut self, key: &IdempotencyKey, owner: TaskId) -> Vec<TaskId> {
         let is_owner = |entry: &Entry| entry.owner == owner;
         if !self.entries.get(key).is_some_and(is_owner) {
@@ -152,7 +155,7 @@
         removed.map_or_else(Vec::new, |entry| self.release_result(entry))
     }
 
-    /// An entry is out of the table; the tasks that joined it.
+    /// Releases the result of an entry that was removed from the table. Returns the tasks that joined the entry.
     fn release_result(&mut self, entry: Entry) -> Vec<TaskId> {
         if let EntryState::Served(result) = &entry.state {
             self.result_bytes -= result.len();
@@ -160,7 +163,8 @@
         entry.waiting
     }
 
-    /// Joins a task to the retained one: how that ended. It waits for one that is pending.
+    /// Joins a task to the retained one, and returns the state of the retained one. If that is pending, the task waits
+    /// for its end.
     pub fn join(&mut self, key: &IdempotencyKey, task: TaskId) -> EntryState {
         let Some(entry) = self.entries.get_mut(key) else {
             return EntryState::Failed;
@@ -171,8 +175,8 @@
         entry.state.clone()
     }
 
-    /// Another task runs what this one was to run: it waits for that one like any repeat. `false` if the entry is not
-    /// this task's.
+    /// Makes another task the owner of an entry, because it executes the request in place of `owner`, which can then
+    /// join it like any repeat. Returns `false` if the entry does not belong to `owner`.
     #[cfg(feature = "ownership")]
     pub fn reassign(&mut self, key: &IdempotencyKey, owner: TaskId, new_owner: TaskId) -> bool {
         let entry = self.entries.get_mut(key);
@@ -184,7 +188,7 @@
         true
     }
 
-    /// A retained task has ended, with a result or without; the tasks that joined it.
+    /// Records the end of a retained task, with its result if it has one. Returns the tasks that joined it.
     pub fn complete(
         &mut self,
         key: &IdempotencyKey,
@@ -211,7 +215,7 @@
         std::mem::take(&mut entry.waiting)
     }
 
-    /// Drops entries whose window has closed for every request that could still lie unread.
+    /// Drops entries whose window has ended, once every request that arrived within it must have been read.
     pub fn sweep(&mut self, now: f64) {
         let (max_unread_ms, mut freed) = (self.max_unread_ms, 0);
         self.entries.retain(|_, entry| {
@@ -225,7 +229,8 @@
         self.result_bytes -= freed;
     }
 
-    /// When the last open window closes; not after 0 without any.
+    /// When the last window ends, including the time for which requests may remain unread. Pending reads are not
+    /// counted: their window has not started. Without entries it is long past.
     #[cfg(feature = "hot-restart")]
     pub fn last_window_end(&self) -> f64 {
         let window_ends = self
@@ -236,8 +241,8 @@
         window_ends.fold(0.0, f64::max) + self.max_unread_ms
     }
 
-    /// The table for a process that continues it, with the secret of the digests. Without its entries where a proof
-    /// injects that fault.
+    /// The content of the table for the process that takes it over, with the secret of the digests. `without_entries`
+    /// injects the fault that the entries are lost.
     #[cfg(feature = "hot-restart")]
     pub fn export(&self, without_entries: bool) -> ExportedTable {
         let entries = self.entries.iter().filter(|_| !without_entries);
@@ -249,7 +254,7 @@
         }
     }
 
-    /// Continues another process's table.
+    /// Replaces the content of this table by that of another process's table.
     #[cfg(feature = "hot-restart")]
     pub fn import(&mut self, exported: ExportedTable) {
         let size = |entry: &Entry| match &entry.state {
--- a/crates/asterdale-engine/src/issuer.rs
+++ b/crates/asterdale-engine/src/issuer.rs
@@ -17,18 +17,18 @@
 
 pub use crate::message::{KeyRefresh, KeySource};
 
-/// The timeout of a fetch: the last set stays in use meanwhile.
+/// The timeout of a fetch. Until a fetch succeeds, the last set stays in use.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest wait for a command, in milliseconds, so that it fits a `Duration` whatever the interval.
 const MAX_WAIT_MS: f64 = 3.6e6;
 
-/// A key set, and the entity tag to ask for a newer one with.
+/// A key set, and its entity tag for the next conditional request.
 struct FetchedSet {
     set: Vec<u8>,
     tag: Option<Vec<u8>>,
 }
 
-/// The engine is gone, and this actor ends.
+/// The engine has ended, and so this actor ends as well.
 struct EngineGone;
 
 struct Fetcher<'a> {
@@ -37,15 +37,15 @@
     start: Instant,
     refresh: RefreshSchedule,
     tag: Option<Vec<u8>>,
-    /// The last fetch succeeded.
+    /// Whether the last fetch succeeded.
     is_available: bool,
     engine: &'a Sender<EngineMessage>,
     counters: &'a Counters,
     log: &'a Log,
 }
 
-/// Fetches key sets until nobody can send commands any more, or the engine is gone. The seed spreads the fetches of
-/// many processes.
+/// Fetches key sets until all senders of commands are dropped or the engine has ended. The seed spreads the fetches of
+/// many processes over time.
 pub fn fetch(
     source: KeySource,
     seed: u64,
@@ -128,7 +128,7 @@
     }
 }
 
-/// One conditional request, on a connection of its own: the set, or nothing where it has not changed.
+/// Makes one conditional request on a new connection. Returns the set; `None` if it has not changed.
 fn get(source: &KeySource, tag: Option<&[u8]>) -> io::Result<Option<FetchedSet>> {
     let deadline = Instant::now() + FETCH_TIMEOUT;
     let stream = TcpStream::connect_timeout(&source.address, FETCH_TIMEOUT)?;
--- a/crates/asterdale-engine/src/lib.rs
+++ b/crates/asterdale-engine/src/lib.rs
@@ -1,15 +1,15 @@
-//! The engine: one actor owns the server's policies and the task table; others hold the links to the runtime, the
+//! The engine: one actor owns the server's policies and the task table; other actors hold the links to the runtime, the
 //! records service, the registry and the key issuer. Frontends send requests as [`message::EngineMessage`] and get
-//! replies as [`message::Reply`]; the protocol they speak is theirs alone.
+//! replies as [`message::Reply`]; their wire protocol is not visible here.
 //!
 //! Layers, from the lowest:
-//! - [`message`]: plain data and ports, which import nothing of the engine;
+//! - [`message`]: plain data types and port traits, which depend on no other module of the engine;
 //! - shared parts: [`counters`], [`log`], `clock`, [`vectored_write`], [`http`], `exchange`, [`mailbox`];
-//! - the links, an actor each: [`runtime`], [`records`], [`registry`], [`issuer`];
+//! - the links, one actor each: [`runtime`], [`records`], [`registry`], [`issuer`];
 //! - state: `idempotency`, `identity_gate`, `health_check`, `paused`, the state part of `ownership`;
 //! - `tasks`, the task table, and `access`, its identity checks;
-//! - [`engine`], the actor, and what else it does, a module a concern: `runtime_events`, `draining`, `ownership`,
-//!   `state_transfer`.
+//! - [`engine`], the actor itself, and its further concerns, one module each: `runtime_events`, `draining`,
+//!   `ownership`, `state_transfer`.
 
 mod access;
 mod clock;
--- a/crates/asterdale-engine/src/registry.rs
+++ b/crates/asterdale-engine/src/registry.rs
@@ -1,5 +1,5 @@
-//! The registry's actor: reports that this backend is ready, or draining. No report delays the next one, or a command
-//! to drain: a registry may accept a connection and never answer.
+//! The registry's actor: reports to the registry that this backend is ready or draining. A report without an answer
+//! delays neither the next report nor a command to drain, because a registry may accept a connection and never answer.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -16,19 +16,22 @@
 use crate::mailbox::{self, MailboxReceiver, MailboxSender};
 use crate::message::RegistryCommand;
 
-/// The interval between reports: the registry drops a backend 3 s after its last one, so one of three may be lost.
+/// The interval between reports. The registry drops a backend 3 s after its last report, so one of three may be lost.
 const REPORT_INTERVAL: Duration = Duration::from_millis(900);
-/// A report that failed is repeated this soon, for a registry that has just come back.
+/// The delay before a failed report is repeated. It is short, so that a registry that has just become reachable again
+/// gets a report soon.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// A report that is not answered by then gets another beside it: five in a row may be lost within the 3 s.
+/// If a report is not answered within this time, another one is sent in parallel: five in a row may be lost within the
+/// 3 s.
 const HEDGE_DELAY: Duration = Duration::from_millis(300);
-/// The deadline of a report, for connecting, writing and reading: a registry that takes this long still accepts it.
+/// The timeout of a report, including connecting, writing and reading. It is long, so that reports to a registry that
+/// needs most of this time are still accepted.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Reports that are out at once: as many as start before the first is at its deadline.
+/// The maximum number of reports in flight: as many as are started before the first one times out.
 const MAX_OPEN_REPORTS: usize = 5;
-/// The mailbox's token; reports have the numbers below it.
+/// The poll token of the mailbox; the tokens of reports are the numbers below it.
 const MAILBOX: Token = Token(usize::MAX);
-/// Events that one poll takes.
+/// The maximum number of events per poll.
 const EVENTS_PER_POLL: usize = 16;
 /// The status of a report that was accepted.
 const NO_CONTENT: u16 = 204;
@@ -49,7 +52,7 @@
     }
 }
 
-/// A report under way.
+/// A report in flight.
 struct Report {
     exchange: Exchange,
     start: Instant,
@@ -63,22 +66,22 @@
     /// The name of this backend.
     name: String,
     state: ReportedState,
-    /// Another process reports.
+    /// Another process reports in place of this one.
     is_paused: bool,
     next_report: Instant,
-    /// Reports under way, oldest first.
+    /// Reports in flight, oldest first.
     open: BTreeMap<usize, Report>,
     next_number: usize,
-    /// The last report was accepted.
+    /// Whether the last report was accepted.
     is_accepted: bool,
     counters: Arc<Counters>,
     log: Log,
 }
 
-/// An actor that reports to the registry at this address, and its mailbox.
+/// Creates an actor that reports to the registry at this address, and the sender of its mailbox.
 ///
 /// # Errors
-/// The system refuses a poll.
+/// The system cannot create a poll.
 pub fn new(
     address: SocketAddr,
     name: String,
@@ -105,11 +108,11 @@
 }
 
 impl Reporter {
-    /// Reports for as long as the process lives.
+    /// Reports until the process ends.
     pub fn serve(mut self) {
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
         loop {
-            // Interrupted, it looks again; nothing else can go wrong with a poll that was made.
+            // An interrupted poll is repeated by the loop; a poll that was created successfully has no other errors.
             let _ = self.poll.poll(&mut events, self.wait());
             let commands: Vec<RegistryCommand> = self.mailbox.take().collect();
             for command in commands {
@@ -125,7 +128,7 @@
         }
     }
 
-    /// How long there is nothing to do unless an event comes.
+    /// How long to wait for events: until the next report or the next timeout is due.
     fn wait(&self) -> Option<Duration> {
         let next_report = (!self.is_paused).then_some(self.next_report);
         let oldest = self.open.values().next();
@@ -134,7 +137,7 @@
         Some(until.saturating_duration_since(Instant::now()))
     }
 
-    /// Every command is reported at once. What is under way says something that no longer holds.
+    /// Carries out a command, and reports at once. Reports in flight are dropped, because their content is outdated.
     fn obey(&mut self, command: RegistryCommand) {
         match command {
             RegistryCommand::Drain => self.state = ReportedState::Draining,
@@ -170,7 +173,7 @@
         }
     }
 
-    /// The connection of this report is readable or writable.
+    /// Continues a report whose connection is readable or writable.
     fn advance(&mut self, number: usize) {
         let Some(report) = self.open.get_mut(&number) else {
             return;
@@ -188,7 +191,7 @@
         self.report_failed(&error);
     }
 
-    /// Ends the reports that are past their deadline.
+    /// Ends the reports that have timed out.
     fn expire(&mut self) {
         let now = Instant::now();
         while self
@@ -201,7 +204,7 @@
         }
     }
 
-    /// A report that started then was accepted: the others under way are not needed.
+    /// Handles the acceptance of a report that was started at this time. The others in flight are no longer needed.
     fn report_accepted(&mut self, start: Instant) {
         static ACCEPTED: LogLimit = LogLimit::new();
         self.counters.reports.add();
