--- a/crates/asterdale-engine/src/engine/admission.rs
+++ b/crates/asterdale-engine/src/engine/admission.rs
@@ -1,4 +1,4 @@
-//! The way of a request into the engine: identity, idempotency, ownership, and then the policies.
+//! Admission of a request: identity, idempotency and ownership checks, and then the policies.
 
 use asterdale::events::Arrival;
 use asterdale::parameters::Idempotency;
@@ -12,17 +12,17 @@
 use crate::ownership::OwnedTask;
 use crate::tasks::{TaskRecord, Tasks};
 
-/// Edge nodes whose requests the policies tell apart. Beyond that their indexes are given out anew, so that made-up
-/// numbers cannot fill the memory. There are far fewer edge nodes, and what the policies count for each fades within
-/// seconds.
+/// The maximum number of edge nodes that the policies distinguish. When it is reached, all indexes are assigned anew,
+/// so that forged edge node numbers cannot fill the memory. There are far fewer real edge nodes, and the policies'
+/// counts for each of them decay within seconds.
 const MAX_EDGE_NODES: usize = 4096;
 
-/// What is known of a request when it is received.
+/// A received request, and what the engine determines about it before the policies decide.
 struct Arrived {
     request: Request,
     /// How long ago the edge node received it, in milliseconds.
     age_ms: f64,
-    /// How long it lay unread in this process's sockets, in milliseconds.
+    /// How long it was in this process's socket buffers before it was read, in milliseconds.
     unread_ms: f64,
     caller: Option<Arc<Caller>>,
     body_digest: u64,
@@ -33,9 +33,11 @@
 
 impl Arrived {
     fn new(request: Request) -> Arrived {
-        // The edge node's stamp is by the Unix clock; no other time is compared with it.
+        // The edge node's timestamp is Unix time, so its age is computed with the system clock and not with the
+        // engine's.
         let age_ms = (unix_ms() - request.head.start_ms).max(0.0);
-        // A stamp that is earlier than the last read of its connection is wrong, and would be taken for a backlog.
+        // A timestamp before the previous read of its connection is wrong, and would be mistaken for a backlog of
+        // unread requests.
         let unread_ms = age_ms.min(request.received_at.elapsed().as_secs_f64() * 1000.0);
         Arrived {
             request,
@@ -49,7 +51,7 @@
         }
     }
 
-    /// How long the client still waits, in milliseconds, if it has said so.
+    /// How long the client will still wait, in milliseconds, if the request states its timeout.
     fn remaining_ms(&self) -> Option<f64> {
         let timeout_ms = self.request.head.timeout_ms;
         timeout_ms.map(|timeout_ms| (timeout_ms - self.age_ms).max(0.0))
@@ -57,10 +59,10 @@
 }
 
 impl Tasks {
-    /// Authenticates the caller, and checks that the request fits what is known of its id and its key.
+    /// Authenticates the caller, and checks the request against earlier ones with the same id or idempotency key.
     ///
     /// # Errors
-    /// The reply to a request that goes no further.
+    /// The reply to a request that is not processed further.
     fn identify(&mut self, arrived: &mut Arrived) -> Result<(), Reply> {
         let request = &mut arrived.request;
         let credentials = Credentials {
@@ -79,7 +81,7 @@
             return Ok(());
         };
         if self.idempotency.has_other_body(key, arrived.body_digest) {
-            // Another request under a known key: the result under that key is not this one's.
+            // A different request under a known key: the result under that key is not the result of this request.
             self.counters.tasks_malformed.add();
             return Err(Reply::Malformed);
         }
@@ -87,23 +89,24 @@
         Ok(())
     }
 
-    /// Checks the idempotency table's capacity and the caller's quota.
+    /// Checks the capacity of the idempotency table, and reserves a part of the caller's quota.
     ///
     /// # Errors
-    /// The reply to a request that goes no further.
+    /// The reply to a request that is not processed further.
     fn reserve(&mut self, arrived: &Arrived) -> Result<Option<ConcurrencyPermit>, Reply> {
         let head = &arrived.request.head;
         let idempotency = self.settings.decisions.classes[head.class].idempotency;
         let needs_entry = idempotency == Idempotency::Keyed && !arrived.is_repeat;
         if needs_entry && self.idempotency.is_full() {
-            // It could not be retained, and so must not run.
+            // Its entry could not be retained, so the request must not run.
             self.counters.requests_overloaded.add();
             return Err(Reply::Overloaded);
         }
         self.authorize(arrived.caller.as_deref(), head, arrived.is_repeat)
     }
 
-    /// The replicated ownership of a request that is no repeat here, where its class has that.
+    /// The replicated ownership of a request. `None` if its class has no replicated ownership, or if the request is a
+    /// repeat of one in this process.
     #[cfg(feature = "ownership")]
     fn ownership_of_arrived(&self, arrived: &Arrived) -> Option<OwnedTask> {
         let head = &arrived.request.head;
@@ -118,7 +121,7 @@
         self.ownership_of(head, key, tenant, left_ms, &arrived.request.body)
     }
 
-    /// The task of an admitted request.
+    /// Creates the task of a request that has passed the checks.
     fn new_record(
         &mut self,
         arrived: Arrived,
@@ -155,7 +158,7 @@
         self.admit(request, false);
     }
 
-    /// Receives a request again that the ownership replicas were asked about.
+    /// Receives a request again, after its ownership has been looked up at the replicas.
     #[cfg(feature = "ownership")]
     pub(crate) fn receive_looked_up(&mut self, request: Request) {
         self.admit(request, true);
@@ -164,7 +167,7 @@
     fn admit(&mut self, request: Request, is_looked_up: bool) {
         let tasks = &mut self.tasks;
         if tasks.by_route.contains_key(&request.route()) {
-            // Two replies under one number could not be told apart: the first request keeps it.
+            // Two replies with the same request number could not be told apart: the first request keeps the number.
             tasks.counters.requests_duplicate.add();
             return request.client.discard_request();
         }
@@ -194,15 +197,15 @@
         let arrival = self.arrival(&arrived);
         let record = self.tasks.new_record(arrived, quota_permit);
         self.tasks.arriving = Some(record);
-        // Requests come before the runtime is up only by an outdated endpoint list. Until the runtime says otherwise,
-        // the server counts as one that has just started.
+        // Requests arrive before the runtime is up only because of an outdated endpoint list. Until the runtime reports
+        // its state, the server is treated as one that has just started.
         self.start_server(true, 0.0);
         if let Some(server) = &mut self.server {
             server.receive(self.tasks.now, arrival, &mut self.tasks);
         }
     }
 
-    /// A request as the policies see it.
+    /// The description of a request for the policies.
     fn arrival(&mut self, arrived: &Arrived) -> Arrival {
         let head = &arrived.request.head;
         let caller = self.edge_node_index(head.edge_node);
--- a/crates/asterdale-engine/src/engine/cancellation.rs
+++ b/crates/asterdale-engine/src/engine/cancellation.rs
@@ -1,11 +1,11 @@
-//! Requests that end before their run: clients that give up, callers that are revoked.
+//! Requests that end early, because the client gives up or the caller is revoked.
 
 use super::Engine;
 use crate::message::{Reply, ResponseRoute};
 
 impl Engine {
-    /// A new key set has come. Callers that it revokes are told so at once where nothing runs for them yet; runs
-    /// continue, and their results are retained.
+    /// Adopts a new key set. Requests of callers that it revokes are denied at once if they have not started. Started
+    /// runs continue, and their results are retained.
     pub(super) fn adopt_key_set(&mut self, set: &[u8]) {
         let tasks = &mut self.tasks;
         let is_new = tasks
@@ -14,7 +14,8 @@
         if !is_new {
             return;
         }
-        // All are answered before the policies are told of the first: what it frees must start none of the others.
+        // All of them are answered before the policies are notified of the first one, so that the capacity it frees
+        // does not start another one.
         let revoked = tasks.revoked_tasks();
         for (number, reply) in &revoked {
             let Some(task) = tasks.by_number.get(number).copied() else {
@@ -36,14 +37,14 @@
         }
     }
 
-    /// The client of this request no longer waits.
+    /// Handles a client that no longer waits for this request.
     pub(super) fn abort_request(&mut self, route: ResponseRoute) {
         #[cfg(feature = "ownership")]
         self.tasks.cancel_lookups(|looked_up| looked_up == route);
         self.abort_task(route);
     }
 
-    /// The clients of all requests on this connection no longer wait.
+    /// Handles clients that no longer wait for any request of this connection.
     pub(super) fn abort_connection(&mut self, connection: u64) {
         #[cfg(feature = "ownership")]
         self.tasks
--- a/crates/asterdale-engine/src/engine/mod.rs
+++ b/crates/asterdale-engine/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! The engine: the one actor that owns the server's policies and the task table. Messages become calls on the policies;
-//! their actions take effect at once. It decides nothing by itself.
+//! The engine: the one actor that owns the server's policies and the task table. It translates messages into calls to
+//! the policies, and carries out the policies' actions immediately. It makes no decisions of its own.
 
 mod admission;
 mod cancellation;
@@ -31,13 +31,13 @@
 use crate::paused::PausedState;
 use crate::tasks::{Tasks, TasksInit};
 
-/// Gauges are requested this long before the tick that uses them: several times what the answer takes.
+/// Gauges are requested this long before the tick that uses them: several times the runtime's response time.
 const GAUGES_LEAD_MS: f64 = 1.5;
-/// Gauges older than this count as unknown. They are averages over half a second, and come at every tick.
+/// Gauges older than this are treated as unknown. They are averages over half a second and arrive for every tick.
 const GAUGES_STALE_MS: f64 = 500.0;
 /// The interval at which expired state is dropped.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// The longest wait for a message, in milliseconds, so that deadlines by the wall clock are seen in time.
+/// The longest wait for a message, in milliseconds, so that deadlines that are not in engine time are noticed in time.
 const MAX_WAIT_MS: f64 = 50.0;
 
 /// The actor.
@@ -47,13 +47,13 @@
     pub(crate) tasks: Tasks,
     pub(crate) clock: Clock,
     pub(crate) gauges: Gauges,
-    /// When the gauges came, in engine time.
+    /// When the gauges were received, in engine time.
     pub(crate) gauges_at: f64,
     /// Indexes of the edge nodes for the policies, by the nodes' numbers.
     pub(crate) edge_node_indexes: HashMap<u32, usize>,
     /// Deep health checks that wait for the runtime, by their tag.
     pub(crate) health_checks: HashMap<TaskId, HealthCheck>,
-    /// The last call to the records service got a response, whatever it said.
+    /// Whether the records service was reachable at the last call, whatever its response was.
     pub(crate) records_reachable: bool,
     /// When to request gauges, in engine time.
     pub(crate) gauges_due_at: f64,
@@ -62,19 +62,19 @@
     pub(crate) registry: MailboxSender<RegistryCommand>,
     pub(crate) runtime_link: Sender<RuntimeLinkCommand>,
     fleet: Option<Arc<dyn FleetView>>,
-    /// The runtime's uptime when it last said it, in milliseconds.
+    /// The uptime that the runtime reported last, in milliseconds.
     pub(crate) runtime_uptime_ms: Option<f64>,
-    /// Until when this backend is warming up, once the policies have started.
+    /// When this backend has warmed up, in engine time; infinite before the policies have started.
     pub(crate) warming_up_until: f64,
-    /// When everything must be answered, once this process drains.
+    /// When all requests must have been answered, once this process is draining.
     pub(crate) drain_deadline: Option<Instant>,
-    /// Whether the work belongs to another process, or is about to.
+    /// Whether the work has been handed over to another process, or is about to be.
     #[cfg(feature = "hot-restart")]
     pub(crate) paused: PausedState,
 }
 
 impl Engine {
-    /// An engine without any task.
+    /// Creates an engine without tasks.
     pub fn new(init: EngineSettings, ports: EnginePorts) -> Engine {
         let clock = Clock::start();
         let classes = &init.settings.decisions.classes;
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Handles a message, or defers it, or forwards it to the process that has the work.
+    /// Handles a message, or defers it, or forwards it to the process that has taken over the work.
     #[cfg(feature = "hot-restart")]
     pub(crate) fn dispatch(&mut self, message: EngineMessage, mailbox: &Receiver<EngineMessage>) {
         let message = if self.paused.is_paused() {
@@ -138,7 +138,7 @@
         self.handle(message);
     }
 
-    /// Handles messages until the process has shut down gracefully, or nobody can send any more.
+    /// Handles messages until the process has shut down gracefully, or all senders are dropped.
     pub fn run(&mut self, mailbox: &Receiver<EngineMessage>) {
         let mut next_sweep = Instant::now() + SWEEP_INTERVAL;
         loop {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Requests gauges and ticks, where either is due.
+    /// Requests gauges and ticks the policies when these are due.
     fn run_timers(&mut self) {
         self.tasks.now = self.clock.now();
         if self.tasks.now >= self.gauges_due_at {
@@ -179,7 +179,8 @@
         self.ownership_tick();
     }
 
-    /// Drops expired idempotency entries and health checks, and sends again what may be sent by now.
+    /// Exchanges the status with the fleet, drops expired idempotency entries and health checks, and resends the
+    /// commands that may be resent by now.
     fn sweep(&mut self) {
         self.exchange_status();
         self.tasks.idempotency.sweep(self.tasks.now);
@@ -187,7 +188,7 @@
         self.expire_health_checks();
     }
 
-    /// Publishes this process's status to the fleet, and tells the policies how many others there are.
+    /// Publishes this process's status to the fleet, and passes the number of other processes to the policies.
     fn exchange_status(&mut self) {
         let Some(fleet) = &self.fleet else { return };
         let load_percent = self
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Handles a message, and then what the policies' actions have queued.
+    /// Handles a message, and then the events that the policies' actions have queued.
     pub(crate) fn handle(&mut self, message: EngineMessage) {
         self.tasks.now = self.clock.now();
         match message {
@@ -246,7 +247,7 @@
         self.report_queued_events();
     }
 
-    /// Starts the policies, unless they have started. `uptime_ms` is the runtime's.
+    /// Starts the policies, unless they have already started. `uptime_ms` is the uptime of the runtime.
     pub(crate) fn start_server(&mut self, slow_start: bool, uptime_ms: f64) {
         if self.server.is_some() {
             return;
@@ -254,11 +255,12 @@
         let now = self.tasks.now;
         let mut settings = self.tasks.settings.decisions.clone();
         settings.slow_start |= slow_start;
-        // The signal to shut down may wait as long as replies may before it is handled: the grace began earlier.
+        // The shutdown signal may be handled late, by up to the close allowance: the grace period began when it was
+        // sent.
         settings.drain_grace_ms = (settings.drain_grace_ms - self.close_allowance_ms()).max(0.0);
         slog::info!(self.tasks.log.lines, "engine: server started";
             "slow_start" => settings.slow_start, "runtime_uptime_ms" => uptime_ms);
-        // Slow start begins with the runtime.
+        // Slow start is counted from the start of the runtime.
         let (elapsed_ms, warming_up_until) = if settings.slow_start {
             let elapsed_ms = uptime_ms.clamp(0.0, settings.slow_start_ms);
             (elapsed_ms, now - elapsed_ms + settings.slow_start_ms)
@@ -272,7 +274,8 @@
     /// Ticks the policies.
     pub(crate) fn tick(&mut self) {
         let (now, tasks) = (self.tasks.now, &mut self.tasks);
-        // While the link is made anew the last gauges still say more than none; stale ones say nothing.
+        // While the link is re-established, the last gauges are still better than none. Stale gauges carry no
+        // information.
         if now >= self.gauges_at + GAUGES_STALE_MS {
             self.gauges = Gauges::default();
         }
--- a/crates/asterdale-engine/src/engine/queued_events.rs
+++ b/crates/asterdale-engine/src/engine/queued_events.rs
@@ -14,7 +14,7 @@
         self.by_number.get(&number).copied()
     }
 
-    /// Answers a task that joined an earlier attempt, whose end is known; the outcome for the policies.
+    /// Answers a task that joined an earlier attempt, which has ended. Returns the outcome for the policies.
     fn answer_joined(&mut self, task: Handle, result: Option<Arc<[u8]>>) -> Outcome {
         if let Some(result) = result {
             if self.answer_served(task, result) {
--- a/crates/asterdale-engine/src/engine/settings.rs
+++ b/crates/asterdale-engine/src/engine/settings.rs
@@ -1,4 +1,4 @@
-//! What an engine starts with.
+//! The ports and settings that an engine is created with.
 
 use std::sync::Arc;
 
--- a/crates/asterdale-engine/src/message/engine.rs
+++ b/crates/asterdale-engine/src/message/engine.rs
@@ -19,20 +19,20 @@
     HealthCheck {
         /// The connection that the response goes to.
         client: Arc<dyn Connection>,
-        /// Its number on that connection.
+        /// The request's number on that connection.
         request: u16,
-        /// It checks that the runtime gets work done.
+        /// Whether it also checks that the runtime executes work.
         deep: bool,
     },
-    /// The edge node no longer waits for this request.
+    /// The edge node no longer waits for the response to this request.
     Abort(ResponseRoute),
     /// The connection with this number is closed.
     ConnectionClosed(u64),
-    /// There is a link to the runtime, which accepts command lines here.
+    /// The link to the runtime is established, and accepts command lines through this channel.
     RuntimeConnected(Sender<String>),
     /// The link to the runtime is closed.
     RuntimeDisconnected,
-    /// A line from the runtime.
+    /// A notice from the runtime.
     RuntimeNotice(RuntimeNotice),
     /// A call to the records service has ended.
     CallEnded {
@@ -45,14 +45,14 @@
         /// The response's body.
         body: Vec<u8>,
     },
-    /// A key set, as a file or the issuer has it.
+    /// A key set, as read from a file or fetched from the issuer.
     KeySet(Vec<u8>),
-    /// The start file was read again: the services' addresses and the identity settings from now on.
+    /// The start file was reloaded. These addresses of the services and these identity settings apply from now on.
     Reloaded(Endpoints, Option<Box<asterdale_identity::IdentitySettings>>),
     /// A step of a hot restart.
     #[cfg(feature = "hot-restart")]
     HotRestart(HotRestartStep),
-    /// The answer to an ownership request with this number.
+    /// The answer to the ownership request with this number.
     #[cfg(feature = "ownership")]
     OwnershipAnswer(u64, asterdale_ownership::Answer),
     /// Requests without an owner, which this process may take over.
--- a/crates/asterdale-engine/src/message/hot_restart.rs
+++ b/crates/asterdale-engine/src/message/hot_restart.rs
@@ -17,27 +17,27 @@
     Thaw,
     /// The work belongs to the new process: forward to it whatever arrives here.
     Commit(Box<dyn SuccessorLink>),
-    /// The new process's reply to a request that was forwarded, or whose task was transferred.
+    /// The new process's reply to a request that was forwarded to it or whose task was transferred to it.
     PeerReply(ResponseRoute, Reply),
     /// An event of the new process.
     Mirrored(MirroredEvent),
     /// The new process has ended: take the work back.
     TakeBack,
-    /// Exit once the connections have ended: no process needs this one as a guard any more.
+    /// Exit once the connections have ended: this process is no longer needed as a guard.
     Exit,
-    /// The old process guards this one no longer.
+    /// The old process no longer guards this one: it can no longer take the work back.
     GuardEnded,
 }
 
 /// The old process's link to the new one.
 pub trait SuccessorLink: Send {
-    /// A request has arrived. Its `received_at` says how long it may have been unread.
+    /// Forwards a request. Its `received_at` bounds the time for which it may have been unread.
     fn forward_request(&mut self, route: ResponseRoute, request: &Request);
-    /// A health check has arrived.
+    /// Forwards a health check.
     fn forward_health_check(&mut self, route: ResponseRoute, deep: bool);
-    /// The client has given up a request, or (`None`) all requests of a connection.
+    /// Reports that the client no longer waits for a request, or (`None`) for any request of a connection.
     fn forward_abort(&mut self, connection: u64, request: Option<u16>);
-    /// A call that was made here has ended.
+    /// Forwards the result of a call that this process made.
     fn forward_call_result(
         &mut self,
         task: TaskId,
@@ -45,11 +45,12 @@
         duration_ms: f64,
         body: &[u8],
     );
-    /// All connections have ended and all idempotency windows have closed: this process is a guard no longer.
+    /// Reports that this process is no longer a guard: all connections and all idempotency windows have ended.
     fn guard_ended(&mut self);
 }
 
-/// What the new process tells the old one before it takes effect, so that the old one could take the work back.
+/// An event of the new process. It is reported to the old process before it takes effect, so that the old process can
+/// take the work back.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MirroredEvent {
     /// An idempotency key is retained.
@@ -88,5 +89,5 @@
     },
 }
 
-/// Receives what the old process must know, before it takes effect.
+/// Reports an event to the old process before the event takes effect.
 pub type Mirror = Box<dyn FnMut(MirroredEvent) + Send>;
--- a/crates/asterdale-engine/src/message/links.rs
+++ b/crates/asterdale-engine/src/message/links.rs
@@ -1,4 +1,4 @@
-//! What the engine exchanges with the actors that hold the links to the runtime, the records service, the registry and
+//! Messages between the engine and the actors that hold the links to the runtime, the records service, the registry and
 //! the key issuer.
 
 use std::net::SocketAddr;
@@ -14,11 +14,11 @@
     pub id: RequestId,
     /// The call's body.
     pub body: Vec<u8>,
-    /// When it was requested.
+    /// When the engine requested it.
     pub requested_at: Instant,
     /// How long it may take from then on.
     pub timeout: Duration,
-    /// The claim of its task, where that is replicated: the records service rejects older fences.
+    /// The claim of its task, if ownership is replicated: the records service rejects older fences.
     #[cfg(feature = "ownership")]
     pub fence: Option<CallFence>,
 }
@@ -37,28 +37,28 @@
 pub enum RegistryCommand {
     /// Report this backend as draining from now on.
     Drain,
-    /// The registry's address from now on.
+    /// Use this address of the registry from now on.
     SetAddress(SocketAddr),
-    /// Another process reports from now on, or this one again.
+    /// `true`: another process reports from now on. `false`: this process reports again.
     SetPaused(bool),
 }
 
 /// A command to the runtime's actor.
 pub enum RuntimeLinkCommand {
-    /// The runtime's address from now on.
+    /// Use this address of the runtime from now on.
     SetAddress(SocketAddr),
-    /// Another process holds the link from now on, or this one again.
+    /// `true`: another process holds the link from now on. `false`: this process holds it again.
     SetPaused(bool),
 }
 
-/// A line from the runtime.
+/// A notice from the runtime.
 #[derive(Debug, PartialEq)]
 pub enum RuntimeNotice {
     /// The reply to `sync`.
     Ready {
-        /// The runtime started without warm state.
+        /// Whether the runtime started without warm state.
         slow_start: bool,
-        /// How long ago it started, in milliseconds.
+        /// How long ago the runtime started, in milliseconds.
         uptime_ms: f64,
     },
     /// A run has ended.
@@ -83,14 +83,14 @@
     },
     /// The gauges.
     Gauges {
-        /// The tag that they were requested with.
+        /// The tag of their request.
         tag: String,
         /// Their values, in the order of the settings' gauge names.
         values: Vec<f64>,
     },
     /// The result of a deep health check.
     HealthVerdict {
-        /// The tag that it was requested with.
+        /// The tag of its request.
         tag: String,
         /// Whether it passed.
         healthy: bool,
@@ -99,10 +99,10 @@
     Rejected {
         /// The command's name.
         command: String,
-        /// The request id that it was about.
+        /// The request id that the command referred to, if any.
         id: Option<RequestId>,
     },
-    /// A notice that has no meaning here but for its sequence number.
+    /// A notice of which only the sequence number is used, if it has one.
     Ignored(Option<u64>),
 }
 
@@ -113,7 +113,7 @@
     Passed,
     /// Without a result.
     Failed,
-    /// It was stopped, or ended at a call.
+    /// It was stopped, or the runtime ended it at a call.
     Killed,
     /// Nothing was started.
     Noop,
@@ -132,8 +132,8 @@
 
 /// A command to the issuer's actor.
 pub enum KeyRefresh {
-    /// A token names a key that no set has held: there may be a newer set.
+    /// A token refers to a key that is in no known set: there may be a newer set.
     Requested,
-    /// Fetch the set here from now on.
+    /// Fetch the key set from this source from now on.
     SetSource(KeySource),
 }
--- a/crates/asterdale-engine/src/message/request.rs
+++ b/crates/asterdale-engine/src/message/request.rs
@@ -70,7 +70,7 @@
     pub class: usize,
     /// When the edge node received it, in Unix milliseconds.
     pub start_ms: f64,
-    /// Its tenant by the edge node's account, an index into the settings' list; 0 where it names none.
+    /// Its tenant as stated by the edge node, an index into the settings' list; 0 if none is stated.
     pub tenant: u32,
     /// The number of the edge node that sent it.
     pub edge_node: u32,
@@ -98,12 +98,12 @@
     pub client: Arc<dyn Connection>,
     /// Its number on that connection.
     pub request: u16,
-    /// The earliest time at which it can have arrived: everything that came before was read by then.
+    /// The earliest time at which it can have arrived: everything that arrived earlier had been read by then.
     pub received_at: Instant,
 }
 
 impl Request {
-    /// Where its response goes.
+    /// The route of its response.
     pub fn route(&self) -> ResponseRoute {
         ResponseRoute {
             connection: self.client.connection_id(),
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Answers it.
+    /// Answers this request.
     pub fn answer(self, reply: Reply) {
         self.client.answer(self.request, reply);
     }
@@ -149,7 +149,7 @@
     Denied {
         /// The kind of denial.
         kind: DenialStatus,
-        /// Advice to come again after this many milliseconds; 0 for no advice.
+        /// Advice to retry after this many milliseconds; 0 for no advice.
         retry_after_ms: u64,
     },
 }
@@ -164,7 +164,7 @@
     fn discard_request(&self);
 }
 
-/// The right and duty to answer one request.
+/// Answers one request. Whoever holds it must make sure that the request is answered.
 #[derive(Clone)]
 pub struct Responder {
     /// The connection that the response goes to.
--- a/crates/asterdale-engine/src/records/mod.rs
+++ b/crates/asterdale-engine/src/records/mod.rs
@@ -1,5 +1,5 @@
-//! The actor of the records service: one thread makes all calls, each on a connection of its own, and blocks on none of
-//! them.
+//! The actor that makes calls to the records service: one thread makes all calls, each on its own non-blocking
+//! connection.
 
 mod protocol;
 
@@ -20,11 +20,11 @@
 use crate::mailbox::{self, MailboxReceiver, MailboxSender};
 use crate::message::{request_id_text, Call, EngineMessage};
 
-/// The longest timeout of a call, whatever the policies allow it.
+/// The maximum timeout of a call, even if the policies allow more.
 const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(60);
-/// The mailbox's token; calls have the numbers below it.
+/// The poll token of the mailbox; the tokens of calls are the numbers below it.
 const MAILBOX: Token = Token(usize::MAX);
-/// Events that one poll takes; there are seldom more calls out.
+/// The maximum number of events per poll; there are seldom more calls in flight.
 const EVENTS_PER_POLL: usize = 64;
 
 /// A call, and the address to make it to.
@@ -53,20 +53,21 @@
     next_number: usize,
 }
 
-/// A call under way.
+/// A call in flight.
 struct OpenCall {
     call: Call,
     exchange: Exchange,
     deadline: Instant,
 }
 
-/// The engine is gone, and this actor ends.
+/// The engine has ended, and so this actor ends as well.
 struct EngineGone;
 
-/// A sender of calls to this address, and the actor that makes them. Nothing is connected before the first call.
+/// Creates a sender of calls to this address, and the actor that makes them. No connection is made before the first
+/// call.
 ///
 /// # Errors
-/// The system refuses a poll.
+/// The system cannot create a poll.
 pub fn new(
     address: SocketAddr,
     engine: Sender<EngineMessage>,
@@ -94,12 +95,12 @@
 }
 
 impl Records {
-    /// The service's address from now on. Calls that are out end where they are.
+    /// Sets the service's address for later calls. Calls in flight stay on their connections to the earlier address.
     pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
     }
 
-    /// Makes a call; its end comes as a message. `false` if it could not be made.
+    /// Makes a call, and reports its end to the engine as a message. Returns `false` if the call could not be made.
     pub fn call(&self, mut call: Call) -> bool {
         call.timeout = call.timeout.min(MAX_CALL_TIMEOUT);
         self.counters.calls_sent.add();
@@ -111,18 +112,19 @@
 }
 
 impl RecordsClientActor {
-    /// Makes calls until the engine is gone.
+    /// Makes calls until the engine has ended.
     pub fn serve(mut self) {
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
         while self.turn(&mut events).is_ok() {}
     }
 
-    /// One turn of the loop. All events of the turn are handled even where the first finds that the engine is gone.
+    /// One iteration of the event loop. All events of the iteration are handled even if the first one shows that the
+    /// engine has ended.
     fn turn(&mut self, events: &mut Events) -> Result<(), EngineGone> {
         let next_deadline = self.deadlines.first();
         let wait =
             next_deadline.map(|&(deadline, _)| deadline.saturating_duration_since(Instant::now()));
-        // Interrupted, it looks again; nothing else can go wrong with a poll that was made.
+        // An interrupted poll is repeated by the loop; a poll that was created successfully has no other errors.
         let _ = self.poll.poll(events, wait);
         let calls: Vec<_> = self.mailbox.take().collect();
         let mut result = calls.into_iter().try_for_each(|call| self.start(call));
@@ -140,11 +142,12 @@
         result
     }
 
-    /// Connects. A connection carries one call: on one that is reused, late bytes could be read as the response to the
-    /// next call; and one that the service has closed fails at its next call just like one whose call has run.
+    /// Starts a call on a new connection. Connections are not reused: late bytes of one response could be read as the
+    /// response to the next call, and a call on a connection that the service has already closed fails in the same way
+    /// as a call that has run.
     fn start(&mut self, AddressedCall { address, call }: AddressedCall) -> Result<(), EngineGone> {
         let number = self.next_number;
-        // Numbers repeat after a lifetime of calls, and are never the mailbox's.
+        // Wraps around below the mailbox's token. A number is not reused while its earlier call can still be in flight.
         self.next_number = (self.next_number + 1) % MAILBOX.0;
         let deadline = call.requested_at + call.timeout;
         let request = request_bytes(address, &call, deadline);
@@ -169,7 +172,7 @@
         }
     }
 
-    /// The system refused this process what a connection takes.
+    /// Reports a call for which the system refused the resources of a connection.
     fn report_unmade(&self, call: &Call, error: &io::Error) {
         static UNMADE: LogLimit = LogLimit::new();
         self.counters.calls_unmade.add();
@@ -179,7 +182,7 @@
         }
     }
 
-    /// The connection of this call is readable or writable.
+    /// Continues a call whose connection is readable or writable.
     fn advance(&mut self, number: usize) -> Result<(), EngineGone> {
         let Some(open) = self.open.get_mut(&number) else {
             return Ok(());
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Ends a call, and with its exchange its connection. Nothing else does.
+    /// Ends an open call and closes its connection. This is the only place where open calls end.
     fn end(&mut self, number: usize, outcome: Outcome, body: Vec<u8>) -> Result<(), EngineGone> {
         let Some(open) = self.open.remove(&number) else {
             return Ok(());
--- a/crates/asterdale-engine/src/records/protocol.rs
+++ b/crates/asterdale-engine/src/records/protocol.rs
@@ -1,4 +1,4 @@
-//! A call as HTTP, and what its end proves.
+//! The HTTP encoding of a call, and what the end of a call proves about whether it ran.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,12 +9,13 @@
 use crate::http::Reply;
 use crate::message::{request_id_text, Call};
 
-/// Linux's errors of a process or a machine that has no descriptor or no buffer left.
+/// Linux error numbers for a process or a machine that has no file descriptor or no buffer left.
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
 const ENOBUFS: i32 = 105;
 
-/// The header fields of a call whose task is claimed: by them the service applies it once, and rejects older claims.
+/// The header fields of a call whose task is claimed. They let the service apply the call only once, and reject calls
+/// of older claims.
 #[cfg(feature = "ownership")]
 fn fence_fields(call: &Call) -> String {
     call.fence.as_ref().map_or_else(String::new, |fence| {
@@ -27,7 +28,7 @@
     ""
 }
 
-/// A call as the service reads it. It says how long this process still waits.
+/// Encodes a call for the service, including how long this process will still wait for the response.
 pub(super) fn request_bytes(address: SocketAddr, call: &Call, deadline: Instant) -> Vec<u8> {
     let wait_ms = deadline
         .saturating_duration_since(Instant::now())
@@ -45,7 +46,7 @@
     bytes
 }
 
-/// What a response proves.
+/// The outcome that a response proves.
 pub(super) fn reply_outcome(reply: &Reply) -> Outcome {
     match (reply.status, reply.never_ran) {
         (200, _) => Outcome::Ok,
@@ -56,8 +57,8 @@
     }
 }
 
-/// What the failure of connecting proves: that nothing ran only where the connection was refused, or where this process
-/// had no resources for it.
+/// The outcome that a failure to connect proves: that nothing ran, but only if the connection was refused or this
+/// process had no resources for it.
 pub(super) fn connect_outcome(error: &io::Error) -> Outcome {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => Outcome::Unreachable,
@@ -72,7 +73,7 @@
         || matches!(error.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
 }
 
-/// What the failure of a connection during a call proves: nothing about whether it ran.
+/// The outcome that the failure of an established connection proves: nothing about whether the call ran.
 pub(super) fn exchange_outcome(error: &io::Error) -> Outcome {
     match error.kind() {
         io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => Outcome::TimedOut,
--- a/crates/asterdale-engine/src/records/protocol/tests.rs
+++ b/crates/asterdale-engine/src/records/protocol/tests.rs
@@ -1,4 +1,4 @@
-//! What the end of a call proves.
+//! What the end of a call proves about whether it ran.
 
 use super::*;
 
