--- a/crates/asterdale-engine/src/records/protocol.rs
+++ b/crates/asterdale-engine/src/records/protocol.rs
@@ -73,7 +73,7 @@
         || matches!(error.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
 }
 
-/// The outcome that the failure of an established connection proves: nothing about whether the call ran.
+/// The outcome that any other failure of a connection proves: nothing about whether the call ran.
 pub(super) fn exchange_outcome(error: &io::Error) -> Outcome {
     match error.kind() {
         io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => Outcome::TimedOut,
--- a/crates/asterdale-engine/src/runtime/mod.rs
+++ b/crates/asterdale-engine/src/runtime/mod.rs
@@ -1,4 +1,5 @@
-//! The runtime's actor: keeps the link to the runtime, and passes its lines to the engine and commands to it.
+//! The runtime's actor: maintains the link to the runtime, passes its notices to the engine, and the engine's commands
+//! to it.
 
 pub mod protocol;
 
@@ -15,20 +16,22 @@
 use crate::message::{EngineMessage, RuntimeLinkCommand};
 use crate::vectored_write;
 
-/// Command lines that wait to be written. A runtime that leaves this many unread is taken for dead.
+/// The maximum number of command lines that are queued for writing. A runtime that leaves this many unread is
+/// considered dead.
 const MAX_QUEUED_LINES: usize = 4096;
-/// Command lines that are written in one call.
+/// The maximum number of command lines that are written in one call.
 const MAX_BATCH_LINES: usize = 128;
-/// The longest line, in bytes: results have 4 KiB before their encoding.
+/// The maximum length of a line, in bytes: results have 4 KiB before they are encoded.
 const MAX_LINE_BYTES: u64 = 64 * 1024;
-/// The buffer of a link's reader, in bytes.
+/// The size of the buffer of a link's reader, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// The stack of the writer's thread, in bytes: it calls little.
+/// The stack size of the writer thread, in bytes: its calls are not deeply nested.
 const WRITER_STACK_BYTES: usize = 64 * 1024;
-/// The pause after a link that could not be made, or that did not last.
+/// The delay before reconnecting after a failure to connect, or after a link that ended before `SETTLED_AFTER`.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
-/// A malformed line on a link that is younger than this answers what every link sends at its start: it is skipped. A
-/// link that lasted longer is made again without a pause.
+/// A malformed line on a link that is younger than this is skipped: it answers what is sent at the start of every link,
+/// and would be received again on a new link. A link that has lasted longer is re-established without a delay when it
+/// ends.
 const SETTLED_AFTER: Duration = Duration::from_secs(1);
 /// The timeout of connecting and of each write.
 const IO_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -46,13 +49,13 @@
     MalformedLine,
 }
 
-/// The engine is gone, and this actor ends.
+/// The engine has ended, and so this actor ends as well.
 struct EngineGone;
 
 /// The actor.
 struct LinkActor<'a> {
     address: SocketAddr,
-    /// Another process holds the link; to make one would take it away.
+    /// Another process holds the link; connecting would take it away from that process.
     is_paused: bool,
     commands: &'a Receiver<RuntimeLinkCommand>,
     engine: &'a Sender<EngineMessage>,
@@ -61,7 +64,7 @@
     writer: Sender<WriterJob>,
 }
 
-/// One link's commands, for the writer.
+/// The commands of one link, for the writer.
 struct WriterJob {
     stream: Arc<TcpStream>,
     lines: Receiver<String>,
@@ -69,7 +72,7 @@
     done: Sender<()>,
 }
 
-/// Keeps a link to this address, or the one commanded last, until the engine is gone.
+/// Maintains a link to this address, or to the address set by the last command, until the engine has ended.
 pub fn run(
     address: SocketAddr,
     commands: &Receiver<RuntimeLinkCommand>,
@@ -86,7 +89,7 @@
         log,
         writer: spawn_writer(counters, log),
     };
-    // The engine's end is this actor's: there is nothing to report.
+    // The actor ends because the engine has ended: there is nothing to report.
     let Err(EngineGone) = actor.keep_link();
 }
 
@@ -114,7 +117,7 @@
                 is_reported = true;
             }
             if !is_settled {
-                // A command ends the pause: it is a new address, mostly.
+                // A command ends the delay: it usually sets a new address.
                 if let Ok(command) = self.commands.recv_timeout(RECONNECT_PAUSE) {
                     self.obey(command);
                 }
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Serves one link until it ends; why it did, and whether it had lasted.
+    /// Serves one link until it ends. Returns why it ended, and whether it lasted for `SETTLED_AFTER`.
     fn serve(&self, stream: &Arc<TcpStream>) -> Result<(LinkError, bool), EngineGone> {
         static CONNECTED: LogLimit = LogLimit::new();
         self.counters.links.add();
@@ -137,9 +140,10 @@
             slog::info!(self.log.lines, "runtime: link established");
         }
         let start = Instant::now();
-        // Without either option the link works, but slower, or ends later.
+        // Best effort: without these options the link works, but is slower, or its end is detected later.
         let _ = stream.set_nodelay(true);
-        // A runtime that reads nothing fills the socket: the writer must not wait for ever, or the link never ends.
+        // The socket's buffer fills up if the runtime reads nothing. Without a timeout the writer would then block
+        // forever, and the link would never end.
         let _ = stream.set_write_timeout(Some(IO_TIMEOUT));
         let (to_writer, lines) = bounded(MAX_QUEUED_LINES);
         let (done, writer_done) = bounded(0);
@@ -151,11 +155,11 @@
         };
         self.writer.send(job).map_err(|_| EngineGone)?;
         let error = self.read_lines(stream)?;
-        // Fails where the writer or the peer has shut it down.
+        // Fails if the writer or the peer has already shut it down.
         let _ = stream.shutdown(Shutdown::Both);
-        // The engine drops its end of the commands, and with that the writer is done with this link.
+        // The engine then drops the sender of commands, after which the writer is done with this link.
         self.tell_engine(EngineMessage::RuntimeDisconnected)?;
-        // Nothing is ever sent: this returns when the writer drops its end.
+        // Nothing is ever sent on this channel: this returns when the writer drops its end.
         let _ = writer_done.recv();
         Ok((error, start.elapsed() >= SETTLED_AFTER))
     }
@@ -187,8 +191,9 @@
     }
 }
 
-/// Starts the writer of all links, one after the other. It is there before the first link, so that no link can fail for
-/// want of a thread; until the system grants one, there is no link. The thread ends when its sender is dropped.
+/// Starts the writer thread, which serves all links, one after the other. It is started before the first link, so that
+/// no link can fail because a thread cannot be created: until the system can create it, no link is made. The thread
+/// ends when its sender is dropped.
 fn spawn_writer(counters: &Counters, log: &Log) -> Sender<WriterJob> {
     static REFUSED: LogLimit = LogLimit::new();
     loop {
@@ -228,6 +233,6 @@
             break;
         }
     }
-    // Either side ends the link for both: the reader sees it here. It fails where the reader was first.
+    // Ends the link for the reader as well. Fails if the reader has already shut it down.
     let _ = stream.shutdown(Shutdown::Both);
 }
--- a/crates/asterdale-engine/src/runtime/protocol.rs
+++ b/crates/asterdale-engine/src/runtime/protocol.rs
@@ -1,4 +1,4 @@
-//! The lines that the runtime and this process exchange: JSON objects, one a line.
+//! The protocol between this process and the runtime: JSON objects, one per line.
 
 #[cfg(feature = "ownership")]
 use std::fmt::Write as _;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Parses a line; `None` if it is none that the runtime may send.
+/// Parses a line; `None` if it is not a valid notice.
 pub fn parse(line: &[u8]) -> Option<RuntimeNotice> {
     let fields = Fields(serde_json::from_slice(line).ok()?);
     Some(match fields.text("t")? {
@@ -94,7 +94,8 @@
     })
 }
 
-/// The first command on a link: the last notice that was read. The runtime sends later ones again.
+/// The first command on a link. It states the sequence number of the last notice that was read; the runtime resends
+/// later ones.
 pub fn sync(last_notice: u64) -> String {
     format!("{{\"t\":\"sync\",\"no\":{last_notice}}}\n")
 }
@@ -111,7 +112,7 @@
     line
 }
 
-/// The same for a task that is claimed under this fence.
+/// Starts a task that is claimed under this fence.
 #[cfg(feature = "ownership")]
 pub fn start_fenced(id: &RequestId, class: &str, body: &[u8], fence: u64) -> String {
     let mut line = start(id, class, body);
@@ -121,7 +122,7 @@
     line
 }
 
-/// The response to the call that a run waits for.
+/// Passes the response to a call to the run that waits for it.
 pub fn give(id: &RequestId, body: &[u8]) -> String {
     let mut line = format!(
         "{{\"t\":\"give\",\"rid\":\"{}\",\"b64\":\"",
@@ -132,7 +133,7 @@
     line
 }
 
-/// Continues a run without the call of this notice.
+/// Continues a run without the call that it requested with this notice.
 pub fn omit(id: &RequestId, notice: u64) -> String {
     format!(
         "{{\"t\":\"omit\",\"rid\":\"{}\",\"no\":{notice}}}\n",
--- a/crates/asterdale-engine/src/runtime/protocol/tests.rs
+++ b/crates/asterdale-engine/src/runtime/protocol/tests.rs
@@ -1,4 +1,4 @@
-//! Lines of the runtime protocol, parsed and written.
+//! Parsing and writing of lines of the runtime protocol.
 
 use super::*;
 
--- a/crates/asterdale-engine/src/runtime_events/health.rs
+++ b/crates/asterdale-engine/src/runtime_events/health.rs
@@ -1,4 +1,5 @@
-//! Health checks. Shallow ones get the policies' verdict; deep ones ask the runtime where that verdict says nothing.
+//! Health checks. Shallow ones are answered with the policies' verdict. Deep ones ask the runtime, unless that verdict
+//! already decides them.
 
 use std::sync::Arc;
 
@@ -35,14 +36,14 @@
         }
     }
 
-    /// No verdict will come: the deep health checks fail.
+    /// Fails the deep health checks, because no verdict will be received.
     pub(crate) fn fail_health_checks(&mut self) {
         for (_, check) in self.health_checks.drain() {
             check.answer(false);
         }
     }
 
-    /// Deep health checks that nobody waits for any more fail.
+    /// Fails the deep health checks that have timed out.
     pub(crate) fn expire_health_checks(&mut self) {
         self.health_checks.retain(|_, check| {
             let is_expired = check.is_expired();
--- a/crates/asterdale-engine/src/runtime_events/link.rs
+++ b/crates/asterdale-engine/src/runtime_events/link.rs
@@ -1,4 +1,5 @@
-//! The link to the runtime: its start, its replay, its moves, and the gauges that prove what has arrived.
+//! The link to the runtime: its start, the replay of missed notices, moves to another address, and the gauges, whose
+//! arrival proves which lines have arrived.
 
 use crossbeam_channel::Sender;
 
@@ -9,20 +10,23 @@
 use crate::runtime::protocol;
 use crate::tasks::TaskRecord;
 
-/// A runtime that owes gauges at this many ticks in a row (3 s) may have lost its link unnoticed. A new link does no
-/// harm. Counted in ticks: while the machine pauses there are none, and the runtime owes nothing.
+/// If an answer of the runtime is outstanding at this many consecutive ticks (3 s), the link may be broken without this
+/// process noticing. It is then replaced by a new one, which does no harm. Ticks are counted instead of time, because
+/// there are none while the machine is paused and the runtime cannot answer.
 const MAX_SILENT_TICKS: u32 = 300;
-/// A runtime that is slow to answer is not asked for gauges again within this time.
+/// While a gauges request is unanswered, no further one is sent within this time.
 const GAUGES_TIMEOUT_MS: f64 = 500.0;
-/// Before the link moves to another address, the proof that all commands arrived is waited for this long.
+/// How long to wait, before the link moves to another address, for the proof that all commands have arrived.
 const MOVE_TIMEOUT_MS: f64 = 300.0;
-/// A runtime whose uptime is lower than before by more than this is another process: uptimes are rounded.
+/// A runtime whose uptime is lower than before by more than this is a new process. The slack is needed because uptimes
+/// are rounded.
 const RESTART_SLACK_MS: f64 = 1000.0;
-/// A notice whose sequence number is further ahead than this is malformed: two links do not miss that many.
+/// A notice whose sequence number is ahead of the last one by more than this is malformed: fewer notices than this are
+/// missed between two links.
 const MAX_SEQUENCE_GAP: u64 = 1_000_000;
 
 impl Engine {
-    /// Requests the gauges, a moment before the tick that uses them.
+    /// Requests the gauges, shortly before the tick that uses them.
     pub(crate) fn request_gauges(&mut self) {
         self.gauges_due_at = f64::INFINITY;
         let now = self.tasks.now;
@@ -44,7 +48,7 @@
         };
         if link.silent_ticks >= MAX_SILENT_TICKS {
             link.silent_ticks = 0;
-            link.commands = None; // the link ends, and its actor makes a new one
+            link.commands = None; // ends the link; its actor makes a new one
         }
         let is_due = !has_unanswered || now >= link.gauges_requested_at + GAUGES_TIMEOUT_MS;
         if link.commands.is_some() && !link.is_replaying && is_due {
@@ -55,10 +59,10 @@
         }
     }
 
-    /// There is a new link.
+    /// Handles a new link.
     pub(crate) fn runtime_connected(&mut self, commands: Sender<String>) {
         let link = &mut self.tasks.runtime;
-        // Where the link has ended already, the message that says so follows.
+        // If the link has already ended, `RuntimeDisconnected` follows.
         let _ = commands.try_send(protocol::sync(link.last_notice));
         link.commands = Some(commands);
         link.is_replaying = true;
@@ -66,15 +70,16 @@
         link.move_deadline = f64::INFINITY;
     }
 
-    /// There is no link any more.
+    /// Handles the end of the link.
     pub(crate) fn runtime_disconnected(&mut self) {
         self.tasks.runtime.commands = None;
         self.fail_health_checks();
     }
 
-    /// The runtime is up and sends the notices that were missed. What was sent when the last link broke may have
-    /// arrived or not. Nothing else is sent until the answer to the gauges request, which follows the missed notices:
-    /// so no run that has ended is started again. A runtime that is not up would reject an earlier request.
+    /// Handles the notice that the runtime is up. It resends the notices that were missed. Commands that were sent when
+    /// the last link broke may or may not have arrived. No commands are sent until the gauges request is answered,
+    /// which happens after the missed notices: so no run that has ended is started again. The request is not sent
+    /// earlier, because a runtime that is not up would reject it.
     pub(super) fn runtime_ready(&mut self, slow_start: bool, uptime_ms: f64) {
         let earlier_uptime_ms = self.runtime_uptime_ms.replace(uptime_ms);
         let is_replaced =
@@ -91,12 +96,12 @@
         link.is_ready = true;
         link.silent_ticks = 0;
         if let Some(commands) = &link.commands {
-            // Where the link has ended already, the message that says so follows.
+            // If the link has already ended, `RuntimeDisconnected` follows.
             let _ = commands.try_send(protocol::gauges(REPLAY_TAG));
         }
     }
 
-    /// The runtime has said how it started, and the policies have started before.
+    /// Handles the report of how the runtime started, when the policies have started before.
     fn runtime_started(&mut self, slow_start: bool, uptime_ms: f64) {
         let now = self.tasks.now;
         let settings = &self.tasks.settings.decisions;
@@ -113,8 +118,8 @@
         }
     }
 
-    /// Another runtime process has taken the place of the one before. It numbers its notices anew; what the earlier one
-    /// was sent may have run, and its end will never be known.
+    /// Handles the replacement of the runtime process by another one, which restarts the sequence numbers of its
+    /// notices. Commands to the earlier one may have run, and their outcome will never be known: those runs fail.
     fn runtime_replaced(&mut self) {
         static REPLACED: LogLimit = LogLimit::new();
         let may_have_run = |record: &&TaskRecord| {
@@ -138,13 +143,13 @@
         }
     }
 
-    /// Gauges have come with this tag: what that proves.
+    /// Handles what the arrival of gauges with this tag proves.
     pub(super) fn gauges_answered(&mut self, tag: &str) {
         let link = &mut self.tasks.runtime;
         match tag.parse::<u64>() {
             Ok(number) => link.gauges_received = link.gauges_received.max(number + 1),
             Err(_) if tag == REPLAY_TAG => {
-                // All missed notices are read.
+                // All missed notices have been read.
                 link.is_replaying = false;
                 self.tasks.resend_on_new_link();
             }
@@ -159,8 +164,8 @@
         }
     }
 
-    /// The start file was read again: calls and reports go to the new addresses from now on. The link to the runtime
-    /// moves once all commands on the old one have arrived; later commands wait for the new one.
+    /// Handles a reload of the start file: calls and reports use the new addresses from now on. The link to the runtime
+    /// moves once all commands on the old link have arrived; later commands are sent on the new one.
     pub(crate) fn endpoints_changed(&mut self, endpoints: Endpoints) {
         let earlier = std::mem::replace(&mut self.endpoints, endpoints);
         self.tasks.counters.reloads.add();
@@ -174,12 +179,12 @@
         if earlier.runtime == endpoints.runtime {
             return;
         }
-        // The runtime's actor lives as long as this one.
+        // Cannot fail: the runtime's actor ends after this one.
         let _ = self
             .runtime_link
             .send(RuntimeLinkCommand::SetAddress(endpoints.runtime));
         if self.tasks.runtime.is_replaying {
-            // A link that is moving continues to; one that takes no commands yet has nothing to lose.
+            // A move in progress continues. A link on which no commands are sent yet has none to lose and is dropped.
             if !self.tasks.runtime.move_deadline.is_finite() {
                 self.tasks.runtime.commands = None;
             }
@@ -189,11 +194,11 @@
         }
     }
 
-    /// Whether a notice is read for the first time, whichever link it came over. It is known from then on.
+    /// Whether a notice is read for the first time, over this link or an earlier one. Records it as read.
     pub(super) fn is_first_notice(&mut self, sequence: u64) -> bool {
         let last = self.tasks.runtime.last_notice;
         if sequence > last.saturating_add(MAX_SEQUENCE_GAP) {
-            // Taken for the last, it would have all true ones skipped as known.
+            // If it were recorded as the last one, all valid notices would be skipped as already read.
             self.tasks.counters.runtime_lines_malformed.add();
             return false;
         }
--- a/crates/asterdale-engine/src/runtime_events/notices.rs
+++ b/crates/asterdale-engine/src/runtime_events/notices.rs
@@ -60,7 +60,7 @@
             return;
         };
         record.pending_call = Some(call);
-        record.last_command = None; // the run has gone on, so it arrived
+        record.last_command = None; // the run has continued, so the command has arrived
         task.call_needed(server, tasks.now, tasks);
     }
 
@@ -72,7 +72,8 @@
             slog::error!(self.tasks.log.lines, "runtime: command rejected"; "command" => command,
                 "id" => fields.id, "class" => fields.class, "tenant" => fields.tenant);
         }
-        // Nothing runs. A run that waits at its call stays there until its task is given up.
+        // After a rejected start nothing runs. After the rejection of another command, the run waits for its call until
+        // its task is given up.
         if let (Some(id), "start") = (id, command) {
             self.run_ended(&id, RunOutcome::Noop, Vec::new());
         }
@@ -159,7 +160,7 @@
             return;
         };
         let Some(task) = tasks.by_number.get(&number).copied() else {
-            return; // its task is over
+            return; // its task has ended
         };
         if outcome == Outcome::Ok {
             let Some(record) = tasks.task_mut(task) else {
--- a/crates/asterdale-engine/src/tasks/actions.rs
+++ b/crates/asterdale-engine/src/tasks/actions.rs
@@ -1,4 +1,4 @@
-//! The policies' actions: each becomes a reply, a command or a call at once.
+//! The policies' actions: each is immediately carried out as a reply, a command or a call.
 
 use std::time::{Duration, Instant};
 
@@ -50,7 +50,8 @@
         });
     }
 
-    /// A released task must have been answered; one that was not is a fault of this program.
+    /// Fails a released task that has not been answered. That is a bug in this program: released tasks must have been
+    /// answered.
     fn answer_released(&mut self, task: Handle) {
         static UNANSWERED: LogLimit = LogLimit::new();
         let is_unanswered = self
@@ -67,7 +68,7 @@
         self.answer_failed(task);
     }
 
-    /// The timeout of a call: what the policies allow it, or else the deadline of its request class.
+    /// The timeout of a call: the time that the policies allow, or else the deadline of its request class.
     fn call_timeout(&self, class: usize, allowed_ms: f64) -> Duration {
         let timeout_ms = if allowed_ms.is_finite() && allowed_ms > 0.0 {
             allowed_ms
@@ -121,7 +122,7 @@
     }
 
     fn stop(&mut self, _: Handle) {
-        // The runtime has no such command: it ends a run at its next call, once its request is answered.
+        // The runtime has no such command: once a request is answered, it ends the run at its next call.
     }
 
     fn start_call(&mut self, task: Handle, allowed_ms: f64) {
@@ -192,7 +193,7 @@
         };
         let idempotent = self.is_idempotent(record.class);
         if idempotent && self.idempotency.is_full() {
-            return; // a repeat of it runs by itself
+            return; // a repeat of it runs as a task of its own
         }
         #[cfg(feature = "hot-restart")]
         if let (false, Some(mirror)) = (idempotent, &mut self.mirror) {
--- a/crates/asterdale-engine/src/tasks/commands.rs
+++ b/crates/asterdale-engine/src/tasks/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to the runtime, and their repetition after the link broke.
+//! Commands to the runtime, and resending them after the link has broken.
 
 use asterdale::Handle;
 
@@ -6,8 +6,8 @@
 use super::table::Tasks;
 
 impl Tasks {
-    /// Sends a command about a task. One that cannot be sent now is sent on the next link. `idempotent`: it may arrive
-    /// twice without harm.
+    /// Sends a command about a task. A command that cannot be sent now is sent on the next link. `idempotent`: it may
+    /// arrive twice without harm.
     pub fn send_command(&mut self, task: Handle, line: String, idempotent: bool) {
         let next_gauges = self.runtime.gauges_requested;
         let handed_to_link = self.send(line.clone());
@@ -16,28 +16,29 @@
                 line,
                 next_gauges,
                 handed_to_link,
-                // One that no link took goes out on the next, whatever the gauges prove of others.
+                // A command that no link accepted is sent on the next one, whatever the gauges prove about other
+                // commands.
                 needs_resend: !handed_to_link,
                 idempotent,
             });
         }
     }
 
-    /// Sends a line; `false` if no link takes it.
+    /// Sends a line; `false` if no link accepts it.
     pub fn send(&mut self, line: String) -> bool {
         let (Some(commands), false) = (&self.runtime.commands, self.runtime.is_replaying) else {
             return false;
         };
         let sent = commands.try_send(line).is_ok();
         if !sent {
-            // The runtime reads nothing: dropping the commands ends the link, and its actor makes a new one.
+            // The runtime reads nothing. Dropping the sender of commands ends the link, and its actor makes a new one.
             self.runtime.commands = None;
         }
         sent
     }
 
-    /// On a new link, sends every command again that is not proven to have arrived on the old one. Commands that may
-    /// not be sent now wait until their task is answered.
+    /// On a new link, resends every command that is not proven to have arrived on the old one. Commands that may not be
+    /// resent now wait until their task is answered.
     pub fn resend_on_new_link(&mut self) {
         let received = self.runtime.gauges_received;
         for record in self.slots.iter_mut().flatten() {
@@ -49,7 +50,7 @@
         self.runtime.gauges_received = self.runtime.gauges_requested;
     }
 
-    /// Sends the commands that need to be sent again and may be by now.
+    /// Resends the commands that need to be resent and may be resent by now.
     pub fn resend_pending(&mut self) {
         for index in 0..self.slots.len() {
             let Some(line) = self.line_to_resend(index) else {
--- a/crates/asterdale-engine/src/tasks/completion.rs
+++ b/crates/asterdale-engine/src/tasks/completion.rs
@@ -1,4 +1,4 @@
-//! The end of tasks whose idempotency key is retained, and those who joined them.
+//! The end of tasks whose idempotency key is retained, and of the tasks that joined them.
 
 use std::sync::Arc;
 
@@ -16,7 +16,8 @@
             .extend(joined.into_iter().map(|task| (task, result.cloned())));
     }
 
-    /// A task has ended, with a result or without: its idempotency entry gets that, and so do those who joined it.
+    /// Records the end of a task in its idempotency entry, with its result if it has one, and notifies the tasks that
+    /// joined it.
     pub fn complete_key(&mut self, task: Handle, result: Option<&Arc<[u8]>>) {
         let now = self.now;
         let Some(record) = self.task(task) else {
@@ -39,8 +40,8 @@
         self.notify_joined(joined, result);
     }
 
-    /// A run has ended that the new process started before this one took the work back: those who repeat it get its
-    /// result. `never_ran`: nothing was started.
+    /// Handles the end of a run that the new process started before this one took the work back: tasks that repeat it
+    /// get its result. `never_ran`: nothing was started.
     #[cfg(feature = "hot-restart")]
     pub fn complete_successor_run(
         &mut self,
--- a/crates/asterdale-engine/src/tasks/mod.rs
+++ b/crates/asterdale-engine/src/tasks/mod.rs
@@ -1,5 +1,5 @@
 //! The task table: every request that the server's policies know, with its body, its responder and its state. The
-//! policies' actions take effect here; nothing is decided.
+//! policies' actions are carried out here; no decisions are made.
 
 mod actions;
 mod commands;
--- a/crates/asterdale-engine/src/tasks/record.rs
+++ b/crates/asterdale-engine/src/tasks/record.rs
@@ -31,9 +31,10 @@
 }
 
 impl SentCommand {
-    /// Whether it may be sent on a new link. While a second copy travels, the run may end or ask for its next call: it
-    /// would run again, or get the wrong response. A task that may have started therefore waits for its deadline; once
-    /// it is answered, the runtime ignores a second start.
+    /// Whether it may be sent on a new link. While a second copy is in transit, the run may end or request its next
+    /// call. The copy would then start the run again, or be taken for the response to the wrong call. The command of a
+    /// task that may have started is therefore not resent before the task is answered, at its deadline at the latest;
+    /// after that the runtime ignores a second start.
     pub fn may_be_resent(&self, is_answered: bool) -> bool {
         !self.handed_to_link || self.idempotent || is_answered
     }
@@ -83,13 +84,13 @@
     pub idempotency_key: Option<IdempotencyKey>,
     /// The authenticated caller.
     pub caller: Option<Arc<Caller>>,
-    /// What it takes up of its caller's concurrency quota.
+    /// Its part of the caller's concurrency quota.
     pub quota_permit: Option<ConcurrencyPermit>,
     /// The start command was sent.
     pub started: bool,
     /// Its caller was revoked before it started, or it was taken back: it must not start.
     pub must_not_start: bool,
-    /// Its replicated ownership, where its class has that.
+    /// Its replicated ownership, if its class has one.
     #[cfg(feature = "ownership")]
     pub ownership: Option<OwnedTask>,
     /// The call that its run waits for.
@@ -110,7 +111,7 @@
     }
 }
 
-/// What a log line says of a task.
+/// The fields that identify a task in a log line.
 #[derive(Default)]
 pub struct LogFields {
     /// Its request id.
--- a/crates/asterdale-engine/src/tasks/table.rs
+++ b/crates/asterdale-engine/src/tasks/table.rs
@@ -19,7 +19,7 @@
 use crate::ownership::OwnershipTable;
 use crate::records::Records;
 
-/// What a task table starts with.
+/// What a task table is created with.
 pub struct TasksInit {
     /// The engine's time, in milliseconds.
     pub now: f64,
@@ -42,23 +42,23 @@
     pub log: Log,
 }
 
-/// All state but that of the policies: what their actions act on.
+/// All state of the engine that the policies' actions change. The state of the policies is not part of it.
 pub struct Tasks {
     /// Settings of the policies.
     pub settings: Arc<Settings>,
     /// The engine's time at the message that is being handled, in milliseconds.
     pub now: f64,
-    /// When the policies want their next tick.
+    /// When the next tick of the policies is due.
     pub next_tick_at: f64,
     /// The tasks, by the index of their handle.
     pub slots: Vec<Option<TaskRecord>>,
-    /// Handles of the tasks that are not over, by request id.
+    /// Handles of the tasks that are not released, by request id.
     pub by_id: HashMap<RequestId, Handle>,
-    /// The same by task number.
+    /// The same handles, by task number.
     pub by_number: HashMap<TaskId, Handle>,
     /// Handles of the tasks that are not answered, by route.
     pub by_route: HashMap<ResponseRoute, Handle>,
-    /// The last task number given out.
+    /// The last task number that was assigned.
     pub last_number: TaskId,
     /// The task that is being received, until the policies give it a handle.
     pub arriving: Option<TaskRecord>,
@@ -66,14 +66,14 @@
     pub idempotency: IdempotencyTable,
     /// Authentication and authorization of callers.
     pub identity_gate: IdentityGate,
-    /// Tasks that joined an earlier attempt whose end is known, with its result. Like the two queues below, they are
-    /// reported to the policies once the policies have returned.
+    /// Tasks that joined an earlier attempt that has ended, with its result. Like the entries of the two queues below,
+    /// they are reported to the policies once the current call to the policies has returned.
     pub joined_results: VecDeque<(TaskId, Option<Arc<[u8]>>)>,
     /// Tasks whose call could not be made.
     pub calls_not_made: VecDeque<TaskId>,
     /// Tasks that were not started.
     pub runs_not_started: VecDeque<TaskId>,
-    /// Receives what the old process must know, should this one end.
+    /// Reports to the old process what it needs to take the work back if this process ends.
     #[cfg(feature = "hot-restart")]
     pub mirror: Option<Mirror>,
     /// Tasks that the new process started before this one took its work back.
@@ -88,9 +88,9 @@
     pub records: Records,
     /// All connections.
     pub frontends: Arc<dyn Frontends>,
-    /// The policies' verdict: health checks pass.
+    /// The policies' verdict: whether health checks pass.
     pub is_healthy: bool,
-    /// The verdict holds for deep health checks as well; else the runtime is asked.
+    /// Whether the verdict also applies to deep health checks; otherwise the runtime is asked.
     pub health_is_cached: bool,
     /// Counters.
     pub counters: Arc<Counters>,
@@ -142,7 +142,7 @@
         self.slots.get_mut(task.index())?.as_mut()
     }
 
-    /// What a log line says of a task; empty for one that is over.
+    /// The fields that identify a task in a log line; empty for a task that has ended.
     pub fn log_fields(&self, task: Option<Handle>) -> LogFields {
         let Some(record) = task.and_then(|task| self.task(task)) else {
             return LogFields::default();
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Answers a task that is still waited for; no other place does. `false` if nobody waits for it.
+    /// Answers a task whose client still waits; no other place does. Returns `false` if no client waits.
     pub fn answer(&mut self, task: Handle, reply: Reply) -> bool {
         let Some(responder) = self
             .task_mut(task)
@@ -171,12 +171,12 @@
         true
     }
 
-    /// Answers a task with a result. `false` if nobody waits for it.
+    /// Answers a task with a result. Returns `false` if no client waits.
     pub fn answer_served(&mut self, task: Handle, result: Arc<[u8]>) -> bool {
         self.answer(task, Reply::Served(result))
     }
 
-    /// Answers a task, if it is still waited for, that it failed.
+    /// Answers a task as failed, if its client still waits.
     pub fn answer_failed(&mut self, task: Handle) {
         if self.answer(task, Reply::Failed) {
             self.counters.tasks_failed.add();
