--- a/crates/asterdale-engine/src/engine/admission.rs
+++ b/crates/asterdale-engine/src/engine/admission.rs
@@ -183,7 +183,7 @@
             }
         }
         #[cfg(not(feature = "ownership"))]
-        debug_assert!(!is_looked_up, "there is nobody to ask");
+        debug_assert!(!is_looked_up, "only the `ownership` feature has lookups");
         let quota_permit = match tasks.reserve(&arrived) {
             Ok(quota_permit) => quota_permit,
             Err(reply) => return arrived.request.answer(reply),
--- a/crates/asterdale-engine/src/http.rs
+++ b/crates/asterdale-engine/src/http.rs
@@ -94,7 +94,7 @@
         let head_length = match head.parse(received) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) if received.len() > MAX_PART_BYTES => {
-                return Err(malformed("the head is too long"))
+                return Err(malformed("the response head is too long"))
             }
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(_) => return Err(malformed("the response is not HTTP/1.1")),
@@ -129,10 +129,10 @@
         named.map(|field| field.value.trim_ascii())
     };
     if fields("transfer-encoding").next().is_some() {
-        return Err(malformed("the body is chunked"));
+        return Err(malformed("transfer encodings are not supported"));
     }
     let length = body_length(fields("content-length"), status)
-        .ok_or_else(|| malformed("the body's length is unclear"))?;
+        .ok_or_else(|| malformed("the Content-Length field is missing or invalid"))?;
     let Some(body) = rest.get(..length) else {
         return Ok(None);
     };
--- a/crates/asterdale-engine/src/idempotency/tests.rs
+++ b/crates/asterdale-engine/src/idempotency/tests.rs
@@ -47,7 +47,7 @@
     assert_eq!(table.complete(&key(), 1, 10.0, Some(vec![7].into())), [9]);
     assert!(
         table.complete(&key(), 1, 11.0, None).is_empty(),
-        "it ends once"
+        "a task ends only once"
     );
     assert!(matches!(table.join(&key(), 10), EntryState::Served(result) if *result == [7]));
 }
--- a/crates/asterdale-engine/src/runtime/mod.rs
+++ b/crates/asterdale-engine/src/runtime/mod.rs
@@ -45,7 +45,7 @@
     Read(#[source] io::Error),
     #[error("the runtime closed the link")]
     Closed,
-    #[error("a line is malformed")]
+    #[error("the runtime sent a malformed line")]
     MalformedLine,
 }
 
