--- a/crates/asterdale-engine/src/runtime_events/link.rs
+++ b/crates/asterdale-engine/src/runtime_events/link.rs
@@ -119,7 +119,8 @@
     }
 
     /// Handles the replacement of the runtime process by another one, which restarts the sequence numbers of its
-    /// notices. Commands to the earlier one may have run, and their outcome will never be known: those runs fail.
+    /// notices. Runs whose start was sent to the earlier process may have run, and their outcome will never be known:
+    /// they are treated as failed.
     fn runtime_replaced(&mut self) {
         static REPLACED: LogLimit = LogLimit::new();
         let may_have_run = |record: &&TaskRecord| {
