--- a/crates/asterdale-engine/src/exchange.rs
+++ b/crates/asterdale-engine/src/exchange.rs
@@ -7,7 +7,7 @@
 use mio::net::TcpStream;
 use mio::{Interest, Poll, Token};
 
-use crate::http::{Collector, Reply};
+use crate::http::{Response, ResponseBuffer};
 
 /// The size of the read buffer, in bytes: responses are seldom longer.
 const CHUNK_BYTES: usize = 4096;
@@ -18,11 +18,11 @@
     is_connected: bool,
     /// The part of the request that is not yet written.
     unwritten: Vec<u8>,
-    reply: Collector,
+    response: ResponseBuffer,
 }
 
 impl Exchange {
-    /// Starts connecting. Events of the poll with this token indicate when to call [`Exchange::go_on`].
+    /// Starts connecting. Events of the poll with this token indicate when to call [`Exchange::advance`].
     ///
     /// # Errors
     /// The system cannot create the connection or register it with the poll.
@@ -41,7 +41,7 @@
             stream,
             is_connected: false,
             unwritten: request,
-            reply: Collector::default(),
+            response: ResponseBuffer::default(),
         })
     }
 
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// The connection fails, or the response is malformed.
-    pub(crate) fn go_on(&mut self) -> io::Result<Option<Reply>> {
+    pub(crate) fn advance(&mut self) -> io::Result<Option<Response>> {
         if !self.is_connected && !self.connect()? {
             return Ok(None);
         }
@@ -91,14 +91,14 @@
         Ok(true)
     }
 
-    fn read(&mut self) -> io::Result<Option<Reply>> {
+    fn read(&mut self) -> io::Result<Option<Response>> {
         let mut chunk = [0; CHUNK_BYTES];
         loop {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Ok(length) => {
-                    if let Some(reply) = self.reply.take(&chunk[..length])? {
-                        return Ok(Some(reply));
+                    if let Some(response) = self.response.push(&chunk[..length])? {
+                        return Ok(Some(response));
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
--- a/crates/asterdale-engine/src/health_check.rs
+++ b/crates/asterdale-engine/src/health_check.rs
@@ -10,7 +10,7 @@
 /// A deep health check in progress.
 pub struct HealthCheck {
     responder: Responder,
-    since: Instant,
+    started_at: Instant,
 }
 
 impl HealthCheck {
@@ -18,13 +18,13 @@
     pub fn new(responder: Responder) -> HealthCheck {
         HealthCheck {
             responder,
-            since: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
     /// Whether it has timed out.
     pub fn is_expired(&self) -> bool {
-        self.since.elapsed() >= TIMEOUT
+        self.started_at.elapsed() >= TIMEOUT
     }
 
     /// Answers the health check.
--- a/crates/asterdale-engine/src/http.rs
+++ b/crates/asterdale-engine/src/http.rs
@@ -19,7 +19,7 @@
 
 /// A response.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Reply {
+pub struct Response {
     /// Its status code.
     pub status: u16,
     /// Whether it carries `Op-Not-Begun: 1`, which says that the request had no effect.
@@ -36,22 +36,22 @@
 
 /// Collects the bytes of one response until it is complete.
 #[derive(Default)]
-pub struct Collector {
+pub struct ResponseBuffer {
     received: Vec<u8>,
 }
 
-impl Collector {
+impl ResponseBuffer {
     /// Appends received bytes. Returns the response once it is complete; bytes after it are ignored.
     ///
     /// # Errors
     /// The response is malformed or too long.
-    pub fn take(&mut self, bytes: &[u8]) -> io::Result<Option<Reply>> {
+    pub fn push(&mut self, bytes: &[u8]) -> io::Result<Option<Response>> {
         self.received.extend_from_slice(bytes);
         match parse(&self.received)? {
             None if self.received.len() > 2 * MAX_PART_BYTES => {
                 Err(malformed("the response is too long"))
             }
-            reply => Ok(reply),
+            response => Ok(response),
         }
     }
 }
@@ -60,8 +60,8 @@
 ///
 /// # Errors
 /// The deadline passes, the connection fails, or the response is malformed.
-pub fn reply(mut stream: &TcpStream, deadline: Instant) -> io::Result<Reply> {
-    let mut collector = Collector::default();
+pub fn read_response(mut stream: &TcpStream, deadline: Instant) -> io::Result<Response> {
+    let mut buffer = ResponseBuffer::default();
     let mut chunk = [0; CHUNK_BYTES];
     loop {
         let remaining = deadline.saturating_duration_since(Instant::now());
@@ -72,8 +72,8 @@
         match stream.read(&mut chunk) {
             Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(length) => {
-                if let Some(reply) = collector.take(&chunk[..length])? {
-                    return Ok(reply);
+                if let Some(response) = buffer.push(&chunk[..length])? {
+                    return Ok(response);
                 }
             }
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -87,7 +87,7 @@
 
 /// Parses the response at the start of these bytes; `None` while it is incomplete. Interim responses before it are
 /// skipped.
-fn parse(mut received: &[u8]) -> io::Result<Option<Reply>> {
+fn parse(mut received: &[u8]) -> io::Result<Option<Response>> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
@@ -120,7 +120,7 @@
     head: &httparse::Response<'_, '_>,
     status: u16,
     rest: &[u8],
-) -> io::Result<Option<Reply>> {
+) -> io::Result<Option<Response>> {
     let fields = |name: &'static str| {
         let named = head
             .headers
@@ -137,7 +137,7 @@
         return Ok(None);
     };
     let mut tags = fields("etag");
-    Ok(Some(Reply {
+    Ok(Some(Response {
         status,
         never_ran: fields("op-not-begun").next() == Some(b"1"),
         tag: tags
--- a/crates/asterdale-engine/src/http/tests.rs
+++ b/crates/asterdale-engine/src/http/tests.rs
@@ -8,7 +8,7 @@
     for cut in 0..text.len() {
         assert!(parse(&text[..cut]).unwrap().is_none(), "cut at {cut}");
     }
-    let expected = Reply {
+    let expected = Response {
         status: 503,
         never_ran: true,
         tag: None,
@@ -41,7 +41,7 @@
 fn interim_responses_and_trailing_bytes_are_skipped() {
     let text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n\
         HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Le\xff";
-    let expected = Reply {
+    let expected = Response {
         status: 200,
         never_ran: false,
         tag: None,
--- a/crates/asterdale-engine/src/idempotency/tests.rs
+++ b/crates/asterdale-engine/src/idempotency/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn repeats_are_known_by_arrival_time_however_late_they_are_read() {
+fn repeats_are_recognized_by_arrival_time_even_if_read_late() {
     let mut table = table();
     table.complete(&key(), 1, 10.0, Some(vec![1].into()));
     table.sweep(1040.0);
@@ -55,18 +55,18 @@
 #[test]
 fn known_key_with_another_body_is_detected() {
     let mut table = table();
-    let (sold, other) = (table.digest(b"sold"), table.digest(b"other"));
+    let (original, other) = (table.digest(b"original"), table.digest(b"other"));
     let owner = Owner {
         task: 2,
-        body_digest: sold,
+        body_digest: original,
     };
     table.retain(key(), owner, 1000.0, None);
-    assert!(table.has_other_body(&key(), other) && !table.has_other_body(&key(), sold));
+    assert!(table.has_other_body(&key(), other) && !table.has_other_body(&key(), original));
     assert!(!table.has_other_body(&key_of_other_class(), other));
 }
 
 #[test]
-fn only_the_owner_drops_its_entry_and_that_releases_the_joined() {
+fn only_the_owner_drops_its_entry_and_the_joined_tasks_are_returned() {
     let mut table = table();
     table.join(&key(), 9);
     assert!(table.forget(&key(), 2).is_empty() && table.is_repeat(&key(), 0.0));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn pending_task_outlives_its_window_and_its_late_end_leaves_the_successor_alone() {
+fn pending_task_is_retained_after_its_window_and_its_late_end_does_not_affect_a_newer_entry() {
     let mut table = table();
     table.sweep(9000.0);
     assert_eq!(table.len(), 1);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn results_over_the_memory_bound_are_not_cached_but_their_repeats_are_known() {
+fn results_over_the_memory_bound_are_not_cached_but_repeats_are_recognized() {
     let mut table = table();
     table.complete(&key(), 1, 10.0, Some(vec![0; 2049].into()));
     assert!(table.is_repeat(&key(), 500.0));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn table_is_full_at_its_part_of_the_memory() {
+fn table_is_full_at_its_memory_bound() {
     let mut table = table();
     assert!(!table.is_full());
     table.retain(key_of_other_class(), owner(2), 1000.0, None);
--- a/crates/asterdale-engine/src/issuer.rs
+++ b/crates/asterdale-engine/src/issuer.rs
@@ -143,11 +143,11 @@
         None => [head.as_bytes(), b"\r\n", b"", b""],
     };
     vectored_write::write(&stream, &mut slices.map(IoSlice::new)).map_err(|(_, error)| error)?;
-    let reply = http::reply(&stream, deadline)?;
-    match reply.status {
+    let response = http::read_response(&stream, deadline)?;
+    match response.status {
         200 => Ok(Some(FetchedSet {
-            set: reply.body,
-            tag: reply.tag,
+            set: response.body,
+            tag: response.tag,
         })),
         304 if tag.is_some() => Ok(None),
         other => Err(io::Error::other(format!("status {other}"))),
--- a/crates/asterdale-engine/src/message/ports.rs
+++ b/crates/asterdale-engine/src/message/ports.rs
@@ -50,7 +50,7 @@
     /// A digest of a request body, equal in all processes.
     fn body_digest(&self, body: &[u8]) -> u64;
     /// Sends a request. Its answer arrives as a message to the engine with this number.
-    fn request(&self, number: u64, want: OwnershipRequest);
+    fn request(&self, number: u64, request: OwnershipRequest);
     /// Cancels a request whose answer is no longer needed.
     fn cancel(&self, number: u64);
     /// Reports that no run was started under the claim with this fence.
--- a/crates/asterdale-engine/src/records/mod.rs
+++ b/crates/asterdale-engine/src/records/mod.rs
@@ -13,7 +13,7 @@
 use crossbeam_channel::Sender;
 use mio::{Events, Poll, Token};
 
-use self::protocol::{connect_outcome, exchange_outcome, reply_outcome, request_bytes};
+use self::protocol::{connect_outcome, exchange_outcome, request_bytes, response_outcome};
 use crate::counters::Counters;
 use crate::exchange::Exchange;
 use crate::log::{Log, LogLimit};
@@ -115,12 +115,12 @@
     /// Makes calls until the engine has ended.
     pub fn serve(mut self) {
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
-        while self.turn(&mut events).is_ok() {}
+        while self.run_once(&mut events).is_ok() {}
     }
 
     /// One iteration of the event loop. All events of the iteration are handled even if the first one shows that the
     /// engine has ended.
-    fn turn(&mut self, events: &mut Events) -> Result<(), EngineGone> {
+    fn run_once(&mut self, events: &mut Events) -> Result<(), EngineGone> {
         let next_deadline = self.deadlines.first();
         let wait =
             next_deadline.map(|&(deadline, _)| deadline.saturating_duration_since(Instant::now()));
@@ -165,7 +165,7 @@
             Err(e) => {
                 let outcome = connect_outcome(&e);
                 if outcome == Outcome::Unreachable && e.kind() != io::ErrorKind::ConnectionRefused {
-                    self.report_unmade(&call, &e);
+                    self.report_call_not_made(&call, &e);
                 }
                 self.report_end(&call, outcome, Vec::new())
             }
@@ -173,10 +173,10 @@
     }
 
     /// Reports a call for which the system refused the resources of a connection.
-    fn report_unmade(&self, call: &Call, error: &io::Error) {
-        static UNMADE: LogLimit = LogLimit::new();
+    fn report_call_not_made(&self, call: &Call, error: &io::Error) {
+        static NOT_MADE: LogLimit = LogLimit::new();
         self.counters.calls_unmade.add();
-        if self.log.allows(&UNMADE) {
+        if self.log.allows(&NOT_MADE) {
             slog::error!(self.log.lines, "records: call could not be made"; "error" => %error,
                 "id" => request_id_text(&call.id), "open_calls" => self.open.len());
         }
@@ -187,9 +187,9 @@
         let Some(open) = self.open.get_mut(&number) else {
             return Ok(());
         };
-        match open.exchange.go_on() {
+        match open.exchange.advance() {
             Ok(None) => Ok(()),
-            Ok(Some(reply)) => self.end(number, reply_outcome(&reply), reply.body),
+            Ok(Some(response)) => self.end(number, response_outcome(&response), response.body),
             Err(e) => {
                 let outcome = if open.exchange.connected() {
                     exchange_outcome(&e)
--- a/crates/asterdale-engine/src/records/protocol.rs
+++ b/crates/asterdale-engine/src/records/protocol.rs
@@ -6,7 +6,7 @@
 
 use asterdale::events::Outcome;
 
-use crate::http::Reply;
+use crate::http::Response;
 use crate::message::{request_id_text, Call};
 
 /// Linux error numbers for a process or a machine that has no file descriptor or no buffer left.
@@ -47,8 +47,8 @@
 }
 
 /// The outcome that a response proves.
-pub(super) fn reply_outcome(reply: &Reply) -> Outcome {
-    match (reply.status, reply.never_ran) {
+pub(super) fn response_outcome(response: &Response) -> Outcome {
+    match (response.status, response.never_ran) {
         (200, _) => Outcome::Ok,
         (503, true) => Outcome::Rejected,
         (409, true) => Outcome::Stale,
--- a/crates/asterdale-engine/src/records/protocol/tests.rs
+++ b/crates/asterdale-engine/src/records/protocol/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn only_not_begun_responses_prove_that_nothing_ran() {
-    let reply = |status, never_ran| Reply {
+    let response = |status, never_ran| Response {
         status,
         never_ran,
         tag: None,
@@ -21,7 +21,7 @@
         (504, false, Outcome::TimedOut),
         (302, false, Outcome::Failed),
     ] {
-        let actual = reply_outcome(&reply(status, never_ran));
+        let actual = response_outcome(&response(status, never_ran));
         assert_eq!(actual, expected, "{status} {never_ran}");
         assert_eq!(actual.never_ran(), never_ran && matches!(status, 503 | 409));
     }
--- a/crates/asterdale-engine/src/registry.rs
+++ b/crates/asterdale-engine/src/registry.rs
@@ -11,7 +11,7 @@
 
 use crate::counters::Counters;
 use crate::exchange::Exchange;
-use crate::http::Reply;
+use crate::http::Response;
 use crate::log::{Log, LogLimit};
 use crate::mailbox::{self, MailboxReceiver, MailboxSender};
 use crate::message::RegistryCommand;
@@ -116,7 +116,7 @@
             let _ = self.poll.poll(&mut events, self.wait());
             let commands: Vec<RegistryCommand> = self.mailbox.take().collect();
             for command in commands {
-                self.obey(command);
+                self.handle_command(command);
             }
             for event in &events {
                 self.advance(event.token().0);
@@ -138,7 +138,7 @@
     }
 
     /// Carries out a command, and reports at once. Reports in flight are dropped, because their content is outdated.
-    fn obey(&mut self, command: RegistryCommand) {
+    fn handle_command(&mut self, command: RegistryCommand) {
         match command {
             RegistryCommand::Drain => self.state = ReportedState::Draining,
             RegistryCommand::SetAddress(address) => self.address = address,
@@ -179,12 +179,12 @@
             return;
         };
         let start = report.start;
-        let error = match report.exchange.go_on() {
+        let error = match report.exchange.advance() {
             Ok(None) => return,
-            Ok(Some(Reply {
+            Ok(Some(Response {
                 status: NO_CONTENT, ..
             })) => return self.report_accepted(start),
-            Ok(Some(reply)) => io::Error::other(format!("status {}", reply.status)),
+            Ok(Some(response)) => io::Error::other(format!("status {}", response.status)),
             Err(e) => e,
         };
         self.open.remove(&number);
--- a/crates/asterdale-engine/src/runtime/mod.rs
+++ b/crates/asterdale-engine/src/runtime/mod.rs
@@ -99,11 +99,11 @@
         let mut is_reported = false;
         loop {
             for command in self.commands.try_iter() {
-                self.obey(command);
+                self.handle_command(command);
             }
             while self.is_paused {
                 let command = self.commands.recv().map_err(|_| EngineGone)?;
-                self.obey(command);
+                self.handle_command(command);
             }
             let (error, is_settled) = match TcpStream::connect_timeout(&self.address, IO_TIMEOUT) {
                 Ok(stream) => {
@@ -119,13 +119,13 @@
             if !is_settled {
                 // A command ends the delay: it usually sets a new address.
                 if let Ok(command) = self.commands.recv_timeout(RECONNECT_PAUSE) {
-                    self.obey(command);
+                    self.handle_command(command);
                 }
             }
         }
     }
 
-    fn obey(&mut self, command: RuntimeLinkCommand) {
+    fn handle_command(&mut self, command: RuntimeLinkCommand) {
         match command {
             RuntimeLinkCommand::SetAddress(address) => self.address = address,
             RuntimeLinkCommand::SetPaused(is_paused) => self.is_paused = is_paused,
@@ -147,7 +147,7 @@
         let _ = stream.set_write_timeout(Some(IO_TIMEOUT));
         let (to_writer, lines) = bounded(MAX_QUEUED_LINES);
         let (done, writer_done) = bounded(0);
-        self.tell_engine(EngineMessage::RuntimeConnected(to_writer))?;
+        self.send_to_engine(EngineMessage::RuntimeConnected(to_writer))?;
         let job = WriterJob {
             stream: stream.clone(),
             lines,
@@ -158,7 +158,7 @@
         // Fails if the writer or the peer has already shut it down.
         let _ = stream.shutdown(Shutdown::Both);
         // The engine then drops the sender of commands, after which the writer is done with this link.
-        self.tell_engine(EngineMessage::RuntimeDisconnected)?;
+        self.send_to_engine(EngineMessage::RuntimeDisconnected)?;
         // Nothing is ever sent on this channel: this returns when the writer drops its end.
         let _ = writer_done.recv();
         Ok((error, start.elapsed() >= SETTLED_AFTER))
@@ -176,7 +176,7 @@
                 Err(e) => return Ok(LinkError::Read(e)),
             }
             if let Some(notice) = protocol::parse(&line) {
-                self.tell_engine(EngineMessage::RuntimeNotice(notice))?;
+                self.send_to_engine(EngineMessage::RuntimeNotice(notice))?;
                 continue;
             }
             self.counters.runtime_lines_malformed.add();
@@ -186,7 +186,7 @@
         }
     }
 
-    fn tell_engine(&self, message: EngineMessage) -> Result<(), EngineGone> {
+    fn send_to_engine(&self, message: EngineMessage) -> Result<(), EngineGone> {
         self.engine.send(message).map_err(|_| EngineGone)
     }
 }
--- a/crates/asterdale-engine/src/tasks/commands.rs
+++ b/crates/asterdale-engine/src/tasks/commands.rs
@@ -72,7 +72,7 @@
     fn line_to_resend(&self, index: usize) -> Option<String> {
         let record = self.slots[index].as_ref()?;
         let command = record.last_command.as_ref()?;
-        let may_go = command.needs_resend && command.may_be_resent(record.responder.is_none());
-        may_go.then(|| command.line.clone())
+        let may_resend = command.needs_resend && command.may_be_resent(record.responder.is_none());
+        may_resend.then(|| command.line.clone())
     }
 }
