--- a/crates/asterdale-engine/src/message/links.rs
+++ b/crates/asterdale-engine/src/message/links.rs
@@ -54,7 +54,7 @@
 /// A notice from the runtime.
 #[derive(Debug, PartialEq)]
 pub enum RuntimeNotice {
-    /// The reply to `sync`.
+    /// The reply to the `sync` command.
     Ready {
         /// Whether the runtime started without warm state.
         slow_start: bool,
--- a/crates/asterdale-engine/src/message/mod.rs
+++ b/crates/asterdale-engine/src/message/mod.rs
@@ -1,5 +1,5 @@
 //! Messages between actors, and the ports through which the engine reaches the other parts of the process. Plain data
-//! and traits: nothing here imports an actor.
+//! and traits: nothing here depends on an actor.
 
 mod engine;
 #[cfg(feature = "hot-restart")]
--- a/crates/asterdale-engine/src/message/request.rs
+++ b/crates/asterdale-engine/src/message/request.rs
@@ -1,4 +1,4 @@
-//! A request, its identifiers, and its one reply.
+//! A request, its identifiers, and its single reply.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Identifies repeats of a request: an idempotency key, or what a read is about, within its request class and tenant.
+/// Identifies repeats of a request: an idempotency key, or the object of a read, within its request class and tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[cfg_attr(feature = "hot-restart", derive(serde::Serialize, serde::Deserialize))]
 pub struct IdempotencyKey {
@@ -126,22 +126,22 @@
     Rejected {
         /// No other backend should be tried.
         is_final: bool,
-        /// Advice not to send more for this many milliseconds; 0 for no advice.
+        /// Advice to send no further requests for this many milliseconds; 0 for no advice.
         retry_after_ms: u64,
     },
     /// Rejected by a limit of this process before the admission policy saw it: this attempt never ran.
     Overloaded,
-    /// Failed; nothing is said about whether it ran.
+    /// Failed. The reply does not state whether the request ran.
     Failed,
     /// It may have run, here or on another backend, and its outcome is unknown now. It will not run again under its
     /// idempotency key.
     Unknown {
-        /// Advice to ask again after this many milliseconds; 0 for no advice.
+        /// Advice to retry after this many milliseconds; 0 for no advice.
         retry_after_ms: u64,
     },
-    /// A parameter is missing or invalid. Nothing is said about whether it ran.
+    /// A parameter is missing or invalid. The reply does not state whether the request ran.
     Malformed,
-    /// The client no longer waits. Nothing is said about whether it ran.
+    /// The client no longer waits. The reply does not state whether the request ran.
     CallerGone,
     /// The result of a health check.
     HealthChecked(bool),
--- a/crates/asterdale-engine/src/runtime_events/health.rs
+++ b/crates/asterdale-engine/src/runtime_events/health.rs
@@ -25,7 +25,7 @@
         tasks.send(protocol::self_test(&tag.to_string()));
     }
 
-    /// The runtime's verdict on a deep health check.
+    /// Handles the runtime's verdict on a deep health check.
     pub(super) fn health_verdict(&mut self, tag: &str, is_healthy: bool) {
         let check = tag
             .parse()
--- a/crates/asterdale-engine/src/runtime_events/notices.rs
+++ b/crates/asterdale-engine/src/runtime_events/notices.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A run waits for a call to the records service.
+    /// Handles a run that waits for a call to the records service.
     fn call_needed(&mut self, id: &RequestId, call: PendingCall) {
         let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
             return;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A run has ended, or was never started.
+    /// Handles the end of a run, or a run that was never started.
     pub(super) fn run_ended(&mut self, id: &RequestId, outcome: RunOutcome, body: Vec<u8>) {
         let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
             return;
@@ -139,7 +139,7 @@
         task.run_ended(server, tasks.now, policy_outcome, tasks);
     }
 
-    /// A call to the records service has ended.
+    /// Handles the end of a call to the records service.
     pub(crate) fn call_ended(
         &mut self,
         number: TaskId,
--- a/crates/asterdale-engine/src/tasks/table.rs
+++ b/crates/asterdale-engine/src/tasks/table.rs
@@ -25,7 +25,7 @@
     pub now: f64,
     /// Settings of the policies.
     pub settings: Arc<Settings>,
-    /// The idempotency keys.
+    /// The idempotency table.
     pub idempotency: IdempotencyTable,
     /// Authentication and authorization of callers.
     pub identity_gate: IdentityGate,
@@ -62,7 +62,7 @@
     pub last_number: TaskId,
     /// The task that is being received, until the policies give it a handle.
     pub arriving: Option<TaskRecord>,
-    /// The idempotency keys.
+    /// The idempotency table.
     pub idempotency: IdempotencyTable,
     /// Authentication and authorization of callers.
     pub identity_gate: IdentityGate,
