--- a/crates/asterdale-engine/src/draining.rs
+++ b/crates/asterdale-engine/src/draining.rs
@@ -13,8 +13,8 @@
 /// The share of that allowance for which the engine waits for connections to close; the rest is for the exit of the
 /// process.
 const CLOSE_WAIT_SHARE: f64 = 0.8;
-/// The interval between attempts to close connections without open requests. It is longer than the time in which a
-/// request can still arrive that was sent before the edge node saw the close.
+/// The interval between attempts to close connections without open requests. It is longer than the time that a request
+/// takes to arrive if the edge node sent it before it saw the close.
 const CLOSE_INTERVAL: Duration = Duration::from_millis(50);
 /// The longest wait for a message while connections are being closed.
 const MESSAGE_WAIT: Duration = Duration::from_millis(2);
