--- a/crates/asterdale-engine/src/http/tests.rs
+++ b/crates/asterdale-engine/src/http/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn response_without_a_clear_end_is_malformed() {
+fn response_without_a_valid_length_is_malformed() {
     for text in [
         "HTTP/1.1 200 OK\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
--- a/crates/asterdale-engine/src/issuer.rs
+++ b/crates/asterdale-engine/src/issuer.rs
@@ -29,7 +29,7 @@
 }
 
 /// The engine has ended, and so this actor ends as well.
-struct EngineGone;
+struct EngineEnded;
 
 struct Fetcher<'a> {
     source: KeySource,
@@ -98,7 +98,7 @@
         }
     }
 
-    fn fetch_once(&mut self) -> Result<(), EngineGone> {
+    fn fetch_once(&mut self) -> Result<(), EngineEnded> {
         static FAILED: LogLimit = LogLimit::new();
         static AVAILABLE: LogLimit = LogLimit::new();
         self.refresh.on_request(self.now());
@@ -124,7 +124,7 @@
         self.tag = tag;
         self.engine
             .send(EngineMessage::KeySet(set))
-            .map_err(|_| EngineGone)
+            .map_err(|_| EngineEnded)
     }
 }
 
--- a/crates/asterdale-engine/src/records/mod.rs
+++ b/crates/asterdale-engine/src/records/mod.rs
@@ -61,7 +61,7 @@
 }
 
 /// The engine has ended, and so this actor ends as well.
-struct EngineGone;
+struct EngineEnded;
 
 /// Creates a sender of calls to this address, and the actor that makes them. No connection is made before the first
 /// call.
@@ -120,7 +120,7 @@
 
     /// One iteration of the event loop. All events of the iteration are handled even if the first one shows that the
     /// engine has ended.
-    fn run_once(&mut self, events: &mut Events) -> Result<(), EngineGone> {
+    fn run_once(&mut self, events: &mut Events) -> Result<(), EngineEnded> {
         let next_deadline = self.deadlines.first();
         let wait =
             next_deadline.map(|&(deadline, _)| deadline.saturating_duration_since(Instant::now()));
@@ -145,7 +145,7 @@
     /// Starts a call on a new connection. Connections are not reused: late bytes of one response could be read as the
     /// response to the next call, and a call on a connection that the service has already closed fails in the same way
     /// as a call that has run.
-    fn start(&mut self, AddressedCall { address, call }: AddressedCall) -> Result<(), EngineGone> {
+    fn start(&mut self, AddressedCall { address, call }: AddressedCall) -> Result<(), EngineEnded> {
         let number = self.next_number;
         // Wraps around below the mailbox's token. A number is not reused while its earlier call can still be in flight.
         self.next_number = (self.next_number + 1) % MAILBOX.0;
@@ -183,7 +183,7 @@
     }
 
     /// Continues a call whose connection is readable or writable.
-    fn advance(&mut self, number: usize) -> Result<(), EngineGone> {
+    fn advance(&mut self, number: usize) -> Result<(), EngineEnded> {
         let Some(open) = self.open.get_mut(&number) else {
             return Ok(());
         };
@@ -202,7 +202,7 @@
     }
 
     /// Ends an open call and closes its connection. This is the only place where open calls end.
-    fn end(&mut self, number: usize, outcome: Outcome, body: Vec<u8>) -> Result<(), EngineGone> {
+    fn end(&mut self, number: usize, outcome: Outcome, body: Vec<u8>) -> Result<(), EngineEnded> {
         let Some(open) = self.open.remove(&number) else {
             return Ok(());
         };
@@ -210,7 +210,7 @@
         self.report_end(&open.call, outcome, body)
     }
 
-    fn report_end(&self, call: &Call, outcome: Outcome, body: Vec<u8>) -> Result<(), EngineGone> {
+    fn report_end(&self, call: &Call, outcome: Outcome, body: Vec<u8>) -> Result<(), EngineEnded> {
         let duration_ms = call.requested_at.elapsed().as_secs_f64() * 1000.0;
         let ended = EngineMessage::CallEnded {
             task: call.task,
@@ -218,6 +218,6 @@
             duration_ms,
             body,
         };
-        self.engine.send(ended).map_err(|_| EngineGone)
+        self.engine.send(ended).map_err(|_| EngineEnded)
     }
 }
--- a/crates/asterdale-engine/src/runtime/mod.rs
+++ b/crates/asterdale-engine/src/runtime/mod.rs
@@ -50,7 +50,7 @@
 }
 
 /// The engine has ended, and so this actor ends as well.
-struct EngineGone;
+struct EngineEnded;
 
 /// The actor.
 struct LinkActor<'a> {
@@ -90,11 +90,11 @@
         writer: spawn_writer(counters, log),
     };
     // The actor ends because the engine has ended: there is nothing to report.
-    let Err(EngineGone) = actor.keep_link();
+    let Err(EngineEnded) = actor.keep_link();
 }
 
 impl LinkActor<'_> {
-    fn keep_link(mut self) -> Result<std::convert::Infallible, EngineGone> {
+    fn keep_link(mut self) -> Result<std::convert::Infallible, EngineEnded> {
         static FAILED: LogLimit = LogLimit::new();
         let mut is_reported = false;
         loop {
@@ -102,7 +102,7 @@
                 self.handle_command(command);
             }
             while self.is_paused {
-                let command = self.commands.recv().map_err(|_| EngineGone)?;
+                let command = self.commands.recv().map_err(|_| EngineEnded)?;
                 self.handle_command(command);
             }
             let (error, is_settled) = match TcpStream::connect_timeout(&self.address, IO_TIMEOUT) {
@@ -133,7 +133,7 @@
     }
 
     /// Serves one link until it ends. Returns why it ended, and whether it lasted for `SETTLED_AFTER`.
-    fn serve(&self, stream: &Arc<TcpStream>) -> Result<(LinkError, bool), EngineGone> {
+    fn serve(&self, stream: &Arc<TcpStream>) -> Result<(LinkError, bool), EngineEnded> {
         static CONNECTED: LogLimit = LogLimit::new();
         self.counters.links.add();
         if self.log.allows(&CONNECTED) {
@@ -153,7 +153,7 @@
             lines,
             done,
         };
-        self.writer.send(job).map_err(|_| EngineGone)?;
+        self.writer.send(job).map_err(|_| EngineEnded)?;
         let error = self.read_lines(stream)?;
         // Fails if the writer or the peer has already shut it down.
         let _ = stream.shutdown(Shutdown::Both);
@@ -164,7 +164,7 @@
         Ok((error, start.elapsed() >= SETTLED_AFTER))
     }
 
-    fn read_lines(&self, stream: &TcpStream) -> Result<LinkError, EngineGone> {
+    fn read_lines(&self, stream: &TcpStream) -> Result<LinkError, EngineEnded> {
         let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
         let (mut line, start) = (Vec::new(), Instant::now());
         loop {
@@ -186,8 +186,8 @@
         }
     }
 
-    fn send_to_engine(&self, message: EngineMessage) -> Result<(), EngineGone> {
-        self.engine.send(message).map_err(|_| EngineGone)
+    fn send_to_engine(&self, message: EngineMessage) -> Result<(), EngineEnded> {
+        self.engine.send(message).map_err(|_| EngineEnded)
     }
 }
 
