--- a/crates/asterdale-engine/src/runtime_events/link.rs
+++ b/crates/asterdale-engine/src/runtime_events/link.rs
@@ -76,10 +76,10 @@
         self.fail_health_checks();
     }
 
-    /// Handles the notice that the runtime is up. It resends the notices that were missed. Commands that were sent when
-    /// the last link broke may or may not have arrived. No commands are sent until the gauges request is answered,
-    /// which happens after the missed notices: so no run that has ended is started again. The request is not sent
-    /// earlier, because a runtime that is not up would reject it.
+    /// Handles the notice that the runtime is up. The runtime then resends the notices that were missed. Commands that
+    /// were sent when the last link broke may or may not have arrived. No other command is sent until the gauges
+    /// request is answered, which happens after the missed notices: so no run that has ended is started again. The
+    /// request is not sent earlier, because a runtime that is not up would reject it.
     pub(super) fn runtime_ready(&mut self, slow_start: bool, uptime_ms: f64) {
         let earlier_uptime_ms = self.runtime_uptime_ms.replace(uptime_ms);
         let is_replaced =
