--- a/crates/asterdale-engine/src/engine/queued_events.rs
+++ b/crates/asterdale-engine/src/engine/queued_events.rs
@@ -14,7 +14,7 @@
         self.by_number.get(&number).copied()
     }
 
-    /// Answers a task that joined an earlier attempt, whose end is known; the outcome for the policies.
+    /// Answers a task that joined an earlier attempt, which has ended. Returns the outcome for the policies.
     fn answer_joined(&mut self, task: Handle, result: Option<Arc<[u8]>>) -> Outcome {
         if let Some(result) = result {
             if self.answer_served(task, result) {
@@ -34,7 +34,7 @@
 impl Engine {
     /// Reports queued events to the policies until there are none: joined results first, then calls that were not
     /// made, then runs that were not started.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn report_queued_events(&mut self) {
         let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
             return;
         };
--- a/crates/asterdale-engine/src/message/request.rs
+++ b/crates/asterdale-engine/src/message/request.rs
@@ -1,4 +1,4 @@
-//! A request, its identifiers, and its one reply.
+//! A request, its identifiers, and its single reply.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Identifies repeats of a request: an idempotency key, or what a read is about, within its request class and tenant.
+/// Identifies repeats of a request: an idempotency key, or the object of a read, within its request class and tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[cfg_attr(feature = "hot-restart", derive(serde::Serialize, serde::Deserialize))]
 pub struct IdempotencyKey {
@@ -70,7 +70,7 @@
     pub class: usize,
     /// When the edge node received it, in Unix milliseconds.
     pub start_ms: f64,
-    /// Its tenant by the edge node's account, an index into the settings' list; 0 where it names none.
+    /// Its tenant as stated by the edge node, an index into the settings' list; 0 if none is stated.
     pub tenant: u32,
     /// The number of the edge node that sent it.
     pub edge_node: u32,
@@ -98,12 +98,12 @@
     pub client: Arc<dyn Connection>,
     /// Its number on that connection.
     pub request: u16,
-    /// The earliest time at which it can have arrived: everything that came before was read by then.
+    /// The earliest time at which it can have arrived: everything that arrived earlier had been read by then.
     pub received_at: Instant,
 }
 
 impl Request {
-    /// Where its response goes.
+    /// The route of its response.
     pub fn route(&self) -> ResponseRoute {
         ResponseRoute {
             connection: self.client.connection_id(),
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Answers it.
+    /// Answers this request.
     pub fn answer(self, reply: Reply) {
         self.client.answer(self.request, reply);
     }
@@ -126,22 +126,22 @@
     Rejected {
         /// No other backend should be tried.
         is_final: bool,
-        /// Advice not to send more for this many milliseconds; 0 for no advice.
+        /// Advice to send no further requests for this many milliseconds; 0 for no advice.
         retry_after_ms: u64,
     },
     /// Rejected by a limit of this process before the admission policy saw it: this attempt never ran.
     Overloaded,
-    /// Failed; nothing is said about whether it ran.
+    /// Failed. The reply does not state whether the request ran.
     Failed,
     /// It may have run, here or on another backend, and its outcome is unknown now. It will not run again under its
     /// idempotency key.
     Unknown {
-        /// Advice to ask again after this many milliseconds; 0 for no advice.
+        /// Advice to retry after this many milliseconds; 0 for no advice.
         retry_after_ms: u64,
     },
-    /// A parameter is missing or invalid. Nothing is said about whether it ran.
+    /// A parameter is missing or invalid. The reply does not state whether the request ran.
     Malformed,
-    /// The client no longer waits. Nothing is said about whether it ran.
+    /// The client no longer waits. The reply does not state whether the request ran.
     CallerGone,
     /// The result of a health check.
     HealthChecked(bool),
@@ -149,7 +149,7 @@
     Denied {
         /// The kind of denial.
         kind: DenialStatus,
-        /// Advice to come again after this many milliseconds; 0 for no advice.
+        /// Advice to retry after this many milliseconds; 0 for no advice.
         retry_after_ms: u64,
     },
 }
@@ -164,7 +164,7 @@
     fn discard_request(&self);
 }
 
-/// The right and duty to answer one request.
+/// Answers one request. Whoever holds it must make sure that the request is answered.
 #[derive(Clone)]
 pub struct Responder {
     /// The connection that the response goes to.
--- a/crates/asterdale-engine/src/runtime/mod.rs
+++ b/crates/asterdale-engine/src/runtime/mod.rs
@@ -1,4 +1,5 @@
-//! The runtime's actor: keeps the link to the runtime, and passes its lines to the engine and commands to it.
+//! The runtime's actor: maintains the link to the runtime, passes its notices to the engine, and the engine's commands
+//! to it.
 
 pub mod protocol;
 
@@ -15,20 +16,22 @@
 use crate::message::{EngineMessage, RuntimeLinkCommand};
 use crate::vectored_write;
 
-/// Command lines that wait to be written. A runtime that leaves this many unread is taken for dead.
+/// The maximum number of command lines that are queued for writing. A runtime that leaves this many unread is
+/// considered dead.
 const MAX_QUEUED_LINES: usize = 4096;
-/// Command lines that are written in one call.
+/// The maximum number of command lines that are written in one call.
 const MAX_BATCH_LINES: usize = 128;
-/// The longest line, in bytes: results have 4 KiB before their encoding.
+/// The maximum length of a line, in bytes: results have 4 KiB before they are encoded.
 const MAX_LINE_BYTES: u64 = 64 * 1024;
-/// The buffer of a link's reader, in bytes.
+/// The size of the buffer of a link's reader, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// The stack of the writer's thread, in bytes: it calls little.
+/// The stack size of the writer thread, in bytes: its calls are not deeply nested.
 const WRITER_STACK_BYTES: usize = 64 * 1024;
-/// The pause after a link that could not be made, or that did not last.
+/// The delay before reconnecting after a failure to connect, or after a link that ended before `SETTLED_AFTER`.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
-/// A malformed line on a link that is younger than this answers what every link sends at its start: it is skipped. A
-/// link that lasted longer is made again without a pause.
+/// A malformed line on a link that is younger than this is skipped: it answers what is sent at the start of every link,
+/// and would be received again on a new link. A link that has lasted longer is re-established without a delay when it
+/// ends.
 const SETTLED_AFTER: Duration = Duration::from_secs(1);
 /// The timeout of connecting and of each write.
 const IO_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -42,17 +45,17 @@
     Read(#[source] io::Error),
     #[error("the runtime closed the link")]
     Closed,
-    #[error("a line is malformed")]
+    #[error("the runtime sent a malformed line")]
     MalformedLine,
 }
 
-/// The engine is gone, and this actor ends.
-struct EngineGone;
+/// The engine has ended, and so this actor ends as well.
+struct EngineEnded;
 
 /// The actor.
 struct LinkActor<'a> {
     address: SocketAddr,
-    /// Another process holds the link; to make one would take it away.
+    /// Another process holds the link; connecting would take it away from that process.
     is_paused: bool,
     commands: &'a Receiver<RuntimeLinkCommand>,
     engine: &'a Sender<EngineMessage>,
@@ -61,7 +64,7 @@
     writer: Sender<WriterJob>,
 }
 
-/// One link's commands, for the writer.
+/// The commands of one link, for the writer.
 struct WriterJob {
     stream: Arc<TcpStream>,
     lines: Receiver<String>,
@@ -69,7 +72,7 @@
     done: Sender<()>,
 }
 
-/// Keeps a link to this address, or the one commanded last, until the engine is gone.
+/// Maintains a link to this address, or to the address set by the last command, until the engine has ended.
 pub fn run(
     address: SocketAddr,
     commands: &Receiver<RuntimeLinkCommand>,
@@ -86,21 +89,21 @@
         log,
         writer: spawn_writer(counters, log),
     };
-    // The engine's end is this actor's: there is nothing to report.
-    let Err(EngineGone) = actor.keep_link();
+    // The actor ends because the engine has ended: there is nothing to report.
+    let Err(EngineEnded) = actor.keep_link();
 }
 
 impl LinkActor<'_> {
-    fn keep_link(mut self) -> Result<std::convert::Infallible, EngineGone> {
+    fn keep_link(mut self) -> Result<std::convert::Infallible, EngineEnded> {
         static FAILED: LogLimit = LogLimit::new();
         let mut is_reported = false;
         loop {
             for command in self.commands.try_iter() {
-                self.obey(command);
+                self.handle_command(command);
             }
             while self.is_paused {
-                let command = self.commands.recv().map_err(|_| EngineGone)?;
-                self.obey(command);
+                let command = self.commands.recv().map_err(|_| EngineEnded)?;
+                self.handle_command(command);
             }
             let (error, is_settled) = match TcpStream::connect_timeout(&self.address, IO_TIMEOUT) {
                 Ok(stream) => {
@@ -114,53 +117,54 @@
                 is_reported = true;
             }
             if !is_settled {
-                // A command ends the pause: it is a new address, mostly.
+                // A command ends the delay: it usually sets a new address.
                 if let Ok(command) = self.commands.recv_timeout(RECONNECT_PAUSE) {
-                    self.obey(command);
+                    self.handle_command(command);
                 }
             }
         }
     }
 
-    fn obey(&mut self, command: RuntimeLinkCommand) {
+    fn handle_command(&mut self, command: RuntimeLinkCommand) {
         match command {
             RuntimeLinkCommand::SetAddress(address) => self.address = address,
             RuntimeLinkCommand::SetPaused(is_paused) => self.is_paused = is_paused,
         }
     }
 
-    /// Serves one link until it ends; why it did, and whether it had lasted.
-    fn serve(&self, stream: &Arc<TcpStream>) -> Result<(LinkError, bool), EngineGone> {
+    /// Serves one link until it ends. Returns why it ended, and whether it lasted for `SETTLED_AFTER`.
+    fn serve(&self, stream: &Arc<TcpStream>) -> Result<(LinkError, bool), EngineEnded> {
         static CONNECTED: LogLimit = LogLimit::new();
         self.counters.links.add();
         if self.log.allows(&CONNECTED) {
             slog::info!(self.log.lines, "runtime: link established");
         }
         let start = Instant::now();
-        // Without either option the link works, but slower, or ends later.
+        // Best effort: without these options the link works, but is slower, or its end is detected later.
         let _ = stream.set_nodelay(true);
-        // A runtime that reads nothing fills the socket: the writer must not wait for ever, or the link never ends.
+        // The socket's buffer fills up if the runtime reads nothing. Without a timeout the writer would then block
+        // forever, and the link would never end.
         let _ = stream.set_write_timeout(Some(IO_TIMEOUT));
         let (to_writer, lines) = bounded(MAX_QUEUED_LINES);
         let (done, writer_done) = bounded(0);
-        self.tell_engine(EngineMessage::RuntimeConnected(to_writer))?;
+        self.send_to_engine(EngineMessage::RuntimeConnected(to_writer))?;
         let job = WriterJob {
             stream: stream.clone(),
             lines,
             done,
         };
-        self.writer.send(job).map_err(|_| EngineGone)?;
+        self.writer.send(job).map_err(|_| EngineEnded)?;
         let error = self.read_lines(stream)?;
-        // Fails where the writer or the peer has shut it down.
+        // Fails if the writer or the peer has already shut it down.
         let _ = stream.shutdown(Shutdown::Both);
-        // The engine drops its end of the commands, and with that the writer is done with this link.
-        self.tell_engine(EngineMessage::RuntimeDisconnected)?;
-        // Nothing is ever sent: this returns when the writer drops its end.
+        // The engine then drops the sender of commands, after which the writer is done with this link.
+        self.send_to_engine(EngineMessage::RuntimeDisconnected)?;
+        // Nothing is ever sent on this channel: this returns when the writer drops its end.
         let _ = writer_done.recv();
         Ok((error, start.elapsed() >= SETTLED_AFTER))
     }
 
-    fn read_lines(&self, stream: &TcpStream) -> Result<LinkError, EngineGone> {
+    fn read_lines(&self, stream: &TcpStream) -> Result<LinkError, EngineEnded> {
         let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
         let (mut line, start) = (Vec::new(), Instant::now());
         loop {
@@ -172,7 +176,7 @@
                 Err(e) => return Ok(LinkError::Read(e)),
             }
             if let Some(notice) = protocol::parse(&line) {
-                self.tell_engine(EngineMessage::RuntimeNotice(notice))?;
+                self.send_to_engine(EngineMessage::RuntimeNotice(notice))?;
                 continue;
             }
             self.counters.runtime_lines_malformed.add();
@@ -182,13 +186,14 @@
         }
     }
 
-    fn tell_engine(&self, message: EngineMessage) -> Result<(), EngineGone> {
-        self.engine.send(message).map_err(|_| EngineGone)
+    fn send_to_engine(&self, message: EngineMessage) -> Result<(), EngineEnded> {
+        self.engine.send(message).map_err(|_| EngineEnded)
     }
 }
 
-/// Starts the writer of all links, one after the other. It is there before the first link, so that no link can fail for
-/// want of a thread; until the system grants one, there is no link. The thread ends when its sender is dropped.
+/// Starts the writer thread, which serves all links, one after the other. It is started before the first link, so that
+/// no link can fail because a thread cannot be created: until the system can create it, no link is made. The thread
+/// ends when its sender is dropped.
 fn spawn_writer(counters: &Counters, log: &Log) -> Sender<WriterJob> {
     static REFUSED: LogLimit = LogLimit::new();
     loop {
@@ -228,6 +233,6 @@
             break;
         }
     }
-    // Either side ends the link for both: the reader sees it here. It fails where the reader was first.
+    // Ends the link for the reader as well. Fails if the reader has already shut it down.
     let _ = stream.shutdown(Shutdown::Both);
 }
--- a/crates/asterdale-engine/src/runtime_events/health.rs
+++ b/crates/asterdale-engine/src/runtime_events/health.rs
@@ -1,4 +1,5 @@
-//! Health checks. Shallow ones get the policies' verdict; deep ones ask the runtime where that verdict says nothing.
+//! Health checks. Shallow ones are answered with the policies' verdict. Deep ones ask the runtime, unless that verdict
+//! already decides them.
 
 use std::sync::Arc;
 
@@ -24,7 +25,7 @@
         tasks.send(protocol::self_test(&tag.to_string()));
     }
 
-    /// The runtime's verdict on a deep health check.
+    /// Handles the runtime's verdict on a deep health check.
     pub(super) fn health_verdict(&mut self, tag: &str, is_healthy: bool) {
         let check = tag
             .parse()
@@ -35,14 +36,14 @@
         }
     }
 
-    /// No verdict will come: the deep health checks fail.
+    /// Fails the deep health checks, because no verdict will be received.
     pub(crate) fn fail_health_checks(&mut self) {
         for (_, check) in self.health_checks.drain() {
             check.answer(false);
         }
     }
 
-    /// Deep health checks that nobody waits for any more fail.
+    /// Fails the deep health checks that have timed out.
     pub(crate) fn expire_health_checks(&mut self) {
         self.health_checks.retain(|_, check| {
             let is_expired = check.is_expired();
--- a/crates/asterdale-engine/src/runtime_events/notices.rs
+++ b/crates/asterdale-engine/src/runtime_events/notices.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A run waits for a call to the records service.
+    /// Handles a run that waits for a call to the records service.
     fn call_needed(&mut self, id: &RequestId, call: PendingCall) {
         let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
             return;
@@ -60,7 +60,7 @@
             return;
         };
         record.pending_call = Some(call);
-        record.last_command = None; // the run has gone on, so it arrived
+        record.last_command = None; // the run has continued, so the command has arrived
         task.call_needed(server, tasks.now, tasks);
     }
 
@@ -72,7 +72,8 @@
             slog::error!(self.tasks.log.lines, "runtime: command rejected"; "command" => command,
                 "id" => fields.id, "class" => fields.class, "tenant" => fields.tenant);
         }
-        // Nothing runs. A run that waits at its call stays there until its task is given up.
+        // After a rejected start nothing runs. After the rejection of another command, the run waits for its call until
+        // its task is given up.
         if let (Some(id), "start") = (id, command) {
             self.run_ended(&id, RunOutcome::Noop, Vec::new());
         }
@@ -92,7 +93,7 @@
         }
     }
 
-    /// A run has ended, or was never started.
+    /// Handles the end of a run, or a run that was never started.
     pub(super) fn run_ended(&mut self, id: &RequestId, outcome: RunOutcome, body: Vec<u8>) {
         let (Some(server), tasks) = (&mut self.server, &mut self.tasks) else {
             return;
@@ -138,7 +139,7 @@
         task.run_ended(server, tasks.now, policy_outcome, tasks);
     }
 
-    /// A call to the records service has ended.
+    /// Handles the end of a call to the records service.
     pub(crate) fn call_ended(
         &mut self,
         number: TaskId,
@@ -159,7 +160,7 @@
             return;
         };
         let Some(task) = tasks.by_number.get(&number).copied() else {
-            return; // its task is over
+            return; // its task has ended
         };
         if outcome == Outcome::Ok {
             let Some(record) = tasks.task_mut(task) else {
