--- a/crates/asterdale-daemon/src/assembly/actors.rs
+++ b/crates/asterdale-daemon/src/assembly/actors.rs
@@ -12,12 +12,12 @@
 use crossbeam_channel::{unbounded, Sender};
 
 use super::{ActorContext, AssemblyError};
-use crate::start::Start;
+use crate::start::StartSettings;
 use crate::threads::spawn;
 
 /// Starts the link to the runtime. Returns the sender of its commands, which change the runtime's address.
 pub fn start_runtime_link(
-    start: &Start,
+    start: &StartSettings,
     context: &ActorContext,
 ) -> Result<Sender<RuntimeLinkCommand>, AssemblyError> {
     // Unbounded, as no command may be dropped: the last one has the runtime's address. A reload sends one at most.
@@ -36,7 +36,7 @@
 
 /// Starts the actor that reports this process to the registry. Returns the sender of its commands.
 pub fn start_registry(
-    start: &Start,
+    start: &StartSettings,
     context: &ActorContext,
 ) -> Result<MailboxSender<RegistryCommand>, AssemblyError> {
     let (sender, reporter) = registry::new(
@@ -51,7 +51,10 @@
 }
 
 /// Starts the client of the records service.
-pub fn start_records(start: &Start, context: &ActorContext) -> Result<Records, AssemblyError> {
+pub fn start_records(
+    start: &StartSettings,
+    context: &ActorContext,
+) -> Result<Records, AssemblyError> {
     let (records, call_actor) = records::new(
         start.endpoints.records,
         context.engine.clone(),
@@ -76,7 +79,7 @@
 /// Opens the journal and joins the fleet, if the start file configures them.
 #[cfg(any(feature = "fleet", feature = "journal"))]
 pub fn start_journal_and_fleet(
-    start: &Start,
+    start: &StartSettings,
     context: &ActorContext,
 ) -> Result<OwnershipPorts, AssemblyError> {
     #[cfg(feature = "journal")]
@@ -106,7 +109,7 @@
 /// Starts nothing: this build has neither journal nor fleet.
 #[cfg(not(any(feature = "fleet", feature = "journal")))]
 pub fn start_journal_and_fleet(
-    _: &Start,
+    _: &StartSettings,
     _: &ActorContext,
 ) -> Result<OwnershipPorts, AssemblyError> {
     Ok(OwnershipPorts::default())
--- a/crates/asterdale-daemon/src/assembly/frontends.rs
+++ b/crates/asterdale-daemon/src/assembly/frontends.rs
@@ -12,12 +12,12 @@
 use crate::frontend::{
     self, EventLoop, FrontendGroup, FrontendHandle, FrontendPorts, ListenerSettings, Writer,
 };
-use crate::start::Start;
+use crate::start::StartSettings;
 use crate::threads::spawn;
 
 /// The listeners that the start file configures. They share the bounds of connections and memory.
 #[cfg(feature = "tls")]
-pub fn listener_settings(start: &Start) -> Result<Vec<ListenerSettings>, AssemblyError> {
+pub fn listener_settings(start: &StartSettings) -> Result<Vec<ListenerSettings>, AssemblyError> {
     /// Numbers of TLS connections start here. Plain connections never reach such high numbers.
     const FIRST_TLS_CONNECTION: u64 = 1 << 48;
     let listener_count = 1 + usize::from(start.tls.is_some());
@@ -41,7 +41,7 @@
 
 /// The listener that the start file configures.
 #[cfg(not(feature = "tls"))]
-pub fn listener_settings(start: &Start) -> Result<Vec<ListenerSettings>, AssemblyError> {
+pub fn listener_settings(start: &StartSettings) -> Result<Vec<ListenerSettings>, AssemblyError> {
     Ok(vec![ListenerSettings {
         address: start.listen,
         first_connection: 0,
@@ -59,7 +59,7 @@
 impl Frontends {
     /// Creates a frontend for each listener.
     pub fn create(
-        start: &Start,
+        start: &StartSettings,
         listeners: &[ListenerSettings],
         context: &ActorContext,
     ) -> Result<Frontends, AssemblyError> {
--- a/crates/asterdale-daemon/src/assembly/hot_restart.rs
+++ b/crates/asterdale-daemon/src/assembly/hot_restart.rs
@@ -9,7 +9,7 @@
 
 use super::{ActorContext, AssemblyError};
 use crate::frontend::{self, ListenerSettings};
-use crate::start::Start;
+use crate::start::StartSettings;
 #[cfg(feature = "upgrade")]
 use crate::threads::spawn;
 #[cfg(feature = "upgrade")]
@@ -40,7 +40,7 @@
 impl PreviousProcess {
     /// Receives the state of the previous process, if this one was started for a hot restart.
     #[cfg(feature = "upgrade")]
-    pub fn inherit(start: &Start) -> Result<PreviousProcess, AssemblyError> {
+    pub fn inherit(start: &StartSettings) -> Result<PreviousProcess, AssemblyError> {
         let classes = start.settings.class_names.len();
         let inherited = upgrade::inherit(classes, start.max_descriptors)
             .map_err(|e| AssemblyError::HotRestart(e.into()))?;
@@ -49,7 +49,7 @@
 
     /// Inherits nothing: this build can't do hot restarts.
     #[cfg(not(feature = "upgrade"))]
-    pub fn inherit(_: &Start) -> Result<PreviousProcess, AssemblyError> {
+    pub fn inherit(_: &StartSettings) -> Result<PreviousProcess, AssemblyError> {
         Ok(PreviousProcess {})
     }
 
@@ -94,7 +94,7 @@
     #[cfg(feature = "upgrade")]
     pub fn start_control_server(
         &self,
-        start: &Start,
+        start: &StartSettings,
         sockets: &[TcpListener],
         context: &ActorContext,
     ) -> Result<(), AssemblyError> {
@@ -133,7 +133,7 @@
     #[cfg(not(feature = "upgrade"))]
     pub fn start_control_server(
         &self,
-        _: &Start,
+        _: &StartSettings,
         _: &[TcpListener],
         _: &ActorContext,
     ) -> Result<(), AssemblyError> {
--- a/crates/asterdale-daemon/src/assembly/identity.rs
+++ b/crates/asterdale-daemon/src/assembly/identity.rs
@@ -8,7 +8,7 @@
 
 use super::{ActorContext, AssemblyError};
 use crate::error::with_sources;
-use crate::start::{KeySetSource, Start};
+use crate::start::{KeySetSource, StartSettings};
 use crate::threads::spawn;
 
 /// Capacity of the mailbox of the issuer's actor, in commands.
@@ -25,7 +25,10 @@
 
 /// Creates the identity state and obtains the key set. A key set from a file is sent to the engine now; one from an
 /// issuer is sent when the issuer's actor has fetched it.
-pub fn start(start: &Start, context: &ActorContext) -> Result<CallerIdentity, AssemblyError> {
+pub fn start(
+    start: &StartSettings,
+    context: &ActorContext,
+) -> Result<CallerIdentity, AssemblyError> {
     let Some(settings) = &start.identity else {
         return Ok(CallerIdentity::default());
     };
--- a/crates/asterdale-daemon/src/assembly/mod.rs
+++ b/crates/asterdale-daemon/src/assembly/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::reload::Reload;
 use crate::signals::{self, SignalHandler};
-use crate::start::Start;
+use crate::start::StartSettings;
 use crate::threads;
 pub use error::AssemblyError;
 use frontends::Frontends;
@@ -44,7 +44,11 @@
 ///
 /// # Errors
 /// If any actor can't be started. The process must exit then, as other actors may be running.
-pub fn run(start: Start, start_file: Option<PathBuf>, log: &Log) -> Result<(), AssemblyError> {
+pub fn run(
+    start: StartSettings,
+    start_file: Option<PathBuf>,
+    log: &Log,
+) -> Result<(), AssemblyError> {
     let (engine, mailbox) = bounded(ENGINE_MAILBOX_CAPACITY);
     let context = ActorContext {
         engine,
@@ -96,7 +100,7 @@
     Ok(())
 }
 
-fn engine_settings(start: Start, identity: Option<Identity>) -> EngineSettings {
+fn engine_settings(start: StartSettings, identity: Option<Identity>) -> EngineSettings {
     EngineSettings {
         settings: start.settings,
         memory_bytes: start.memory_bytes,
@@ -107,7 +111,7 @@
 }
 
 fn signal_handler(
-    #[cfg_attr(not(feature = "upgrade"), expect(unused_variables))] start: &Start,
+    #[cfg_attr(not(feature = "upgrade"), expect(unused_variables))] start: &StartSettings,
     reload: Reload,
     context: &ActorContext,
 ) -> SignalHandler {
--- a/crates/asterdale-daemon/src/fleet/mod.rs
+++ b/crates/asterdale-daemon/src/fleet/mod.rs
@@ -20,7 +20,7 @@
 use asterdale_transport::{Transport, TransportSettings};
 use crossbeam_channel::Sender;
 
-use crate::start::{FleetSettings, OwnershipSettings, Start};
+use crate::start::{FleetSettings, OwnershipSettings, StartSettings};
 #[cfg(feature = "tools")]
 pub use command::{run, Command};
 use ownership::ReplicatedOwnership;
@@ -63,7 +63,7 @@
 
 /// Joins the fleet, if the start file configures one.
 pub fn start(
-    start: &Start,
+    start: &StartSettings,
     engine: &Sender<EngineMessage>,
     log: &Log,
     #[cfg(feature = "journal")] journal: Option<asterdale_journal::Journal>,
@@ -129,7 +129,7 @@
 }
 
 fn membership_config(
-    start: &Start,
+    start: &StartSettings,
     fleet: &FleetSettings,
     last_generation: u64,
 ) -> Result<MembershipConfig, FleetError> {
--- a/crates/asterdale-daemon/src/frontend/mod.rs
+++ b/crates/asterdale-daemon/src/frontend/mod.rs
@@ -38,7 +38,7 @@
 use crossbeam_channel::Sender;
 use mio::Poll;
 
-use crate::start::Start;
+use crate::start::StartSettings;
 use context::ConnectionContext;
 use event_loop::EventLoopSettings;
 
@@ -79,7 +79,7 @@
 /// # Errors
 /// If the poll or its waker can't be created.
 pub fn create(
-    start: &Start,
+    start: &StartSettings,
     listener: ListenerSettings,
     ports: FrontendPorts,
 ) -> io::Result<(Arc<FrontendHandle>, EventLoop)> {
@@ -98,7 +98,7 @@
 }
 
 fn connection_context(
-    start: &Start,
+    start: &StartSettings,
     listener_count: usize,
     ports: FrontendPorts,
 ) -> ConnectionContext {
@@ -124,14 +124,14 @@
 }
 
 /// The upper bound of one listener's idle connections: several times the number that edge nodes keep open for reuse.
-fn max_idle_connections(start: &Start, listener_count: usize) -> usize {
+fn max_idle_connections(start: &StartSettings, listener_count: usize) -> usize {
     (start.max_descriptors / 8 / listener_count).max(MIN_IDLE_CONNECTIONS)
 }
 
 /// The upper bound of one listener's connections. Edge nodes open at most half as many connections as there are
 /// descriptors. Some of the other descriptors are for health checks, and [`RESERVED_DESCRIPTORS`] (fewer if the limit
 /// is low) for connections that this process opens. All connections together may take at most half of the memory.
-fn max_connections(start: &Start, listener_count: usize) -> usize {
+fn max_connections(start: &StartSettings, listener_count: usize) -> usize {
     (start.max_descriptors * 3 / 4)
         .min(start.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS))
         .max(start.max_descriptors / 2)
--- a/crates/asterdale-daemon/src/frontend/tests.rs
+++ b/crates/asterdale-daemon/src/frontend/tests.rs
@@ -19,7 +19,7 @@
 use super::peer::Peer;
 use super::stream::ClientStream;
 use super::{create, FrontendPorts, ListenerSettings, OutgoingReply, Writer};
-use crate::start::Start;
+use crate::start::StartSettings;
 
 /// Bounds each wait of a test; far longer than any of them takes.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
@@ -34,7 +34,7 @@
     bytes
 }
 
-fn start_file() -> Start {
+fn start_file() -> StartSettings {
     let start = json!({"name": "n", "listen": "127.0.0.1:0", "runtime": "127.0.0.1:1", "registry":
         "127.0.0.1:1", "records": "127.0.0.1:1", "seed": "1", "stop_ms": 1, "limits": {"memory_mb": 32,
         "sockets": 64}, "settings": {"extra": {"cores": 1, "memoryKb": 1}, "lanes": [{"name": "page"}]}});
--- a/crates/asterdale-daemon/src/journal/mod.rs
+++ b/crates/asterdale-daemon/src/journal/mod.rs
@@ -24,7 +24,7 @@
 };
 use crossbeam_channel::Sender;
 
-use crate::start::{self, Start};
+use crate::start::{self, StartSettings};
 #[cfg(feature = "tools")]
 pub use command::{run, Command};
 #[cfg(feature = "fleet")]
@@ -61,7 +61,7 @@
 
 /// Opens the journal, if the start file configures one.
 pub fn start(
-    start: &Start,
+    start: &StartSettings,
     engine: &Sender<EngineMessage>,
     log: &Log,
 ) -> Result<OpenJournal, JournalError> {
--- a/crates/asterdale-daemon/src/journal/replica.rs
+++ b/crates/asterdale-daemon/src/journal/replica.rs
@@ -10,7 +10,7 @@
 use asterdale_transport::ownership::{ReplicaDisk, ReplicaStorage, StorageError};
 
 use super::JournalError;
-use crate::start::Start;
+use crate::start::StartSettings;
 
 /// Name under which the replica's identity is stored.
 pub const IDENTITY: &str = "face";
@@ -62,7 +62,10 @@
 }
 
 /// Opens the storage of this process as a replica. Returns `None` if it is not a replica or has no journal.
-pub fn open_replica_disk(start: &Start, log: &Log) -> Result<Option<ReplicaDisk>, JournalError> {
+pub fn open_replica_disk(
+    start: &StartSettings,
+    log: &Log,
+) -> Result<Option<ReplicaDisk>, JournalError> {
     let (Some(journal), Some(ownership)) = (&start.journal, &start.ownership) else {
         return Ok(None);
     };
--- a/crates/asterdale-daemon/src/reload.rs
+++ b/crates/asterdale-daemon/src/reload.rs
@@ -11,13 +11,13 @@
 
 #[cfg(feature = "tls")]
 use crate::frontend::TlsAcceptor;
-use crate::start::{self, KeySetSource, ReadKeySetError, Start, StartError};
+use crate::start::{self, KeySetSource, ReadKeySetError, StartError, StartSettings};
 
 /// Reads this start file or, if absent, the one that the environment names.
 ///
 /// # Errors
 /// Everything that is wrong with it.
-pub fn read_start(start_file: Option<&Path>) -> Result<Start, StartError> {
+pub fn read_start(start_file: Option<&Path>) -> Result<StartSettings, StartError> {
     start_file.map_or_else(start::from_environment, start::from_file)
 }
 
@@ -57,7 +57,11 @@
         self.apply(start, engine)
     }
 
-    fn apply(&self, start: Start, engine: &Sender<EngineMessage>) -> Result<bool, ReloadError> {
+    fn apply(
+        &self,
+        start: StartSettings,
+        engine: &Sender<EngineMessage>,
+    ) -> Result<bool, ReloadError> {
         let (parameters, key_source) = start
             .identity
             .map(|identity| (Box::new(identity.parameters), identity.key_source))
--- a/crates/asterdale-daemon/src/start/load.rs
+++ b/crates/asterdale-daemon/src/start/load.rs
@@ -13,7 +13,7 @@
 use super::file::StartFile;
 use super::value::Address;
 use super::{decisions, fleet, identity, journal, limits, ownership, tls, upgrade};
-use super::{FleetSettings, JournalSettings, OwnershipSettings, Start, TlsSettings};
+use super::{FleetSettings, JournalSettings, OwnershipSettings, StartSettings, TlsSettings};
 
 /// The environment variable with the path of the start file.
 const FILE_VARIABLE: &str = "ROUTER_CONFIG";
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 /// Every fault, if the variable is not set, the file can't be read, or its content is wrong.
-pub fn from_environment() -> Result<Start, StartError> {
+pub fn from_environment() -> Result<StartSettings, StartError> {
     let path = environment_variable(FILE_VARIABLE)
         .ok_or_else(|| Fault::new(FILE_VARIABLE, Problem::NotSet))?;
     load(Path::new(&path), FILE_VARIABLE)
@@ -43,11 +43,11 @@
 ///
 /// # Errors
 /// Every fault, if the file can't be read or its content is wrong.
-pub fn from_file(path: &Path) -> Result<Start, StartError> {
+pub fn from_file(path: &Path) -> Result<StartSettings, StartError> {
     load(path, FILE_FAULT_PATH)
 }
 
-fn load(path: &Path, fault_path: &str) -> Result<Start, StartError> {
+fn load(path: &Path, fault_path: &str) -> Result<StartSettings, StartError> {
     let text = std::fs::read(path).map_err(|source| {
         let file = path.display().to_string();
         Fault::new(fault_path, Problem::UnreadableFile { file, source })
@@ -67,7 +67,7 @@
     text: &[u8],
     name: Option<String>,
     listen: Option<String>,
-) -> Result<Start, StartError> {
+) -> Result<StartSettings, StartError> {
     let json: Value = serde_json::from_slice(text)
         .map_err(|e| Fault::new(FILE_FAULT_PATH, Problem::Malformed(e.to_string())))?;
     let mut faults = Faults::default();
@@ -84,7 +84,7 @@
     name: Option<String>,
     listen: Option<String>,
     faults: &mut Faults,
-) -> Start {
+) -> StartSettings {
     let endpoints = Endpoints {
         runtime: require_address("runtime", file.runtime, faults),
         registry: require_address("registry", file.registry, faults),
@@ -110,7 +110,7 @@
     let identity = file
         .identity
         .and_then(|section| identity::check(section, seed, &settings, faults));
-    Start {
+    StartSettings {
         name,
         listen,
         endpoints,
--- a/crates/asterdale-daemon/src/start/mod.rs
+++ b/crates/asterdale-daemon/src/start/mod.rs
@@ -38,7 +38,7 @@
 
 /// All settings of this process, checked.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct StartSettings {
     /// The backend's name.
     pub name: String,
     /// The address that it listens on for edge nodes.
--- a/crates/asterdale-daemon/src/token.rs
+++ b/crates/asterdale-daemon/src/token.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 use crate::keys::{parse_duration_ms, read_secret_key, unix_ms, KeysError};
-use crate::start::{self, KeySetSource, ReadKeySetError, Start, StartError};
+use crate::start::{self, KeySetSource, ReadKeySetError, StartError, StartSettings};
 
 /// The token commands. The comments on variants and fields are their help texts.
 #[derive(Subcommand)]
@@ -234,7 +234,7 @@
 
 /// Reads the start file. The process's name and address are not used here, so the environment variables for them are
 /// not read.
-fn read_start_file(path: &Path) -> Result<Start, TokenError> {
+fn read_start_file(path: &Path) -> Result<StartSettings, TokenError> {
     let text = std::fs::read(path).map_err(|source| TokenError::StartFile {
         path: path.to_owned(),
         source,
