--- a/crates/asterdale-daemon/src/start/decisions.rs
+++ b/crates/asterdale-daemon/src/start/decisions.rs
@@ -67,7 +67,7 @@
     /// For each class, in the order of `lanes`: whether its requests may call the dependency.
     #[serde(rename = "classCalls")]
     pub calls_dependency: Option<Vec<bool>>,
-    /// The server starts with cold caches and has to warm up.
+    /// The server has just started and has to warm up (slow start).
     pub cold: Option<bool>,
     /// Cores of the runtime.
     #[cfg_attr(feature = "tools", schemars(required))]
@@ -116,14 +116,14 @@
     rename_all = "camelCase"
 )]
 pub struct GuaranteesSection {
-    /// The longest time that a server with cold caches takes to warm up.
+    /// The longest time that a server that has just started takes to warm up (slow start).
     #[serde(rename = "coldNs")]
     pub warmup_ns: Option<f64>,
     /// The grace period: a request that arrives later than this after the notice to drain must not run.
     pub drain_grace_ns: Option<f64>,
     /// The number of running requests per core that a warm server can process.
     pub overload_factor: Option<f64>,
-    /// The minimum speed of a server with cold caches, as a fraction of its usual speed.
+    /// The minimum speed of a server that has just started, as a fraction of its usual speed.
     #[serde(rename = "startCapacity")]
     pub cold_capacity: Option<f64>,
 }
--- a/crates/asterdale-daemon/src/start/identity/mod.rs
+++ b/crates/asterdale-daemon/src/start/identity/mod.rs
@@ -155,7 +155,7 @@
         (Some(path), None) => Some(KeySetSource::File(path)),
         (None, Some(issuer)) => check_issuer(issuer, faults).map(KeySetSource::Issuer),
         _ => {
-            faults.add("identity.keys", "must have either file or fetch");
+            faults.add("identity.keys", "must have exactly one of file and fetch");
             None
         }
     }
--- a/crates/asterdale-daemon/src/start/identity/section.rs
+++ b/crates/asterdale-daemon/src/start/identity/section.rs
@@ -49,7 +49,7 @@
     pub certificates: Option<Vec<CertificateSection>>,
 }
 
-/// Where key sets come from: exactly one of the two fields.
+/// The source of key sets: exactly one of `file` and `fetch` must be given.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[cfg_attr(feature = "tools", derive(JsonSchema))]
 #[serde(
