--- a/crates/asterdale-daemon/src/upgrade/mod.rs
+++ b/crates/asterdale-daemon/src/upgrade/mod.rs
@@ -10,8 +10,6 @@
 mod reply;
 mod request;
 
-#[cfg(test)]
-mod stored;
 #[cfg(test)]
 mod tests;
 
--- a/crates/asterdale-daemon/src/upgrade/tests.rs
+++ b/crates/asterdale-daemon/src/upgrade/tests/mod.rs
@@ -1,5 +1,7 @@
 //! Tests of messages over a channel: descriptors, states in chunks, replies, mirrored events.
 
+mod stored_frames;
+
 use std::net::TcpListener;
 use std::os::unix::net::UnixStream;
 
--- a/crates/asterdale-daemon/src/upgrade/stored.rs
+++ b/crates/asterdale-daemon/src/upgrade/tests/stored_frames.rs
@@ -14,14 +14,14 @@
 };
 use asterdale_identity::DenialStatus;
 
-use super::channel::open_channel;
-use super::mirror::mirror_frame;
-use super::new_process::hello;
-use super::relay::{engine_message, hot_restart_step};
-use super::reply::{reply, reply_frame, route_frame};
-use super::{CONTROL_VARIABLE, NONCE_VARIABLE};
+use crate::upgrade::channel::open_channel;
+use crate::upgrade::mirror::mirror_frame;
+use crate::upgrade::new_process::hello;
+use crate::upgrade::relay::{engine_message, hot_restart_step};
+use crate::upgrade::reply::{reply, reply_frame, route_frame};
+use crate::upgrade::{CONTROL_VARIABLE, NONCE_VARIABLE};
 
-const FRAMES: &[u8] = include_bytes!("../../tests/fixtures/frames/meanings.bin");
+const FRAMES: &[u8] = include_bytes!("../../../tests/fixtures/frames/meanings.bin");
 const ROUTE: ResponseRoute = ResponseRoute {
     connection: 1 << 40,
     request: 513,
