--- a/crates/asterdale-daemon/src/upgrade/channel.rs
+++ b/crates/asterdale-daemon/src/upgrade/channel.rs
@@ -16,16 +16,16 @@
     SendAncillaryMessage, SendFlags,
 };
 
-/// The most descriptors of one message: two listeners and the control socket, and some in reserve.
+/// Maximum number of descriptors in one message: two listeners, the control socket, and some in reserve.
 const MAX_DESCRIPTORS: usize = 8;
-/// The time to write a frame. If it takes longer, the other process counts as ended.
+/// Maximum time to write a frame. If it takes longer, the other process is treated as ended.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The shortest read timeout: a socket option of zero would mean no limit.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
-/// The bytes that are read at once.
+/// Size of the read buffer.
 const READ_BYTES: usize = 64 * 1024;
 
-/// The writing half of a channel. Clones may write at the same time: frames are not mixed.
+/// The writing half of a channel. Clones may write concurrently: frames are not interleaved.
 #[derive(Clone)]
 pub struct FrameWriter {
     stream: Arc<UnixStream>,
@@ -95,7 +95,7 @@
         (&*self.stream).write_all(&bytes[sent..])
     }
 
-    /// Writes a state in chunks, each in the frame that `payload` makes of it.
+    /// Writes a state in chunks. `payload` makes the frame of a chunk.
     pub fn send_state(
         &self,
         state: &[u8],
@@ -113,15 +113,15 @@
         Ok(())
     }
 
-    /// Tells the old process that it is not needed any more.
+    /// Notifies the old process that it is no longer needed.
     pub fn send_release(&self) {
-        // It may have ended, and is not needed any more.
+        // An error is ignored: an old process that has ended needs no notice.
         let _ = self.send(Payload::Release(Release {}));
     }
 
     /// Shuts both directions down.
     pub fn shut_down(&self) {
-        // It fails only if the connection has ended.
+        // Fails only if the connection has ended.
         let _ = self.stream.shutdown(std::net::Shutdown::Both);
     }
 }
@@ -136,7 +136,7 @@
     /// Reads the next message; `None` at the end of the connection.
     ///
     /// # Errors
-    /// If reading fails, the bytes are no frame, or nothing arrived in time, which [`is_timeout`] tells.
+    /// If reading fails, the bytes are not a valid frame, or nothing arrived in time (see [`is_timeout`]).
     pub fn read(&mut self) -> io::Result<Option<Payload>> {
         loop {
             match self.decoder.next_message() {
@@ -197,7 +197,7 @@
     peer.is_ok_and(|peer| peer.uid == rustix::process::geteuid())
 }
 
-/// The address of a listener, by which the new process finds it; empty if it has none.
+/// The address of a listener, by which the new process identifies the listener; empty if it has none.
 pub fn listener_address(listener: &TcpListener) -> String {
     listener
         .local_addr()
--- a/crates/asterdale-daemon/src/upgrade/control_socket.rs
+++ b/crates/asterdale-daemon/src/upgrade/control_socket.rs
@@ -1,4 +1,5 @@
-//! The control socket: binds it, and serves the new process's hello and requests for an upgrade.
+//! The control socket: binds it and serves its connections, which carry the hello of a new process or a request for an
+//! upgrade.
 
 use std::fs;
 use std::io;
@@ -21,11 +22,11 @@
 use super::channel::{is_same_user, open_channel, FrameReader, FrameWriter};
 use super::old_process;
 
-/// The time between two looks at the control socket: short against the seconds of an upgrade.
+/// How often the control socket is polled for connections: short compared with an upgrade, which takes seconds.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(20);
-/// The time within which whoever connects has to send its first message.
+/// The time that a client has to send its first message after it has connected.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Permissions of others than the owner, of which the socket's folder must have none.
+/// Permission bits of group and others. The socket's folder must have none of them set.
 const OTHERS_MODE: u32 = 0o077;
 
 /// The control socket can't be bound.
@@ -72,45 +73,45 @@
     }
     match UnixStream::connect(path) {
         Ok(_) => return Err(BindProblem::InUse),
-        // If it can't be removed, binding fails and says why.
+        // If the file can't be removed, binding fails with the reason.
         Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => drop(fs::remove_file(path)),
         Err(_) => {}
     }
     Ok(UnixListener::bind(path)?)
 }
 
-/// A new process that has said hello.
+/// The connection of a new process that has sent its hello.
 pub struct Greeting {
-    /// To the new process.
+    /// Sends to the new process.
     pub writer: FrameWriter,
-    /// From the new process.
+    /// Receives from the new process.
     pub reader: FrameReader,
-    /// What it has said.
+    /// The hello, its first message.
     pub hello: Hello,
 }
 
-/// Serves the control socket, and holds what a process needs to hand over.
+/// Serves the control socket. Has all that this process needs to hand over to a new one.
 pub struct ControlServer {
     /// The path of the socket.
     pub path: PathBuf,
     /// The socket.
     pub socket: UnixListener,
-    /// The listeners, which a new process is given.
+    /// The listeners, which are passed to a new process.
     pub listeners: Vec<TcpListener>,
     /// The epoch that this process serves in.
     pub epoch: u64,
-    /// To the process that this one took over from.
+    /// Sends to the process that this one took over from.
     pub previous_process: Option<FrameWriter>,
-    /// To the engine.
+    /// Sends to the engine.
     pub engine: Sender<EngineMessage>,
     /// The log.
     pub log: Log,
 }
 
 impl ControlServer {
-    /// Serves whoever connects, for the life of the process.
+    /// Accepts and serves connections until the process exits.
     pub fn serve(self) {
-        // A socket that stays blocking only delays the end of a pause.
+        // If this fails, `accept` blocks, which only delays the end of a pause.
         let _ = self.socket.set_nonblocking(true);
         let shared = Arc::new(SharedControl {
             epoch: AtomicU64::new(self.epoch),
@@ -134,37 +135,38 @@
 
 /// The control server's state, shared by the threads of its connections.
 pub struct SharedControl {
-    /// What a process needs to hand over.
+    /// What this process needs to hand over to a new one.
     pub control: ControlServer,
     /// The epoch that this process serves in.
     pub epoch: AtomicU64,
     is_upgrading: AtomicBool,
-    /// A new process serves the control socket: this one accepts nothing from it.
+    /// While a new process serves the control socket, this one accepts no connections.
     is_paused: AtomicBool,
-    /// Where the next hello goes, while a new process is awaited.
+    /// The channel for the next hello; `None` if no new process is expected.
     expected_greeting: Mutex<Option<Sender<Greeting>>>,
 }
 
 impl SharedControl {
-    /// Leaves the control socket to the new process, or takes it back.
+    /// Stops accepting control connections because the new process does, or starts again.
     pub fn set_paused(&self, is_paused: bool) {
         self.is_paused.store(is_paused, Ordering::SeqCst);
     }
 
-    /// Expects the hello of a new process. Only the first one is received.
+    /// Starts to expect the hello of a new process. The receiver gets only the first hello.
     pub fn expect_greeting(&self) -> Receiver<Greeting> {
         let (sender, receiver) = bounded(1);
         *self.lock_expected_greeting() = Some(sender);
         receiver
     }
 
-    /// Drops hellos from now on, and returns where the next one would have gone.
+    /// Stops expecting a hello: those that arrive later are dropped. Returns the sender for the next hello, if one was
+    /// still expected.
     pub fn take_expected_greeting(&self) -> Option<Sender<Greeting>> {
         self.lock_expected_greeting().take()
     }
 
     fn lock_expected_greeting(&self) -> MutexGuard<'_, Option<Sender<Greeting>>> {
-        // A panic anywhere ends the program.
+        // A poisoned lock needs no handling: a panic on any thread ends the process.
         self.expected_greeting
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -174,7 +176,7 @@
     fn spawn_greeter(self: Arc<SharedControl>, stream: UnixStream) {
         let log = self.control.log.clone();
         let greeter = thread::Builder::new().name("greeter".to_owned());
-        // Without a thread the connection is closed, which whoever connected sees.
+        // If the thread can't be started the connection is closed, which the client detects.
         if let Err(e) = greeter.spawn(move || self.greet(stream)) {
             slog::error!(log.lines, "hot restart: control connection dropped"; "error" => %e);
         }
@@ -194,7 +196,7 @@
         match reader.read() {
             Ok(Some(Payload::Hello(hello))) => {
                 if let Some(greetings) = self.take_expected_greeting() {
-                    // The attempt may have ended meanwhile: then the connection is closed.
+                    // Fails if the attempt has ended meanwhile; the connection is closed then.
                     let _ = greetings.send(Greeting {
                         writer,
                         reader,
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Hands over to a new process, unless that is under way.
+    /// Hands over to a new process, unless an upgrade is already under way.
     fn upgrade(&self, program: &str, requester: &FrameWriter) {
         if self.is_upgrading.swap(true, Ordering::SeqCst) {
             return send_outcome(requester, Err("an upgrade is under way".to_owned()));
@@ -217,17 +219,17 @@
     }
 }
 
-/// A blocking channel on an accepted connection; `None` if it has ended.
+/// Opens a blocking channel on an accepted connection; `None` if the connection has ended.
 fn open_control_connection(stream: UnixStream) -> Option<(FrameWriter, FrameReader)> {
-    // If a socket option can't be set the connection has ended, which reading shows.
+    // Setting a socket option fails only if the connection has ended, which the next read reports.
     let _ = stream.set_nonblocking(false);
     let (writer, reader) = open_channel(stream).ok()?;
     let _ = reader.set_timeout(Some(FIRST_MESSAGE_TIMEOUT));
     Some((writer, reader))
 }
 
-/// Sends the result to whoever requested the upgrade: the process that serves from now on, or the reason why nothing has
-/// changed.
+/// Sends the result to the requester of the upgrade: the id of the process that serves from now on, or the reason why
+/// the old process continues.
 pub fn send_outcome(requester: &FrameWriter, result: Result<u32, String>) {
     let outcome = match result {
         Ok(process_id) => Outcome {
@@ -240,6 +242,6 @@
             ..Outcome::default()
         },
     };
-    // The requester may have ended: the log has the result, too.
+    // The requester may have exited; the result is also in the log.
     let _ = requester.send(Payload::Outcome(outcome));
 }
--- a/crates/asterdale-daemon/src/upgrade/mirror.rs
+++ b/crates/asterdale-daemon/src/upgrade/mirror.rs
@@ -1,17 +1,17 @@
-//! Events that the new process mirrors to the old one, as messages. From them the old process knows all that was started,
-//! should it have to take over again.
+//! Events that the new process mirrors to the old one, as messages. If the old process has to take over again, it knows
+//! from them everything that was started.
 
 use asterdale_engine::message::{IdempotencyKey, RequestId, TaskId};
 use asterdale_engine::state_transfer::MirroredEvent;
 use asterdale_hot_restart::message::Mirror;
 
-/// Numbers of the events in messages.
+// Numbers of the kinds of event in messages.
 const KEY_RETAINED: u32 = 0;
 const TASK_STARTED: u32 = 1;
 const TASK_ENDED: u32 = 2;
 const KEY_DROPPED: u32 = 3;
 
-/// The message of an event.
+/// Makes the message of an event.
 pub fn mirror_frame(event: MirroredEvent) -> Mirror {
     let of_key = |key: IdempotencyKey, owner: TaskId, event: u32| Mirror {
         idempotency_key: key.bytes.to_vec(),
@@ -52,7 +52,7 @@
     }
 }
 
-/// The event of a message; `None` if it is malformed, or of a kind that this release does not know.
+/// Reads the event of a message; `None` if it is malformed, or of a kind that this release does not know.
 pub fn mirrored_event(frame: Mirror) -> Option<MirroredEvent> {
     let owner = frame.owner;
     let key = IdempotencyKey {
--- a/crates/asterdale-daemon/src/upgrade/mod.rs
+++ b/crates/asterdale-daemon/src/upgrade/mod.rs
@@ -20,8 +20,8 @@
 #[cfg(feature = "tools")]
 pub use request::RequestUpgradeError;
 
-/// The environment variable with the path of the control socket, for a process that is started to take over. Every
-/// release knows it by this name.
+/// The environment variable with the path of the control socket, for a process that is started to take over. All
+/// releases must use the same name, as the two processes may be of different releases.
 const CONTROL_VARIABLE: &str = "ASTERDALE_HANDOVER";
-/// The environment variable with the nonce that proves that it is the process that was started.
+/// The environment variable with the nonce by which the new process proves that the old process started it.
 const NONCE_VARIABLE: &str = "ASTERDALE_HANDOVER_NONCE";
--- a/crates/asterdale-daemon/src/upgrade/new_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/new_process.rs
@@ -25,22 +25,22 @@
 use super::relay::{engine_message, RemoteConnection};
 use super::{CONTROL_VARIABLE, NONCE_VARIABLE};
 
-/// The time between two ticks of the state machine while nothing arrives: short against its timeouts of seconds.
+/// The time between two ticks of the state machine while nothing arrives: short compared with its timeouts of seconds.
 const TICK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// This process was started to take over, and can't: it must exit.
+/// This process was started to take over but can't, so it must exit.
 #[derive(Debug, Error)]
 pub enum InheritError {
     /// The connection to the old process failed.
     #[error("upgrade: the process before: {0}")]
     Connection(#[from] io::Error),
-    /// Not all descriptors arrived, as too few are allowed here.
+    /// Not all descriptors arrived, because the descriptor limit of this process is too low.
     #[error("upgrade: descriptors are missing")]
     MissingDescriptors,
     /// The control socket did not arrive.
     #[error("upgrade: no control socket")]
     MissingControlSocket,
-    /// The state machine refuses.
+    /// The state machine refused to take over.
     #[error("upgrade: {0}")]
     Refused(#[from] TakeOverError),
 }
@@ -61,7 +61,7 @@
 }
 
 impl Inherited {
-    /// Takes the listener of this address, if there is one.
+    /// Removes and returns the listener of this address, if there is one.
     pub fn take_listener(&mut self, address: SocketAddr) -> Option<TcpListener> {
         let address = address.to_string();
         let index = self
@@ -71,7 +71,8 @@
         Some(self.listeners.swap_remove(index))
     }
 
-    /// Makes connections of the old process, by their number, through which replies are relayed.
+    /// Returns a function from the number of a connection of the old process to a [`Connection`] that relays replies to
+    /// it.
     pub fn remote_connections(&self) -> impl Fn(u64) -> Arc<dyn Connection> + '_ {
         |connection| {
             Arc::new(RemoteConnection {
@@ -81,22 +82,22 @@
         }
     }
 
-    /// Mirrors events to the old process; `None` if it is not on standby.
+    /// Returns a function that mirrors events to the old process; `None` if that is not on standby.
     pub fn mirror_to_old_process(&self) -> Option<Mirror> {
         let writer = self.writer.clone();
-        // An old process that has ended needs no events.
+        // Errors are ignored: an old process that has ended needs no events.
         let mirror = move |event| drop(writer.send(Payload::Mirror(mirror_frame(event))));
         self.has_standby.then(|| Box::new(mirror) as Mirror)
     }
 
-    /// To the old process.
+    /// Returns the writer to the old process.
     pub fn old_process(&self) -> FrameWriter {
         self.writer.clone()
     }
 
-    /// Relays to the engine what arrives over connections of the old process, until that ends.
+    /// Relays the messages of the old process to the engine, until the old process ends.
     pub fn relay_from_old_process(mut self, engine: &Sender<EngineMessage>, class_count: usize) {
-        // If it can't be set the connection has ended, which reading shows.
+        // Fails only if the connection has ended, which the next read reports.
         let _ = self.reader.set_timeout(None);
         while let Ok(Some(payload)) = self.reader.read() {
             let message = match payload {
@@ -107,16 +108,16 @@
                 return;
             }
         }
-        // An engine that has ended ends this process.
+        // Fails only if the engine has ended, which also ends this process.
         let _ = engine.send(EngineMessage::HotRestart(HotRestartStep::GuardEnded));
     }
 }
 
 /// Takes over from the old process; `None` if this process was not started for that. `class_count` is the number of
-/// request classes, `max_descriptors` the descriptors that this process needs.
+/// request classes, `max_descriptors` the number of descriptors that this process needs.
 ///
 /// # Errors
-/// If it can't take over: then this process must exit.
+/// If this process can't take over. It must exit then.
 pub fn inherit(
     class_count: usize,
     max_descriptors: usize,
@@ -150,7 +151,7 @@
     reader: FrameReader,
     listeners: Vec<TcpListener>,
     control: Option<UnixListener>,
-    /// The chunks of a state that have arrived.
+    /// The part of a state that has arrived so far.
     state: Vec<u8>,
 }
 
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Sends the answer that an action stands for.
+    /// Sends the answer that an action requires.
     fn answer(&self, action: Action) -> Result<(), InheritError> {
         match action {
             Action::ConfirmListeners => self
@@ -208,14 +209,14 @@
             Action::ConfirmTrialState => self
                 .writer
                 .send(Payload::TrialStateLoaded(TrialStateLoaded {}))?,
-            // If the old process has ended, the next event says so.
+            // If the old process has ended, the next event reports it.
             Action::ConfirmState(epoch) => drop(
                 self.writer
                     .send(Payload::StateLoaded(StateLoaded { epoch })),
             ),
             Action::Refuse(error) => {
                 let reason = error.to_string();
-                // The old process may have ended: this one exits in any case.
+                // The old process may have ended; this one exits in any case.
                 let _ = self.writer.send(Payload::Refuse(Refuse { reason }));
                 return Err(error.into());
             }
@@ -236,7 +237,7 @@
         })
     }
 
-    /// The next event; `None` if what arrived was incomplete or of no use here.
+    /// Waits for the next event; `None` if only a part of a state or a message of another kind arrived.
     fn next_event(&mut self) -> Result<Option<Event>, InheritError> {
         let event = match self.reader.read() {
             Ok(Some(Payload::Listeners(listeners))) => self.adopt_listeners(&listeners)?,
@@ -290,8 +291,8 @@
     }
 }
 
-/// Whether this process may open as many descriptors as its start file says. If not, it would find out only while it
-/// serves, and accept no connections.
+/// Checks that this process may open as many descriptors as its start file requires. Otherwise it would reach the limit
+/// only when it already serves, and could not accept connections.
 fn check_descriptor_limit(max_descriptors: usize) -> Result<(), UnusableState> {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     match limit {
--- a/crates/asterdale-daemon/src/upgrade/old_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/old_process.rs
@@ -1,5 +1,5 @@
 //! The old process's side of a hot restart: starts the new process, hands over to it, and stays on standby until the new
-//! process does not need it any more.
+//! process no longer needs it.
 
 use std::io;
 use std::os::fd::{AsFd, BorrowedFd};
@@ -22,13 +22,13 @@
 use super::relay::{hot_restart_step, NewProcessLink};
 use super::{CONTROL_VARIABLE, NONCE_VARIABLE};
 
-/// The time between two looks at a new process that has not said hello, in case it has ended.
+/// How often a new process that has not sent its hello is checked for having ended.
 const HELLO_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The time for the engine to make its state: it waits for the runtime to confirm commands, and serializes.
+/// Maximum time for the engine to make its state: it waits for the runtime to confirm commands, then serializes.
 const STATE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Random bytes of a nonce: 128 bits are not guessed.
+/// Length of a nonce, which is random: 128 bits can't be guessed.
 const NONCE_BYTES: usize = 16;
-/// What Linux appends to the path of a program whose file was replaced.
+/// The suffix that Linux appends to the path of a running program whose file has been replaced.
 const DELETED_SUFFIX: &str = " (deleted)";
 
 /// The new process can't be started.
@@ -40,8 +40,8 @@
     Spawn { program: PathBuf, source: io::Error },
 }
 
-/// Hands over to a new process that runs `program`, or this process's program if that is empty, and stays on standby
-/// until that is not needed any more. The requester is sent the phases and the outcome.
+/// Hands over to a new process that runs `program` (this process's own program if empty), then stays on standby until the
+/// new process no longer needs this one. Sends the phases and the outcome to the requester.
 pub fn hand_over(shared: &SharedControl, program: &str, requester: &FrameWriter) {
     let log = &shared.control.log.lines;
     let mut nonce = [0; NONCE_BYTES];
@@ -102,9 +102,9 @@
     requester: &'a FrameWriter,
     nonce: String,
     started_at: Instant,
-    /// To the new process, once it has said hello and until it was killed.
+    /// Sends to the new process; set from its hello until it is killed.
     writer: Option<FrameWriter>,
-    /// From the new process, once it has said hello.
+    /// Receives from the new process; set from its hello on.
     reader: Option<FrameReader>,
 }
 
@@ -119,7 +119,8 @@
             let Some(event) = self.next_event(greetings) else {
                 continue;
             };
-            // Replies for connections of this process arrive until either process has ended.
+            // After the exit of the engine, replies for connections of this process still arrive until the new process
+            // ends.
             if self.machine.phase() == Phase::Exited && event == Event::NewProcessEnded {
                 return;
             }
@@ -146,11 +147,11 @@
         let phase = self.machine.phase().to_string().to_lowercase();
         let log = &self.shared.control.log.lines;
         slog::info!(log, "hot restart: phase entered"; "phase" => &phase, "elapsed_ms" => self.elapsed_ms());
-        // The requester may have ended: the log has the phase, too.
+        // The requester may have exited; the phase is also in the log.
         let _ = self.requester.send(Payload::Progress(Progress { phase }));
     }
 
-    /// The next event; `None` if what arrived was for the engine.
+    /// Waits for the next event; `None` if a message was passed to the engine or ignored.
     fn next_event(&mut self, greetings: &Receiver<Greeting>) -> Option<Event> {
         let timeout = self.timeout();
         let Some(reader) = &mut self.reader else {
@@ -166,7 +167,7 @@
         }
     }
 
-    /// The time until the machine wants a tick; `None` if it wants none.
+    /// The time until the state machine's next deadline; `None` if it has none.
     fn timeout(&self) -> Option<Duration> {
         let now_ms = self.elapsed_ms();
         let deadline_ms = self.machine.deadline_ms()?;
@@ -195,7 +196,7 @@
         }
     }
 
-    /// The event that a message stands for; `None` for one that goes to the engine, or is of no use here.
+    /// Returns the event of a message. A message for the engine is passed on, others are ignored; both return `None`.
     fn event_of(&self, payload: Payload) -> Option<Event> {
         match payload {
             Payload::ListenersAdopted(_) => Some(Event::ListenersAdopted),
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Performs an action; the event that follows from it, if any.
+    /// Performs an action. Returns the event that results from it, if any.
     fn perform(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::SendListeners => self.send_listeners(),
@@ -249,7 +250,7 @@
     }
 
     fn send_to_engine(&self, step: HotRestartStep) {
-        // An engine that has ended ends this process.
+        // Fails only if the engine has ended, which also ends this process.
         let _ = self
             .shared
             .control
@@ -269,14 +270,14 @@
         descriptors.push(control.socket.as_fd());
         if failpoint::is_active(Failpoint::Listener) {
             for listener in &control.listeners {
-                // The fault is injected as far as the system allows it.
+                // If this fails, the fault is not injected.
                 let _ = rustix::net::shutdown(listener, rustix::net::Shutdown::Both);
             }
         }
         self.ended_unless_sent(|writer| writer.send_with(message, &descriptors))
     }
 
-    /// Has the engine make a state, and sends it. An engine that makes none is draining.
+    /// Requests a state from the engine and sends it. An engine that makes none in time is treated as draining.
     fn send_state(
         &self,
         step: fn(Sender<Vec<u8>>) -> HotRestartStep,
@@ -291,7 +292,7 @@
         self.ended_unless_sent(|writer| writer.send_state(&state, payload, epoch))
     }
 
-    /// Sends to the new process. If that fails it has ended.
+    /// Sends to the new process. If that fails, the new process is treated as ended.
     fn ended_unless_sent(
         &self,
         send: impl FnOnce(&FrameWriter) -> io::Result<()>,
@@ -302,7 +303,7 @@
         }
     }
 
-    /// Sends `Go`, after which the new process serves. If it does not arrive, the new process has ended.
+    /// Sends `Go`, after which the new process serves. If that fails, the new process is treated as ended.
     fn send_go(&mut self, epoch: u64) -> Option<Event> {
         self.shared.set_paused(true);
         self.shared.epoch.store(epoch, Ordering::SeqCst);
@@ -314,14 +315,14 @@
         }
         self.send_to_engine(HotRestartStep::Commit(Box::new(NewProcessLink(writer))));
         if let Some(previous) = &self.shared.control.previous_process {
-            // It may have ended, and is not needed any more.
+            // An error is ignored: a previous process that has ended needs no notice.
             let _ = previous.send(Payload::Release(Release {}));
         }
         has_ended.then_some(Event::NewProcessEnded)
     }
 
     fn kill_new_process(&mut self) {
-        // Both fail only for a process that has ended.
+        // Both fail only if the process has ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
         if let Some(writer) = self.writer.take() {
--- a/crates/asterdale-daemon/src/upgrade/relay.rs
+++ b/crates/asterdale-daemon/src/upgrade/relay.rs
@@ -19,14 +19,14 @@
 use super::mirror::mirrored_event;
 use super::reply::{reply, reply_frame, route, route_frame};
 
-/// The longest time unread that a relayed request may claim, in seconds.
+/// Upper bound in seconds on the time that a relayed request has been unread, as reported by the old process.
 const MAX_UNREAD_SECONDS: f64 = 3600.0;
 
 /// A connection of the old process, as the new process sees it.
 pub struct RemoteConnection {
     /// The connection's number in the old process.
     pub connection: u64,
-    /// To the old process.
+    /// Sends to the old process.
     pub writer: FrameWriter,
 }
 
@@ -36,7 +36,7 @@
     }
 
     fn answer(self: Arc<Self>, request: u16, reply: Reply) {
-        // If the old process has ended, so have its connections.
+        // If the old process has ended, its connections are closed, so a failure to send is ignored.
         let route = ResponseRoute {
             connection: self.connection,
             request,
@@ -47,11 +47,11 @@
     fn discard_request(&self) {}
 }
 
-/// The new process, as the old process's engine sees it. What can't be sent is lost with the new process, whose end is
-/// an event of its own.
+/// The link to the new process that the old process's engine uses. A message that can't be sent is lost: the new process
+/// has ended then, which is handled as an event of its own.
 pub struct NewProcessLink(pub FrameWriter);
 
-/// Outcomes of calls by their number in a message.
+/// Outcomes of calls. The index is the outcome's number in a message.
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Failed,
@@ -67,7 +67,7 @@
 
 impl SuccessorLink for NewProcessLink {
     fn forward_request(&mut self, route: ResponseRoute, request: &Request) {
-        // Here and below: see the type.
+        // Errors are ignored here and below, see the type.
         let _ = self.0.send(Payload::Request(request_frame(route, request)));
     }
 
@@ -109,7 +109,7 @@
     }
 }
 
-/// The message of a request.
+/// Makes the message of a request.
 fn request_frame(route: ResponseRoute, request: &Request) -> RequestFrame {
     let RequestHead {
         id,
@@ -139,8 +139,8 @@
     }
 }
 
-/// The engine message that a message of the old process stands for; `None` for one that is malformed, or of no use in the
-/// new process. `class_count` is the number of request classes.
+/// Converts a message of the old process to an engine message; `None` if it is malformed or not meant for the engine of
+/// the new process. `class_count` is the number of request classes.
 pub fn engine_message(
     payload: Payload,
     writer: &FrameWriter,
@@ -198,7 +198,7 @@
     })
 }
 
-/// The head of a request; `None` if its id is malformed or its class unknown.
+/// Reads the head of a request; `None` if its id is malformed or its class unknown.
 fn request_head(frame: &RequestFrame, class_count: usize) -> Option<RequestHead> {
     let class = frame.request_class as usize;
     let id = RequestId::try_from(frame.id.as_slice())
@@ -222,15 +222,16 @@
     })
 }
 
-/// When a request arrived that has been unread for this long; now if that is before the clock's start.
+/// The time at which a request arrived that has been unread for `unread_ms`. Returns the current time if the arrival is
+/// before the first time that the clock can represent.
 fn received_at(unread_ms: f64) -> Instant {
     let unread = Duration::from_secs_f64((unread_ms / 1e3).clamp(0.0, MAX_UNREAD_SECONDS));
     let now = Instant::now();
     now.checked_sub(unread).unwrap_or(now)
 }
 
-/// The step of the old process's engine that a message of the new process stands for; `None` for one that is malformed, or
-/// of no use there.
+/// Converts a message of the new process to a hot restart step for the old process's engine; `None` if it is malformed or
+/// not meant for that engine.
 pub fn hot_restart_step(payload: Payload) -> Option<HotRestartStep> {
     match payload {
         Payload::Reply(frame) => {
--- a/crates/asterdale-daemon/src/upgrade/reply.rs
+++ b/crates/asterdale-daemon/src/upgrade/reply.rs
@@ -4,7 +4,7 @@
 use asterdale_hot_restart::message::{Reply as ReplyFrame, ResponseRoute as RouteFrame};
 use asterdale_identity::DenialStatus;
 
-/// The message of a route.
+/// Makes the message of a route.
 pub fn route_frame(route: ResponseRoute) -> Option<RouteFrame> {
     Some(RouteFrame {
         connection: route.connection,
@@ -12,7 +12,7 @@
     })
 }
 
-/// The route of a message; `None` if it has none, or one that is out of range.
+/// Reads the route of a message; `None` if it has none, or one that is out of range.
 pub fn route(frame: Option<RouteFrame>) -> Option<ResponseRoute> {
     let frame = frame?;
     Some(ResponseRoute {
@@ -21,7 +21,7 @@
     })
 }
 
-/// The message of a reply.
+/// Makes the message of a reply.
 pub fn reply_frame(route: ResponseRoute, reply: &Reply) -> ReplyFrame {
     let (kind, number, body) = match reply {
         Reply::Served(body) => (0, 0, body.to_vec()),
@@ -55,7 +55,8 @@
     }
 }
 
-/// The reply of a message, and its route. A reply of an unknown kind counts as failed, which promises nothing.
+/// Reads a reply and its route. A reply of an unknown kind is read as failed, which makes no promise about the request;
+/// `None` if the route is missing or out of range.
 pub fn reply(frame: ReplyFrame) -> Option<(ResponseRoute, Reply)> {
     let number = frame.number;
     let denied = |kind| Reply::Denied {
--- a/crates/asterdale-daemon/src/upgrade/request.rs
+++ b/crates/asterdale-daemon/src/upgrade/request.rs
@@ -11,7 +11,7 @@
 
 use super::channel::open_channel;
 
-/// The time for each message of the serving process: longer than all timeouts of an upgrade together.
+/// Maximum wait for each message of the serving process: longer than all timeouts of an upgrade together.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The upgrade did not succeed.
@@ -20,9 +20,9 @@
     /// The control socket can't be reached, written or read.
     #[error("{}: {source}", path.display())]
     ControlSocket {
-        /// Its path.
+        /// The path of the socket.
         path: PathBuf,
-        /// Why.
+        /// The error of the system.
         source: io::Error,
     },
     /// The old process continues to serve, for this reason.
--- a/crates/asterdale-daemon/src/upgrade/tests/mod.rs
+++ b/crates/asterdale-daemon/src/upgrade/tests/mod.rs
@@ -69,7 +69,7 @@
     writer
         .send_with(Payload::Listeners(message.clone()), &[&listener])
         .unwrap();
-    // More than fits in a socket: it is read while it is written.
+    // The state exceeds the socket buffer, so it is written on another thread while this one reads.
     let state_writer = writer.clone();
     let writing = std::thread::spawn(move || {
         state_writer.send_state(&vec![7; 3 * STATE_CHUNK_BYTES], Payload::State, 4)
--- a/crates/asterdale-daemon/src/upgrade/tests/stored_frames.rs
+++ b/crates/asterdale-daemon/src/upgrade/tests/stored_frames.rs
@@ -1,6 +1,6 @@
-//! Frames of a hot restart that an earlier release wrote mean the same replies, requests, outcomes and mirrored events: the
-//! numbers that stand for them have not changed. `tests/fixtures/frames/README.md` says how the file was
-//! made.
+//! Tests that frames written by an earlier release are still read as the same replies, requests, outcomes and mirrored
+//! events: the numbers that stand for them in messages must not change, so that processes of different releases
+//! understand each other. `tests/fixtures/frames/README.md` says how the file of frames was made.
 
 use std::os::unix::net::UnixStream;
 
@@ -37,7 +37,7 @@
     Outcome::Stale,
 ];
 
-/// A reply of each kind, by the number that stands for the kind.
+/// A reply of each kind, with the number of its kind in messages.
 fn replies() -> Vec<(u32, Reply)> {
     let denied = |kind| Reply::Denied {
         kind,
@@ -72,7 +72,7 @@
     ]
 }
 
-/// A mirrored event of each kind, by the number that stands for it.
+/// A mirrored event of each kind, with the number of its kind in messages.
 fn mirrored_events() -> Vec<(u32, MirroredEvent)> {
     let mark = || IdempotencyKey {
         class: 1,
@@ -211,7 +211,7 @@
         };
         assert_eq!(event, expected);
     }
-    // A kind of a later release promises nothing, or is skipped.
+    // A kind that only a later release knows: a reply is read as failed, an event is skipped.
     let unknown = ReplyFrame {
         route: route_frame(ROUTE),
         kind: 99,
@@ -279,8 +279,8 @@
     );
 }
 
-/// The old process starts the new one with these variables: they stay as long as any release that may be replaced knows
-/// them.
+/// The old process starts the new one with these variables, so their names must stay the same as long as any release
+/// that may be replaced uses them.
 #[test]
 fn the_environment_variables_have_these_names() {
     assert_eq!(
