--- a/crates/asterdale-daemon/src/upgrade/new_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/new_process.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Error)]
 pub enum InheritError {
     /// The connection to the old process failed.
-    #[error("upgrade: the process before: {0}")]
+    #[error("upgrade: connection to the old process: {0}")]
     Connection(#[from] io::Error),
     /// Not all descriptors arrived, because the descriptor limit of this process is too low.
     #[error("upgrade: descriptors are missing")]
@@ -244,7 +244,7 @@
             Ok(Some(Payload::TrialState(chunk) | Payload::State(chunk)))
                 if self.state.len() + chunk.bytes.len() > MAX_STATE_BYTES =>
             {
-                let reason = format!("a state over {} bytes", self.state.len());
+                let reason = format!("the state is larger than {} bytes", self.state.len());
                 Event::TrialState(Err(UnusableState(reason)))
             }
             Ok(Some(Payload::TrialState(chunk))) => return Ok(self.add_trial_state(chunk)),
@@ -297,7 +297,7 @@
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     match limit {
         Some(limit) if limit < max_descriptors as u64 => Err(UnusableState(format!(
-            "{limit} descriptors are allowed, limits.sockets wants {max_descriptors}"
+            "{limit} descriptors are allowed, limits.sockets requires {max_descriptors}"
         ))),
         _ => Ok(()),
     }
--- a/crates/asterdale-daemon/src/upgrade/tests/stored_frames.rs
+++ b/crates/asterdale-daemon/src/upgrade/tests/stored_frames.rs
@@ -186,7 +186,7 @@
 fn stored_replies_and_mirrored_events_mean_the_same() {
     let mut stored = stored().into_iter();
     let Some(Payload::Hello(hello)) = stored.next() else {
-        panic!("no greeting")
+        panic!("no hello")
     };
     assert_eq!(
         (hello.version, hello.state_format, &hello.nonce[..]),
@@ -207,7 +207,7 @@
         };
         assert_eq!(frame.event, number);
         let Some(HotRestartStep::Mirrored(event)) = hot_restart_step(Payload::Mirror(frame)) else {
-            panic!("not understood")
+            panic!("event not recognized")
         };
         assert_eq!(event, expected);
     }
