--- a/crates/asterdale-daemon/src/upgrade/channel.rs
+++ b/crates/asterdale-daemon/src/upgrade/channel.rs
@@ -23,7 +23,7 @@
 /// The shortest read timeout: a socket option of zero would mean no limit.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
 /// Size of the read buffer.
-const READ_BYTES: usize = 64 * 1024;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
 /// The writing half of a channel. Clones may write concurrently: frames are not interleaved.
 #[derive(Clone)]
@@ -144,7 +144,7 @@
                 Ok(None) => {}
                 Err(e) => return Err(io::Error::new(io::ErrorKind::InvalidData, e)),
             }
-            let mut bytes = vec![0; READ_BYTES];
+            let mut bytes = vec![0; READ_BUFFER_BYTES];
             let count = if self.descriptors.len() < MAX_DESCRIPTORS {
                 self.receive(&mut bytes)?
             } else {
--- a/crates/asterdale-daemon/src/upgrade/control_socket.rs
+++ b/crates/asterdale-daemon/src/upgrade/control_socket.rs
@@ -23,11 +23,11 @@
 use super::old_process;
 
 /// How often the control socket is polled for connections: short compared with an upgrade, which takes seconds.
-const ACCEPT_INTERVAL: Duration = Duration::from_millis(20);
+const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The time that a client has to send its first message after it has connected.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Permission bits of group and others. The socket's folder must have none of them set.
-const OTHERS_MODE: u32 = 0o077;
+const GROUP_AND_OTHERS_MODE: u32 = 0o077;
 
 /// The control socket can't be bound.
 #[derive(Debug, Error)]
@@ -42,7 +42,7 @@
 #[derive(Debug, Error)]
 enum BindProblem {
     #[error("its folder must belong to this user, and be closed to all others (mode 0700)")]
-    OpenFolder,
+    FolderNotPrivate,
     #[error("another process holds it")]
     InUse,
     #[error("{0}")]
@@ -68,8 +68,8 @@
         .unwrap_or(Path::new("."));
     let metadata = fs::metadata(folder)?;
     let is_own = metadata.uid() == rustix::process::geteuid().as_raw();
-    if !is_own || metadata.permissions().mode() & OTHERS_MODE != 0 {
-        return Err(BindProblem::OpenFolder);
+    if !is_own || metadata.permissions().mode() & GROUP_AND_OTHERS_MODE != 0 {
+        return Err(BindProblem::FolderNotPrivate);
     }
     match UnixStream::connect(path) {
         Ok(_) => return Err(BindProblem::InUse),
@@ -81,7 +81,7 @@
 }
 
 /// The connection of a new process that has sent its hello.
-pub struct Greeting {
+pub struct HelloConnection {
     /// Sends to the new process.
     pub writer: FrameWriter,
     /// Receives from the new process.
@@ -118,16 +118,16 @@
             control: self,
             is_upgrading: false.into(),
             is_paused: false.into(),
-            expected_greeting: Mutex::default(),
+            hello_sender: Mutex::default(),
         });
         loop {
             if shared.is_paused.load(Ordering::SeqCst) {
-                thread::sleep(ACCEPT_INTERVAL);
+                thread::sleep(ACCEPT_POLL_INTERVAL);
                 continue;
             }
             match shared.control.socket.accept() {
-                Ok((stream, _)) => shared.clone().spawn_greeter(stream),
-                Err(_) => thread::sleep(ACCEPT_INTERVAL),
+                Ok((stream, _)) => shared.clone().spawn_connection_thread(stream),
+                Err(_) => thread::sleep(ACCEPT_POLL_INTERVAL),
             }
         }
     }
@@ -143,7 +143,7 @@
     /// While a new process serves the control socket, this one accepts no connections.
     is_paused: AtomicBool,
     /// The channel for the next hello; `None` if no new process is expected.
-    expected_greeting: Mutex<Option<Sender<Greeting>>>,
+    hello_sender: Mutex<Option<Sender<HelloConnection>>>,
 }
 
 impl SharedControl {
@@ -153,36 +153,36 @@
     }
 
     /// Starts to expect the hello of a new process. The receiver gets only the first hello.
-    pub fn expect_greeting(&self) -> Receiver<Greeting> {
+    pub fn expect_hello(&self) -> Receiver<HelloConnection> {
         let (sender, receiver) = bounded(1);
-        *self.lock_expected_greeting() = Some(sender);
+        *self.lock_hello_sender() = Some(sender);
         receiver
     }
 
     /// Stops expecting a hello: those that arrive later are dropped. Returns the sender for the next hello, if one was
     /// still expected.
-    pub fn take_expected_greeting(&self) -> Option<Sender<Greeting>> {
-        self.lock_expected_greeting().take()
+    pub fn take_hello_sender(&self) -> Option<Sender<HelloConnection>> {
+        self.lock_hello_sender().take()
     }
 
-    fn lock_expected_greeting(&self) -> MutexGuard<'_, Option<Sender<Greeting>>> {
+    fn lock_hello_sender(&self) -> MutexGuard<'_, Option<Sender<HelloConnection>>> {
         // A poisoned lock needs no handling: a panic on any thread ends the process.
-        self.expected_greeting
+        self.hello_sender
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Serves a connection on a thread of its own, which ends with the connection.
-    fn spawn_greeter(self: Arc<SharedControl>, stream: UnixStream) {
+    fn spawn_connection_thread(self: Arc<SharedControl>, stream: UnixStream) {
         let log = self.control.log.clone();
-        let greeter = thread::Builder::new().name("greeter".to_owned());
+        let builder = thread::Builder::new().name("greeter".to_owned());
         // If the thread can't be started the connection is closed, which the client detects.
-        if let Err(e) = greeter.spawn(move || self.greet(stream)) {
+        if let Err(e) = builder.spawn(move || self.serve_connection(stream)) {
             slog::error!(log.lines, "hot restart: control connection dropped"; "error" => %e);
         }
     }
 
-    fn greet(&self, stream: UnixStream) {
+    fn serve_connection(&self, stream: UnixStream) {
         let log = &self.control.log.lines;
         if !is_same_user(&stream) {
             return slog::warn!(
@@ -195,9 +195,9 @@
         };
         match reader.read() {
             Ok(Some(Payload::Hello(hello))) => {
-                if let Some(greetings) = self.take_expected_greeting() {
+                if let Some(hello_sender) = self.take_hello_sender() {
                     // Fails if the attempt has ended meanwhile; the connection is closed then.
-                    let _ = greetings.send(Greeting {
+                    let _ = hello_sender.send(HelloConnection {
                         writer,
                         reader,
                         hello,
--- a/crates/asterdale-daemon/src/upgrade/mirror.rs
+++ b/crates/asterdale-daemon/src/upgrade/mirror.rs
@@ -13,7 +13,7 @@
 
 /// Makes the message of an event.
 pub fn mirror_frame(event: MirroredEvent) -> Mirror {
-    let of_key = |key: IdempotencyKey, owner: TaskId, event: u32| Mirror {
+    let key_event = |key: IdempotencyKey, owner: TaskId, event: u32| Mirror {
         idempotency_key: key.bytes.to_vec(),
         request_class: key.class as u32,
         tenant: key.tenant,
@@ -30,14 +30,14 @@
         } => Mirror {
             body_digest,
             expires_ms: until_ms,
-            ..of_key(key, owner, KEY_RETAINED)
+            ..key_event(key, owner, KEY_RETAINED)
         },
         MirroredEvent::TaskStarted {
             id,
             key: Some((key, owner)),
         } => Mirror {
             request_id: id.to_vec(),
-            ..of_key(key, owner, TASK_STARTED)
+            ..key_event(key, owner, TASK_STARTED)
         },
         MirroredEvent::TaskStarted { id, key: None } => Mirror {
             request_id: id.to_vec(),
@@ -46,9 +46,9 @@
         },
         MirroredEvent::TaskEnded { key, owner, result } => Mirror {
             result: result.map(|result| result.to_vec()),
-            ..of_key(key, owner, TASK_ENDED)
+            ..key_event(key, owner, TASK_ENDED)
         },
-        MirroredEvent::KeyDropped { key, owner } => of_key(key, owner, KEY_DROPPED),
+        MirroredEvent::KeyDropped { key, owner } => key_event(key, owner, KEY_DROPPED),
     }
 }
 
--- a/crates/asterdale-daemon/src/upgrade/new_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/new_process.rs
@@ -274,10 +274,10 @@
             return None;
         }
         let state = std::mem::take(&mut self.state);
-        let is_usable = check_state(&state, self.class_count)
+        let check_result = check_state(&state, self.class_count)
             .map_err(|e| UnusableState(error_chain(&e)))
             .and_then(|()| check_descriptor_limit(self.max_descriptors));
-        Some(Event::TrialState(is_usable))
+        Some(Event::TrialState(check_result))
     }
 
     fn add_state(&mut self, chunk: StateChunk) -> Option<Event> {
@@ -285,9 +285,9 @@
         if !chunk.is_last {
             return None;
         }
-        let is_usable =
+        let check_result =
             check_state(&self.state, self.class_count).map_err(|e| UnusableState(error_chain(&e)));
-        Some(Event::State(chunk.epoch, is_usable))
+        Some(Event::State(chunk.epoch, check_result))
     }
 }
 
--- a/crates/asterdale-daemon/src/upgrade/old_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/old_process.rs
@@ -18,7 +18,7 @@
 use thiserror::Error;
 
 use super::channel::{is_timeout, listener_address, FrameReader, FrameWriter};
-use super::control_socket::{send_outcome, ControlServer, Greeting, SharedControl};
+use super::control_socket::{send_outcome, ControlServer, HelloConnection, SharedControl};
 use super::relay::{hot_restart_step, NewProcessLink};
 use super::{CONTROL_VARIABLE, NONCE_VARIABLE};
 
@@ -49,7 +49,7 @@
         return send_outcome(requester, Err("no random bytes".to_owned()));
     }
     let nonce: String = nonce.iter().map(|byte| format!("{byte:02x}")).collect();
-    let greetings = shared.expect_greeting();
+    let hellos = shared.expect_hello();
     let child = match start_new_process(&shared.control, program, &nonce) {
         Ok(child) => child,
         Err(error) => {
@@ -69,8 +69,8 @@
         writer: None,
         reader: None,
     };
-    attempt.run(&greetings);
-    drop(shared.take_expected_greeting());
+    attempt.run(&hellos);
+    drop(shared.take_hello_sender());
 }
 
 /// Starts the new process with this one's arguments.
@@ -114,9 +114,9 @@
     }
 
     /// Runs the state machine until this process serves again, or has exited.
-    fn run(&mut self, greetings: &Receiver<Greeting>) {
+    fn run(&mut self, hellos: &Receiver<HelloConnection>) {
         while self.machine.phase() != Phase::Serving {
-            let Some(event) = self.next_event(greetings) else {
+            let Some(event) = self.next_event(hellos) else {
                 continue;
             };
             // After the exit of the engine, replies for connections of this process still arrive until the new process
@@ -152,10 +152,10 @@
     }
 
     /// Waits for the next event; `None` if a message was passed to the engine or ignored.
-    fn next_event(&mut self, greetings: &Receiver<Greeting>) -> Option<Event> {
+    fn next_event(&mut self, hellos: &Receiver<HelloConnection>) -> Option<Event> {
         let timeout = self.timeout();
         let Some(reader) = &mut self.reader else {
-            return Some(self.await_hello(greetings));
+            return Some(self.await_hello(hellos));
         };
         if reader.set_timeout(timeout).is_err() {
             return Some(Event::NewProcessEnded);
@@ -176,9 +176,9 @@
         ))
     }
 
-    fn await_hello(&mut self, greetings: &Receiver<Greeting>) -> Event {
-        match greetings.recv_timeout(HELLO_POLL_INTERVAL) {
-            Ok(Greeting {
+    fn await_hello(&mut self, hellos: &Receiver<HelloConnection>) -> Event {
+        match hellos.recv_timeout(HELLO_POLL_INTERVAL) {
+            Ok(HelloConnection {
                 writer,
                 reader,
                 hello,
@@ -274,7 +274,7 @@
                 let _ = rustix::net::shutdown(listener, rustix::net::Shutdown::Both);
             }
         }
-        self.ended_unless_sent(|writer| writer.send_with(message, &descriptors))
+        self.send_to_new_process(|writer| writer.send_with(message, &descriptors))
     }
 
     /// Requests a state from the engine and sends it. An engine that makes none in time is treated as draining.
@@ -289,11 +289,11 @@
         let Ok(state) = receiver.recv_timeout(STATE_TIMEOUT) else {
             return Some(Event::Drain);
         };
-        self.ended_unless_sent(|writer| writer.send_state(&state, payload, epoch))
+        self.send_to_new_process(|writer| writer.send_state(&state, payload, epoch))
     }
 
     /// Sends to the new process. If that fails, the new process is treated as ended.
-    fn ended_unless_sent(
+    fn send_to_new_process(
         &self,
         send: impl FnOnce(&FrameWriter) -> io::Result<()>,
     ) -> Option<Event> {
--- a/crates/asterdale-daemon/src/upgrade/reply.rs
+++ b/crates/asterdale-daemon/src/upgrade/reply.rs
@@ -33,7 +33,7 @@
         Reply::Failed | Reply::Unknown { .. } => (3, 0, Vec::new()),
         Reply::Malformed => (4, 0, Vec::new()),
         Reply::CallerGone => (5, 0, Vec::new()),
-        Reply::HealthChecked(good) => (6, u64::from(*good), Vec::new()),
+        Reply::HealthChecked(is_healthy) => (6, u64::from(*is_healthy), Vec::new()),
         Reply::Denied {
             kind,
             retry_after_ms,
--- a/crates/asterdale-daemon/src/upgrade/tests/mod.rs
+++ b/crates/asterdale-daemon/src/upgrade/tests/mod.rs
@@ -75,8 +75,8 @@
         state_writer.send_state(&vec![7; 3 * STATE_CHUNK_BYTES], Payload::State, 4)
     });
     assert_eq!(reader.read().unwrap(), Some(Payload::Listeners(message)));
-    let passed = TcpListener::from(reader.descriptors.pop().unwrap());
-    assert_eq!(listener_address(&passed), listener_address(&listener));
+    let received = TcpListener::from(reader.descriptors.pop().unwrap());
+    assert_eq!(listener_address(&received), listener_address(&listener));
     let mut all = Vec::new();
     while let Some(Payload::State(chunk)) = reader.read().unwrap() {
         all.extend(chunk.bytes);
@@ -92,38 +92,38 @@
 
 #[test]
 fn mirrored_events_are_read_back_from_their_messages() {
-    let mark = || IdempotencyKey {
+    let key = || IdempotencyKey {
         class: 1,
         tenant: 2,
         bytes: b"key".as_slice().into(),
     };
     for event in [
         MirroredEvent::KeyRetained {
-            key: mark(),
+            key: key(),
             owner: 7,
             body_digest: 9,
             until_ms: 1e12,
         },
         MirroredEvent::TaskStarted {
             id: *b"9b1f03aa5c7e2d41",
-            key: Some((mark(), 7)),
+            key: Some((key(), 7)),
         },
         MirroredEvent::TaskStarted {
             id: *b"9b1f03aa5c7e2d41",
             key: None,
         },
         MirroredEvent::TaskEnded {
-            key: mark(),
+            key: key(),
             owner: 7,
             result: Some([1].into()),
         },
         MirroredEvent::TaskEnded {
-            key: mark(),
+            key: key(),
             owner: 7,
             result: None,
         },
         MirroredEvent::KeyDropped {
-            key: mark(),
+            key: key(),
             owner: 7,
         },
     ] {
--- a/crates/asterdale-daemon/src/upgrade/tests/stored_frames.rs
+++ b/crates/asterdale-daemon/src/upgrade/tests/stored_frames.rs
@@ -74,7 +74,7 @@
 
 /// A mirrored event of each kind, with the number of its kind in messages.
 fn mirrored_events() -> Vec<(u32, MirroredEvent)> {
-    let mark = || IdempotencyKey {
+    let key = || IdempotencyKey {
         class: 1,
         tenant: 2,
         bytes: b"key-1".as_slice().into(),
@@ -84,7 +84,7 @@
         (
             0,
             MirroredEvent::KeyRetained {
-                key: mark(),
+                key: key(),
                 owner: 7,
                 body_digest: 9,
                 until_ms: 1_700_000_005_000.25,
@@ -94,14 +94,14 @@
             1,
             MirroredEvent::TaskStarted {
                 id,
-                key: Some((mark(), 7)),
+                key: Some((key(), 7)),
             },
         ),
         (1, MirroredEvent::TaskStarted { id, key: None }),
         (
             2,
             MirroredEvent::TaskEnded {
-                key: mark(),
+                key: key(),
                 owner: 7,
                 result: Some(b"sold".as_slice().into()),
             },
@@ -109,7 +109,7 @@
         (
             2,
             MirroredEvent::TaskEnded {
-                key: mark(),
+                key: key(),
                 owner: 7,
                 result: None,
             },
@@ -117,7 +117,7 @@
         (
             3,
             MirroredEvent::KeyDropped {
-                key: mark(),
+                key: key(),
                 owner: 7,
             },
         ),
@@ -234,7 +234,7 @@
     let mut next = || engine_message(stored.next().unwrap(), &writer, 2).unwrap();
     for expected in OUTCOMES {
         let EngineMessage::CallEnded {
-            task: who,
+            task: task_id,
             outcome,
             duration_ms: took_ms,
             body,
@@ -243,30 +243,30 @@
             panic!("no outcome")
         };
         assert_eq!(
-            (who, outcome, took_ms, &body[..]),
+            (task_id, outcome, took_ms, &body[..]),
             (77, expected, 41.5, &b"reply"[..])
         );
     }
     let EngineMessage::Request(relayed) = next() else {
         panic!("no request")
     };
-    let (asked, sent) = (&relayed.head, request());
+    let (head, sent) = (&relayed.head, request());
     assert_eq!(
-        (&asked.id[..], asked.class, asked.edge_node, asked.tenant),
+        (&head.id[..], head.class, head.edge_node, head.tenant),
         (&sent.id[..], 1, 3, 2)
     );
     assert_eq!(
-        (asked.start_ms, asked.timeout_ms, asked.cost_hint_ms),
+        (head.start_ms, head.timeout_ms, head.cost_hint_ms),
         (1_700_000_000_123.5, Some(900.25), Some(12.5))
     );
-    let mark = IdempotencyKey {
+    let idempotency_key = IdempotencyKey {
         class: 1,
         tenant: 2,
         bytes: b"key-1".as_slice().into(),
     };
     assert_eq!(
-        (asked.memory_kb, asked.idempotency_key.as_ref()),
-        (6.75, Some(&mark))
+        (head.memory_kb, head.idempotency_key.as_ref()),
+        (6.75, Some(&idempotency_key))
     );
     assert_eq!(
         (&relayed.body[..], relayed.token.as_deref()),
