--- a/crates/asterdale-daemon/src/upgrade/new_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/new_process.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns a function that mirrors events to the old process; `None` if that is not on standby.
+    /// Returns a function that mirrors events to the old process; `None` if the old process is not on standby.
     pub fn mirror_to_old_process(&self) -> Option<Mirror> {
         let writer = self.writer.clone();
         // Errors are ignored: an old process that has ended needs no events.
--- a/crates/asterdale-daemon/src/upgrade/old_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/old_process.rs
@@ -119,8 +119,7 @@
             let Some(event) = self.next_event(hellos) else {
                 continue;
             };
-            // After the exit of the engine, replies for connections of this process still arrive until the new process
-            // ends.
+            // In phase `Exited`, replies for connections of this process still arrive until either process ends.
             if self.machine.phase() == Phase::Exited && event == Event::NewProcessEnded {
                 return;
             }
@@ -277,7 +276,7 @@
         self.send_to_new_process(|writer| writer.send_with(message, &descriptors))
     }
 
-    /// Requests a state from the engine and sends it. An engine that makes none in time is treated as draining.
+    /// Requests a state from the engine and sends it. An engine that sends none is treated as draining.
     fn send_state(
         &self,
         step: fn(Sender<Vec<u8>>) -> HotRestartStep,
