--- a/crates/asterdale-daemon/src/upgrade/stored.rs
+++ b/crates/asterdale-daemon/src/upgrade/tests/stored_frames.rs
@@ -1,6 +1,6 @@
-//! Frames of a hot restart that an earlier release wrote mean the same replies, requests, outcomes and mirrored events: the
-//! numbers that stand for them have not changed. `tests/fixtures/frames/README.md` says how the file was
-//! made.
+//! Tests that frames written by an earlier release are still read as the same replies, requests, outcomes and mirrored
+//! events: the numbers that stand for them in messages must not change, so that processes of different releases
+//! understand each other. `tests/fixtures/frames/README.md` says how the file of frames was made.
 
 use std::os::unix::net::UnixStream;
 
@@ -14,14 +14,14 @@
 };
 use asterdale_identity::DenialStatus;
 
-use super::channel::open_channel;
-use super::mirror::mirror_frame;
-use super::new_process::hello;
-use super::relay::{engine_message, hot_restart_step};
-use super::reply::{reply, reply_frame, route_frame};
-use super::{CONTROL_VARIABLE, NONCE_VARIABLE};
+use crate::upgrade::channel::open_channel;
+use crate::upgrade::mirror::mirror_frame;
+use crate::upgrade::new_process::hello;
+use crate::upgrade::relay::{engine_message, hot_restart_step};
+use crate::upgrade::reply::{reply, reply_frame, route_frame};
+use crate::upgrade::{CONTROL_VARIABLE, NONCE_VARIABLE};
 
-const FRAMES: &[u8] = include_bytes!("../../tests/fixtures/frames/meanings.bin");
+const FRAMES: &[u8] = include_bytes!("../../../tests/fixtures/frames/meanings.bin");
 const ROUTE: ResponseRoute = ResponseRoute {
     connection: 1 << 40,
     request: 513,
@@ -37,7 +37,7 @@
     Outcome::Stale,
 ];
 
-/// A reply of each kind, by the number that stands for the kind.
+/// A reply of each kind, with the number of its kind in messages.
 fn replies() -> Vec<(u32, Reply)> {
     let denied = |kind| Reply::Denied {
         kind,
@@ -72,9 +72,9 @@
     ]
 }
 
-/// A mirrored event of each kind, by the number that stands for it.
+/// A mirrored event of each kind, with the number of its kind in messages.
 fn mirrored_events() -> Vec<(u32, MirroredEvent)> {
-    let mark = || IdempotencyKey {
+    let key = || IdempotencyKey {
         class: 1,
         tenant: 2,
         bytes: b"key-1".as_slice().into(),
@@ -84,7 +84,7 @@
         (
             0,
             MirroredEvent::KeyRetained {
-                key: mark(),
+                key: key(),
                 owner: 7,
                 body_digest: 9,
                 until_ms: 1_700_000_005_000.25,
@@ -94,14 +94,14 @@
             1,
             MirroredEvent::TaskStarted {
                 id,
-                key: Some((mark(), 7)),
+                key: Some((key(), 7)),
             },
         ),
         (1, MirroredEvent::TaskStarted { id, key: None }),
         (
             2,
             MirroredEvent::TaskEnded {
-                key: mark(),
+                key: key(),
                 owner: 7,
                 result: Some(b"sold".as_slice().into()),
             },
@@ -109,7 +109,7 @@
         (
             2,
             MirroredEvent::TaskEnded {
-                key: mark(),
+                key: key(),
                 owner: 7,
                 result: None,
             },
@@ -117,7 +117,7 @@
         (
             3,
             MirroredEvent::KeyDropped {
-                key: mark(),
+                key: key(),
                 owner: 7,
             },
         ),
@@ -186,7 +186,7 @@
 fn stored_replies_and_mirrored_events_mean_the_same() {
     let mut stored = stored().into_iter();
     let Some(Payload::Hello(hello)) = stored.next() else {
-        panic!("no greeting")
+        panic!("no hello")
     };
     assert_eq!(
         (hello.version, hello.state_format, &hello.nonce[..]),
@@ -207,11 +207,11 @@
         };
         assert_eq!(frame.event, number);
         let Some(HotRestartStep::Mirrored(event)) = hot_restart_step(Payload::Mirror(frame)) else {
-            panic!("not understood")
+            panic!("event not recognized")
         };
         assert_eq!(event, expected);
     }
-    // A kind of a later release promises nothing, or is skipped.
+    // A kind that only a later release knows: a reply is read as failed, an event is skipped.
     let unknown = ReplyFrame {
         route: route_frame(ROUTE),
         kind: 99,
@@ -234,7 +234,7 @@
     let mut next = || engine_message(stored.next().unwrap(), &writer, 2).unwrap();
     for expected in OUTCOMES {
         let EngineMessage::CallEnded {
-            task: who,
+            task: task_id,
             outcome,
             duration_ms: took_ms,
             body,
@@ -243,30 +243,30 @@
             panic!("no outcome")
         };
         assert_eq!(
-            (who, outcome, took_ms, &body[..]),
+            (task_id, outcome, took_ms, &body[..]),
             (77, expected, 41.5, &b"reply"[..])
         );
     }
     let EngineMessage::Request(relayed) = next() else {
         panic!("no request")
     };
-    let (asked, sent) = (&relayed.head, request());
+    let (head, sent) = (&relayed.head, request());
     assert_eq!(
-        (&asked.id[..], asked.class, asked.edge_node, asked.tenant),
+        (&head.id[..], head.class, head.edge_node, head.tenant),
         (&sent.id[..], 1, 3, 2)
     );
     assert_eq!(
-        (asked.start_ms, asked.timeout_ms, asked.cost_hint_ms),
+        (head.start_ms, head.timeout_ms, head.cost_hint_ms),
         (1_700_000_000_123.5, Some(900.25), Some(12.5))
     );
-    let mark = IdempotencyKey {
+    let idempotency_key = IdempotencyKey {
         class: 1,
         tenant: 2,
         bytes: b"key-1".as_slice().into(),
     };
     assert_eq!(
-        (asked.memory_kb, asked.idempotency_key.as_ref()),
-        (6.75, Some(&mark))
+        (head.memory_kb, head.idempotency_key.as_ref()),
+        (6.75, Some(&idempotency_key))
     );
     assert_eq!(
         (&relayed.body[..], relayed.token.as_deref()),
@@ -279,8 +279,8 @@
     );
 }
 
-/// The old process starts the new one with these variables: they stay as long as any release that may be replaced knows
-/// them.
+/// The old process starts the new one with these variables, so their names must stay the same as long as any release
+/// that may be replaced uses them.
 #[test]
 fn the_environment_variables_have_these_names() {
     assert_eq!(
