--- a/crates/asterdale-membership/src/authentication.rs
+++ b/crates/asterdale-membership/src/authentication.rs
@@ -1,20 +1,20 @@
 //! Message authentication with the fleet's shared key: HMAC-SHA-256 (RFC 2104), truncated.
 //!
 //! An authenticated message is the protocol version (1 byte), the first `MAC_BYTES` of the MAC over version and body,
-//! and the body. The MAC proves that the sender has the key, not which process it is: a holder of the key can send in
-//! any process's name.
+//! and the body. The MAC proves that the sender has the key, not which process it is: any process that has the key can
+//! send messages under another process's name.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// The protocol version that this release speaks.
+/// The protocol version that this release supports.
 pub const PROTOCOL_VERSION: u8 = 1;
 /// Length of the truncated MAC. RFC 2104 allows half of the hash; 128 bits cannot be guessed.
 const MAC_BYTES: usize = 16;
 /// Bytes before the body: version and MAC.
 pub(crate) const HEADER_BYTES: usize = 1 + MAC_BYTES;
 
-/// Why a message was not accepted.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AuthenticationError {
     /// The message is too short, or its MAC is wrong.
@@ -75,7 +75,7 @@
 }
 
 impl std::fmt::Debug for MessageAuthenticator {
-    /// Leaves the key out.
+    /// Omits the key.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("MessageAuthenticator")
     }
--- a/crates/asterdale-membership/src/config.rs
+++ b/crates/asterdale-membership/src/config.rs
@@ -1,4 +1,4 @@
-//! What a process needs to know about itself and its fleet when it starts.
+//! The configuration with which a process starts.
 
 use std::net::SocketAddr;
 
@@ -9,9 +9,9 @@
 pub struct MembershipConfig {
     /// The process's name, unique in the fleet.
     pub name: String,
-    /// The address at which the others reach it.
+    /// The address at which the other members reach it.
     pub address: SocketAddr,
-    /// The last generation that the process itself remembers; 0 if it remembers none.
+    /// The last generation of this name that the process itself knows; 0 if it knows none.
     pub last_generation: u64,
     /// A random number that no other process has drawn. It distinguishes processes that took the same generation.
     pub nonce: u64,
@@ -19,7 +19,7 @@
     pub seeds: Vec<SocketAddr>,
     /// The fleet's shared key for message authentication.
     pub key: Vec<u8>,
-    /// Timers and limits. All members must have the same.
+    /// Timers and limits. All members must use the same values.
     pub settings: Settings,
     /// Seed of the random number generator.
     pub random_seed: u64,
--- a/crates/asterdale-membership/src/counters.rs
+++ b/crates/asterdale-membership/src/counters.rs
@@ -2,7 +2,7 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $field:ident = $key:literal,)*) => {
-        /// What a member has counted since it started.
+        /// Counts of one member since its start.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub struct Counters {
             $($(#[$doc])* pub $field: u64,)*
@@ -27,7 +27,7 @@
     messages_received = "heard",
     /// Exchanges started by this member.
     exchanges_started = "exchanges",
-    /// Messages dropped because their MAC was wrong: another key, or changed on the way.
+    /// Messages dropped because their MAC was wrong: made with another key, or modified in transit.
     unauthenticated = "foreign",
     /// Messages dropped because they were too long or could not be decoded.
     malformed = "unreadable",
@@ -35,20 +35,20 @@
     version_mismatches = "versions",
     /// Messages dropped because a newer process under the sender's name is known.
     stale_generations = "older",
-    /// Messages dropped because more came in a second than this member reads.
+    /// Messages dropped by the rate limit for received messages.
     rate_limited = "flooded",
-    /// Records dropped because the view holds its maximum of members.
+    /// Records dropped because the view has its maximum number of members.
     over_member_limit = "crowded",
     /// Suspicions that this member raised after a failed probe of its own.
     suspicions_raised = "suspected",
     /// Suspicions in this member's view, whoever raised them, that were refuted.
     suspicions_refuted = "refuted",
-    /// Suspicions that expired here, so that this member declared a death.
+    /// Suspicions that expired at this member, which then declared the suspect dead.
     deaths_declared = "died",
-    /// Accusations of this process that it refuted.
+    /// Suspicions and reported deaths of this process that it refuted.
     refutations = "defended",
-    /// How often this process had to give up its duties because others had declared it dead.
+    /// How often this process had to give up what it owns because other members had declared it dead.
     declared_dead = "fallen",
-    /// How often this process stood still (stopped, or starved of CPU).
+    /// How often this process was paused (stopped, or starved of CPU).
     pauses = "pauses",
 }
--- a/crates/asterdale-membership/src/event.rs
+++ b/crates/asterdale-membership/src/event.rs
@@ -19,13 +19,13 @@
     Left,
 }
 
-/// Something that the program may want to know or has to act on.
+/// A notification to the program, which has to act on some of them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The highest generation that other members remember for this process's name; 0 if none does. Comes before
+    /// The highest generation that other members have reported for this process's name; 0 if none has. Emitted before
     /// [`Event::Joined`].
     PriorGeneration(u64),
-    /// This process is a member from now on, with this generation.
+    /// This process became a member, with this generation.
     Joined(u64),
     /// The record of another member changed.
     MemberChanged {
@@ -38,33 +38,35 @@
         /// Name of the process that reported it.
         reported_by: String,
     },
-    /// Others declared this process dead, and it cannot be sure that it reached a majority in the meantime. The
-    /// program gives up whatever the process owns, then calls [`Membership::rejoin`](crate::Membership::rejoin).
+    /// Other members declared this process dead, and it cannot be sure that it reached a majority in the meantime. The
+    /// program gives up everything that the process owns, then calls
+    /// [`Membership::rejoin`](crate::Membership::rejoin).
     DeclaredDead {
         /// Name of the process that reported it.
         reported_by: String,
     },
     /// This process is a member again, with this generation.
     Rejoined(u64),
-    /// A newer process may be alive under this process's name at this address. This process is silent until it knows.
+    /// A newer process may be alive under this process's name at this address. Until that is known, this process sends
+    /// no gossip and answers no pings.
     NameConflict(SocketAddr),
-    /// A newer process has this process's name, at this address. This process is no member any more.
+    /// A newer process has this process's name, at this address. This process is no longer a member.
     Superseded(SocketAddr),
-    /// This process stood still for this many milliseconds.
+    /// This process was paused for this many milliseconds.
     Paused(f64),
     /// Whether this process reaches more than half of the fleet, see
     /// [`Membership::has_majority`](crate::Membership::has_majority).
     MajorityChanged(bool),
-    /// Another process speaks none of this release's protocol versions.
+    /// Another process supports none of this release's protocol versions.
     VersionRejected {
-        /// The lowest version that it speaks.
+        /// The lowest version that it supports.
         min_version: u32,
-        /// The highest version that it speaks.
+        /// The highest version that it supports.
         max_version: u32,
     },
 }
 
-/// What the caller has to do, in the order in which the actions come.
+/// What the caller has to do. Actions are performed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the datagram to the address.
--- a/crates/asterdale-membership/src/gossip_queue.rs
+++ b/crates/asterdale-membership/src/gossip_queue.rs
@@ -1,7 +1,7 @@
 //! The queue of records to be piggybacked on messages (SWIM, infection-style dissemination).
 //!
-//! As in SWIM, each record is sent a bounded number of times, and those sent least come first. Departing from the paper,
-//! records of members that are suspected, dead or gone precede all others.
+//! As in SWIM, each record is sent a bounded number of times, and those sent least come first. Unlike in the
+//! paper, records of members that are suspected, are dead or have left precede all others.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     record: MemberRecord,
 }
 
-/// A record's place in the queue; the lowest is sent first.
+/// A record's rank in the queue; the lowest is sent first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     is_alive: bool,
@@ -22,7 +22,7 @@
     name: String,
 }
 
-/// The queue. It has one record for each name at most.
+/// The queue. It has at most one record for each name.
 #[derive(Clone, Debug, Default)]
 pub struct GossipQueue {
     queued: BTreeMap<String, QueuedRecord>,
@@ -38,11 +38,12 @@
         self.queued.insert(queued.record.name.clone(), queued);
     }
 
-    /// The records for the next message, as many as fit into `capacity_bytes` by the measure `record_bytes`. A record
-    /// that has been sent `max_transmissions` times leaves the queue.
+    /// The records for the next message, as many as fit into `capacity_bytes`, with sizes by `record_bytes`. A record
+    /// that has been sent `max_transmissions` times is removed from the queue.
     ///
-    /// Suspicions and deaths come first, because a suspect has little time to refute and a dead member still gets
-    /// work. After them come the records sent least, so that hundreds of joins do not delay news of one loss.
+    /// Suspicions and deaths come first, because a suspect has little time to refute, and a dead member is sent work
+    /// until its death is known. After them come the records sent least, so that hundreds of joins do not delay the
+    /// record of one death.
     pub fn take_batch(
         &mut self,
         mut capacity_bytes: usize,
--- a/crates/asterdale-membership/src/local_health.rs
+++ b/crates/asterdale-membership/src/local_health.rs
@@ -1,7 +1,7 @@
-//! Lifeguard's local health multiplier (LHA-Probe): a process that misses answers is probably slow itself, so it waits
-//! longer before it accuses others.
+//! Lifeguard's local health multiplier (LHA-Probe): a process that does not receive expected answers is probably slow
+//! itself, so it waits longer before it suspects others.
 
-/// The highest score, as published.
+/// The maximum score, as in the Lifeguard paper.
 const MAX_SCORE: u32 = 8;
 
 /// The score, from 0 (healthy) to `MAX_SCORE`.
@@ -9,8 +9,8 @@
 pub struct LocalHealth(u32);
 
 impl LocalHealth {
-    /// Counts a sign that this process is slow: a probe without an ack, a relay without a nack, a suspicion against
-    /// this process, a pause.
+    /// Counts a sign that this process is slow: a probe without an ack, a relay without a nack, a suspicion or reported
+    /// death of this process, or a pause.
     pub fn record_failure(&mut self) {
         self.0 = (self.0 + 1).min(MAX_SCORE);
     }
--- a/crates/asterdale-membership/src/message.rs
+++ b/crates/asterdale-membership/src/message.rs
@@ -1,6 +1,6 @@
 //! The wire format: encoding and decoding of messages and records.
 //!
-//! Received messages are untrusted. A record that is malformed (an overlong name, an impossible address, an unknown
+//! Received messages are untrusted. A record that is malformed (an overlong name, an invalid address, an unknown
 //! status) is ignored; a message that is too long is not decoded at all.
 
 use std::net::{IpAddr, SocketAddr};
@@ -12,7 +12,7 @@
 };
 use crate::record::{MemberRecord, Metadata, Phase, Status};
 
-/// The messages as generated from `proto/members.proto`, which documents them.
+/// The messages generated from `proto/members.proto`, which documents them.
 #[allow(missing_docs, clippy::doc_markdown)]
 pub mod wire {
     include!(concat!(env!("OUT_DIR"), "/asterdale.members.v1.rs"));
@@ -27,12 +27,12 @@
 pub const MAX_EXCHANGE_BYTES: usize = 1024 * 1024;
 /// Maximum length of a member's name.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Bytes of a datagram that are not for gossip: version and MAC, the sender's record and the payload, at their longest.
+/// Bytes of a datagram that are reserved for version and MAC, the sender's record and the payload, at their longest.
 const NON_GOSSIP_BYTES: usize = 400;
-/// Bytes of an encoded record beside its two names, at most: address, numbers and protobuf tags.
+/// Maximum bytes of an encoded record without its two names: address, numbers and protobuf tags.
 const RECORD_OVERHEAD_BYTES: usize = 64;
 
-/// Why a message was not accepted.
+/// Why a message was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// It is longer than allowed.
@@ -41,7 +41,7 @@
         /// The allowed length.
         max_bytes: usize,
     },
-    /// It was not made with the fleet's key, or was changed.
+    /// It was not authenticated with the fleet's key, or was modified.
     #[error("the message is not authentic")]
     Unauthenticated,
     /// It is of another protocol version.
@@ -107,7 +107,8 @@
     }
 }
 
-/// An unknown phase counts as draining: a process of a later release gets no work by mistake.
+/// An unknown phase counts as draining, so that a process of a later release is not sent work in a phase in which it
+/// may accept none.
 fn decode_phase(phase: u32) -> Phase {
     match phase {
         0 => Phase::WarmingUp,
--- a/crates/asterdale-membership/src/random.rs
+++ b/crates/asterdale-membership/src/random.rs
@@ -1,4 +1,4 @@
-//! The state machine's source of randomness. The same seed and the same inputs give the same run.
+//! The state machine's random number generator. The same seed and the same inputs give the same run.
 
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -12,17 +12,17 @@
         RandomSource(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    /// A fraction from 0 up to, but without, 1.
+    /// A random fraction, at least 0 and less than 1.
     pub(crate) fn fraction(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// An index below `length`. Panics if `length` is 0.
+    /// A random index below `length`. Panics if `length` is 0.
     fn index(&mut self, length: usize) -> usize {
         (self.0.next_u64() % length as u64) as usize
     }
 
-    /// One of the items. Draws nothing if there are none.
+    /// A random item. Does not advance the generator if there are none.
     pub(crate) fn choose<'a, T>(&mut self, items: &'a [T]) -> Option<&'a T> {
         if items.is_empty() {
             return None;
@@ -30,7 +30,7 @@
         items.get(self.index(items.len()))
     }
 
-    /// Removes one of the items. Draws nothing if there are none.
+    /// Removes a random item. Does not advance the generator if there are none.
     pub(crate) fn remove<T>(&mut self, items: &mut Vec<T>) -> Option<T> {
         if items.is_empty() {
             return None;
--- a/crates/asterdale-membership/src/receive_limiter.rs
+++ b/crates/asterdale-membership/src/receive_limiter.rs
@@ -1,11 +1,12 @@
 //! A token bucket for received messages, so that a flood costs a bounded amount of work.
 
-/// Messages read in a second, whatever the fleet's size. A healthy fleet sends about a tenth of the whole limit.
+/// Messages accepted per second, independent of the fleet's size. A healthy fleet sends about a tenth of the total
+/// limit.
 const BASE_PER_SECOND: f64 = 400.0;
-/// Messages read in a second in addition, for each member in the view.
+/// Messages accepted per second in addition, for each member in the view.
 const PER_MEMBER_PER_SECOND: f64 = 40.0;
 
-/// The bucket. It holds the messages of one second at most.
+/// The token bucket. Its capacity is the number of messages accepted per second.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceiveLimiter {
     tokens: f64,
@@ -20,7 +21,7 @@
         }
     }
 
-    /// Takes the token for one message; `false` if there is none and the message is to be dropped.
+    /// Takes the token for one message. Returns `false` if there is none, and the message is to be dropped.
     pub(crate) fn try_take(&mut self, now_ms: f64, member_count: usize) -> bool {
         let per_second = BASE_PER_SECOND + PER_MEMBER_PER_SECOND * member_count as f64;
         let elapsed_ms = (now_ms - self.refilled_ms).max(0.0);
--- a/crates/asterdale-membership/src/record.rs
+++ b/crates/asterdale-membership/src/record.rs
@@ -1,4 +1,4 @@
-//! What is known about a process, and which of two contradictory records wins.
+//! The record of a member, and which of two contradictory records takes precedence.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 /// SWIM's member states. For the same incarnation the later one in this order wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Status {
-    /// The process answers.
+    /// The process answers probes.
     Alive,
     /// A probe of the process failed.
     Suspect,
@@ -16,7 +16,7 @@
     Left,
 }
 
-/// How far a process is in its life, by its own account.
+/// The phase of a process's lifecycle, as the process itself reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Phase {
     /// It started without its caches and is warming up.
@@ -30,14 +30,14 @@
     Draining,
 }
 
-/// What a process says about its load, in a few bytes, as every datagram carries it.
+/// What a process reports about its load. It is only a few bytes long, as every datagram carries it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Metadata {
     /// The phase.
     pub phase: Phase,
-    /// The busy part of its cores, from 0 to 100.
+    /// Utilization of its cores, from 0 to 100.
     pub load_percent: u8,
-    /// How far its slow start is, from 0 to 100.
+    /// Progress of its slow start, from 0 to 100.
     pub warm_percent: u8,
 }
 
@@ -46,9 +46,9 @@
 pub struct MemberRecord {
     /// The name. At most one process should have it at a time.
     pub name: String,
-    /// The address at which the process can be reached, by its own account.
+    /// The address at which the process can be reached, as the process itself reports it.
     pub address: SocketAddr,
-    /// Number of the process under this name, higher than those of all earlier ones.
+    /// Number of the run under this name, higher than those of all earlier runs.
     pub generation: u64,
     /// A random number that distinguishes two processes that took the same generation.
     pub nonce: u64,
@@ -56,7 +56,7 @@
     pub incarnation: u32,
     /// The status.
     pub status: Status,
-    /// What the process says about its load.
+    /// What the process reports about its load.
     pub metadata: Metadata,
     /// Name of the process that reported the status first.
     pub reported_by: String,
@@ -70,9 +70,9 @@
 
     /// Orders two records of one name; the greater one wins.
     ///
-    /// A newer run wins over an older one. Within a run, leaving wins over everything, then the higher incarnation, then
-    /// the later status. As this is a total order, processes that received the same records agree, whatever the order
-    /// and however often the records came.
+    /// A newer run wins over an older one. Within a run, [`Status::Left`] wins over everything, then the higher
+    /// incarnation, then the later status. As this is a total order, processes that received the same records
+    /// agree, whatever the order in which the records came and however often.
     pub fn cmp_precedence(&self, other: &MemberRecord) -> Ordering {
         let rank = |record: &MemberRecord| {
             (
@@ -85,7 +85,7 @@
         rank(self).cmp(&rank(other))
     }
 
-    /// Whether the process counts as a live member: a suspect does.
+    /// Whether the process counts as a live member. A suspect does.
     pub fn is_live(&self) -> bool {
         matches!(self.status, Status::Alive | Status::Suspect)
     }
--- a/crates/asterdale-membership/src/settings.rs
+++ b/crates/asterdale-membership/src/settings.rs
@@ -1,56 +1,57 @@
-//! The protocol's settings. All members of a fleet must have the same. Times are milliseconds as `f64`.
+//! The protocol's settings. All members of a fleet must use the same values. Times are milliseconds as `f64`.
 
 /// Timers and limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// SWIM's protocol period: the time from one probe to the next. Most other times are multiples of it.
     pub probe_interval_ms: f64,
-    /// How long a probe's ack may take before other members are asked to probe: some round trips.
+    /// How long to wait for a probe's ack before indirect probes are sent: several round trips.
     pub probe_timeout_ms: f64,
     /// SWIM's k: how many relays are asked in an indirect probe.
     pub indirect_probes: usize,
-    /// Lifeguard's alpha: the minimum of a suspicion, in probe intervals, times the logarithm of the fleet's size.
+    /// Lifeguard's alpha: the minimum suspicion timeout is this many probe intervals, times the logarithm of the
+    /// fleet's size.
     pub suspicion_multiplier: f64,
-    /// Lifeguard's beta: how many times the minimum a suspicion lasts without confirmations.
+    /// Lifeguard's beta: the maximum suspicion timeout, without confirmations, as a multiple of the minimum.
     pub max_suspicion_multiplier: f64,
-    /// SWIM's lambda: how many times a record is piggybacked, times the logarithm of the fleet's size.
+    /// SWIM's lambda: a record is piggybacked this many times, times the logarithm of the fleet's size.
     pub retransmit_multiplier: f64,
-    /// The time from one periodic full-view exchange to the next, in probe intervals.
+    /// The mean time between periodic full-view exchanges, in probe intervals.
     pub exchange_intervals: f64,
-    /// The time from one ping to a dead member, or to a seed that is no member, to the next, in probe intervals.
+    /// The mean time between pings to dead members and to seeds that are not members, in probe intervals.
     pub dead_ping_intervals: f64,
-    /// How long dead members, and those that left, stay in the view. It must be longer than any partition that is to
-    /// heal on its own.
+    /// How long dead members and members that left stay in the view. Must be longer than any partition that is to heal
+    /// without an operator.
     pub dead_retention_ms: f64,
-    /// How many members the view holds at most, dead ones included. Records of more are dropped.
+    /// Maximum number of members in the view, dead ones included. Records of further members are dropped.
     pub max_members: usize,
-    /// How long a starting process waits for a seed's answer before it goes on alone, in probe intervals.
+    /// How long a starting process waits for a seed's response before it becomes a member alone, in probe intervals.
     pub join_timeout_intervals: f64,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            // Detection within seconds is enough for what rests on the view, and one probe a second costs nothing.
+            // Users of the view only need detection within seconds, and the cost of one probe a second is negligible.
             probe_interval_ms: 1000.0,
-            // Ten times the round trip of a loaded machine on the same network.
+            // Ten times the round-trip time to a loaded machine on the same network.
             probe_timeout_ms: 300.0,
-            // The paper's value: with three relays, a broken route between two processes raises no suspicion.
+            // The SWIM paper's value: with three relays, a broken route between two processes raises no suspicion.
             indirect_probes: 3,
-            // Lifeguard's alpha and beta.
+            // The Lifeguard paper's values for alpha and beta.
             suspicion_multiplier: 5.0,
             max_suspicion_multiplier: 6.0,
-            // The paper's 3 to 4: the probability that all receive a record grows with the fleet.
+            // The SWIM paper has 3 to 4: the probability that all members receive a record grows with the fleet.
             retransmit_multiplier: 4.0,
-            // Gossip reaches all within a few intervals; exchanges are for records that were lost every time.
+            // Gossip reaches all members within a few intervals; exchanges deliver records whose every copy was lost.
             exchange_intervals: 20.0,
-            // One small datagram in five intervals from each process, however many members are dead.
+            // Each process sends one small datagram every five intervals, however many members are dead.
             dead_ping_intervals: 5.0,
-            // A day: the longest outage that an operator would leave alone.
+            // One day: the longest outage that is expected to pass without an operator's intervention.
             dead_retention_ms: 86_400_000.0,
-            // What an exchange message has room for.
+            // As many records as fit into an exchange message.
             max_members: 4096,
-            // Several requests to seeds, as one is made in each half to whole interval.
+            // Time for several requests to seeds, which are 0.5 to 1 interval apart.
             join_timeout_intervals: 5.0,
         }
     }
@@ -77,12 +78,13 @@
         (self.retransmit_multiplier * Settings::log_size(size)).ceil() as u32
     }
 
-    /// The time within which all live processes have the same view after the last fault, if messages pass.
+    /// The time within which all live processes have the same view after the last fault, if messages are delivered.
     ///
     /// It sums the steps of the slowest recovery: a ping to a dead member finds the other side of a partition; full
-    /// views are exchanged, and whoever has to takes a new generation; a process that died last is probed by a healthy
-    /// prober (after a round and a half at most) and is suspected for the maximum; members that hear of the death
-    /// suspect it for the minimum; the gossip spreads. The sum is doubled for busy machines.
+    /// views are exchanged, and processes that were declared dead take a new generation; a process that crashed last is
+    /// probed by a healthy prober (after a round and a half at most) and is suspected for the maximum timeout; members
+    /// that receive the report of the death suspect the process for the minimum timeout; the gossip spreads. The sum is
+    /// doubled to allow for busy machines.
     pub fn convergence_bound_ms(&self, size: usize) -> f64 {
         let partition_found = 3.0 * self.dead_ping_intervals * self.probe_interval_ms * 2.0;
         let probed = 2.0 * self.probe_interval_ms * 2.0;
--- a/crates/asterdale-membership/src/state_machine/dead_members.rs
+++ b/crates/asterdale-membership/src/state_machine/dead_members.rs
@@ -1,7 +1,8 @@
-//! Dead members: pinging them so that partitions heal, and forgetting them in the end.
+//! Dead members: pinging them so that partitions heal, and removing them after the retention period.
 //!
-//! SWIM forgets dead members, so that the two sides of a long partition never find each other. Here one of them is pinged
-//! every few intervals, however many there are; a ping carries the record of its death, which the member can refute.
+//! SWIM removes dead members, so the two sides of a long partition never find each other again. Here one dead member is
+//! pinged every few intervals, however many there are. The ping carries the record of the member's death, which the
+//! member can refute.
 
 use std::net::SocketAddr;
 
@@ -11,7 +12,7 @@
 use crate::record::Status;
 
 impl Membership {
-    /// Pings a random one of the dead members and of the seeds that are no live members.
+    /// Pings one random dead member, or seed that is not a live member.
     pub(super) fn ping_dead_member(&mut self) {
         if failpoint::is_active(Failpoint::Dead) {
             return;
@@ -44,7 +45,7 @@
         addresses
     }
 
-    /// Removes the members that have been dead, or have left, for longer than they are remembered.
+    /// Removes the members that have been dead, or have left, for longer than the retention period.
     pub(super) fn remove_expired_members(&mut self, now_ms: f64) {
         let max_age_ms = self.settings.dead_retention_ms;
         let expired: Vec<String> = self
--- a/crates/asterdale-membership/src/state_machine/dissemination.rs
+++ b/crates/asterdale-membership/src/state_machine/dissemination.rs
@@ -1,12 +1,14 @@
-//! Which received records about other processes this one accepts, and gossips in turn.
+//! Which received records about other processes are accepted, and gossiped in turn.
 //!
-//! Precedence follows SWIM (alive, suspect and dead, overridden by incarnation), within a run. Departures:
+//! Within a run, precedence follows SWIM (alive, suspect and dead, overridden by incarnation). Differences from SWIM:
 //!
-//! - The run ID comes first: a newer run under a name replaces an older one, which SWIM does not have.
-//! - A death that others report of a member that is alive here only starts a suspicion, with a short deadline, and a
-//!   ping. SWIM believes it. Thus a single process with wrong timers cannot remove members.
-//! - A death takes the next incarnation (see `suspicions`), so a late refutation of the suspicion does not revive a member
-//!   that has not heard of its death.
+//! - The run ID takes precedence over everything else: a newer run under a name replaces an older one. SWIM has no
+//!   runs.
+//! - If another process reports the death of a member that is alive in the local view, the member is only suspected,
+//!   with a short deadline, and pinged. SWIM accepts the death. Thus a single process with wrong timers cannot remove
+//!   members.
+//! - The record of a death has the next incarnation (see `suspicions`), so a late refutation of the suspicion does not
+//!   revive a member that has not been notified of its death.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -17,7 +19,7 @@
 use crate::record::{MemberRecord, Status};
 
 impl Membership {
-    /// Applies the sender's record of itself. `false` if a newer process under its name is known.
+    /// Applies the sender's record of itself. Returns `false` if a newer process under its name is known.
     pub(super) fn apply_sender_record(&mut self, now_ms: f64, sender: &MemberRecord) -> bool {
         if let Some(entry) = self.view.get(&sender.name) {
             let is_older = sender.run_id() < entry.record.run_id();
@@ -63,7 +65,7 @@
             Status::Alive | Status::Suspect => {
                 self.accept_live_record(now_ms, record, MemberChange::Joined);
             }
-            // No event and no gossip: the record is kept for its generation only.
+            // No event and no gossip: the record is only retained for its generation.
             Status::Dead | Status::Left => self.view.insert(now_ms, record, None),
         }
     }
@@ -75,8 +77,9 @@
         known: MemberRecord,
     ) {
         if record.is_live() {
-            // The process reached nobody when it started and took the generation of an earlier one. Whoever replaces the
-            // earlier record tells it, since nobody else may remember that record.
+            // The process reached no other member when it started, and took the generation of an earlier run. The
+            // member that replaces the earlier record sends it to the process, as no other member may still have that
+            // record.
             if record.generation == known.generation && self.is_member() {
                 self.send_record_to_subject(record.address, known);
             }
@@ -144,13 +147,14 @@
         }
     }
 
-    /// Another process declared dead a member that is live here: it is suspected with a short deadline, and pinged and
-    /// probed next.
+    /// Handles the reported death of a member that is live in the local view. The member is suspected with a short
+    /// deadline, pinged, and probed next.
     fn verify_reported_death(&mut self, now_ms: f64, death: &MemberRecord, known: &MemberRecord) {
         if known.status == Status::Alive {
             let mut suspicion = death.clone();
             suspicion.status = Status::Suspect;
-            // The incarnation before the death's, so that the suspicion ends in the same death and not in a later one.
+            // The incarnation before the death's, so that this suspicion expires into the same record of the death and
+            // not into one of a higher incarnation.
             let before_death = death.incarnation.saturating_sub(1);
             suspicion.incarnation = known.incarnation.max(before_death);
             self.suspect(now_ms, suspicion);
--- a/crates/asterdale-membership/src/state_machine/exchange.rs
+++ b/crates/asterdale-membership/src/state_machine/exchange.rs
@@ -1,8 +1,8 @@
 //! Anti-entropy: exchanges of full views over a stream (push-pull).
 //!
-//! SWIM has no anti-entropy; memberlist, which Lifeguard was built on, has a periodic push-pull like this one. In addition,
-//! every message carries a hash of the sender's view, and views that differ without queued gossip to explain it are
-//! exchanged soon.
+//! SWIM has no anti-entropy; memberlist, which Lifeguard was built on, has a periodic push-pull like this one. In
+//! addition, every message carries a hash of the sender's view. Views that differ are exchanged soon, unless queued
+//! gossip explains the difference.
 
 use std::net::SocketAddr;
 
@@ -12,11 +12,11 @@
 use crate::event::Action;
 use crate::message::{Message, MAX_EXCHANGE_BYTES};
 
-/// With more queued records than this, gossip would take longer than an exchange, as after a partition or a restart of
-/// the whole fleet. Views are then exchanged although gossip would make them equal.
+/// With more queued records than this, as after a partition or a restart of the complete fleet, gossip would take
+/// longer than an exchange. Views are then exchanged although gossip would make them equal in the end.
 const MAX_GOSSIP_BACKLOG: usize = 4;
 
-/// When the next exchange is due, and with whom.
+/// When the next exchange is due, and with which peer.
 #[derive(Clone, Debug)]
 pub(super) struct ExchangeSchedule {
     pub(super) next_ms: f64,
@@ -59,7 +59,7 @@
         Some(self.encode_full_view(true))
     }
 
-    /// Handles the response to an exchange that this process started. A joining process becomes a member with it.
+    /// Handles the response to an exchange that this process started. A valid one makes a joining process a member.
     pub fn handle_exchange_response(&mut self, now_ms: f64, bytes: &[u8]) -> Vec<Action> {
         self.run_timers(now_ms);
         if let Some((message, sender)) = self.decode(now_ms, bytes, MAX_EXCHANGE_BYTES) {
@@ -73,7 +73,7 @@
         self.finish_step(now_ms)
     }
 
-    /// Starts the exchange that is due, with the peer that is set or a random live member.
+    /// Starts the exchange that is due, with the scheduled peer or a random live member.
     pub(super) fn run_periodic_exchange(&mut self, now_ms: f64) {
         let live_members = self.view.live_members();
         let addresses: Vec<SocketAddr> = live_members.map(|entry| entry.record.address).collect();
@@ -88,7 +88,7 @@
             self.jittered_intervals_ms(now_ms, self.settings.exchange_intervals);
     }
 
-    /// Starts an exchange now.
+    /// Starts an exchange immediately.
     pub(super) fn start_exchange(&mut self, now_ms: f64, peer: SocketAddr) {
         self.exchanges.last_ms = now_ms;
         self.counters.exchanges_started += 1;
@@ -96,7 +96,8 @@
         self.actions.push(Action::Exchange(peer, bytes));
     }
 
-    /// Schedules an exchange if the sender's view differs and gossip does not explain it, once an interval at most.
+    /// Schedules an exchange with the sender if its view differs and queued gossip does not explain the difference.
+    /// There is at least one probe interval between such an exchange and the one before.
     pub(super) fn compare_views(&mut self, now_ms: f64, message: &Message, sender: SocketAddr) {
         let is_exchange = is_full_view(message, false) || is_full_view(message, true);
         if !self.is_member() || is_exchange || message.joining {
--- a/crates/asterdale-membership/src/state_machine/lifecycle.rs
+++ b/crates/asterdale-membership/src/state_machine/lifecycle.rs
@@ -1,6 +1,6 @@
 //! Joining, rejoining after a declared death, leaving, and conflicts over a name.
 //!
-//! The papers leave joining to the implementation. Here a process asks seeds for their full view, learns the highest
+//! The papers leave joining to the implementation. Here a process requests the full view from seeds, learns the highest
 //! generation under its name from it, and takes the next one. A leave is announced to a few members directly and spreads
 //! as gossip, so it raises no suspicion.
 
@@ -13,17 +13,17 @@
 use crate::failpoint::{self, Failpoint};
 use crate::record::Status;
 
-/// How many members are told directly of a leave, at once and again half an interval later.
+/// How many members are notified directly of a leave, at once and again half a probe interval later.
 const LEAVE_FANOUT: usize = 8;
 /// A joining process waits for 0.5 to 1 probe interval between its requests to seeds.
 const MIN_JOIN_JITTER: f64 = 0.5;
-/// Width of that range.
+/// Width of the jitter's range.
 const JOIN_JITTER_RANGE: f64 = 0.5;
 /// The generation that the failpoint `generation` takes.
 const FAILPOINT_GENERATION: u64 = 1;
 
 impl Membership {
-    /// Announces that this process leaves. It takes part no more one probe interval later.
+    /// Announces that this process leaves. One probe interval later it stops taking part in the protocol.
     pub fn leave(&mut self, now_ms: f64) -> Vec<Action> {
         self.run_timers(now_ms);
         match self.state {
@@ -43,8 +43,8 @@
         self.finish_step(now_ms)
     }
 
-    /// Goes on in a new generation. The program calls it after [`Event::DeclaredDead`], once it has given up whatever the
-    /// process owned. Without a declared death it does nothing.
+    /// Rejoins with a new generation. The program calls this after [`Event::DeclaredDead`], once it has given up
+    /// everything that the process owned. Does nothing if the process was not declared dead.
     pub fn rejoin(&mut self, now_ms: f64) -> Vec<Action> {
         self.run_timers(now_ms);
         if let State::DeclaredDead {
@@ -66,7 +66,7 @@
         self.finish_step(now_ms)
     }
 
-    /// Ends joining, with or without an answer of a seed.
+    /// Ends joining, with or without a response from a seed.
     pub(super) fn become_member(&mut self, now_ms: f64) {
         self.take_generation_above(self.highest_known_generation);
         self.state = State::Member;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Asks a random seed for its full view.
+    /// Requests the full view from a random seed.
     fn request_join(&mut self, now_ms: f64) {
         if let Some(&seed) = self.random.choose(&self.seeds) {
             self.start_exchange(now_ms, seed);
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Pings the process that may be alive under this name. An answer shows that it is.
+    /// Pings the newer process that may be alive under this name. An answer shows that it is alive.
     fn ping_rival(&mut self, now_ms: f64, rival: SocketAddr) {
         self.send(rival, ping_without_probe(), None);
         if let State::NameConflict { next_ping_ms, .. } = &mut self.state {
--- a/crates/asterdale-membership/src/state_machine/mod.rs
+++ b/crates/asterdale-membership/src/state_machine/mod.rs
@@ -1,9 +1,10 @@
-//! The protocol's state machine: one process's part in its fleet.
+//! The state machine of the membership protocol, as each process runs it.
 //!
-//! This module owns the state; each submodule holds one part of the protocol: `timers` (what is due when), `probing`
-//! and `relaying` (failure detection), `suspicions` (of others) and `refutation` (of accusations against this process),
-//! `dissemination` (which received records to accept), `receiving` and `sending` (messages with piggybacked gossip),
-//! `exchange` (anti-entropy), `dead_members` (pings and retention) and `lifecycle` (joining, rejoining, leaving).
+//! This module owns the state; each submodule implements one part of the protocol: `timers` (what is due when),
+//! `probing` and `relaying` (failure detection), `suspicions` (of others) and `refutation` (of suspicions of this
+//! process), `dissemination` (which received records to accept), `receiving` and `sending` (messages with piggybacked
+//! gossip), `exchange` (anti-entropy), `dead_members` (pings and retention) and `lifecycle` (joining, rejoining,
+//! leaving).
 
 mod dead_members;
 mod dissemination;
@@ -39,17 +40,16 @@
 use state::State;
 use timers::Timers;
 
-/// One process's part in the protocol.
+/// The membership protocol of one process.
 ///
-/// Every method that takes the time `now_ms` first runs the timers that are due. Times are milliseconds of a clock that
-/// does not step back.
+/// Methods that return actions first run the timers that are due. Times are milliseconds of a monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Membership {
     settings: Settings,
     authenticator: MessageAuthenticator,
     /// This process's own record, which is not in the view.
     local: MemberRecord,
-    /// Metadata that the program has set and that the local record does not have yet.
+    /// The metadata that the program set last. The local record may not have it yet.
     pending_metadata: Metadata,
     seeds: Vec<SocketAddr>,
     state: State,
@@ -58,17 +58,17 @@
     local_health: LocalHealth,
     prober: Prober,
     relayed_probes: RelayedProbes,
-    /// Names of suspects to be pinged soon, beside the probes.
+    /// Names of suspects to be pinged soon, in addition to the probes.
     suspects_to_ping: BTreeSet<String>,
-    /// Sequence number of the last probe, own or relayed.
+    /// Sequence number of the last probe, this process's own or relayed.
     last_seq: u32,
     exchanges: ExchangeSchedule,
     timers: Timers,
     random: RandomSource,
     receive_limiter: ReceiveLimiter,
-    /// The highest generation known under this name, from the program or from other members.
+    /// The highest generation known for this name, from the program or from other members.
     highest_known_generation: u64,
-    /// The highest generation that other members have reported under this name.
+    /// The highest generation that other members have reported for this name.
     highest_reported_generation: u64,
     had_majority: bool,
     /// Since when this process has had a majority; infinity while it has none.
@@ -76,12 +76,12 @@
     last_version_rejection_ms: f64,
     /// Actions of the current step, returned to the caller at its end.
     actions: Vec<Action>,
-    /// What this member has counted.
+    /// This member's counters.
     pub counters: Counters,
 }
 
 impl Membership {
-    /// A process that starts now. It joins through the seeds and is no member before [`Event::Joined`].
+    /// A process that starts now. It joins through the seeds and is not a member before [`Event::Joined`].
     pub fn new(now_ms: f64, config: MembershipConfig) -> Membership {
         let random = RandomSource::new(config.random_seed ^ config.nonce);
         let local = MemberRecord {
@@ -151,7 +151,7 @@
         self.state == State::Member
     }
 
-    /// Whether this process takes no part in the protocol any more: it left, or was superseded.
+    /// Whether this process no longer takes part in the protocol: it left, or was superseded.
     pub fn is_stopped(&self) -> bool {
         self.state == State::Stopped
     }
@@ -161,7 +161,8 @@
         self.state.name()
     }
 
-    /// The live part of the fleet, from 0 to 1: live members over live and dead ones, this process included in both.
+    /// The live fraction of the fleet, from 0 to 1: live members over live and dead ones, this process included in
+    /// both.
     pub fn live_fraction(&self) -> f64 {
         self.fleet_size() as f64 / (self.view.live_or_dead_count() + 1) as f64
     }
@@ -171,9 +172,10 @@
         self.view.live_count() + 1
     }
 
-    /// Whether this process reaches more than half of the fleet, dead members counted in, and has had an ack recently.
+    /// Whether this process reaches more than half of the fleet, including its dead members, and has had an ack
+    /// recently.
     ///
-    /// It is never true in a minority partition or in an even half, nor right after a pause of this process.
+    /// It is never true in a partition with half of the fleet or less, nor right after a pause of this process.
     pub fn has_majority(&self, now_ms: f64) -> bool {
         let max_age_ms = timers::PAUSE_INTERVALS
             * self.settings.probe_interval_ms
@@ -185,18 +187,18 @@
             && (is_alone || self.view_age_ms(now_ms) <= max_age_ms)
     }
 
-    /// Whether this process has had a majority for at least the longest suspicion.
+    /// Whether this process has had a majority for at least the maximum suspicion timeout.
     fn has_stable_majority(&self, now_ms: f64) -> bool {
         let max_suspicion_ms = self.settings.max_suspicion_ms(self.fleet_size());
         self.has_majority(now_ms) && now_ms - self.majority_since_ms >= max_suspicion_ms
     }
 
-    /// The time since a probe was last acked; infinity if none ever was, or none since this process was paused.
+    /// The time since a probe was last acked; infinity if none was since the start or the last pause of this process.
     pub fn view_age_ms(&self, now_ms: f64) -> f64 {
         now_ms - self.prober.last_ack_ms
     }
 
-    /// Sets what this process says about its load. It is gossiped at a bounded rate.
+    /// Sets what this process reports about its load. It is gossiped at a bounded rate.
     pub fn set_metadata(&mut self, metadata: Metadata) {
         self.pending_metadata = metadata;
     }
@@ -219,7 +221,7 @@
         });
     }
 
-    /// Ends a step: reports a changed majority, computes the next wake, and returns the step's actions.
+    /// Ends a step: reports a changed majority, computes the next wake time, and returns the step's actions.
     fn finish_step(&mut self, now_ms: f64) -> Vec<Action> {
         let has_majority = self.has_majority(now_ms);
         if has_majority != self.had_majority {
--- a/crates/asterdale-membership/src/state_machine/probing.rs
+++ b/crates/asterdale-membership/src/state_machine/probing.rs
@@ -2,8 +2,8 @@
 //!
 //! In every protocol period a process pings one member, chosen round-robin from a list that is shuffled for each round
 //! (SWIM's time-bounded completeness). Without an ack in time it asks other members to ping the target. If there is still
-//! no ack at the end of the period, the target is suspected. Lifeguard's LHA-Probe stretches both times by the local
-//! health, and counts relays that sent neither ack nor nack against it.
+//! no ack at the end of the period, the target is suspected. Lifeguard's LHA-Probe multiplies both times by the local
+//! health, and counts each relay that sent neither ack nor nack as a failure of this process.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::message::{self, Ack, Nack, Payload, Ping};
 use crate::record::Status;
 
-/// A probe under way.
+/// A probe in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     seq: u32,
@@ -58,7 +58,7 @@
 }
 
 impl Membership {
-    /// Ends the period's probe: a target without an ack is suspected.
+    /// Ends the probe of the protocol period: a target without an ack is suspected.
     pub(super) fn finish_probe(&mut self, now_ms: f64) {
         let Some(probe) = self.prober.current.take() else {
             return;
@@ -67,7 +67,7 @@
             return;
         }
         self.local_health.record_failure();
-        // A relay that sent no nack either suggests that the messages of this process, not the target's, are lost.
+        // A relay that sent no nack either indicates that messages of this process are lost, not those of the target.
         for _ in probe.nack_count..probe.relay_count {
             self.local_health.record_failure();
         }
@@ -106,7 +106,7 @@
         self.send(address, Payload::Ping(Ping { seq }), Some(&target));
     }
 
-    /// The next live member of the round; starts a new, shuffled round after the last. `None` without live members.
+    /// The next live member of the round; starts a new, shuffled round after the last one. `None` if no member is live.
     fn next_probe_target(&mut self) -> Option<String> {
         loop {
             while let Some(name) = self.prober.round.pop() {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Asks relays to ping the target, as its ack did not come in time.
+    /// Asks relays to ping the target if its ack did not come in time.
     pub(super) fn send_indirect_probes(&mut self) {
         let Some(probe) = &mut self.prober.current else {
             return;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// An ack to this process's own probe, direct or through a relay.
+    /// Handles an ack to this process's own probe, direct or through a relay.
     pub(super) fn handle_probe_ack(&mut self, now_ms: f64, ack: &Ack) {
         let Some(probe) = &mut self.prober.current else {
             return;
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Lifeguard's nack: the relay works, although the target has not answered it.
+    /// Handles Lifeguard's nack: the relay can be reached, although the target has not answered it.
     pub(super) fn handle_nack(&mut self, nack: &Nack) {
         if let Some(probe) = &mut self.prober.current {
             if probe.seq == nack.seq {
--- a/crates/asterdale-membership/src/state_machine/receiving.rs
+++ b/crates/asterdale-membership/src/state_machine/receiving.rs
@@ -1,4 +1,4 @@
-//! Messages that come in: admission, decoding, and what each kind of message causes.
+//! Received messages: rate limit, decoding, and the handling of each kind.
 
 use super::state::State;
 use super::Membership;
@@ -6,7 +6,7 @@
 use crate::message::{self, DecodeError, FullView, Message, Payload, MAX_DATAGRAM_BYTES};
 use crate::record::MemberRecord;
 
-/// Other versions are rejected this often at most, so that rejections cannot be used to flood.
+/// Minimum time between two version rejections, so that rejections cannot be used to flood another process.
 const VERSION_REJECTION_INTERVAL_MS: f64 = 1000.0;
 
 impl Membership {
@@ -30,7 +30,7 @@
         is_admitted
     }
 
-    /// Decodes and counts a message, and rejects other versions.
+    /// Decodes and counts a message. Answers a message of another version with a rejection.
     pub(super) fn decode(
         &mut self,
         now_ms: f64,
@@ -79,8 +79,8 @@
         self.handle_payload(now_ms, message, sender);
     }
 
-    /// Drops a message of a process that was replaced under its name, since its records may be just as old. If it is
-    /// still running it learns of the newer process.
+    /// Drops a message of a process that was replaced under its name, since its records may be outdated too. A ping is
+    /// answered with the newer process's record, so that the sender is notified of it if it is still running.
     fn handle_stale_sender(&mut self, message: &Message, sender: &MemberRecord) {
         self.counters.stale_generations += 1;
         if !matches!(message.payload, Some(Payload::Ping(_))) {
--- a/crates/asterdale-membership/src/state_machine/refutation.rs
+++ b/crates/asterdale-membership/src/state_machine/refutation.rs
@@ -1,8 +1,10 @@
-//! Records about this process's own name: refuting accusations (SWIM), and giving way to what cannot be refuted.
+//! Records about this process's own name: refuting suspicions and deaths (SWIM), and accepting those that cannot be
+//! refuted.
 //!
-//! SWIM's suspect refutes by raising its incarnation. Beyond the paper, a process that was declared dead refutes only if
-//! it has had a majority for the longest suspicion, so that nobody can have taken over what it owns. Otherwise it gives
-//! up what it owns and goes on in a new generation. Records of other runs under its name are handled here too.
+//! A suspect in SWIM refutes by raising its incarnation. Beyond the paper, a process that was declared dead refutes
+//! only if it has had a majority for the maximum suspicion timeout, so that no other process can have taken over what
+//! it owns. Otherwise it gives up what it owns and rejoins with a new generation. Records of other runs under its name
+//! are handled here too.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -17,7 +19,7 @@
 impl Membership {
     /// Handles a message whose sender has this process's name.
     pub(super) fn handle_same_name_message(&mut self, message: &Message, sender: &MemberRecord) {
-        // This process's own message came back, or the sender is still joining and will learn of this process.
+        // This process's own message was returned to it, or the sender is still joining and will learn of this process.
         if sender.nonce == self.local.nonce || message.joining {
             return;
         }
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Remembers a generation of this process's name, so that the next one taken is higher.
+    /// Records a generation of this process's name, so that the next one taken is higher.
     fn note_generation(&mut self, generation: u64) {
         self.highest_known_generation = self.highest_known_generation.max(generation);
         self.highest_reported_generation = self.highest_reported_generation.max(generation);
@@ -67,16 +69,16 @@
 
     fn apply_record_of_older_run(&mut self, record: &MemberRecord, from: Option<SocketAddr>) {
         if record.generation == self.local.generation {
-            // Both runs took the same generation: those who remember the other one must not take this one for it.
+            // Both runs took the same generation. Members that know the other run must not mistake this run for it.
             self.become_declared_dead(record.generation, from, &record.reported_by);
         } else if record.is_live() {
-            // Somebody does not know of this run yet.
+            // Another member does not know of this run yet.
             self.gossip_local_record();
         }
     }
 
-    /// A newer run under this name. If it is gone, or had this process's address, only its generation matters.
-    /// Otherwise it may be running.
+    /// Handles a record of a newer run under this name. If that run is dead, has left, or had this process's address,
+    /// only its generation matters. Otherwise it may be running.
     fn handle_newer_run(&mut self, now_ms: f64, record: &MemberRecord, from: Option<SocketAddr>) {
         if !record.is_live() || record.address == self.local.address {
             return self.become_declared_dead(record.generation, from, &record.reported_by);
@@ -90,7 +92,7 @@
         self.emit(Event::NameConflict(record.address));
     }
 
-    /// A record of this very run, by another process.
+    /// Handles another process's record of this run.
     fn handle_accusation(&mut self, now_ms: f64, record: &MemberRecord, from: Option<SocketAddr>) {
         let is_refuted = record.incarnation < self.local.incarnation;
         match record.status {
@@ -101,11 +103,11 @@
                 self.refute(record.incarnation);
             }
             Status::Alive => {}
-            // Somebody has not received the refutation.
+            // Another member has not received the refutation.
             Status::Suspect | Status::Dead if is_refuted => self.gossip_local_record(),
             Status::Suspect => self.refute(record.incarnation),
-            // A part of the fleet that this process is not in may believe in the death. With a stable majority on this
-            // side nobody can have taken over what this process owns.
+            // Members on the other side of a partition may have accepted the death. With a stable majority on this
+            // side, no other process can have taken over what this process owns.
             Status::Dead if self.has_stable_majority(now_ms) => self.refute(record.incarnation),
             Status::Dead => {
                 self.become_declared_dead(record.generation, from, &record.reported_by);
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Refutes an accusation with a higher incarnation. Lifeguard counts it against the local health.
+    /// Refutes a suspicion or death with a higher incarnation. As in Lifeguard, this worsens the local health score.
     fn refute(&mut self, accused_incarnation: u32) {
         self.counters.refutations += 1;
         self.local_health.record_failure();
@@ -122,7 +124,7 @@
         self.gossip_local_record();
     }
 
-    /// Accepts the death of this run, and waits until the program has given up what the process owns.
+    /// Accepts the death of this run, and waits until the program has given up what the process owns and rejoins.
     pub(super) fn become_declared_dead(
         &mut self,
         min_generation: u64,
--- a/crates/asterdale-membership/src/state_machine/relaying.rs
+++ b/crates/asterdale-membership/src/state_machine/relaying.rs
@@ -1,7 +1,7 @@
 //! SWIM's failure detector from the relay's side: pinging a target for another member.
 //!
 //! The relay passes the target's ack on. As in Lifeguard, it sends a nack if none has come after most of the requester's
-//! timeout, so that the requester can tell a dead target from a bad connection of its own.
+//! timeout, so that the requester can distinguish a dead target from a fault of its own connection.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,9 +9,9 @@
 use super::Membership;
 use crate::message::{self, Ack, Nack, Payload, Ping, PingRequest};
 
-/// Probes relayed at a time. Requests beyond are dropped, as their answers would come too late.
+/// Maximum number of probes relayed at a time. Further requests are dropped, as their answers would come too late.
 const MAX_RELAYED_PROBES: usize = 256;
-/// The part of the probe timeout after which the relay sends a nack, as Lifeguard has it.
+/// The fraction of the probe timeout after which the relay sends a nack, as in Lifeguard.
 const NACK_TIMEOUT_FRACTION: f64 = 0.8;
 /// An ack that comes after this many probe timeouts is not passed on.
 const EXPIRY_TIMEOUTS: f64 = 4.0;
@@ -27,7 +27,7 @@
     is_nack_sent: bool,
 }
 
-/// The relayed probes under way, by this process's own sequence number.
+/// The relayed probes in progress, by this process's own sequence number.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RelayedProbes(BTreeMap<u32, RelayedProbe>);
 
@@ -36,7 +36,7 @@
         self.0.clear();
     }
 
-    /// When a nack is to be sent or a probe expires next; infinity if there is none.
+    /// When the next nack is to be sent or the next probe expires; infinity if there is none.
     pub(super) fn next_wake_ms(&self) -> f64 {
         let wakes = self.0.values().map(|probe| {
             if probe.is_nack_sent {
@@ -88,7 +88,7 @@
         self.send(target, Payload::Ping(Ping { seq }), Some(&request.name));
     }
 
-    /// Passes an ack on to the requester; `false` if the ack belongs to no relayed probe.
+    /// Passes an ack on to the requester. Returns `false` if the ack belongs to no relayed probe.
     pub(super) fn relay_ack(&mut self, ack: &Ack) -> bool {
         let Some(probe) = self.relayed_probes.0.remove(&ack.seq) else {
             return false;
@@ -102,7 +102,7 @@
         true
     }
 
-    /// Sends the nacks that are due, and forgets the probes that have expired.
+    /// Sends the nacks that are due, and removes the probes that have expired.
     pub(super) fn run_relay_timers(&mut self, now_ms: f64) {
         for (requester, seq) in self.relayed_probes.take_due_nacks(now_ms) {
             self.send(requester, Payload::Nack(Nack { seq }), None);
--- a/crates/asterdale-membership/src/state_machine/sending.rs
+++ b/crates/asterdale-membership/src/state_machine/sending.rs
@@ -1,7 +1,7 @@
-//! Messages that go out, with gossip piggybacked on datagrams (SWIM's infection-style dissemination).
+//! Outgoing messages, with gossip piggybacked on datagrams (SWIM's infection-style dissemination).
 //!
-//! Lifeguard's Buddy System: a message to a member that is suspected (or dead, by this view) carries that record first,
-//! so that the member can refute it as early as possible.
+//! Lifeguard's Buddy System: a message to a member that is suspected or dead in the local view carries that member's
+//! record first, so that the member can refute it as early as possible.
 
 use std::net::SocketAddr;
 
@@ -19,8 +19,8 @@
 }
 
 impl Membership {
-    /// Sends a datagram with gossip. If the recipient's name is given and it is not alive by this view, its record comes
-    /// first.
+    /// Sends a datagram with gossip. If the recipient's name is given and its status in the local view is not alive,
+    /// its record comes first.
     pub(super) fn send(&mut self, to: SocketAddr, payload: Payload, recipient: Option<&str>) {
         let accusation = recipient
             .and_then(|name| self.view.get(name))
@@ -29,7 +29,7 @@
         self.send_with_gossip(to, payload, accusation.into_iter().collect());
     }
 
-    /// Sends a datagram with these records and as much gossip as there is room for.
+    /// Sends a datagram with these records and as much gossip as fits.
     fn send_with_gossip(
         &mut self,
         to: SocketAddr,
@@ -46,8 +46,8 @@
         self.send_records(to, payload, &records);
     }
 
-    /// Sends a datagram with these records alone. For recipients that may not exist: gossip sent to them would use up
-    /// its bounded number of transmissions.
+    /// Sends a datagram with only these records. Used for recipients that may not exist: gossip sent to them would use
+    /// up the bounded number of transmissions of its records.
     pub(super) fn send_records(
         &mut self,
         to: SocketAddr,
@@ -59,7 +59,7 @@
         self.actions.push(Action::Send(to, bytes));
     }
 
-    /// Sends a record to the process that it is about, or to another under its name, even if the record says alive.
+    /// Sends a record to the process that it is about, or to another one under its name, even if its status is alive.
     pub(super) fn send_record_to_subject(&mut self, to: SocketAddr, record: MemberRecord) {
         let ack = self.ack(NO_PROBE_SEQ);
         self.send_with_gossip(to, ack, vec![record]);
@@ -104,7 +104,7 @@
         bytes
     }
 
-    /// Gossips this process's own record, after it changed or because somebody does not have it.
+    /// Gossips this process's own record, after it changed or because another member does not have it.
     pub(super) fn gossip_local_record(&mut self) {
         self.local.reported_by.clone_from(&self.local.name);
         self.gossip.add(self.local.clone());
--- a/crates/asterdale-membership/src/state_machine/state.rs
+++ b/crates/asterdale-membership/src/state_machine/state.rs
@@ -15,13 +15,15 @@
     },
     /// Takes part in the protocol.
     Member,
-    /// Declared dead by others. The process is silent until the program has given up what it owns; then it goes on with
-    /// a generation above `min_generation`, and exchanges views with the process that reported the death.
+    /// Declared dead by other members. The process sends no gossip and answers no pings until the program has given up
+    /// what it owns. It then rejoins with a generation above `min_generation`, and exchanges views with the process
+    /// that reported the death.
     DeclaredDead {
         min_generation: u64,
         reporter: Option<SocketAddr>,
     },
-    /// A newer process may be alive under this name. This process pings it until the deadline, and is silent otherwise.
+    /// A newer process may be alive under this name. Until the deadline this process pings the newer one; it sends no
+    /// gossip and answers no pings.
     NameConflict {
         rival: MemberRecord,
         deadline_ms: f64,
@@ -29,12 +31,12 @@
     },
     /// Has announced that it leaves, and announces it once more.
     Leaving { resend_ms: f64, deadline_ms: f64 },
-    /// Takes no part any more.
+    /// No longer takes part in the protocol.
     Stopped,
 }
 
 impl State {
-    /// The state at the start: the first request goes out at once; without seeds there is nothing to wait for.
+    /// The state at the start. The first request is due at once; without seeds the deadline is too.
     pub(super) fn joining(now_ms: f64, seeds: &[SocketAddr], settings: &Settings) -> State {
         let deadline_ms = if seeds.is_empty() {
             now_ms
@@ -63,8 +65,8 @@
         matches!(self, State::Joining { .. })
     }
 
-    /// Whether the process answers pings and ping requests. While it may not be the name's owner it must not, so that
-    /// the others go on to declare it dead.
+    /// Whether the process answers pings and ping requests. One that was declared dead, or whose name may belong to a
+    /// newer process, must not, so that the other members still declare it dead.
     pub(super) fn answers_pings(&self) -> bool {
         !matches!(
             self,
@@ -77,7 +79,7 @@
         matches!(self, State::Member | State::Leaving { .. })
     }
 
-    /// When the state itself has something to do next; infinity if never.
+    /// When the state's next timer is due; infinity if it has none.
     pub(super) fn next_wake_ms(&self) -> f64 {
         match self {
             State::Joining {
--- a/crates/asterdale-membership/src/state_machine/suspicions.rs
+++ b/crates/asterdale-membership/src/state_machine/suspicions.rs
@@ -1,8 +1,8 @@
 //! Suspicions of other members (SWIM's suspicion mechanism, with the timeouts of Lifeguard's LHA-Suspicion).
 //!
-//! Added to the papers: a few of those who receive a suspicion ping the suspect, so that it hears of it within an
-//! interval. After a partition as many as half of the fleet are suspected, and one probe an interval would reach most of
-//! them too late.
+//! Added to the papers: a few of the members that receive a suspicion ping the suspect, so that it learns of the
+//! suspicion within a probe interval. After a partition as many as half of the members are suspected, and one probe per
+//! interval would reach most of them too late.
 
 use super::sending::ping_without_probe;
 use super::state::State;
@@ -12,15 +12,15 @@
 use crate::record::{MemberRecord, Status};
 use crate::suspicion::Suspicion;
 
-/// Suspects pinged in each probe interval, beside the probe.
+/// Suspects pinged in each probe interval, in addition to the probe.
 const SUSPECT_PINGS_PER_INTERVAL: usize = 8;
 /// How many of the processes that receive a suspicion ping the suspect, on average.
 const MEAN_SUSPECT_PINGERS: f64 = 8.0;
-/// Up to this fleet size nobody can confirm a suspicion, so that it starts with the minimum timeout.
+/// Up to this fleet size there are too few members to confirm a suspicion, so it starts with the minimum timeout.
 const MAX_SIZE_WITHOUT_CONFIRMATION: usize = 3;
 
 impl Membership {
-    /// Applies a suspicion, of this process's own or received: it confirms a running one or starts a new one.
+    /// Applies a suspicion, raised by this process or received. It confirms a running one or starts a new one.
     pub(super) fn suspect(&mut self, now_ms: f64, record: MemberRecord) {
         let Some(entry) = self.view.get(&record.name) else {
             return;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Gossips a confirmation if it is a new one, as Lifeguard has it.
+    /// Gossips a confirmation if it is a new one, as in Lifeguard.
     fn confirm_suspicion(&mut self, record: MemberRecord) {
         let suspicion = self.view.suspicion_mut(&record.name);
         if suspicion.is_some_and(|suspicion| suspicion.confirm(&record.reported_by)) {
@@ -76,13 +76,13 @@
             self.counters.deaths_declared += 1;
             record.status = Status::Dead;
             record.reported_by.clone_from(&self.local.name);
-            // A late refutation of the suspicion must not undo the death: the member has to hear of the death first.
+            // A late refutation of the suspicion must not undo the death. The member has to learn of the death first.
             record.incarnation += 1;
             self.accept_record(now_ms, record, MemberChange::Died);
         }
     }
 
-    /// Pings suspects that wait for it, so that they learn of the suspicion.
+    /// Pings the next queued suspects, so that they learn of the suspicion.
     pub(super) fn ping_pending_suspects(&mut self) {
         let mut ping_count = 0;
         while ping_count < SUSPECT_PINGS_PER_INTERVAL {
--- a/crates/asterdale-membership/src/state_machine/timers.rs
+++ b/crates/asterdale-membership/src/state_machine/timers.rs
@@ -1,21 +1,21 @@
 //! Timers: what is due when, and detection of pauses of this process.
 //!
-//! Pause detection is not in the papers: a process that stood still (stopped, suspended, starved) missed acks and
-//! refutations, so its silence about others means nothing.
+//! Pause detection is not in the papers. A process that was paused (stopped, suspended, starved of CPU) missed acks and
+//! refutations, so it must not treat missing messages as failures of other members.
 
 use super::state::State;
 use super::Membership;
 use crate::event::{Action, Event};
 use crate::record::Metadata;
 
-/// A wake that comes this many probe intervals late means that this process was paused.
+/// A wake-up that is later than this many probe intervals means that this process was paused.
 pub(super) const PAUSE_INTERVALS: f64 = 3.0;
 /// Changed metadata is gossiped once in this many probe intervals at most.
 const METADATA_INTERVALS: f64 = 2.0;
 /// Expired members are removed this many times in the retention period.
 const SWEEPS_PER_RETENTION: f64 = 16.0;
-/// Periodic exchanges and pings to dead members come after 0.75 to 1.25 of their period, so that processes that started
-/// together drift apart.
+/// Periodic exchanges and pings to dead members are due after 0.75 to 1.25 times their period, so that processes that
+/// started together do not stay synchronized.
 const MIN_JITTER: f64 = 0.75;
 /// Width of the jitter's range.
 const JITTER_RANGE: f64 = 0.5;
@@ -26,7 +26,7 @@
     next_dead_ping_ms: f64,
     next_sweep_ms: f64,
     next_metadata_ms: f64,
-    /// When the caller was asked to wake this process.
+    /// When the caller is to call [`Membership::wake`].
     pub(super) scheduled_wake_ms: f64,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl Membership {
-    /// Runs the timers that are due. The caller calls it at [`Membership::next_wake_ms`].
+    /// Runs the timers that are due. The caller calls this at [`Membership::next_wake_ms`].
     pub fn wake(&mut self, now_ms: f64) -> Vec<Action> {
         self.run_timers(now_ms);
         self.finish_step(now_ms)
@@ -79,7 +79,7 @@
         .fold(f64::INFINITY, f64::min)
     }
 
-    /// Runs all that is due, at the start of every step.
+    /// Runs all timers that are due, at the start of every step.
     pub(super) fn run_timers(&mut self, now_ms: f64) {
         let delay_ms = now_ms - self.timers.scheduled_wake_ms;
         let is_scheduled = self.timers.scheduled_wake_ms.is_finite();
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Discards what this process would conclude from messages that it missed while it stood still.
+    /// Discards probes in progress and postpones suspicions, as this process missed messages while it was paused.
     fn handle_pause(&mut self, now_ms: f64, pause_ms: f64) {
         self.counters.pauses += 1;
         self.emit(Event::Paused(pause_ms));
@@ -102,7 +102,7 @@
         self.prober.current = None;
         self.relayed_probes.clear();
         self.local_health.record_failure();
-        // The others may have declared this process dead: it has no majority before the next ack.
+        // Other members may have declared this process dead, so it has no majority before the next ack.
         self.prober.last_ack_ms = f64::NEG_INFINITY;
         if self.is_member() {
             self.schedule_periodic_work(now_ms);
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Starts all periodic work anew, each at a random point of its period: processes that start at the same moment
-    /// must not send at the same moments.
+    /// Restarts all periodic work, each part at a random point of its period, so that processes that start at the same
+    /// time do not send at the same times.
     pub(super) fn schedule_periodic_work(&mut self, now_ms: f64) {
         let interval_ms = self.settings.probe_interval_ms;
         self.prober.next_probe_ms = now_ms + interval_ms * self.random.fraction();
--- a/crates/asterdale-membership/src/suspicion.rs
+++ b/crates/asterdale-membership/src/suspicion.rs
@@ -4,7 +4,7 @@
 //! by another process. One slow process alone therefore cannot have others declared dead quickly, while several that
 //! agree can.
 
-/// Confirmations after which the timeout is at its minimum: as many as relays are asked in an indirect probe.
+/// Confirmations after which the timeout is at its minimum: as many as an indirect probe has relays.
 pub const MAX_CONFIRMATIONS: usize = 3;
 
 /// A running suspicion.
@@ -15,12 +15,12 @@
     max_ms: f64,
     /// Names of the process that raised it, and of those that confirmed it.
     reporters: Vec<String>,
-    /// Another process reported that the suspicion expired there.
+    /// Whether another process reported that the suspicion expired there.
     death_reported: bool,
 }
 
 impl Suspicion {
-    /// Starts a suspicion that lasts `max_ms` without and `min_ms` with all confirmations.
+    /// Starts a suspicion that lasts `max_ms` without confirmations, and `min_ms` with [`MAX_CONFIRMATIONS`].
     pub fn new(now_ms: f64, reporter: &str, min_ms: f64, max_ms: f64) -> Suspicion {
         Suspicion {
             started_ms: now_ms,
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Adds a confirmation. Returns `false` if this reporter has confirmed before, or enough others have.
+    /// Adds a confirmation. Returns `false` if this reporter has already reported the suspicion, or if there are
+    /// [`MAX_CONFIRMATIONS`] already.
     pub fn confirm(&mut self, reporter: &str) -> bool {
         if self.reporters.len() > MAX_CONFIRMATIONS
             || self.reporters.iter().any(|known| known == reporter)
@@ -42,8 +43,8 @@
         true
     }
 
-    /// Shortens the suspicion because another process reported the death: at most the minimum is left from now on.
-    /// Returns `false` if a death was reported before.
+    /// Shortens the suspicion because another process reported the death: it expires after at most the minimum timeout
+    /// from now. Returns `false` if a death was reported before.
     pub fn report_death(&mut self, now_ms: f64) -> bool {
         let is_first = !self.death_reported;
         if is_first {
@@ -55,7 +56,7 @@
         is_first
     }
 
-    /// Postpones the deadline by a pause of this process, in which it could not receive a refutation.
+    /// Postpones the deadline by the duration of a pause of this process, as it could not receive a refutation then.
     pub fn extend(&mut self, pause_ms: f64) {
         self.started_ms += pause_ms;
     }
--- a/crates/asterdale-membership/src/view.rs
+++ b/crates/asterdale-membership/src/view.rs
@@ -8,20 +8,20 @@
 use crate::record::{MemberRecord, Status};
 use crate::suspicion::Suspicion;
 
-/// What the table has on one member.
+/// The table's entry of one member.
 #[derive(Clone, Debug)]
 pub struct MemberEntry {
     /// The member's winning record.
     pub record: MemberRecord,
-    /// Since when the member has had this status, by the clock of the table's owner.
+    /// Since when the member has had this status, by the local clock.
     pub status_since_ms: f64,
-    /// When a message from the member itself last came; negative infinity if none ever did.
+    /// When a message from the member itself was last received; negative infinity if none ever was.
     pub last_contact_ms: f64,
     /// The running suspicion, if the member is suspected.
     pub suspicion: Option<Suspicion>,
 }
 
-/// The table, by name. The process that owns it is not in it.
+/// The membership table, by name. It has no entry of the local process.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     entries: BTreeMap<String, MemberEntry>,
@@ -35,7 +35,7 @@
     hash: u64,
 }
 
-/// A member's part of a view's hash. It covers the member's run ID, not its status or metadata.
+/// A member's contribution to the hash of a view. It covers the member's run ID, not its status or metadata.
 pub fn record_hash(record: &MemberRecord) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(record.name.as_bytes());
@@ -114,7 +114,7 @@
         );
     }
 
-    /// Notes that a message from the member itself came.
+    /// Records that a message from the member itself was received.
     pub fn record_contact(&mut self, name: &str, now_ms: f64) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.last_contact_ms = now_ms;
@@ -126,7 +126,7 @@
         self.entries.get_mut(name)?.suspicion.as_mut()
     }
 
-    /// Postpones the deadlines of all suspicions by a pause of this process.
+    /// Postpones the deadlines of all suspicions by the duration of a pause of this process.
     pub fn extend_suspicions(&mut self, pause_ms: f64) {
         for name in &self.suspects {
             let entry = self.entries.get_mut(name);
