--- a/crates/asterdale-membership/tests/explore.rs
+++ b/crates/asterdale-membership/tests/explore.rs
@@ -1,10 +1,11 @@
-//! Model checking: three processes, and every order of a few steps in which datagrams are delivered, lost, duplicated or
-//! reordered, one process crashes, and restarts without memory. What must hold:
+//! Model checking of three processes: every order of a few steps in which messages are delivered, lost, duplicated or
+//! reordered, and one process crashes and restarts without its earlier state. The properties that must hold:
 //!
 //! 1. No process replaces a record by one of an older run under the same name.
-//! 2. No process has a record of a run (generation and nonce) that never was.
-//! 3. No process has a higher incarnation of a run than the run took itself, except that a death takes the next one.
-//! 4. A process never has an entry of itself, and its incarnation never falls within a generation.
+//! 2. No process has a record of a run (generation and nonce) that never existed.
+//! 3. No process has a higher incarnation of a run than the run took itself, except that the record of a death has the
+//!    next one.
+//! 4. A process never has an entry of itself, and its incarnation never decreases within a generation.
 //! 5. From every state in which the faults end, all live processes get equal views, within the documented bound.
 
 use std::collections::hash_map::DefaultHasher;
@@ -14,7 +15,7 @@
 
 use asterdale_membership::{Action, Event, Membership, MembershipConfig, Settings, Status};
 
-/// Steps whose every order is played: tens of thousands of states, in seconds.
+/// Number of steps of which every order is explored: tens of thousands of states, in seconds.
 const DEPTH: usize = 8;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -24,13 +25,13 @@
     ExchangeResponse(Vec<u8>),
 }
 
-/// What happens next; the number is a message under way or a process.
+/// The next step of the model. The number is the index of a message in flight, or of a process.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Deliver(usize),
     Lose(usize),
     Duplicate(usize),
-    /// Time passes until the next process wants to be woken.
+    /// Time passes until the next timer of a process is due.
     Wake,
     Crash(usize),
     Restart(usize),
@@ -45,9 +46,9 @@
     duplicates_left: u32,
     crashes_left: u32,
     restarts_left: u32,
-    /// All runs so far, by name, generation and nonce, each with its highest incarnation.
+    /// The highest incarnation of each run so far, by name, generation and nonce.
     taken_runs: BTreeMap<(String, u64, u64), u32>,
-    /// The newest run that each process has had of each name.
+    /// The newest run of each name that each process has had in its view.
     newest_runs: BTreeMap<(SocketAddr, String), (u64, u64)>,
 }
 
@@ -76,7 +77,7 @@
 }
 
 impl World {
-    /// Three processes with equal views, and nothing under way.
+    /// Three processes with equal views, and no message in flight.
     fn new() -> World {
         let mut world = World {
             now_ms: 0.0,
@@ -158,7 +159,8 @@
         }
     }
 
-    /// The steps that may come next. Only the first three messages under way are taken, as orders of more differ little.
+    /// The steps that may come next. Only the first three messages in flight are considered, as orders of more messages
+    /// differ little.
     fn possible_steps(&self) -> Vec<Step> {
         let messages = 0..self.in_flight.len().min(3);
         let mut steps: Vec<Step> = messages.clone().map(Step::Deliver).collect();
@@ -168,7 +170,7 @@
         if self.duplicates_left > 0 {
             steps.extend(messages.map(Step::Duplicate));
         }
-        // Time passes for all processes alike: none wakes again and again while many messages are under way.
+        // Time passes for all processes alike, so no process is woken repeatedly while many messages are in flight.
         if self.in_flight.len() < 4 {
             steps.push(Step::Wake);
         }
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Checks the properties 1 to 4.
+    /// Checks properties 1 to 4.
     fn check_properties(&mut self) {
         let members = self
             .processes
@@ -252,7 +254,7 @@
         }
     }
 
-    /// Runs without faults: messages are delivered in order, and before time passes.
+    /// Runs without faults: messages are delivered in order, and all of them before time passes.
     fn run_without_faults(&mut self, duration_ms: f64) {
         let end_ms = self.now_ms + duration_ms;
         while self.now_ms < end_ms {
@@ -296,7 +298,7 @@
         }
     }
 
-    /// Equal for equal states; the order of the messages under way does not count.
+    /// Equal for equal states, whatever the order of the messages in flight.
     fn state_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for (address, process) in &self.processes {
@@ -316,7 +318,7 @@
     }
 }
 
-/// Plays every order of this many steps. Collects the states seen, and counts those at the full depth.
+/// Explores every order of this many steps. Collects the states seen, and counts the states after the last step.
 fn explore(
     world: &World,
     depth: usize,
@@ -328,7 +330,7 @@
     }
     if depth == 0 {
         *final_state_count += 1;
-        // Each fourth one: they differ by a step or two, and this check takes most of the time.
+        // Checks every fourth state: they differ by only a step or two, and this check takes most of the time.
         if *final_state_count % 4 == 0 {
             world.check_convergence();
         }
--- a/crates/asterdale-membership/tests/faults.rs
+++ b/crates/asterdale-membership/tests/faults.rs
@@ -1,4 +1,4 @@
-//! One test for each kind of failure that the state machine is made for, in a simulated network of a few processes.
+//! One test for each kind of fault that the protocol tolerates, in a simulated network of a few processes.
 
 mod simulated_network;
 
@@ -72,7 +72,7 @@
         .processes
         .values()
         .all(|process| process.has_majority(network.now_ms)));
-    // Without a live seed a new process becomes a member alone, and is found as soon as a seed is back.
+    // Without a live seed a new process becomes a member alone. It is found as soon as a seed runs again.
     network.start(12);
     network.run(10_000.0);
     assert!(network.divergence().is_some() && network.process(12).is_member());
@@ -155,7 +155,7 @@
     }
     let old = network.process(2).local_record().generation;
     assert_eq!(old, 4);
-    // Datagrams of the earlier generation that are on their way for long.
+    // Datagrams of the earlier generation that are delayed until after the restart.
     let later_ms = network.now_ms + 1000.0;
     let late = network.process_mut(2).wake(later_ms);
     (0..6).for_each(|n| network.kill(n));
@@ -169,7 +169,7 @@
         .collect();
     assert_eq!(before, [1; 6]);
     network.send_datagrams(late);
-    // They report a higher generation than the process has now, so that it takes the next one.
+    // The datagrams have a higher generation than the process has now, so the process takes the generation after it.
     network.run(1_000.0);
     network.converge();
     assert!([1, old + 1].contains(&network.process(2).local_record().generation));
@@ -200,7 +200,7 @@
         .processes
         .values()
         .all(|process| process.live_fraction() == 1.0));
-    // It can come back in a new generation.
+    // The process can join again with a new generation.
     network.start(5);
     network.converge();
     assert_eq!(network.process(5).local_record().generation, 2);
@@ -212,7 +212,7 @@
     let (one, other) = (&[0, 1, 2, 3][..], &[4, 5, 6, 7][..]);
     network.cut(one, other);
     network.run(600_000.0);
-    // An even half is no majority.
+    // Exactly half of the fleet is not a majority.
     assert!(network
         .processes
         .values()
@@ -361,7 +361,7 @@
     );
     network.kill(2);
     network.converge();
-    // A dead process does not keep its name from coming back at another address.
+    // The name of a dead process can be taken by a process at another address.
     network.kill(0);
     network.run(60_000.0);
     let mut config = network.config(0, 0);
@@ -373,10 +373,10 @@
 #[test]
 fn false_death_reports_kill_nobody() {
     let mut network = converged(21, 6);
-    // A process refutes its death only after it has had a majority for the longest suspicion.
+    // A process refutes its death only after it has had a majority for the maximum suspicion timeout.
     network.run(60_000.0);
     network.events.clear();
-    // A copy of a member that receives nothing for long, and so declares all others dead.
+    // A copy of a member that receives no messages, and so declares all other members dead.
     let reports = death_reports(network.process(5).clone());
     assert!(reports.len() > 4);
     for (n, report) in reports.into_iter().enumerate() {
@@ -402,7 +402,7 @@
     assert_eq!(network.divergence(), None);
 }
 
-/// The datagrams of a process that receives nothing, from when it has declared all others dead.
+/// The datagrams that a process without incoming messages sends after it has declared all other members dead.
 fn death_reports(mut process: Membership) -> Vec<Vec<u8>> {
     let mut reports = Vec::new();
     while reports.len() < 20 {
--- a/crates/asterdale-membership/tests/simulated_network/mod.rs
+++ b/crates/asterdale-membership/tests/simulated_network/mod.rs
@@ -1,6 +1,7 @@
-//! A simulated network of a few processes in one test process. Messages take time and may be lost, duplicated or cut
-//! off, all determined by a seed. The harness knows which processes run and never tells them.
-#![allow(dead_code)] // each test file uses a part of it
+//! A simulated network of a few processes in one test process. Messages are delayed, and may be lost or duplicated, and
+//! links may be cut, all determined by a seed. The processes learn of each other from their messages only: the network
+//! knows which processes run, but does not pass that on.
+#![allow(dead_code)] // each test file uses a part of this module
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -10,7 +11,7 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// What a message is to its receiver.
+/// A message, by how its receiver handles it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Delivery {
     Datagram(Vec<u8>),
@@ -19,12 +20,12 @@
     ExchangeResponse(Vec<u8>),
 }
 
-/// A message under way, ordered by its delivery.
+/// A message in flight, ordered by its delivery time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     /// In microseconds, as floating point numbers have no total order.
     deliver_us: u64,
-    /// Keeps messages of the same time in the order in which they were sent.
+    /// Keeps messages with the same delivery time in the order in which they were sent.
     sent_number: u64,
     to: SocketAddr,
     delivery: Delivery,
@@ -33,9 +34,9 @@
 pub struct Network {
     pub now_ms: f64,
     pub processes: BTreeMap<SocketAddr, Membership>,
-    /// Processes that stand still.
+    /// Addresses of paused processes.
     pub paused: BTreeSet<SocketAddr>,
-    /// Pairs of sender and receiver between which nothing passes.
+    /// Pairs of sender and receiver between which no message is delivered.
     pub cut_links: BTreeSet<(SocketAddr, SocketAddr)>,
     /// The probability that a datagram is lost.
     pub loss: f64,
@@ -46,7 +47,7 @@
     in_flight: BinaryHeap<Reverse<InFlight>>,
     sent_count: u64,
     random: Pcg64Mcg,
-    /// All events so far: when, at which process, what.
+    /// All events so far: the time, the name of the process, and the event.
     pub events: Vec<(f64, String, Event)>,
     pub settings: Settings,
     seeds: Vec<SocketAddr>,
@@ -91,7 +92,7 @@
         (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The configuration with which process n starts if it remembers this generation.
+    /// The configuration with which process n starts if it knows this last generation.
     pub fn config(&mut self, n: usize, last_generation: u64) -> MembershipConfig {
         self.started_count += 1;
         MembershipConfig {
@@ -155,7 +156,7 @@
         }));
     }
 
-    /// Sends the datagrams among these actions, whatever links are cut.
+    /// Sends the datagrams among these actions, even over cut links.
     pub fn send_datagrams(&mut self, actions: Vec<Action>) {
         for action in actions {
             if let Action::Send(to, bytes) = action {
@@ -185,7 +186,7 @@
         }
     }
 
-    /// A stream is not subject to loss; it needs both directions.
+    /// An exchange uses a stream, which is not subject to loss but needs the links of both directions.
     fn send_exchange_request(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
         if !self.cut_links.contains(&(from, to)) && !self.cut_links.contains(&(to, from)) {
             let delay_ms = 2.0 + 2.0 * self.jitter_ms * self.random_fraction();
@@ -245,7 +246,7 @@
             return;
         };
         if self.paused.contains(&to) {
-            // It stays in the receiver's socket buffer until the receiver goes on.
+            // The message stays in the receiver's socket buffer until the receiver resumes.
             return self.send(to, delivery, 100.0);
         }
         let now_ms = self.now_ms;
@@ -306,7 +307,7 @@
         }
     }
 
-    /// How many events of all processes match; the predicate gets the process's name and the event.
+    /// The number of events of all processes that match the predicate, which gets the process's name and the event.
     pub fn count_events(&self, matches: impl Fn(&str, &Event) -> bool) -> usize {
         self.events
             .iter()
--- a/crates/asterdale-membership/tests/stored_datagrams.rs
+++ b/crates/asterdale-membership/tests/stored_datagrams.rs
@@ -1,6 +1,6 @@
-//! Datagrams and exchanges that an earlier release wrote are read to the same messages and records, and are written
-//! again byte for byte: one of every kind, each field with a value of its own. `fixtures/datagrams/README.md` says how
-//! the file was made.
+//! Compatibility of the wire format: datagrams and exchange messages that an earlier release encoded are decoded to the
+//! same messages and records, and these are encoded to the same bytes. There is one message of every kind, with a
+//! different value in each field. `fixtures/datagrams/README.md` says how the file was made.
 
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
     ([0xfd00, 0, 0, 0, 0, 0, 0, 9], 4200).into()
 }
 
-/// The sender, as messages carry it.
+/// The sender's record in every message.
 fn sender() -> StoredRecord {
     StoredRecord {
         name: text("alpha"),
@@ -46,7 +46,7 @@
     }
 }
 
-/// A record in each status and phase.
+/// Records that have each status and each phase.
 fn gossip() -> Vec<StoredRecord> {
     (0..4u32)
         .map(|n| StoredRecord {
@@ -101,7 +101,7 @@
     kinds.into_iter().enumerate().map(message).collect()
 }
 
-/// The file: each message behind its length in four bytes.
+/// The messages of the file, in which a length of four bytes precedes each message.
 fn stored() -> Vec<&'static [u8]> {
     let (mut rest, mut all) = (DATAGRAMS, Vec::new());
     while let Some((length, after)) = rest.split_first_chunk::<4>() {
@@ -112,7 +112,7 @@
     all
 }
 
-/// The message at this place of the file, decoded.
+/// The decoded message at this index in the file.
 fn stored_message(index: usize) -> (Message, MemberRecord) {
     let authenticator = MessageAuthenticator::new(KEY);
     decode(&authenticator, stored()[index], MAX_EXCHANGE_BYTES).unwrap()
