--- a/crates/asterdale-membership/src/gossip_queue/tests.rs
+++ b/crates/asterdale-membership/src/gossip_queue/tests.rs
@@ -25,7 +25,7 @@
     assert_ne!(
         queue.take_batch(20, 5, |_| 10)[0].name,
         "m99",
-        "it has been sent as often as allowed"
+        "the record has been sent the maximum number of times"
     );
 }
 
--- a/crates/asterdale-membership/tests/explore.rs
+++ b/crates/asterdale-membership/tests/explore.rs
@@ -224,7 +224,7 @@
             let highest_incarnation = self.taken_runs.entry(run).or_default();
             assert!(
                 local.incarnation >= *highest_incarnation,
-                "{local:?} goes back"
+                "the incarnation decreased: {local:?}"
             );
             *highest_incarnation = local.incarnation;
         }
@@ -235,19 +235,19 @@
                 let highest_incarnation = self
                     .taken_runs
                     .get(&run)
-                    .unwrap_or_else(|| panic!("{record:?} never was"));
+                    .unwrap_or_else(|| panic!("the run never existed: {record:?}"));
                 let incarnation_of_run = record
                     .incarnation
                     .saturating_sub(u32::from(record.status != Status::Alive));
                 assert!(
                     incarnation_of_run <= *highest_incarnation,
-                    "{record:?} never was"
+                    "the run never had this incarnation: {record:?}"
                 );
                 let name = record.name.clone();
                 let newest_run = self.newest_runs.entry((address, name)).or_default();
                 assert!(
                     record.run_id() >= *newest_run,
-                    "{address} goes back to {record:?}"
+                    "{address} replaced a newer run by {record:?}"
                 );
                 *newest_run = record.run_id();
             }
--- a/crates/asterdale-membership/tests/faults.rs
+++ b/crates/asterdale-membership/tests/faults.rs
@@ -235,7 +235,7 @@
         assert_eq!(
             network.process(n).has_majority(network.now_ms),
             majority.contains(&n),
-            "{n}"
+            "process {n}"
         );
     }
     network.heal(minority, majority);
@@ -245,7 +245,7 @@
         assert_eq!(
             generation > 1,
             minority.contains(&n),
-            "{n} has generation {generation}"
+            "process {n} has generation {generation}"
         );
     }
 }
@@ -271,7 +271,7 @@
     network.run(1.0);
     assert!(
         !network.process(3).has_majority(network.now_ms),
-        "it has had no ack since the pause"
+        "the process has had no ack since the pause"
     );
     network.converge();
     let is_accusation = |event: &Event| {
@@ -332,7 +332,11 @@
         .unwrap()
         .record
         .status;
-    assert_eq!(status, Status::Dead, "it must be silent until it rejoins");
+    assert_eq!(
+        status,
+        Status::Dead,
+        "a process that was declared dead must not refute before it rejoins"
+    );
     let now_ms = network.now_ms;
     let actions = network.process_mut(3).rejoin(now_ms);
     assert!(!actions.is_empty() && network.process(3).is_member());
@@ -397,7 +401,7 @@
             .map(|process| process.counters.refutations)
             .sum::<u64>()
             > 0,
-        "nobody was accused"
+        "no process refuted a reported death"
     );
     assert_eq!(network.divergence(), None);
 }
--- a/crates/asterdale-membership/tests/simulated_network/mod.rs
+++ b/crates/asterdale-membership/tests/simulated_network/mod.rs
@@ -287,11 +287,13 @@
                 .collect();
             view.extend([generation_by_name(process)]);
             if view != running {
-                return Some(format!("{name} has {view:?}, running are {running:?}"));
+                return Some(format!(
+                    "{name} has the live members {view:?}, but {running:?} are running"
+                ));
             }
         }
         let hashes: BTreeSet<u64> = self.processes.values().map(Membership::view_hash).collect();
-        (hashes.len() > 1).then(|| "hashes differ".to_owned())
+        (hashes.len() > 1).then(|| "view hashes differ".to_owned())
     }
 
     /// Runs until the processes have converged, which must happen within the documented bound.
@@ -301,7 +303,7 @@
         while let Some(divergence) = self.divergence() {
             assert!(
                 self.now_ms - started_ms < bound_ms,
-                "not within {bound_ms} ms: {divergence}"
+                "not converged within {bound_ms} ms: {divergence}"
             );
             self.run(100.0);
         }
--- a/crates/asterdale-membership/tests/stored_datagrams.rs
+++ b/crates/asterdale-membership/tests/stored_datagrams.rs
@@ -181,7 +181,7 @@
 fn stored_ping_request_is_read() {
     let (message, _) = stored_message(2);
     let Some(Payload::PingRequest(request)) = message.payload else {
-        panic!("another kind")
+        panic!("the stored message is not a ping request")
     };
     assert_eq!(ping_request_address(&request), Some(alpha()));
 }
