--- a/crates/asterdale-membership/src/authentication/tests.rs
+++ b/crates/asterdale-membership/src/authentication/tests.rs
@@ -3,11 +3,11 @@
 #[test]
 fn only_unchanged_messages_of_the_same_key_and_version_are_accepted() {
     let authenticator = MessageAuthenticator::new(b"the fleet's");
-    let stranger = MessageAuthenticator::new(b"another's");
+    let other_fleet = MessageAuthenticator::new(b"another's");
     let wrong_mac = Err(AuthenticationError::WrongMac);
     let message = authenticator.authenticate(b"hello");
     assert_eq!(authenticator.verify(&message), Ok(&b"hello"[..]));
-    assert_eq!(stranger.verify(&message), wrong_mac);
+    assert_eq!(other_fleet.verify(&message), wrong_mac);
     for index in 0..message.len() {
         let mut changed = message.clone();
         changed[index] ^= 4;
--- a/crates/asterdale-membership/src/failpoint.rs
+++ b/crates/asterdale-membership/src/failpoint.rs
@@ -3,13 +3,13 @@
 
 asterdale_failpoints::failpoints! {
     /// A suspicion is refuted without raising the incarnation.
-    Refutation = "refutation",
+    RefutationWithSameIncarnation = "refutation",
     /// Dead members are never pinged again, so that partitions do not heal.
-    Dead = "dead",
+    NoDeadMemberPings = "dead",
     /// A process always takes generation 1, whatever the others remember.
-    Generation = "generation",
+    FixedGeneration = "generation",
     /// Records of an older generation replace newer ones.
-    Older = "older",
+    AcceptedOlderRuns = "older",
     /// A suspicion never expires into a death.
-    Suspicion = "suspicion",
+    NoSuspicionExpiry = "suspicion",
 }
--- a/crates/asterdale-membership/src/message.rs
+++ b/crates/asterdale-membership/src/message.rs
@@ -28,7 +28,7 @@
 /// Maximum length of a member's name.
 pub const MAX_NAME_BYTES: usize = 64;
 /// Bytes of a datagram that are reserved for version and MAC, the sender's record and the payload, at their longest.
-const NON_GOSSIP_BYTES: usize = 400;
+const RESERVED_BYTES: usize = 400;
 /// Maximum bytes of an encoded record without its two names: address, numbers and protobuf tags.
 const RECORD_OVERHEAD_BYTES: usize = 64;
 
@@ -165,7 +165,7 @@
 
 /// The bytes of a datagram that gossip may take.
 pub fn gossip_capacity_bytes() -> usize {
-    MAX_DATAGRAM_BYTES - NON_GOSSIP_BYTES
+    MAX_DATAGRAM_BYTES - RESERVED_BYTES
 }
 
 /// The message as authenticated bytes.
--- a/crates/asterdale-membership/src/state_machine/dead_members.rs
+++ b/crates/asterdale-membership/src/state_machine/dead_members.rs
@@ -14,7 +14,7 @@
 impl Membership {
     /// Pings one random dead member, or seed that is not a live member.
     pub(super) fn ping_dead_member(&mut self) {
-        if failpoint::is_active(Failpoint::Dead) {
+        if failpoint::is_active(Failpoint::NoDeadMemberPings) {
             return;
         }
         let addresses = self.dead_and_missing_addresses();
--- a/crates/asterdale-membership/src/state_machine/dissemination.rs
+++ b/crates/asterdale-membership/src/state_machine/dissemination.rs
@@ -23,7 +23,7 @@
     pub(super) fn apply_sender_record(&mut self, now_ms: f64, sender: &MemberRecord) -> bool {
         if let Some(entry) = self.view.get(&sender.name) {
             let is_older = sender.run_id() < entry.record.run_id();
-            if is_older && !failpoint::is_active(Failpoint::Older) {
+            if is_older && !failpoint::is_active(Failpoint::AcceptedOlderRuns) {
                 return false;
             }
         }
@@ -47,7 +47,7 @@
         };
         let known = entry.record.clone();
         match record.run_id().cmp(&known.run_id()) {
-            Ordering::Less if failpoint::is_active(Failpoint::Older) => {
+            Ordering::Less if failpoint::is_active(Failpoint::AcceptedOlderRuns) => {
                 self.accept_record(now_ms, record, MemberChange::Restarted);
             }
             Ordering::Less => {}
@@ -161,7 +161,7 @@
         }
         let suspicion = self.view.suspicion_mut(&death.name);
         if suspicion.is_some_and(|suspicion| suspicion.report_death(now_ms)) {
-            self.prober.round.push(death.name.clone());
+            self.prober.remaining_targets.push(death.name.clone());
             self.suspects_to_ping.insert(death.name.clone());
         }
     }
--- a/crates/asterdale-membership/src/state_machine/exchange.rs
+++ b/crates/asterdale-membership/src/state_machine/exchange.rs
@@ -14,7 +14,7 @@
 
 /// With more queued records than this, as after a partition or a restart of the complete fleet, gossip would take
 /// longer than an exchange. Views are then exchanged although gossip would make them equal in the end.
-const MAX_GOSSIP_BACKLOG: usize = 4;
+const MAX_GOSSIP_BACKLOG_RECORDS: usize = 4;
 
 /// When the next exchange is due, and with which peer.
 #[derive(Clone, Debug)]
@@ -103,7 +103,8 @@
         if !self.is_member() || is_exchange || message.joining {
             return;
         }
-        let is_gossip_enough = !self.gossip.is_empty() && self.gossip.len() <= MAX_GOSSIP_BACKLOG;
+        let is_gossip_enough =
+            !self.gossip.is_empty() && self.gossip.len() <= MAX_GOSSIP_BACKLOG_RECORDS;
         if message.view_hash == self.view_hash() || is_gossip_enough {
             return;
         }
--- a/crates/asterdale-membership/src/state_machine/lifecycle.rs
+++ b/crates/asterdale-membership/src/state_machine/lifecycle.rs
@@ -77,7 +77,7 @@
     }
 
     fn take_generation_above(&mut self, generation: u64) {
-        self.local.generation = if failpoint::is_active(Failpoint::Generation) {
+        self.local.generation = if failpoint::is_active(Failpoint::FixedGeneration) {
             FAILPOINT_GENERATION
         } else {
             generation + 1
@@ -94,16 +94,19 @@
                 next_request_ms, ..
             } if now_ms >= *next_request_ms => self.request_join(now_ms),
             State::NameConflict {
-                rival, deadline_ms, ..
+                newer_run,
+                deadline_ms,
+                ..
             } if now_ms >= *deadline_ms => {
-                let (generation, reported_by) = (rival.generation, rival.reported_by.clone());
+                let (generation, reported_by) =
+                    (newer_run.generation, newer_run.reported_by.clone());
                 self.become_declared_dead(generation, None, &reported_by);
             }
             State::NameConflict {
-                rival,
+                newer_run,
                 next_ping_ms,
                 ..
-            } if now_ms >= *next_ping_ms => self.ping_rival(now_ms, rival.address),
+            } if now_ms >= *next_ping_ms => self.ping_newer_run(now_ms, newer_run.address),
             State::Leaving { deadline_ms, .. } if now_ms >= *deadline_ms => {
                 self.state = State::Stopped;
             }
@@ -127,8 +130,8 @@
     }
 
     /// Pings the newer process that may be alive under this name. An answer shows that it is alive.
-    fn ping_rival(&mut self, now_ms: f64, rival: SocketAddr) {
-        self.send(rival, ping_without_probe(), None);
+    fn ping_newer_run(&mut self, now_ms: f64, address: SocketAddr) {
+        self.send(address, ping_without_probe(), None);
         if let State::NameConflict { next_ping_ms, .. } = &mut self.state {
             *next_ping_ms = now_ms + self.settings.probe_timeout_ms;
         }
--- a/crates/asterdale-membership/src/state_machine/mod.rs
+++ b/crates/asterdale-membership/src/state_machine/mod.rs
@@ -177,7 +177,7 @@
     ///
     /// It is never true in a partition with half of the fleet or less, nor right after a pause of this process.
     pub fn has_majority(&self, now_ms: f64) -> bool {
-        let max_age_ms = timers::PAUSE_INTERVALS
+        let max_age_ms = timers::PAUSE_THRESHOLD_INTERVALS
             * self.settings.probe_interval_ms
             * self.local_health.timeout_multiplier()
             + self.settings.probe_timeout_ms;
--- a/crates/asterdale-membership/src/state_machine/probing.rs
+++ b/crates/asterdale-membership/src/state_machine/probing.rs
@@ -31,7 +31,7 @@
 pub(super) struct Prober {
     pub(super) current: Option<Probe>,
     /// Names still to be probed in this round; the last one is next.
-    pub(super) round: Vec<String>,
+    pub(super) remaining_targets: Vec<String>,
     pub(super) next_probe_ms: f64,
     /// When a probe was last acked; negative infinity if none was since the start or the last pause.
     pub(super) last_ack_ms: f64,
@@ -41,7 +41,7 @@
     fn default() -> Prober {
         Prober {
             current: None,
-            round: Vec::new(),
+            remaining_targets: Vec::new(),
             next_probe_ms: f64::INFINITY,
             last_ack_ms: f64::NEG_INFINITY,
         }
@@ -109,20 +109,20 @@
     /// The next live member of the round; starts a new, shuffled round after the last one. `None` if no member is live.
     fn next_probe_target(&mut self) -> Option<String> {
         loop {
-            while let Some(name) = self.prober.round.pop() {
+            while let Some(name) = self.prober.remaining_targets.pop() {
                 let entry = self.view.get(&name);
                 if entry.is_some_and(|entry| entry.record.is_live()) {
                     return Some(name);
                 }
             }
             let live_members = self.view.live_members();
-            self.prober.round = live_members
+            self.prober.remaining_targets = live_members
                 .map(|entry| entry.record.name.clone())
                 .collect();
-            if self.prober.round.is_empty() {
+            if self.prober.remaining_targets.is_empty() {
                 return None;
             }
-            self.random.shuffle(&mut self.prober.round);
+            self.random.shuffle(&mut self.prober.remaining_targets);
         }
     }
 
--- a/crates/asterdale-membership/src/state_machine/refutation.rs
+++ b/crates/asterdale-membership/src/state_machine/refutation.rs
@@ -31,7 +31,7 @@
             self.state = State::Stopped;
             self.emit(Event::Superseded(sender.address));
         } else if self.is_member() && matches!(message.payload, Some(Payload::Ping(_))) {
-            self.send_sign_of_life(sender.address);
+            self.send_liveness_ack(sender.address);
         }
     }
 
@@ -54,14 +54,14 @@
             State::DeclaredDead { min_generation, .. } => {
                 *min_generation = (*min_generation).max(record.generation);
             }
-            State::NameConflict { rival, .. } => {
-                if record.run_id() == rival.run_id() && !record.is_live() {
+            State::NameConflict { newer_run, .. } => {
+                if record.run_id() == newer_run.run_id() && !record.is_live() {
                     self.become_declared_dead(record.generation, from, &record.reported_by);
                 }
             }
             State::Member => match record.run_id().cmp(&self.local.run_id()) {
                 Ordering::Less => self.apply_record_of_older_run(record, from),
-                Ordering::Equal => self.handle_accusation(now_ms, record, from),
+                Ordering::Equal => self.apply_own_record(now_ms, record, from),
                 Ordering::Greater => self.handle_newer_run(now_ms, record, from),
             },
         }
@@ -85,7 +85,7 @@
         }
         let max_suspicion_ms = self.settings.max_suspicion_ms(self.fleet_size());
         self.state = State::NameConflict {
-            rival: record.clone(),
+            newer_run: record.clone(),
             deadline_ms: now_ms + max_suspicion_ms,
             next_ping_ms: now_ms,
         };
@@ -93,7 +93,7 @@
     }
 
     /// Handles another process's record of this run.
-    fn handle_accusation(&mut self, now_ms: f64, record: &MemberRecord, from: Option<SocketAddr>) {
+    fn apply_own_record(&mut self, now_ms: f64, record: &MemberRecord, from: Option<SocketAddr>) {
         let is_refuted = record.incarnation < self.local.incarnation;
         match record.status {
             Status::Left => {
@@ -116,11 +116,11 @@
     }
 
     /// Refutes a suspicion or death with a higher incarnation. As in Lifeguard, this worsens the local health score.
-    fn refute(&mut self, accused_incarnation: u32) {
+    fn refute(&mut self, reported_incarnation: u32) {
         self.counters.refutations += 1;
         self.local_health.record_failure();
-        let is_raised = !failpoint::is_active(Failpoint::Refutation);
-        self.local.incarnation = accused_incarnation + u32::from(is_raised);
+        let is_raised = !failpoint::is_active(Failpoint::RefutationWithSameIncarnation);
+        self.local.incarnation = reported_incarnation + u32::from(is_raised);
         self.gossip_local_record();
     }
 
--- a/crates/asterdale-membership/src/state_machine/relaying.rs
+++ b/crates/asterdale-membership/src/state_machine/relaying.rs
@@ -14,7 +14,7 @@
 /// The fraction of the probe timeout after which the relay sends a nack, as in Lifeguard.
 const NACK_TIMEOUT_FRACTION: f64 = 0.8;
 /// An ack that comes after this many probe timeouts is not passed on.
-const EXPIRY_TIMEOUTS: f64 = 4.0;
+const EXPIRY_PROBE_TIMEOUTS: f64 = 4.0;
 
 /// A probe made for another member.
 #[derive(Clone, Debug)]
@@ -81,7 +81,7 @@
             requester,
             requester_seq: request.seq,
             nack_at_ms: now_ms + NACK_TIMEOUT_FRACTION * timeout_ms,
-            expires_ms: now_ms + EXPIRY_TIMEOUTS * timeout_ms,
+            expires_ms: now_ms + EXPIRY_PROBE_TIMEOUTS * timeout_ms,
             is_nack_sent: false,
         };
         self.relayed_probes.0.insert(seq, probe);
--- a/crates/asterdale-membership/src/state_machine/sending.rs
+++ b/crates/asterdale-membership/src/state_machine/sending.rs
@@ -22,11 +22,11 @@
     /// Sends a datagram with gossip. If the recipient's name is given and its status in the local view is not alive,
     /// its record comes first.
     pub(super) fn send(&mut self, to: SocketAddr, payload: Payload, recipient: Option<&str>) {
-        let accusation = recipient
+        let recipient_record = recipient
             .and_then(|name| self.view.get(name))
             .filter(|entry| entry.record.status != Status::Alive)
             .map(|entry| entry.record.clone());
-        self.send_with_gossip(to, payload, accusation.into_iter().collect());
+        self.send_with_gossip(to, payload, recipient_record.into_iter().collect());
     }
 
     /// Sends a datagram with these records and as much gossip as fits.
@@ -66,7 +66,7 @@
     }
 
     /// Sends an ack that belongs to no probe, to show that this process is alive.
-    pub(super) fn send_sign_of_life(&mut self, to: SocketAddr) {
+    pub(super) fn send_liveness_ack(&mut self, to: SocketAddr) {
         let ack = self.ack(NO_PROBE_SEQ);
         self.send(to, ack, None);
     }
--- a/crates/asterdale-membership/src/state_machine/state.rs
+++ b/crates/asterdale-membership/src/state_machine/state.rs
@@ -25,7 +25,7 @@
     /// A newer process may be alive under this name. Until the deadline this process pings the newer one; it sends no
     /// gossip and answers no pings.
     NameConflict {
-        rival: MemberRecord,
+        newer_run: MemberRecord,
         deadline_ms: f64,
         next_ping_ms: f64,
     },
--- a/crates/asterdale-membership/src/state_machine/suspicions.rs
+++ b/crates/asterdale-membership/src/state_machine/suspicions.rs
@@ -17,7 +17,7 @@
 /// How many of the processes that receive a suspicion ping the suspect, on average.
 const MEAN_SUSPECT_PINGERS: f64 = 8.0;
 /// Up to this fleet size there are too few members to confirm a suspicion, so it starts with the minimum timeout.
-const MAX_SIZE_WITHOUT_CONFIRMATION: usize = 3;
+const MAX_FLEET_SIZE_WITHOUT_CONFIRMATION: usize = 3;
 
 impl Membership {
     /// Applies a suspicion, raised by this process or received. It confirms a running one or starts a new one.
@@ -49,7 +49,7 @@
             self.suspects_to_ping.insert(record.name.clone());
         }
         let min_ms = self.settings.min_suspicion_ms(size);
-        let max_ms = if size <= MAX_SIZE_WITHOUT_CONFIRMATION {
+        let max_ms = if size <= MAX_FLEET_SIZE_WITHOUT_CONFIRMATION {
             min_ms
         } else {
             self.settings.max_suspicion_ms(size)
@@ -62,7 +62,7 @@
 
     /// Declares dead the suspects that have not refuted in time.
     pub(super) fn declare_expired_suspects_dead(&mut self, now_ms: f64) {
-        if failpoint::is_active(Failpoint::Suspicion) || self.state == State::Stopped {
+        if failpoint::is_active(Failpoint::NoSuspicionExpiry) || self.state == State::Stopped {
             return;
         }
         let has_expired = |suspicion: &Suspicion| suspicion.deadline_ms() <= now_ms;
--- a/crates/asterdale-membership/src/state_machine/timers.rs
+++ b/crates/asterdale-membership/src/state_machine/timers.rs
@@ -9,9 +9,9 @@
 use crate::record::Metadata;
 
 /// A wake-up that is later than this many probe intervals means that this process was paused.
-pub(super) const PAUSE_INTERVALS: f64 = 3.0;
+pub(super) const PAUSE_THRESHOLD_INTERVALS: f64 = 3.0;
 /// Changed metadata is gossiped once in this many probe intervals at most.
-const METADATA_INTERVALS: f64 = 2.0;
+const MIN_METADATA_INTERVALS: f64 = 2.0;
 /// Expired members are removed this many times in the retention period.
 const SWEEPS_PER_RETENTION: f64 = 16.0;
 /// Periodic exchanges and pings to dead members are due after 0.75 to 1.25 times their period, so that processes that
@@ -83,7 +83,7 @@
     pub(super) fn run_timers(&mut self, now_ms: f64) {
         let delay_ms = now_ms - self.timers.scheduled_wake_ms;
         let is_scheduled = self.timers.scheduled_wake_ms.is_finite();
-        if is_scheduled && delay_ms > PAUSE_INTERVALS * self.settings.probe_interval_ms {
+        if is_scheduled && delay_ms > PAUSE_THRESHOLD_INTERVALS * self.settings.probe_interval_ms {
             self.handle_pause(now_ms, delay_ms);
         }
         self.run_state_timers(now_ms);
@@ -162,7 +162,7 @@
     /// Puts new metadata into the local record. The incarnation rises so that the new record wins over the old one.
     fn publish_metadata(&mut self, now_ms: f64, metadata: Metadata) {
         self.timers.next_metadata_ms =
-            now_ms + METADATA_INTERVALS * self.settings.probe_interval_ms;
+            now_ms + MIN_METADATA_INTERVALS * self.settings.probe_interval_ms;
         self.local.metadata = metadata;
         self.local.incarnation += 1;
         self.gossip_local_record();
--- a/crates/asterdale-membership/src/view.rs
+++ b/crates/asterdale-membership/src/view.rs
@@ -28,9 +28,9 @@
     /// Names of the suspected members.
     suspects: BTreeSet<String>,
     /// Number of live members.
-    live: usize,
+    live_count: usize,
     /// Number of dead members.
-    dead: usize,
+    dead_count: usize,
     /// Hash of the live members; independent of their order.
     hash: u64,
 }
@@ -73,12 +73,12 @@
 
     /// How many members are live.
     pub fn live_count(&self) -> usize {
-        self.live
+        self.live_count
     }
 
     /// How many members are live or dead: the complete fleet, without those that left.
     pub fn live_or_dead_count(&self) -> usize {
-        self.live + self.dead
+        self.live_count + self.dead_count
     }
 
     /// Hash of the live members' run IDs. Equal views have equal hashes.
@@ -145,22 +145,22 @@
         let entry = self.entries.remove(name)?;
         self.suspects.remove(name);
         if entry.record.is_live() {
-            self.live -= 1;
+            self.live_count -= 1;
             self.hash ^= record_hash(&entry.record);
         }
         if entry.record.status == Status::Dead {
-            self.dead -= 1;
+            self.dead_count -= 1;
         }
         Some(entry)
     }
 
     fn add_to_totals(&mut self, record: &MemberRecord) {
         if record.is_live() {
-            self.live += 1;
+            self.live_count += 1;
             self.hash ^= record_hash(record);
         }
         if record.status == Status::Dead {
-            self.dead += 1;
+            self.dead_count += 1;
         }
         if record.status == Status::Suspect {
             self.suspects.insert(record.name.clone());
--- a/crates/asterdale-membership/tests/explore.rs
+++ b/crates/asterdale-membership/tests/explore.rs
@@ -16,7 +16,7 @@
 use asterdale_membership::{Action, Event, Membership, MembershipConfig, Settings, Status};
 
 /// Number of steps of which every order is explored: tens of thousands of states, in seconds.
-const DEPTH: usize = 8;
+const STEP_COUNT: usize = 8;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Delivery {
@@ -38,7 +38,7 @@
 }
 
 #[derive(Clone)]
-struct World {
+struct Model {
     now_ms: f64,
     processes: BTreeMap<SocketAddr, Membership>,
     in_flight: Vec<(SocketAddr, Delivery)>,
@@ -76,10 +76,10 @@
     }
 }
 
-impl World {
+impl Model {
     /// Three processes with equal views, and no message in flight.
-    fn new() -> World {
-        let mut world = World {
+    fn new() -> Model {
+        let mut model = Model {
             now_ms: 0.0,
             processes: BTreeMap::new(),
             in_flight: Vec::new(),
@@ -91,12 +91,12 @@
             newest_runs: BTreeMap::new(),
         };
         for n in 0..3 {
-            world.start(n, n as u64 + 1);
+            model.start(n, n as u64 + 1);
         }
-        world.run_without_faults(30_000.0);
-        assert_eq!(world.divergence(), None);
-        world.in_flight.clear();
-        world
+        model.run_without_faults(30_000.0);
+        assert_eq!(model.divergence(), None);
+        model.in_flight.clear();
+        model
     }
 
     fn start(&mut self, n: usize, nonce: u64) {
@@ -184,7 +184,7 @@
         steps
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         match step {
             Step::Deliver(n) => {
                 let (to, delivery) = self.in_flight.remove(n);
@@ -286,15 +286,15 @@
 
     /// Checks property 5, on a copy.
     fn check_convergence(&self) {
-        let mut world = self.clone();
+        let mut model = self.clone();
         let bound_ms = config(0, 0).settings.convergence_bound_ms(3);
-        let started_ms = world.now_ms;
-        while let Some(divergence) = world.divergence() {
+        let started_ms = model.now_ms;
+        while let Some(divergence) = model.divergence() {
             assert!(
-                world.now_ms - started_ms < bound_ms,
+                model.now_ms - started_ms < bound_ms,
                 "not converged: {divergence}"
             );
-            world.run_without_faults(1000.0);
+            model.run_without_faults(1000.0);
         }
     }
 
@@ -320,25 +320,25 @@
 
 /// Explores every order of this many steps. Collects the states seen, and counts the states after the last step.
 fn explore(
-    world: &World,
+    model: &Model,
     depth: usize,
     seen: &mut HashSet<(usize, u64)>,
     final_state_count: &mut u64,
 ) {
-    if !seen.insert((depth, world.state_hash())) {
+    if !seen.insert((depth, model.state_hash())) {
         return;
     }
     if depth == 0 {
         *final_state_count += 1;
         // Checks every fourth state: they differ by only a step or two, and this check takes most of the time.
         if *final_state_count % 4 == 0 {
-            world.check_convergence();
+            model.check_convergence();
         }
         return;
     }
-    for step in world.possible_steps() {
-        let mut next = world.clone();
-        next.play(step);
+    for step in model.possible_steps() {
+        let mut next = model.clone();
+        next.apply_step(step);
         explore(&next, depth - 1, seen, final_state_count);
     }
 }
@@ -346,7 +346,7 @@
 #[test]
 fn every_order_of_a_few_steps_keeps_the_properties() {
     let (mut seen, mut final_state_count) = (HashSet::new(), 0);
-    explore(&World::new(), DEPTH, &mut seen, &mut final_state_count);
+    explore(&Model::new(), STEP_COUNT, &mut seen, &mut final_state_count);
     assert!(seen.len() > 2_000, "{} states", seen.len());
     eprintln!("{} states, {final_state_count} final", seen.len());
 }
@@ -356,18 +356,18 @@
     use rand_pcg::rand_core::{Rng, SeedableRng};
     for random_seed in 0..60 {
         let mut random = rand_pcg::Pcg64Mcg::seed_from_u64(random_seed);
-        let mut world = World::new();
-        world.losses_left = 40;
-        world.duplicates_left = 20;
-        world.crashes_left = 6;
-        world.restarts_left = 6;
+        let mut model = Model::new();
+        model.losses_left = 40;
+        model.duplicates_left = 20;
+        model.crashes_left = 6;
+        model.restarts_left = 6;
         for _ in 0..400 {
-            let steps = world.possible_steps();
-            world.play(steps[(random.next_u64() % steps.len() as u64) as usize]);
-            if world.processes.len() < 2 {
-                world.crashes_left = 0;
+            let steps = model.possible_steps();
+            model.apply_step(steps[(random.next_u64() % steps.len() as u64) as usize]);
+            if model.processes.len() < 2 {
+                model.crashes_left = 0;
             }
         }
-        world.check_convergence();
+        model.check_convergence();
     }
 }
--- a/crates/asterdale-membership/tests/faults.rs
+++ b/crates/asterdale-membership/tests/faults.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn loss_of_a_third_with_all_seeds_is_survived() {
+fn crash_of_a_third_with_all_seeds_leaves_a_majority() {
     let mut network = converged(3, 12);
     (0..4).for_each(|n| network.kill(n));
     network.converge();
@@ -140,13 +140,13 @@
             network.process(3).local_record().generation > before,
             "random seed {random_seed}"
         );
-        let lost = network.count_events(|_, event| is_death(event));
-        assert_eq!(lost, 0, "random seed {random_seed}");
+        let death_count = network.count_events(|_, event| is_death(event));
+        assert_eq!(death_count, 0, "random seed {random_seed}");
     }
 }
 
 #[test]
-fn late_datagrams_of_earlier_generations_are_not_believed_after_a_full_restart() {
+fn late_datagrams_of_earlier_generations_supersede_no_process_after_a_full_restart() {
     let mut network = converged(5, 6);
     for _ in 0..3 {
         network.kill(2);
@@ -157,7 +157,7 @@
     assert_eq!(old, 4);
     // Datagrams of the earlier generation that are delayed until after the restart.
     let later_ms = network.now_ms + 1000.0;
-    let late = network.process_mut(2).wake(later_ms);
+    let late_actions = network.process_mut(2).wake(later_ms);
     (0..6).for_each(|n| network.kill(n));
     network.run(1_000.0);
     (0..6).for_each(|n| network.start(n));
@@ -168,7 +168,7 @@
         .map(|process| process.local_record().generation)
         .collect();
     assert_eq!(before, [1; 6]);
-    network.send_datagrams(late);
+    network.send_datagrams(late_actions);
     // The datagrams have a higher generation than the process has now, so the process takes the generation after it.
     network.run(1_000.0);
     network.converge();
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn leave_is_no_death() {
+fn leave_is_not_reported_as_death() {
     let mut network = converged(7, 8);
     let now_ms = network.now_ms;
     let actions = network.process_mut(5).leave(now_ms);
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn paused_process_accuses_nobody_and_takes_a_new_generation() {
+fn paused_process_suspects_no_member_and_takes_a_new_generation() {
     let mut network = converged(15, 7);
     network.paused.insert(address(3));
     network.run(60_000.0);
@@ -274,7 +274,7 @@
         "the process has had no ack since the pause"
     );
     network.converge();
-    let is_accusation = |event: &Event| {
+    let is_failure_report = |event: &Event| {
         matches!(
             event,
             Event::MemberChanged {
@@ -283,10 +283,10 @@
             }
         )
     };
-    let accusations = network.events.iter().filter(|(event_ms, process, event)| {
-        *event_ms >= resumed_ms && *process == name(3) && is_accusation(event)
+    let failure_reports = network.events.iter().filter(|(event_ms, process, event)| {
+        *event_ms >= resumed_ms && *process == name(3) && is_failure_report(event)
     });
-    assert_eq!(accusations.count(), 0);
+    assert_eq!(failure_reports.count(), 0);
     assert_eq!(
         network
             .count_events(|process, event| process == name(3) && matches!(event, Event::Paused(_))),
@@ -350,7 +350,7 @@
     // A second process takes the name at another address while the first one runs.
     let mut config = network.config(2, 0);
     config.address = address(20);
-    network.add(config);
+    network.add_process(config);
     network.run(60_000.0);
     let (older, newer) = (
         &network.processes[&address(2)],
@@ -370,12 +370,12 @@
     network.run(60_000.0);
     let mut config = network.config(0, 0);
     config.address = address(21);
-    network.add(config);
+    network.add_process(config);
     network.converge();
 }
 
 #[test]
-fn false_death_reports_kill_nobody() {
+fn false_death_reports_cause_no_death() {
     let mut network = converged(21, 6);
     // A process refutes its death only after it has had a majority for the maximum suspicion timeout.
     network.run(60_000.0);
@@ -421,7 +421,7 @@
 }
 
 #[test]
-fn loss_duplication_and_reordering_kill_nobody_in_ten_minutes() {
+fn loss_duplication_and_reordering_cause_no_death_in_ten_minutes() {
     for random_seed in [23, 24] {
         let mut network = converged(random_seed, 12);
         (network.loss, network.duplication, network.jitter_ms) = (0.2, 0.1, 150.0);
@@ -471,9 +471,9 @@
     let hash = network.process(0).view_hash();
     let mut config = network.config(9, 0);
     config.key = b"another's".to_vec();
-    let mut stranger = Membership::new(network.now_ms, config);
+    let mut other_fleet = Membership::new(network.now_ms, config);
     let now_ms = network.now_ms;
-    for action in stranger.wake(now_ms) {
+    for action in other_fleet.wake(now_ms) {
         if let Action::Exchange(_, bytes) = action {
             let (response, _) = network
                 .process_mut(0)
--- a/crates/asterdale-membership/tests/simulated_network/mod.rs
+++ b/crates/asterdale-membership/tests/simulated_network/mod.rs
@@ -109,10 +109,10 @@
 
     pub fn start(&mut self, n: usize) {
         let config = self.config(n, 0);
-        self.add(config);
+        self.add_process(config);
     }
 
-    pub fn add(&mut self, config: MembershipConfig) {
+    pub fn add_process(&mut self, config: MembershipConfig) {
         let process = Membership::new(self.now_ms, config);
         self.processes
             .insert(process.local_record().address, process);
--- a/crates/asterdale-membership/tests/stored_datagrams.rs
+++ b/crates/asterdale-membership/tests/stored_datagrams.rs
@@ -19,16 +19,16 @@
     text.to_owned()
 }
 
-fn alpha() -> SocketAddr {
+fn alpha_address() -> SocketAddr {
     ([10, 0, 0, 7], 4100).into()
 }
 
-fn beta() -> SocketAddr {
+fn beta_address() -> SocketAddr {
     ([0xfd00, 0, 0, 0, 0, 0, 0, 9], 4200).into()
 }
 
 /// The sender's record in every message.
-fn sender() -> StoredRecord {
+fn sender_record() -> StoredRecord {
     StoredRecord {
         name: text("alpha"),
         address: Some(Address {
@@ -47,7 +47,7 @@
 }
 
 /// Records that have each status and each phase.
-fn gossip() -> Vec<StoredRecord> {
+fn gossip_records() -> Vec<StoredRecord> {
     (0..4u32)
         .map(|n| StoredRecord {
             name: format!("beta-{n}"),
@@ -68,8 +68,8 @@
 }
 
 /// The messages in the order of the file.
-fn messages() -> Vec<Message> {
-    let kinds = [
+fn expected_messages() -> Vec<Message> {
+    let payloads = [
         Payload::Ping(Ping { seq: 101 }),
         Payload::Ack(Ack {
             seq: 102,
@@ -92,17 +92,17 @@
         }),
     ];
     let message = |(n, payload): (usize, Payload)| Message {
-        sender: Some(sender()),
+        sender: Some(sender_record()),
         view_hash: 0xfedc_ba98_7654_3210,
         joining: n == 0,
-        records: if n == 4 { gossip() } else { Vec::new() },
+        records: if n == 4 { gossip_records() } else { Vec::new() },
         payload: Some(payload),
     };
-    kinds.into_iter().enumerate().map(message).collect()
+    payloads.into_iter().enumerate().map(message).collect()
 }
 
 /// The messages of the file, in which a length of four bytes precedes each message.
-fn stored() -> Vec<&'static [u8]> {
+fn stored_messages() -> Vec<&'static [u8]> {
     let (mut rest, mut all) = (DATAGRAMS, Vec::new());
     while let Some((length, after)) = rest.split_first_chunk::<4>() {
         let (message, after) = after.split_at(u32::from_be_bytes(*length) as usize);
@@ -115,11 +115,11 @@
 /// The decoded message at this index in the file.
 fn stored_message(index: usize) -> (Message, MemberRecord) {
     let authenticator = MessageAuthenticator::new(KEY);
-    decode(&authenticator, stored()[index], MAX_EXCHANGE_BYTES).unwrap()
+    decode(&authenticator, stored_messages()[index], MAX_EXCHANGE_BYTES).unwrap()
 }
 
 #[test]
-fn stored_datagrams_are_read_to_the_same_messages() {
+fn stored_datagrams_decode_to_the_same_messages() {
     assert_eq!(PROTOCOL_VERSION, 1);
     let authenticator = MessageAuthenticator::new(KEY);
     let metadata = Metadata {
@@ -129,7 +129,7 @@
     };
     let from = MemberRecord {
         name: text("alpha"),
-        address: alpha(),
+        address: alpha_address(),
         generation: 12,
         nonce: 0x0102_0304_0506_0708,
         incarnation: 3,
@@ -137,10 +137,10 @@
         metadata,
         reported_by: text("alpha"),
     };
-    assert_eq!(encode_record(&from), sender());
-    let stored = stored();
-    assert_eq!(stored.len(), messages().len());
-    for (bytes, expected) in stored.into_iter().zip(messages()) {
+    assert_eq!(encode_record(&from), sender_record());
+    let stored = stored_messages();
+    assert_eq!(stored.len(), expected_messages().len());
+    for (bytes, expected) in stored.into_iter().zip(expected_messages()) {
         assert_eq!(
             decode(&authenticator, bytes, MAX_EXCHANGE_BYTES),
             Ok((expected, from.clone()))
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn stored_records_are_read_in_every_status_and_phase() {
+fn stored_records_decode_with_every_status_and_phase() {
     let (message, _) = stored_message(4);
     let records: Vec<MemberRecord> = message
         .records
@@ -158,7 +158,7 @@
         .collect();
     let states: Vec<(Status, Phase)> = records
         .iter()
-        .map(|one| (one.status, one.metadata.phase))
+        .map(|record| (record.status, record.metadata.phase))
         .collect();
     let expected = [
         (Status::Alive, Phase::WarmingUp),
@@ -169,27 +169,27 @@
     assert_eq!(states, expected);
     let dead = &records[2];
     assert_eq!(dead.run_id(), (22, 32));
-    assert_eq!((dead.incarnation, dead.address), (42, beta()));
+    assert_eq!((dead.incarnation, dead.address), (42, beta_address()));
     assert_eq!(dead.metadata.load_percent, 52);
     assert_eq!(dead.metadata.warm_percent, 62);
     assert_eq!(dead.reported_by, "gamma");
-    let written: Vec<StoredRecord> = records.iter().map(encode_record).collect();
-    assert_eq!(written, gossip());
+    let encoded: Vec<StoredRecord> = records.iter().map(encode_record).collect();
+    assert_eq!(encoded, gossip_records());
 }
 
 #[test]
-fn stored_ping_request_is_read() {
+fn stored_ping_request_decodes() {
     let (message, _) = stored_message(2);
     let Some(Payload::PingRequest(request)) = message.payload else {
         panic!("the stored message is not a ping request")
     };
-    assert_eq!(ping_request_address(&request), Some(alpha()));
+    assert_eq!(ping_request_address(&request), Some(alpha_address()));
 }
 
 #[test]
-fn the_messages_are_written_to_the_stored_bytes() {
+fn messages_encode_to_the_stored_bytes() {
     let authenticator = MessageAuthenticator::new(KEY);
-    for (bytes, message) in stored().into_iter().zip(messages()) {
+    for (bytes, message) in stored_messages().into_iter().zip(expected_messages()) {
         assert!(
             encode(&authenticator, &message) == bytes,
             "the bytes of {message:?} differ"
