--- a/crates/asterdale-membership/src/state_machine/mod.rs
+++ b/crates/asterdale-membership/src/state_machine/mod.rs
@@ -184,7 +184,7 @@
         let is_alone = self.view.live_or_dead_count() == 0;
         self.is_member()
             && self.live_fraction() > 0.5
-            && (is_alone || self.view_age_ms(now_ms) <= max_age_ms)
+            && (is_alone || self.ms_since_last_ack(now_ms) <= max_age_ms)
     }
 
     /// Whether this process has had a majority for at least the maximum suspicion timeout.
@@ -194,7 +194,7 @@
     }
 
     /// The time since a probe was last acked; infinity if none was since the start or the last pause of this process.
-    pub fn view_age_ms(&self, now_ms: f64) -> f64 {
+    pub fn ms_since_last_ack(&self, now_ms: f64) -> f64 {
         now_ms - self.prober.last_ack_ms
     }
 
--- a/crates/asterdale-transport/src/status.rs
+++ b/crates/asterdale-transport/src/status.rs
@@ -163,7 +163,7 @@
             state: membership.state_name().to_owned(),
             has_majority: membership.has_majority(now_ms),
             live_fraction: (membership.live_fraction() * 1e3).round() / 1e3,
-            view_age_ms: to_ms(membership.view_age_ms(now_ms)),
+            view_age_ms: to_ms(membership.ms_since_last_ack(now_ms)),
             view_hash: format!("{:016x}", membership.view_hash()),
             members: members.collect(),
             counters,
