--- a/crates/asterdale-membership/src/event.rs
+++ b/crates/asterdale-membership/src/event.rs
@@ -19,7 +19,7 @@
     Left,
 }
 
-/// A notification to the program, which has to act on some of them.
+/// A notification to the program. The program has to act on some of the variants.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The highest generation that other members have reported for this process's name; 0 if none has. Emitted before
--- a/crates/asterdale-membership/src/gossip_queue.rs
+++ b/crates/asterdale-membership/src/gossip_queue.rs
@@ -1,7 +1,7 @@
 //! The queue of records to be piggybacked on messages (SWIM, infection-style dissemination).
 //!
-//! As in SWIM, each record is sent a bounded number of times, and those sent least come first. Unlike in the
-//! paper, records of members that are suspected, are dead or have left precede all others.
+//! As in SWIM, each record is sent a bounded number of times, and those sent least come first. Unlike in the paper,
+//! records of members that are suspected, are dead or have left precede all others.
 
 use std::collections::BTreeMap;
 
--- a/crates/asterdale-membership/src/lib.rs
+++ b/crates/asterdale-membership/src/lib.rs
@@ -16,8 +16,8 @@
 //!
 //! Two numbers order the records of one name, and must not be confused:
 //!
-//! - The **generation** counts the runs of processes under the name. A process takes a new generation when it starts,
-//!   and when it rejoins after other members declared it dead. Generation and random nonce form the run ID
+//! - The **generation** is the number of a run under the name. A process takes a new generation when it starts,
+//!   and when it rejoins after other members declared it dead. The generation and a random nonce form the run ID
 //!   ([`MemberRecord::run_id`]), which identifies one run of one process.
 //! - The **incarnation** is SWIM's: it starts at 0 in each generation. A process raises it to refute a suspicion, or
 //!   when its metadata changes. The record of a death has the incarnation after the suspected one.
--- a/crates/asterdale-membership/src/record.rs
+++ b/crates/asterdale-membership/src/record.rs
@@ -71,8 +71,8 @@
     /// Orders two records of one name; the greater one wins.
     ///
     /// A newer run wins over an older one. Within a run, [`Status::Left`] wins over everything, then the higher
-    /// incarnation, then the later status. As this is a total order, processes that received the same records
-    /// agree, whatever the order in which the records came and however often.
+    /// incarnation, then the later status. As this is a total order, processes that received the same records agree,
+    /// whatever the order in which the records came and however often.
     pub fn cmp_precedence(&self, other: &MemberRecord) -> Ordering {
         let rank = |record: &MemberRecord| {
             (
--- a/crates/asterdale-membership/src/settings.rs
+++ b/crates/asterdale-membership/src/settings.rs
@@ -9,12 +9,12 @@
     pub probe_timeout_ms: f64,
     /// SWIM's k: how many relays are asked in an indirect probe.
     pub indirect_probes: usize,
-    /// Lifeguard's alpha: the minimum suspicion timeout is this many probe intervals, times the logarithm of the
-    /// fleet's size.
+    /// Lifeguard's alpha: the minimum suspicion timeout is this many probe intervals, multiplied by the logarithm
+    /// of the fleet's size.
     pub suspicion_multiplier: f64,
     /// Lifeguard's beta: the maximum suspicion timeout, without confirmations, as a multiple of the minimum.
     pub max_suspicion_multiplier: f64,
-    /// SWIM's lambda: a record is piggybacked this many times, times the logarithm of the fleet's size.
+    /// SWIM's lambda: a record is piggybacked this many times, multiplied by the logarithm of the fleet's size.
     pub retransmit_multiplier: f64,
     /// The mean time between periodic full-view exchanges, in probe intervals.
     pub exchange_intervals: f64,
@@ -81,10 +81,10 @@
     /// The time within which all live processes have the same view after the last fault, if messages are delivered.
     ///
     /// It sums the steps of the slowest recovery: a ping to a dead member finds the other side of a partition; full
-    /// views are exchanged, and processes that were declared dead take a new generation; a process that crashed last is
-    /// probed by a healthy prober (after a round and a half at most) and is suspected for the maximum timeout; members
-    /// that receive the report of the death suspect the process for the minimum timeout; the gossip spreads. The sum is
-    /// doubled to allow for busy machines.
+    /// views are exchanged, and processes that were declared dead take a new generation; the process that crashed last
+    /// is probed by a healthy prober (after a round and a half at most) and is suspected for the maximum timeout;
+    /// members that receive the report of the death suspect the process for the minimum timeout; the gossip spreads.
+    /// The sum is doubled to allow for busy machines.
     pub fn convergence_bound_ms(&self, size: usize) -> f64 {
         let partition_found = 3.0 * self.dead_ping_intervals * self.probe_interval_ms * 2.0;
         let probed = 2.0 * self.probe_interval_ms * 2.0;
--- a/crates/asterdale-membership/src/state_machine/dissemination.rs
+++ b/crates/asterdale-membership/src/state_machine/dissemination.rs
@@ -2,8 +2,8 @@
 //!
 //! Within a run, precedence follows SWIM (alive, suspect and dead, overridden by incarnation). Differences from SWIM:
 //!
-//! - The run ID takes precedence over everything else: a newer run under a name replaces an older one. SWIM has no
-//!   runs.
+//! - The run ID takes precedence over everything else: a newer run under a name replaces an older one. SWIM does
+//!   not distinguish runs.
 //! - If another process reports the death of a member that is alive in the local view, the member is only suspected,
 //!   with a short deadline, and pinged. SWIM accepts the death. Thus a single process with wrong timers cannot remove
 //!   members.
