--- a/crates/asterdale-membership/src/settings.rs
+++ b/crates/asterdale-membership/src/settings.rs
@@ -36,12 +36,12 @@
             probe_interval_ms: 1000.0,
             // Ten times the round-trip time to a loaded machine on the same network.
             probe_timeout_ms: 300.0,
-            // The SWIM paper's value: with three relays, a broken route between two processes raises no suspicion.
+            // The paper's value: with three relays, a broken route between two processes raises no suspicion.
             indirect_probes: 3,
-            // The Lifeguard paper's values for alpha and beta.
+            // Lifeguard's alpha and beta.
             suspicion_multiplier: 5.0,
             max_suspicion_multiplier: 6.0,
-            // The SWIM paper has 3 to 4: the probability that all members receive a record grows with the fleet.
+            // The paper has 3 to 4: the probability that all members receive a record grows with the fleet.
             retransmit_multiplier: 4.0,
             // Gossip reaches all members within a few intervals; exchanges deliver records whose every copy was lost.
             exchange_intervals: 20.0,
