--- a/crates/asterdale-membership/src/state_machine/refutation.rs
+++ b/crates/asterdale-membership/src/state_machine/refutation.rs
@@ -1,8 +1,10 @@
-//! Records about this process's own name: refuting accusations (SWIM), and giving way to what cannot be refuted.
+//! Records about this process's own name: refuting suspicions and deaths (SWIM), and accepting those that cannot be
+//! refuted.
 //!
-//! SWIM's suspect refutes by raising its incarnation. Beyond the paper, a process that was declared dead refutes only if
-//! it has had a majority for the longest suspicion, so that nobody can have taken over what it owns. Otherwise it gives
-//! up what it owns and goes on in a new generation. Records of other runs under its name are handled here too.
+//! A suspect in SWIM refutes by raising its incarnation. Beyond the paper, a process that was declared dead refutes
+//! only if it has had a majority for the maximum suspicion timeout, so that no other process can have taken over what
+//! it owns. Otherwise it gives up what it owns and rejoins with a new generation. Records of other runs under its name
+//! are handled here too.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -17,7 +19,7 @@
 impl Membership {
     /// Handles a message whose sender has this process's name.
     pub(super) fn handle_same_name_message(&mut self, message: &Message, sender: &MemberRecord) {
-        // This process's own message came back, or the sender is still joining and will learn of this process.
+        // This process's own message was returned to it, or the sender is still joining and will learn of this process.
         if sender.nonce == self.local.nonce || message.joining {
             return;
         }
@@ -29,11 +31,11 @@
             self.state = State::Stopped;
             self.emit(Event::Superseded(sender.address));
         } else if self.is_member() && matches!(message.payload, Some(Payload::Ping(_))) {
-            self.send_sign_of_life(sender.address);
+            self.send_liveness_ack(sender.address);
         }
     }
 
-    /// Remembers a generation of this process's name, so that the next one taken is higher.
+    /// Records a generation of this process's name, so that the next one taken is higher.
     fn note_generation(&mut self, generation: u64) {
         self.highest_known_generation = self.highest_known_generation.max(generation);
         self.highest_reported_generation = self.highest_reported_generation.max(generation);
@@ -52,14 +54,14 @@
             State::DeclaredDead { min_generation, .. } => {
                 *min_generation = (*min_generation).max(record.generation);
             }
-            State::NameConflict { rival, .. } => {
-                if record.run_id() == rival.run_id() && !record.is_live() {
+            State::NameConflict { newer_run, .. } => {
+                if record.run_id() == newer_run.run_id() && !record.is_live() {
                     self.become_declared_dead(record.generation, from, &record.reported_by);
                 }
             }
             State::Member => match record.run_id().cmp(&self.local.run_id()) {
                 Ordering::Less => self.apply_record_of_older_run(record, from),
-                Ordering::Equal => self.handle_accusation(now_ms, record, from),
+                Ordering::Equal => self.apply_own_record(now_ms, record, from),
                 Ordering::Greater => self.handle_newer_run(now_ms, record, from),
             },
         }
@@ -67,31 +69,31 @@
 
     fn apply_record_of_older_run(&mut self, record: &MemberRecord, from: Option<SocketAddr>) {
         if record.generation == self.local.generation {
-            // Both runs took the same generation: those who remember the other one must not take this one for it.
+            // Both runs took the same generation. Members that know the other run must not mistake this run for it.
             self.become_declared_dead(record.generation, from, &record.reported_by);
         } else if record.is_live() {
-            // Somebody does not know of this run yet.
+            // Another member does not know of this run yet.
             self.gossip_local_record();
         }
     }
 
-    /// A newer run under this name. If it is gone, or had this process's address, only its generation matters.
-    /// Otherwise it may be running.
+    /// Handles a record of a newer run under this name. If that run is dead, has left, or had this process's address,
+    /// only its generation matters. Otherwise it may be running.
     fn handle_newer_run(&mut self, now_ms: f64, record: &MemberRecord, from: Option<SocketAddr>) {
         if !record.is_live() || record.address == self.local.address {
             return self.become_declared_dead(record.generation, from, &record.reported_by);
         }
         let max_suspicion_ms = self.settings.max_suspicion_ms(self.fleet_size());
         self.state = State::NameConflict {
-            rival: record.clone(),
+            newer_run: record.clone(),
             deadline_ms: now_ms + max_suspicion_ms,
             next_ping_ms: now_ms,
         };
         self.emit(Event::NameConflict(record.address));
     }
 
-    /// A record of this very run, by another process.
-    fn handle_accusation(&mut self, now_ms: f64, record: &MemberRecord, from: Option<SocketAddr>) {
+    /// Handles another process's record of this run.
+    fn apply_own_record(&mut self, now_ms: f64, record: &MemberRecord, from: Option<SocketAddr>) {
         let is_refuted = record.incarnation < self.local.incarnation;
         match record.status {
             Status::Left => {
@@ -101,11 +103,11 @@
                 self.refute(record.incarnation);
             }
             Status::Alive => {}
-            // Somebody has not received the refutation.
+            // Another member has not received the refutation.
             Status::Suspect | Status::Dead if is_refuted => self.gossip_local_record(),
             Status::Suspect => self.refute(record.incarnation),
-            // A part of the fleet that this process is not in may believe in the death. With a stable majority on this
-            // side nobody can have taken over what this process owns.
+            // Members on the other side of a partition may have accepted the death. With a stable majority on this
+            // side, no other process can have taken over what this process owns.
             Status::Dead if self.has_stable_majority(now_ms) => self.refute(record.incarnation),
             Status::Dead => {
                 self.become_declared_dead(record.generation, from, &record.reported_by);
@@ -113,16 +115,16 @@
         }
     }
 
-    /// Refutes an accusation with a higher incarnation. Lifeguard counts it against the local health.
-    fn refute(&mut self, accused_incarnation: u32) {
+    /// Refutes a suspicion or death with a higher incarnation. As in Lifeguard, this worsens the local health score.
+    fn refute(&mut self, reported_incarnation: u32) {
         self.counters.refutations += 1;
         self.local_health.record_failure();
-        let is_raised = !failpoint::is_active(Failpoint::Refutation);
-        self.local.incarnation = accused_incarnation + u32::from(is_raised);
+        let is_raised = !failpoint::is_active(Failpoint::RefutationWithSameIncarnation);
+        self.local.incarnation = reported_incarnation + u32::from(is_raised);
         self.gossip_local_record();
     }
 
-    /// Accepts the death of this run, and waits until the program has given up what the process owns.
+    /// Accepts the death of this run, and waits until the program has given up what the process owns and rejoins.
     pub(super) fn become_declared_dead(
         &mut self,
         min_generation: u64,
--- a/crates/asterdale-membership/tests/explore.rs
+++ b/crates/asterdale-membership/tests/explore.rs
@@ -1,10 +1,11 @@
-//! Model checking: three processes, and every order of a few steps in which datagrams are delivered, lost, duplicated or
-//! reordered, one process crashes, and restarts without memory. What must hold:
+//! Model checking of three processes: every order of a few steps in which messages are delivered, lost, duplicated or
+//! reordered, and one process crashes and restarts without its earlier state. The properties that must hold:
 //!
 //! 1. No process replaces a record by one of an older run under the same name.
-//! 2. No process has a record of a run (generation and nonce) that never was.
-//! 3. No process has a higher incarnation of a run than the run took itself, except that a death takes the next one.
-//! 4. A process never has an entry of itself, and its incarnation never falls within a generation.
+//! 2. No process has a record of a run (generation and nonce) that never existed.
+//! 3. No process has a higher incarnation of a run than the run took itself, except that the record of a death has the
+//!    next one.
+//! 4. A process never has an entry of itself, and its incarnation never decreases within a generation.
 //! 5. From every state in which the faults end, all live processes get equal views, within the documented bound.
 
 use std::collections::hash_map::DefaultHasher;
@@ -14,8 +15,8 @@
 
 use asterdale_membership::{Action, Event, Membership, MembershipConfig, Settings, Status};
 
-/// Steps whose every order is played: tens of thousands of states, in seconds.
-const DEPTH: usize = 8;
+/// Number of steps of which every order is explored: tens of thousands of states, in seconds.
+const STEP_COUNT: usize = 8;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Delivery {
@@ -24,20 +25,20 @@
     ExchangeResponse(Vec<u8>),
 }
 
-/// What happens next; the number is a message under way or a process.
+/// The next step of the model. The number is the index of a message in flight, or of a process.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Deliver(usize),
     Lose(usize),
     Duplicate(usize),
-    /// Time passes until the next process wants to be woken.
+    /// Time passes until the next timer of a process is due.
     Wake,
     Crash(usize),
     Restart(usize),
 }
 
 #[derive(Clone)]
-struct World {
+struct Model {
     now_ms: f64,
     processes: BTreeMap<SocketAddr, Membership>,
     in_flight: Vec<(SocketAddr, Delivery)>,
@@ -45,9 +46,9 @@
     duplicates_left: u32,
     crashes_left: u32,
     restarts_left: u32,
-    /// All runs so far, by name, generation and nonce, each with its highest incarnation.
+    /// The highest incarnation of each run so far, by name, generation and nonce.
     taken_runs: BTreeMap<(String, u64, u64), u32>,
-    /// The newest run that each process has had of each name.
+    /// The newest run of each name that each process has had in its view.
     newest_runs: BTreeMap<(SocketAddr, String), (u64, u64)>,
 }
 
@@ -75,10 +76,10 @@
     }
 }
 
-impl World {
-    /// Three processes with equal views, and nothing under way.
-    fn new() -> World {
-        let mut world = World {
+impl Model {
+    /// Three processes with equal views, and no message in flight.
+    fn new() -> Model {
+        let mut model = Model {
             now_ms: 0.0,
             processes: BTreeMap::new(),
             in_flight: Vec::new(),
@@ -90,12 +91,12 @@
             newest_runs: BTreeMap::new(),
         };
         for n in 0..3 {
-            world.start(n, n as u64 + 1);
+            model.start(n, n as u64 + 1);
         }
-        world.run_without_faults(30_000.0);
-        assert_eq!(world.divergence(), None);
-        world.in_flight.clear();
-        world
+        model.run_without_faults(30_000.0);
+        assert_eq!(model.divergence(), None);
+        model.in_flight.clear();
+        model
     }
 
     fn start(&mut self, n: usize, nonce: u64) {
@@ -158,7 +159,8 @@
         }
     }
 
-    /// The steps that may come next. Only the first three messages under way are taken, as orders of more differ little.
+    /// The steps that may come next. Only the first three messages in flight are considered, as orders of more messages
+    /// differ little.
     fn possible_steps(&self) -> Vec<Step> {
         let messages = 0..self.in_flight.len().min(3);
         let mut steps: Vec<Step> = messages.clone().map(Step::Deliver).collect();
@@ -168,7 +170,7 @@
         if self.duplicates_left > 0 {
             steps.extend(messages.map(Step::Duplicate));
         }
-        // Time passes for all processes alike: none wakes again and again while many messages are under way.
+        // Time passes for all processes alike, so no process is woken repeatedly while many messages are in flight.
         if self.in_flight.len() < 4 {
             steps.push(Step::Wake);
         }
@@ -182,7 +184,7 @@
         steps
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         match step {
             Step::Deliver(n) => {
                 let (to, delivery) = self.in_flight.remove(n);
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Checks the properties 1 to 4.
+    /// Checks properties 1 to 4.
     fn check_properties(&mut self) {
         let members = self
             .processes
@@ -222,7 +224,7 @@
             let highest_incarnation = self.taken_runs.entry(run).or_default();
             assert!(
                 local.incarnation >= *highest_incarnation,
-                "{local:?} goes back"
+                "the incarnation decreased: {local:?}"
             );
             *highest_incarnation = local.incarnation;
         }
@@ -233,26 +235,26 @@
                 let highest_incarnation = self
                     .taken_runs
                     .get(&run)
-                    .unwrap_or_else(|| panic!("{record:?} never was"));
+                    .unwrap_or_else(|| panic!("the run never existed: {record:?}"));
                 let incarnation_of_run = record
                     .incarnation
                     .saturating_sub(u32::from(record.status != Status::Alive));
                 assert!(
                     incarnation_of_run <= *highest_incarnation,
-                    "{record:?} never was"
+                    "the run never had this incarnation: {record:?}"
                 );
                 let name = record.name.clone();
                 let newest_run = self.newest_runs.entry((address, name)).or_default();
                 assert!(
                     record.run_id() >= *newest_run,
-                    "{address} goes back to {record:?}"
+                    "{address} replaced a newer run by {record:?}"
                 );
                 *newest_run = record.run_id();
             }
         }
     }
 
-    /// Runs without faults: messages are delivered in order, and before time passes.
+    /// Runs without faults: messages are delivered in order, and all of them before time passes.
     fn run_without_faults(&mut self, duration_ms: f64) {
         let end_ms = self.now_ms + duration_ms;
         while self.now_ms < end_ms {
@@ -284,19 +286,19 @@
 
     /// Checks property 5, on a copy.
     fn check_convergence(&self) {
-        let mut world = self.clone();
+        let mut model = self.clone();
         let bound_ms = config(0, 0).settings.convergence_bound_ms(3);
-        let started_ms = world.now_ms;
-        while let Some(divergence) = world.divergence() {
+        let started_ms = model.now_ms;
+        while let Some(divergence) = model.divergence() {
             assert!(
-                world.now_ms - started_ms < bound_ms,
+                model.now_ms - started_ms < bound_ms,
                 "not converged: {divergence}"
             );
-            world.run_without_faults(1000.0);
+            model.run_without_faults(1000.0);
         }
     }
 
-    /// Equal for equal states; the order of the messages under way does not count.
+    /// Equal for equal states, whatever the order of the messages in flight.
     fn state_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for (address, process) in &self.processes {
@@ -316,27 +318,27 @@
     }
 }
 
-/// Plays every order of this many steps. Collects the states seen, and counts those at the full depth.
+/// Explores every order of this many steps. Collects the states seen, and counts the states after the last step.
 fn explore(
-    world: &World,
+    model: &Model,
     depth: usize,
     seen: &mut HashSet<(usize, u64)>,
     final_state_count: &mut u64,
 ) {
-    if !seen.insert((depth, world.state_hash())) {
+    if !seen.insert((depth, model.state_hash())) {
         return;
     }
     if depth == 0 {
         *final_state_count += 1;
-        // Each fourth one: they differ by a step or two, and this check takes most of the time.
+        // Checks every fourth state: they differ by only a step or two, and this check takes most of the time.
         if *final_state_count % 4 == 0 {
-            world.check_convergence();
+            model.check_convergence();
         }
         return;
     }
-    for step in world.possible_steps() {
-        let mut next = world.clone();
-        next.play(step);
+    for step in model.possible_steps() {
+        let mut next = model.clone();
+        next.apply_step(step);
         explore(&next, depth - 1, seen, final_state_count);
     }
 }
@@ -344,7 +346,7 @@
 #[test]
 fn every_order_of_a_few_steps_keeps_the_properties() {
     let (mut seen, mut final_state_count) = (HashSet::new(), 0);
-    explore(&World::new(), DEPTH, &mut seen, &mut final_state_count);
+    explore(&Model::new(), STEP_COUNT, &mut seen, &mut final_state_count);
     assert!(seen.len() > 2_000, "{} states", seen.len());
     eprintln!("{} states, {final_state_count} final", seen.len());
 }
@@ -354,18 +356,18 @@
     use rand_pcg::rand_core::{Rng, SeedableRng};
     for random_seed in 0..60 {
         let mut random = rand_pcg::Pcg64Mcg::seed_from_u64(random_seed);
-        let mut world = World::new();
-        world.losses_left = 40;
-        world.duplicates_left = 20;
-        world.crashes_left = 6;
-        world.restarts_left = 6;
+        let mut model = Model::new();
+        model.losses_left = 40;
+        model.duplicates_left = 20;
+        model.crashes_left = 6;
+        model.restarts_left = 6;
         for _ in 0..400 {
-            let steps = world.possible_steps();
-            world.play(steps[(random.next_u64() % steps.len() as u64) as usize]);
-            if world.processes.len() < 2 {
-                world.crashes_left = 0;
+            let steps = model.possible_steps();
+            model.apply_step(steps[(random.next_u64() % steps.len() as u64) as usize]);
+            if model.processes.len() < 2 {
+                model.crashes_left = 0;
             }
         }
-        world.check_convergence();
+        model.check_convergence();
     }
 }
