--- a/crates/asterdale-engine/src/ownership/answers.rs
+++ b/crates/asterdale-engine/src/ownership/answers.rs
@@ -37,7 +37,7 @@
 
 /// Injected fault of a proof: a request that runs on another backend is taken for a free one.
 pub(super) fn lock_is_ignored(verdict: Verdict) -> bool {
-    failpoint::is_active(Failpoint::Lock) && verdict == Verdict::InProgress
+    failpoint::is_active(Failpoint::IgnoreOtherClaims) && verdict == Verdict::InProgress
 }
 
 /// The counter of a reply that is not the result of an own run.
--- a/crates/asterdale-engine/src/ownership/claims.rs
+++ b/crates/asterdale-engine/src/ownership/claims.rs
@@ -105,7 +105,7 @@
         }
         let client = self.ownership.client.as_ref();
         let may_act = client.is_some_and(|client| client.may_act());
-        if !may_act && !failpoint::is_active(Failpoint::Lease) {
+        if !may_act && !failpoint::is_active(Failpoint::IgnoreLeaseExpiry) {
             return Err(LeaseLapsed);
         }
         Ok(owned.fence_to_send().map(|fence| CallFence {
--- a/crates/asterdale-engine/src/ownership/outcomes.rs
+++ b/crates/asterdale-engine/src/ownership/outcomes.rs
@@ -37,7 +37,7 @@
             return;
         };
         let mut responder = None;
-        if failpoint::is_active(Failpoint::Outcome) {
+        if failpoint::is_active(Failpoint::AnswerBeforeRecording) {
             if self.answer_served(task, result.clone()) {
                 self.counters.tasks_served.add();
             }
--- a/crates/asterdale-engine/src/ownership/record.rs
+++ b/crates/asterdale-engine/src/ownership/record.rs
@@ -56,7 +56,7 @@
     /// The fence that its start and its calls carry, if they carry one.
     pub fn fence_to_send(&self) -> Option<u64> {
         self.granted_fence()
-            .filter(|_| self.sends_fence && !failpoint::is_active(Failpoint::Fence))
+            .filter(|_| self.sends_fence && !failpoint::is_active(Failpoint::OmitFencingToken))
     }
 
     /// For how long its result is of use, in milliseconds: a client that gives up this attempt may ask again on any
--- a/crates/asterdale-ownership/src/failpoint.rs
+++ b/crates/asterdale-ownership/src/failpoint.rs
@@ -2,13 +2,13 @@
 
 asterdale_failpoints::failpoints! {
     /// An owner acts although its lease has expired.
-    Lease = "lease",
+    IgnoreLeaseExpiry = "lease",
     /// Starts and calls are made without their fencing token.
-    Fence = "unfenced",
+    OmitFencingToken = "unfenced",
     /// A replica that lost its state continues under its old node id, and votes.
-    Empty = "empty",
+    KeepNodeIdWithoutState = "empty",
     /// The result is returned before the outcome is recorded.
-    Outcome = "outcome",
+    AnswerBeforeRecording = "outcome",
     /// A lookup that finds no owner is taken for a granted claim.
-    Lock = "lock",
+    IgnoreOtherClaims = "lock",
 }
--- a/crates/asterdale-ownership/src/replica/formation.rs
+++ b/crates/asterdale-ownership/src/replica/formation.rs
@@ -142,7 +142,7 @@
 
     /// Forms a group, or looks after the one that it is in.
     pub(super) fn check_group(&mut self, now_ms: f64) {
-        if failpoint::is_active(Failpoint::Empty) {
+        if failpoint::is_active(Failpoint::KeepNodeIdWithoutState) {
             self.member.node = node_from_name(&self.member.name);
         }
         if self.raft_node.is_none() {
@@ -223,7 +223,7 @@
     /// one may have been abandoned.
     fn is_invited_by(&self, message: &wire::RaftMessage) -> bool {
         raft_node::recipient(&message.message) == Some(self.member.node)
-            && !failpoint::is_active(Failpoint::Empty)
+            && !failpoint::is_active(Failpoint::KeepNodeIdWithoutState)
             && self.raft_node.is_none()
             && message.group >= self.highest_group
             && message.group > 0
