--- a/crates/asterdale-ownership/src/message.rs
+++ b/crates/asterdale-ownership/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between owners and replicas as bytes. All received bytes are untrusted: what can't be read, or is
-//! invalid, is ignored.
+//! Encoding of the messages between owners and replicas. All received bytes are untrusted: messages that are malformed
+//! or invalid are ignored.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -16,20 +16,20 @@
 pub use wire::envelope::Body as MessageBody;
 pub use wire::{Envelope, KeyedRequest, Member};
 
-/// Bound of a message: a snapshot of a table of the default size (16 MiB), and what the `raft` crate adds to it.
+/// Maximum size of a message: a snapshot of a table of the default size (16 MiB) and the overhead of the `raft` crate.
 pub const MAX_MESSAGE_BYTES: usize = 24 * 1024 * 1024;
-/// Bound of a process's or a class's name.
+/// Maximum length of the name of a process or a request class.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Bound of a key: request class, tenant, and the longest idempotency key that a caller may send.
+/// Maximum length of a key: request class, tenant, and the longest idempotency key that a caller may send.
 pub const MAX_KEY_BYTES: usize = 512;
-/// Bound of a body and of a result. The platform's are 2 and 4 KiB.
+/// Maximum size of a body and of a result. The platform's bodies are up to 2 KiB, its results up to 4 KiB.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Length of an execution id.
 const EXECUTION_ID_BYTES: usize = 16;
-/// Bound, not included, of the durations and sizes of a request: eleven days in milliseconds.
+/// Exclusive upper bound of the durations and sizes of a request: eleven days in milliseconds.
 const MAX_NUMBER: f64 = 1e9;
 
-/// The process with this name and node id, reached at this address.
+/// The `Member` message for the process with this name, node id and address.
 pub fn member(name: &str, node: u64, address: SocketAddr) -> Member {
     let ip = match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
@@ -62,7 +62,8 @@
     authenticator.authenticate(&envelope.encode_to_vec())
 }
 
-/// Decodes a message into its sender, the sender's address, and its body; `None` if it is not authentic or is malformed.
+/// Decodes a message into its sender, the sender's address, and its body; `None` if it is not authentic or is
+/// malformed.
 pub fn decode(
     authenticator: &MessageAuthenticator,
     bytes: &[u8],
@@ -80,7 +81,7 @@
     (1..=MAX_NAME_BYTES).contains(&from.name.len()) && from.node != 0
 }
 
-/// Whether a request is within all bounds, so that no process can make the table take more than it should.
+/// Whether all fields of a request are within their bounds, so that no process can grow the table beyond its limits.
 pub fn is_valid_request(request: &KeyedRequest) -> bool {
     let numbers = [
         request.deadline_ms,
--- a/crates/asterdale-ownership/src/owner/lease.rs
+++ b/crates/asterdale-ownership/src/owner/lease.rs
@@ -1,13 +1,14 @@
-//! The owner's side of its lease: joining, renewing, and stopping in time.
+//! The owner's side of its lease: joining, renewing, and ceasing to act before the lease expires.
 
 use super::Owner;
 use crate::message::wire::{Answer, Renew, Verdict};
 use crate::message::CommandKind;
 use crate::{Action, OwnershipEvent};
 
-/// Joins and renewals whose answers may still come: eight leases' worth; an older answer would extend nothing.
+/// Maximum number of unanswered joins and renewals that are tracked: those of eight lease durations. The answer to an
+/// older one could not extend the lease.
 const MAX_RENEWALS: usize = 32;
-/// Renewal intervals without any answer after which the next replica is asked: one renewal may be lost.
+/// Renewal intervals without any answer after which the owner tries the next replica: one renewal may be lost.
 const UNANSWERED_INTERVALS: f64 = 1.5;
 
 /// A join or renewal that was sent.
@@ -19,19 +20,20 @@
 }
 
 impl Owner {
-    /// Notices that the lease has lapsed, and gives up an epoch that stays lapsed.
+    /// Detects that the lease has lapsed, and gives up the epoch if its lease stays lapsed for another lease duration.
     pub(super) fn check_lease(&mut self, now_ms: f64) {
         if now_ms >= self.lease_until_ms && !self.lease_lapsed {
             self.lease_lapsed = true;
             self.report(OwnershipEvent::LeaseLapsed(self.epoch.unwrap_or(0)));
         }
-        // It hears no answers, but its renewals may arrive: they would keep its requests from owners that can run them.
+        // The owner receives no answers, but its renewals may still reach the leader and would keep the epoch alive, so
+        // that owners which can run its requests do not get them.
         if self.lease_lapsed && now_ms >= self.lease_until_ms + self.settings.lease_ms {
             self.end_epoch();
         }
     }
 
-    /// Sends a renewal of the epoch, or a join if it has none.
+    /// Sends a renewal of the epoch, or a join if the owner has none.
     pub(super) fn renew(&mut self, now_ms: f64) {
         let interval_ms = self.settings.renewal_interval_ms();
         self.next_renewal_at_ms = now_ms + interval_ms;
@@ -51,7 +53,7 @@
             epoch: self.epoch,
         };
         self.renewals.insert(command.seq, renewal);
-        // Whoever does not answer does not lead, or can't be reached.
+        // A replica that does not answer is not the leader or is unreachable.
         if now_ms - self.last_answer_at_ms > UNANSWERED_INTERVALS * interval_ms {
             self.try_next_replica();
             self.resend_pending();
@@ -59,7 +61,7 @@
         self.send(vec![command]);
     }
 
-    /// Handles the answer to a join or renewal, which may belong to an epoch that has ended since.
+    /// Handles the answer to a join or renewal, which may belong to an epoch that has ended in the meantime.
     pub(super) fn handle_renewal_answer(&mut self, now_ms: f64, renewal: Renewal, answer: Answer) {
         match answer.verdict() {
             Verdict::Joined if self.is_current_epoch(answer.number) => {
@@ -79,15 +81,15 @@
         self.extend_lease(now_ms, renewal.sent_at_ms);
     }
 
-    /// Whether a granted epoch is the present one or a later one, and none that was given up.
+    /// Whether a granted epoch is the current one or a later one, and was not given up.
     fn is_current_epoch(&self, epoch: u64) -> bool {
         let previous = self.epoch.map_or(0, |epoch| epoch - 1);
         epoch > self.last_ended_epoch.max(previous)
     }
 
-    /// Extends the lease from the time at which the command was sent. The replicas count from when they applied it,
-    /// which is later, so this owner stops first; the margin covers clocks of different speed and the time between a
-    /// look at the lease and the act that rests on it.
+    /// Extends the lease from the time at which the command was sent. The replicas count from the time at which they
+    /// applied it, which is later, so the lease expires at this owner first. The margin covers clock drift, and the
+    /// time between a check of the lease and the action that depends on it.
     fn extend_lease(&mut self, now_ms: f64, sent_at_ms: f64) {
         let until_ms = sent_at_ms + self.settings.lease_ms - self.settings.lease_margin_ms;
         self.lease_until_ms = self.lease_until_ms.max(until_ms);
@@ -97,8 +99,8 @@
         }
     }
 
-    /// The epoch has ended: another owner may have its claims. A new epoch is asked for at once. Outcomes of the old
-    /// claims are still sent, as their fencing tokens say whether they still count.
+    /// Ends the epoch: other owners may have taken over its claims. A new epoch is requested at once. Outcomes of the
+    /// old claims are still sent, as the table decides by their fencing tokens whether to record them.
     pub(super) fn end_epoch(&mut self) {
         if let Some(epoch) = self.epoch.take() {
             self.last_ended_epoch = epoch;
--- a/crates/asterdale-ownership/src/owner/mod.rs
+++ b/crates/asterdale-ownership/src/owner/mod.rs
@@ -1,8 +1,8 @@
 //! One owner: its epoch and lease, its requests to the replicas, and their answers.
 //!
-//! It asks the replica that it believes to lead, and repeats every command until it has an answer: all commands can be
-//! executed twice. It acts under its lease only until [`Owner::lease_until_ms`], which is before the replicas let the
-//! lease expire.
+//! The owner sends commands to the replica that it believes to be the leader, and repeats each until it is answered:
+//! all commands are idempotent. It starts requests and makes calls under its lease only until
+//! [`Owner::lease_until_ms`], which is before the lease expires at the replicas.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 /// A request of an owner to the replicas.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnershipRequest {
-    /// Asks what is known of a key, for a body with this digest.
+    /// Looks up the state of a key, for a body with this digest.
     Lookup {
         /// The key.
         key: Vec<u8>,
@@ -38,10 +38,10 @@
         key: Vec<u8>,
         /// The fencing token of the claim.
         fence: u64,
-        /// The result, if there is one that can be returned.
+        /// The result; `None` if the request ended without one that could be returned.
         result: Option<Vec<u8>>,
     },
-    /// Hands over a request that was queued here and is not going to be started.
+    /// Hands over a request that was queued here and will not be started.
     HandOver(KeyedRequest),
 }
 
@@ -50,26 +50,26 @@
 pub struct Owner {
     member: Member,
     replicas: Vec<SocketAddr>,
-    /// Position of the replica that it believes to lead.
+    /// Index in `replicas` of the replica that this owner believes to be the leader.
     target: usize,
     settings: OwnershipSettings,
     authenticator: MessageAuthenticator,
-    /// Number of the last command.
+    /// Sequence number of the last command.
     seq: u64,
     epoch: Option<u64>,
-    /// The last epoch that it had and has no more; 0 if there was none.
+    /// The last epoch of this owner that has ended; 0 if there was none.
     last_ended_epoch: u64,
-    /// The end of its lease with the margin taken off, by its own clock.
+    /// The end of the lease minus the margin, by the owner's clock.
     lease_until_ms: f64,
     lease_lapsed: bool,
-    /// Joins and renewals whose answers may still come, by command.
+    /// Unanswered joins and renewals, by sequence number.
     renewals: BTreeMap<u64, Renewal>,
     next_renewal_at_ms: f64,
-    /// Requests without an answer, by command.
+    /// Unanswered requests, by sequence number.
     pending: BTreeMap<u64, PendingRequest>,
-    /// Claims to be given up, by command.
+    /// Unanswered releases of claims, by sequence number.
     releases: BTreeMap<u64, PendingRelease>,
-    /// How many ownerless requests it would take now.
+    /// How many ownerless requests this owner can take now.
     capacity: u32,
     last_answer_at_ms: f64,
     shutting_down: bool,
@@ -107,7 +107,8 @@
         }
     }
 
-    /// Until when it may start claimed requests and make calls for them, in milliseconds of its own clock.
+    /// The time until which this owner may start claimed requests and make calls for them, in milliseconds of its
+    /// clock.
     pub fn lease_until_ms(&self) -> f64 {
         if self.epoch.is_some() {
             self.lease_until_ms
@@ -116,12 +117,12 @@
         }
     }
 
-    /// Its epoch, while it has one.
+    /// The current epoch, if there is one.
     pub fn epoch(&self) -> Option<u64> {
         self.epoch
     }
 
-    /// How many requests have no answer yet.
+    /// Number of unanswered requests.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
@@ -137,12 +138,13 @@
         self.retry_times_ms().fold(first_ms, f64::min)
     }
 
-    /// Sets how many ownerless requests it would take now.
+    /// Sets how many ownerless requests this owner can take now.
     pub fn set_capacity(&mut self, capacity: u32) {
         self.capacity = capacity;
     }
 
-    /// Gives up the epoch: requests that may be running here become ownerless at once, not when the lease expires.
+    /// Gives up the epoch, so that requests which may be running here become ownerless at once instead of when the
+    /// lease expires.
     pub fn shut_down(&mut self, now_ms: f64) -> Vec<Action> {
         self.shutting_down = true;
         if let Some(epoch) = self.epoch.take() {
@@ -161,7 +163,7 @@
         self.flush(now_ms)
     }
 
-    /// Takes the answers of a replica.
+    /// Handles the answers of a replica.
     pub fn receive(&mut self, now_ms: f64, answers: Answers) -> Vec<Action> {
         if answers.to != self.member.node {
             return Vec::new();
@@ -184,7 +186,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Turns to the leader that a replica named, or to the next replica if it named none that is known here.
+    /// Switches to the leader that a replica named, or to the next replica if it named none or an unknown one.
     fn follow_redirect(&mut self, now_ms: f64, leader: Option<SocketAddr>) {
         let position =
             leader.and_then(|leader| self.replicas.iter().position(|replica| *replica == leader));
@@ -193,7 +195,7 @@
                 self.target = target;
                 self.last_answer_at_ms = now_ms;
                 self.resend_pending();
-                // The lease is running: the new leader is asked at once.
+                // Renew at the new leader at once, as the lease is running out.
                 self.next_renewal_at_ms = f64::NEG_INFINITY;
             }
             Some(_) => {}
@@ -205,7 +207,7 @@
         self.target = (self.target + 1) % self.replicas.len().max(1);
     }
 
-    /// A command with the next number.
+    /// A command with the next sequence number.
     fn next_command(&mut self, kind: CommandKind) -> Command {
         self.seq += 1;
         Command {
--- a/crates/asterdale-ownership/src/owner/requests.rs
+++ b/crates/asterdale-ownership/src/owner/requests.rs
@@ -1,17 +1,17 @@
-//! Requests of the owner: sent together, repeated until they are answered.
+//! Requests of the owner: sent in batches, repeated until they are answered.
 
 use super::{Owner, OwnershipRequest};
 use crate::message::wire::{Answer, Claim, Command, Complete, Lookup, Release, Verdict};
 use crate::message::CommandKind;
 use crate::Action;
 
-/// Commands in one message: about a mebibyte with the longest bodies of the platform (2 KiB).
+/// Maximum commands in one message: about 1 MiB with the longest bodies of the platform (2 KiB).
 const MAX_COMMANDS_PER_MESSAGE: usize = 512;
 
-/// The time of sending of what is to be sent at the next opportunity.
+/// Value of `sent_at_ms` that makes the next flush send the command.
 const UNSENT: f64 = f64::NEG_INFINITY;
 
-/// A request without an answer.
+/// An unanswered request.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
     /// The caller's number for it; `None` once the caller has stopped waiting.
@@ -22,7 +22,7 @@
     epoch: Option<u64>,
 }
 
-/// A claim to be given up.
+/// An unanswered release of a claim.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRelease {
     key: Vec<u8>,
@@ -31,7 +31,7 @@
 }
 
 impl Owner {
-    /// Takes a request, which the caller knows by this number. It is sent by [`Owner::flush`].
+    /// Queues a request, which the caller identifies by this number. [`Owner::flush`] sends it.
     pub fn submit(&mut self, number: u64, request: OwnershipRequest) {
         self.seq += 1;
         let pending = PendingRequest {
@@ -43,8 +43,8 @@
         self.pending.insert(self.seq, pending);
     }
 
-    /// The caller no longer waits for this request. A lookup is dropped. All others are repeated until they are
-    /// answered; a claim that is granted after all is released.
+    /// Notes that the caller no longer waits for this request. A lookup is dropped. All other requests are repeated
+    /// until they are answered; if a claim is then granted, it is released.
     pub fn stop_waiting(&mut self, number: u64) {
         self.pending.retain(|_, pending| {
             if pending.number == Some(number) {
@@ -65,7 +65,7 @@
         self.releases.insert(self.seq, release);
     }
 
-    /// Sends what was submitted since the last time, and repeats what has waited for an answer for too long.
+    /// Sends all requests submitted since the last flush, and repeats those unanswered for a retry interval.
     pub fn flush(&mut self, now_ms: f64) -> Vec<Action> {
         let resend_before_ms = now_ms - self.settings.retry_interval_ms();
         let mut commands = Vec::new();
@@ -110,7 +110,7 @@
         }
     }
 
-    /// When what has no answer is to be sent again.
+    /// The times at which unanswered commands are sent again.
     pub(super) fn retry_times_ms(&self) -> impl Iterator<Item = f64> + '_ {
         let interval_ms = self.settings.retry_interval_ms();
         let can_be_sent = |pending: &&PendingRequest| {
@@ -124,7 +124,7 @@
             .map(move |sent_at_ms| sent_at_ms + interval_ms)
     }
 
-    /// Has everything without an answer sent again at the next opportunity: another replica is asked now.
+    /// Makes the next flush send all unanswered requests again, as the target replica has changed.
     pub(super) fn resend_pending(&mut self) {
         for pending in self.pending.values_mut() {
             pending.sent_at_ms = UNSENT;
@@ -134,7 +134,7 @@
     pub(super) fn handle_request_answer(&mut self, mut pending: PendingRequest, answer: Answer) {
         let is_epoch_ended = answer.verdict() == Verdict::EpochEnded;
         if is_epoch_ended && self.epoch.is_some() && pending.epoch != self.epoch {
-            // The answer is about an earlier epoch: the claim is sent again under the present one.
+            // The answer is about an earlier epoch: the claim is sent again under the current one.
             pending.sent_at_ms = UNSENT;
             self.pending.insert(answer.seq, pending);
             return;
@@ -148,7 +148,7 @@
         self.actions.push(Action::Answer(number, answer));
     }
 
-    /// Handles an answer for which nobody waits any more.
+    /// Handles the answer to a request whose caller has stopped waiting.
     fn handle_abandoned_answer(&mut self, pending: PendingRequest, answer: &Answer) {
         match (pending.request, answer.verdict()) {
             (OwnershipRequest::Claim(request), Verdict::Granted) => {
@@ -160,7 +160,7 @@
     }
 }
 
-/// The command for a request; `None` for a claim without an epoch to claim under, which waits for one.
+/// The command for a request; `None` for a claim while there is no epoch to claim it under.
 fn command_kind(request: &OwnershipRequest, epoch: Option<u64>) -> Option<CommandKind> {
     Some(match request {
         OwnershipRequest::Claim(request) => CommandKind::Claim(Claim {
--- a/crates/asterdale-ownership/src/raft_node/log_store.rs
+++ b/crates/asterdale-ownership/src/raft_node/log_store.rs
@@ -1,4 +1,5 @@
-//! The log as the `raft` crate reads it: entries in memory, and the latest snapshot for followers that are far behind.
+//! The log storage that the `raft` crate reads: entries in memory, and the latest snapshot for followers that need
+//! compacted entries.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,7 +12,7 @@
 #[derive(Clone)]
 pub(super) struct LogStore {
     pub(super) log: MemStorage,
-    /// The crate's own memory storage makes snapshots without data, so the latest one is kept here.
+    /// Stored here because the snapshots of the crate's `MemStorage` have no data.
     pub(super) latest_snapshot: Rc<RefCell<Snapshot>>,
 }
 
--- a/crates/asterdale-ownership/src/raft_node/membership_change.rs
+++ b/crates/asterdale-ownership/src/raft_node/membership_change.rs
@@ -1,5 +1,5 @@
-//! Changes of the group's members, agreed on through the log (Raft thesis, chapter 4; joint consensus where two members
-//! change at once).
+//! Changes of the group's members through the log (Raft thesis, chapter 4; joint consensus where two members change at
+//! once).
 
 use prost::Message as _;
 use protobuf::Message as _;
@@ -9,23 +9,23 @@
 use super::RaftNode;
 use crate::message::Member;
 
-/// A step of a replacement that was proposed.
+/// The step of a replacement that was proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplacementStep {
-    /// Nothing: this node can't propose now, the learner is still behind, or the member is a voter already.
+    /// No step: this node can't propose now, the learner is still behind, or the new member is already a voter.
     None,
-    /// The new member is to be added as a learner.
+    /// Adds the new member as a learner.
     AddLearner,
-    /// The learner is to become a voter in place of the old member.
+    /// Makes the learner a voter and removes the old member.
     Promote,
 }
 
 impl RaftNode {
-    /// Proposes the next step of replacing the member that has this name by `new`, the process that has the name now.
+    /// Proposes the next step of replacing a member by `new`, the process that now has the member's name.
     ///
     /// The new process first becomes a learner: it has no vote while it lacks committed entries, so it can't help to
-    /// elect a leader that lacks them. Once it is close behind, one joint change makes it a voter and removes the old
-    /// process, so the number of voters stays the same and the name never has two votes.
+    /// elect a leader that lacks them. Once it has nearly caught up, one joint change makes it a voter and removes the
+    /// old process, so the number of voters stays the same and no name ever has two votes.
     pub fn propose_replacement(&mut self, new: &Member) -> ReplacementStep {
         if !self.is_leader() || self.change_in_progress {
             return ReplacementStep::None;
@@ -59,7 +59,7 @@
             })
     }
 
-    /// The changes that make a learner a voter, and remove whoever else has its name.
+    /// The changes that make a learner a voter and remove the other members of the same name.
     fn promotion(&self, new: &Member) -> Vec<ConfChangeSingle> {
         let mut changes = vec![single_change(ConfChangeType::AddNode, new.node)];
         let replaced = self
@@ -72,7 +72,7 @@
         changes
     }
 
-    /// Proposes the removal of a member, if this node leads and no other change is in progress.
+    /// Proposes the removal of a member, if this node is the leader and no other change is in progress.
     pub fn propose_removal(&mut self, node: u64) {
         if !self.is_leader() || self.change_in_progress || !self.table.members.contains_key(&node) {
             return;
@@ -103,10 +103,10 @@
                 .members
                 .retain(|node, _| is_in_group(&state, *node));
             self.store.log.wl().set_conf_state(state);
-            // A snapshot from before the change would not list the new member, and it could not learn from it.
+            // A snapshot from before the change does not list the new member, which therefore could not install it.
             self.write_snapshot(term);
         }
-        // The `raft` crate leaves a joint configuration by itself, with an empty change.
+        // The `raft` crate leaves a joint configuration automatically, by an empty change.
         self.change_in_progress = false;
     }
 }
--- a/crates/asterdale-ownership/src/raft_node/mod.rs
+++ b/crates/asterdale-ownership/src/raft_node/mod.rs
@@ -1,8 +1,8 @@
 //! One member of a Raft group: drives the `raft` crate and applies committed entries to the ownership table.
 //!
-//! The log is in memory. With durable storage, whatever Raft requires to be durable is also handed out as writes, which
-//! must be stored before anything else of the same turn is sent. A process that restarts without that state is another
-//! member, with another node id, and the group must agree on it as such: it may have forgotten a vote.
+//! The log is in memory. With durable storage, the state that Raft requires to be durable is also returned as writes,
+//! which must be stored before any message of the same turn is sent. A process that restarts without that state may
+//! have lost a vote, so it is a new member with a new node id, which the group adds by a membership change.
 
 use prost::Message as _;
 use protobuf::Message as _;
@@ -25,13 +25,14 @@
 pub use membership_change::ReplacementStep;
 pub use ready::{RaftMessageTo, ReadyOutput};
 
-/// An election starts after ten to twenty ticks without a heartbeat of the leader, which comes every three: two
-/// heartbeats may be lost.
+/// An election starts after ten to twenty ticks without a heartbeat of the leader, which sends one every three ticks:
+/// two heartbeats may be lost.
 const ELECTION_TICKS: usize = 10;
 const HEARTBEAT_TICKS: usize = 3;
-/// Bound of the entries in one message: well under the longest message, and a fraction of a second on a slow network.
+/// Maximum size of the entries in one message: well below the maximum message size, and a fraction of a second on a
+/// slow network.
 const MAX_ENTRIES_BYTES: u64 = 1024 * 1024;
-/// Messages with entries in flight to one follower.
+/// Maximum number of messages with entries in flight to one follower.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
 
 /// Which member of which group a node is.
@@ -49,27 +50,27 @@
     pub group: u64,
     /// This process's node id.
     pub node: u64,
-    /// The state that the applied entries add up to.
+    /// The state machine: the result of all applied entries.
     pub table: OwnershipTable,
     raft: RawNode<LogStore>,
     store: LogStore,
     settings: OwnershipSettings,
     applied_index: u64,
     compacted_index: u64,
-    /// When the last entry was proposed, by this process's clock: the next one carries the time since.
+    /// When the last entry was proposed, by this process's clock. The next entry contains the time elapsed since.
     last_proposal_ms: f64,
-    /// Whether it led at the end of the last turn.
+    /// Whether this node was the leader at the end of the last turn.
     was_leader: bool,
     next_tick_ms: f64,
-    /// A change of the members is proposed and not yet applied. Raft allows one at a time.
+    /// Whether a membership change is proposed and not yet applied. Raft allows one at a time.
     change_in_progress: bool,
-    /// What is to be stored; `None` without durable storage.
+    /// Pending writes; `None` without durable storage.
     writes: Option<Vec<StorageWrite>>,
 }
 
 impl RaftNode {
-    /// A founder of a group, if `members` lists it; otherwise a member that gets the log from its leader. `None` if the
-    /// `raft` crate refuses the configuration.
+    /// A founder of a group, if `members` lists this node; otherwise a member that receives the log from the leader.
+    /// `None` if the `raft` crate rejects the configuration.
     pub fn new(
         now_ms: f64,
         id: MemberId,
@@ -128,8 +129,8 @@
             max_size_per_msg: MAX_ENTRIES_BYTES,
             max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
             applied: applied_index,
-            // A leader that is cut off from the majority steps down, and a member that was cut off does not depose a
-            // working leader when it returns.
+            // A leader that is partitioned from the majority steps down, and a member that was partitioned does not
+            // depose a working leader when it is connected again.
             check_quorum: true,
             pre_vote: true,
             ..Config::default()
@@ -152,7 +153,7 @@
         })
     }
 
-    /// Whether it led at the end of the last turn.
+    /// Whether this node was the leader at the end of the last turn.
     pub fn is_leader(&self) -> bool {
         self.was_leader
     }
@@ -172,8 +173,8 @@
         self.next_tick_ms
     }
 
-    /// Advances Raft's timers by one tick if it is due. A late call is one tick, however late: while this process was
-    /// paused it could not hear the leader, so the pause says nothing about the leader.
+    /// Advances Raft's timers by one tick if it is due. A late call counts as one tick, however late: a process that
+    /// was paused received no heartbeats in that time, which does not mean that the leader has failed.
     pub fn tick(&mut self, now_ms: f64) {
         if now_ms >= self.next_tick_ms {
             self.next_tick_ms = now_ms + self.settings.tick_ms;
@@ -181,23 +182,23 @@
         }
     }
 
-    /// Takes a Raft message. One that is malformed or meant for another node is ignored, like a lost one.
+    /// Handles a Raft message. One that is malformed or addressed to another node is ignored, as if it were lost.
     pub fn step(&mut self, bytes: &[u8]) {
         let Ok(message) = Message::parse_from_bytes(bytes) else {
             return;
         };
-        // A heartbeat can say that entries are committed which a member that lost its memory no longer has; the `raft`
-        // crate panics on a commit index beyond the log.
+        // To a member that lost its state, a heartbeat can have a commit index beyond the end of its log, on which the
+        // `raft` crate panics.
         let is_commit_beyond_log = message.get_msg_type() == MessageType::MsgHeartbeat
             && message.commit > self.raft.raft.raft_log.last_index();
         if message.to == self.node && !is_commit_beyond_log {
-            // An error means that the message is of no use to this node: Raft repeats what matters.
+            // An error means that this node can't use the message. Raft retransmits what is needed.
             let _ = self.raft.step(message);
         }
     }
 
-    /// Proposes an entry with these commands, if this node leads. Without commands it only advances the table's time.
-    /// Returns whether it was proposed; owners repeat commands that were not.
+    /// Proposes an entry with these commands, if this node is the leader. An entry without commands only advances the
+    /// table's time. Returns whether the entry was proposed; if not, the owners repeat their commands.
     pub fn propose(&mut self, now_ms: f64, proposals: Vec<Proposal>) -> bool {
         if !self.is_leader() {
             return false;
@@ -213,7 +214,7 @@
         is_proposed
     }
 
-    /// Milliseconds since the last proposal advanced the table's time.
+    /// Milliseconds since the last proposal.
     pub fn since_last_proposal_ms(&self, now_ms: f64) -> f64 {
         now_ms - self.last_proposal_ms
     }
@@ -225,8 +226,8 @@
     }
 }
 
-/// The snapshot with which all founders begin: the same index, term, voters and table, as if they had agreed on a first
-/// entry.
+/// The snapshot with which all founders start: the same index, term, voters and table, as if a first entry had been
+/// committed.
 fn founding_snapshot(table: &OwnershipTable, founders: &[Member]) -> Snapshot {
     let state = ConfState {
         voters: founders.iter().map(|member| member.node).collect(),
--- a/crates/asterdale-ownership/src/raft_node/ready.rs
+++ b/crates/asterdale-ownership/src/raft_node/ready.rs
@@ -1,4 +1,4 @@
-//! The ready loop of the `raft` crate: stores, applies and sends what Raft has decided.
+//! The ready loop of the `raft` crate: stores and applies entries, and collects messages to send.
 
 use prost::Message as _;
 use protobuf::Message as _;
@@ -10,16 +10,16 @@
 use crate::message::Member;
 use crate::storage::{self, StorageWrite};
 
-/// What one turn produced.
+/// The output of one turn.
 #[derive(Default)]
 pub struct ReadyOutput {
-    /// To be durable before any of the rest is sent.
+    /// Writes that must be durable before any message or answer is sent.
     pub writes: Vec<StorageWrite>,
     /// Encoded Raft messages.
     pub messages: Vec<RaftMessageTo>,
     /// Answers to owners. Only the leader sends them.
     pub answers: Vec<(Member, Answer)>,
-    /// `Some(true)` if it became the leader in this turn, `Some(false)` if it lost the leadership.
+    /// `Some(true)` if this node became the leader in this turn, `Some(false)` if it lost the leadership.
     pub leadership_change: Option<bool>,
 }
 
@@ -32,10 +32,10 @@
 }
 
 impl RaftNode {
-    /// Processes all that Raft has ready: stores, applies, collects messages and answers.
+    /// Processes everything that Raft has ready: stores and applies entries, collects messages and answers.
     ///
-    /// Messages may be collected before the entries that they rest on are written: all of them leave after
-    /// [`ReadyOutput::writes`] is durable.
+    /// A message may be collected before the entries that it depends on are written, because all messages are sent only
+    /// after [`ReadyOutput::writes`] is durable.
     pub fn process_ready(&mut self, now_ms: f64) -> ReadyOutput {
         let mut output = ReadyOutput::default();
         while self.raft.has_ready() {
@@ -58,7 +58,7 @@
         let committed = ready.take_committed_entries();
         self.apply(committed, output);
         if !ready.entries().is_empty() {
-            // Can't leave a gap: Raft's new entries follow on the log that it read from this store.
+            // Can't fail for a gap: Raft's new entries continue the log that it read from this store.
             let _ = self.store.log.wl().append(ready.entries());
             if self.writes.is_some() {
                 self.persist(storage::entries_write(ready.entries()));
@@ -81,7 +81,7 @@
         self.apply(committed, output);
     }
 
-    /// Notes whether the leadership has changed since the last turn.
+    /// Returns whether the leadership has changed since the last turn, and to what.
     fn update_leadership(&mut self, now_ms: f64) -> Option<bool> {
         let is_leader = self.raft.raft.state == StateRole::Leader;
         if is_leader == self.was_leader {
@@ -89,7 +89,8 @@
         }
         self.was_leader = is_leader;
         self.change_in_progress = false;
-        // Another node may have led until now and counted that time itself: counting it again would end leases early.
+        // Another node may have been the leader until now, and its entries included that time: counting it again would
+        // end leases early.
         self.last_proposal_ms = now_ms;
         Some(is_leader)
     }
@@ -99,7 +100,7 @@
             self.applied_index = entry.index;
             match entry.get_entry_type() {
                 EntryType::EntryNormal => {
-                    // The first entry of a leader is empty: it applies as no commands and no time.
+                    // The first entry of a leader is empty: it has no commands and no elapsed time.
                     if let Ok(entry) = LogEntry::decode(&entry.data[..]) {
                         output.answers.extend(self.table.apply(entry));
                     }
--- a/crates/asterdale-ownership/src/raft_node/snapshots.rs
+++ b/crates/asterdale-ownership/src/raft_node/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the ownership table: writing, installing, and compacting the log behind them.
+//! Snapshots of the ownership table: writing and installing them, and compacting the log.
 
 use protobuf::Message as _;
 use raft::eraftpb::Snapshot;
@@ -8,17 +8,17 @@
 use crate::storage::StorageWrite;
 use crate::table::OwnershipTable;
 
-/// Entries that stay in the log behind the last applied one, for followers that are a little late: more than a few
-/// seconds' worth. A follower that is further behind gets a snapshot.
+/// Applied entries that compaction leaves in the log, for followers that are slightly behind: those of more than a few
+/// seconds. A follower that is further behind gets a snapshot.
 const RETAINED_ENTRIES: u64 = 2048;
-/// The log is compacted once it is this many entries longer than what is retained: compaction writes a snapshot, so it
+/// The log is compacted once it has this many entries more than the retained ones: compaction writes a snapshot, so it
 /// must not happen for every entry.
 pub(super) const COMPACTION_ENTRIES: u64 = 1024;
 
 impl RaftNode {
-    /// Takes over the leader's snapshot in place of the own log and table.
+    /// Replaces the log and the table of this node by the leader's snapshot.
     pub(super) fn install_snapshot(&mut self, snapshot: &Snapshot) {
-        // Refused if the own log begins after it: what is here is newer.
+        // Rejected if this node's log starts after the snapshot: its own state is newer.
         if self
             .store
             .log
@@ -47,11 +47,11 @@
         };
         self.write_snapshot(term);
         self.compacted_index = self.applied_index - RETAINED_ENTRIES;
-        // Fails only for an index beyond the log, and this one has been applied.
+        // Fails only for an index beyond the end of the log, and the entry at this index has been applied.
         let _ = self.store.log.wl().compact(self.compacted_index);
     }
 
-    /// Makes a snapshot of the table as it is now; `term` is that of the last applied entry.
+    /// Makes a snapshot of the current table; `term` is the term of the last applied entry.
     pub(super) fn write_snapshot(&mut self, term: u64) {
         let Ok(state) = self.store.log.initial_state() else {
             return;
@@ -65,7 +65,8 @@
         self.persist_snapshot(false);
     }
 
-    /// Has the latest snapshot stored. `delete_all_entries` where the stored entries belong to another log.
+    /// Adds the write that stores the latest snapshot, with `delete_all_entries` if stored entries belong to another
+    /// log.
     pub(super) fn persist_snapshot(&mut self, delete_all_entries: bool) {
         if self.writes.is_none() {
             return;
--- a/crates/asterdale-ownership/src/replica/commands.rs
+++ b/crates/asterdale-ownership/src/replica/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of owners: queued for the log by the leader, answered once they are applied; and offers of ownerless
+//! Commands of owners, which the leader queues for the log and answers once they are applied; and offers of ownerless
 //! requests.
 
 use std::collections::BTreeMap;
@@ -9,15 +9,15 @@
 use crate::message::{socket_addr, CommandKind, Member, MessageBody};
 use crate::raft_node::RaftNode;
 
-/// Commands that wait for the next log entry. Beyond it they are dropped; owners repeat what is not answered.
+/// Maximum commands queued for the next log entry. Further ones are dropped; owners repeat unanswered commands.
 const MAX_QUEUED_PROPOSALS: usize = 16_384;
-/// Owners whose capacity is remembered: several times the owners of a large fleet.
+/// Maximum number of owners whose capacity is stored: several times the owners of a large fleet.
 const MAX_KNOWN_OWNERS: usize = 4096;
-/// Ownerless requests offered to one owner at once: after a failover the load is to spread over many owners.
+/// Maximum ownerless requests offered to one owner at once, so that the load after a failover spreads over many owners.
 const MAX_OFFERS: usize = 64;
 
 impl Replica {
-    /// Takes the commands of one owner's message.
+    /// Handles the commands of one message of an owner.
     pub(super) fn receive_commands(
         &mut self,
         from: &Member,
@@ -31,7 +31,7 @@
         let mut replicated = Vec::new();
         for command in commands {
             match &command.kind {
-                // A lookup is a hint, so the leader answers it from its own table without the log.
+                // The answer to a lookup is only a hint, so the leader reads its own table and does not use the log.
                 Some(CommandKind::Lookup(lookup)) => {
                     lookups.push(raft_node.table.lookup(command.seq, lookup));
                 }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Tells the owner which replica leads. One answer is enough for the whole message.
+    /// Redirects the owner to the leader. One answer is enough for all commands of the message.
     fn redirect(&mut self, owner: u64, address: SocketAddr, commands: &[Command]) {
         let leader = self.raft_node.as_ref().and_then(RaftNode::leader).cloned();
         let not_leader = |command: &Command| Answer {
@@ -109,8 +109,8 @@
         self.send(address, MessageBody::Answers(answers));
     }
 
-    /// Ownerless requests for an owner with capacity, the most urgent first. Each is offered to one owner at a time, to
-    /// avoid races between them. An offer grants nothing: whoever takes it up still has to claim it.
+    /// Ownerless requests to offer to an owner that has capacity, earliest deadline first. Each is offered to one owner
+    /// at a time, to avoid races between owners. An offer grants nothing: the owner still has to claim the request.
     fn next_offers(&mut self, now_ms: f64, owner: u64) -> Vec<KeyedRequest> {
         let Some(raft_node) = &self.raft_node else {
             return Vec::new();
--- a/crates/asterdale-ownership/src/replica/config.rs
+++ b/crates/asterdale-ownership/src/replica/config.rs
@@ -1,4 +1,4 @@
-//! What a replica starts with: its configuration, and the member that its stored state makes it.
+//! The configuration with which a replica starts, and the member that is restored from its stored state.
 
 use std::net::SocketAddr;
 
@@ -9,26 +9,26 @@
 use crate::settings::OwnershipSettings;
 use crate::storage::{ReplicaIdentity, StoredState};
 
-/// What a replica needs to start.
+/// The configuration of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
-    /// Its name and address. The node id is used unless another one is stored.
+    /// The replica's name, address and node id. A stored node id takes precedence.
     pub member: Member,
-    /// All replicas by name and address, in the same order in all processes.
+    /// Names and addresses of all replicas, in the same order in all processes.
     pub replicas: Vec<(String, SocketAddr)>,
-    /// What the fleet agrees on.
+    /// The settings, which must be the same in all processes.
     pub settings: OwnershipSettings,
-    /// Authenticates messages by the fleet's key.
+    /// Authenticates messages with the fleet's key.
     pub authenticator: MessageAuthenticator,
-    /// Seed of later node ids.
+    /// Seed for the node ids that this replica draws itself.
     pub seed: u64,
-    /// The Unix time at the start, in seconds: group numbers grow with it.
+    /// The Unix time at the start, in seconds, from which group numbers are derived.
     pub unix_s: u64,
-    /// What was found in durable storage, empty if it was not trustworthy; `None` without durable storage.
+    /// The contents of durable storage, or the default value if they can't be trusted; `None` without durable storage.
     pub stored: Option<StoredState>,
 }
 
-/// The member that a restarted process was.
+/// The group member that this process was before it restarted.
 pub(super) struct RestoredMember {
     pub(super) identity: ReplicaIdentity,
     pub(super) raft_node: RaftNode,
--- a/crates/asterdale-ownership/src/replica/formation.rs
+++ b/crates/asterdale-ownership/src/replica/formation.rs
@@ -1,4 +1,4 @@
-//! How a replica gets into a Raft group, and out of a lost one.
+//! How a replica forms or joins a Raft group, and abandons one that has lost its majority.
 
 use rand_pcg::rand_core::Rng;
 
@@ -10,8 +10,8 @@
 use crate::storage::{ReplicaIdentity, StorageWrite};
 use crate::OwnershipEvent;
 
-/// A group is abandoned after this many ticks without a leader, if most of its members restarted without state: three
-/// elections at the least, and longer than a replacement waits.
+/// A group is abandoned after this many ticks without a leader, if most of its members restarted without state. This is
+/// at least three election timeouts, and longer than the wait before a member is replaced.
 const ABANDON_AFTER_TICKS: f64 = 60.0;
 
 impl Replica {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Its group's number; 0 for none.
+    /// Number of this replica's group; 0 for none.
     fn group(&self) -> u64 {
         self.raft_node
             .as_ref()
@@ -71,12 +71,12 @@
             {
                 self.start_as_founder(now_ms, hello.group, hello.members.clone());
             }
-            // The later group was formed when all replicas said that they had none. So another process spoke in this
-            // one's name, or this one was paused for longer than the others waited.
+            // The later group was formed when a process of each name had reported that it had no group. So another
+            // process did so under this replica's name, or this process was paused for longer than the others waited.
             Some(raft_node) if hello.group > raft_node.group => {
                 let group = raft_node.group;
                 self.abandon_group(group);
-                // This process has drawn a new node id by now: a founder of its name is another process.
+                // This process already has a new node id, so a founder of its name with another id is another process.
                 self.superseded = hello.members_are_founders
                     && namesake.is_some_and(|member| member.node != self.member.node);
             }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Has the identity stored, and the former identity's log deleted.
+    /// Adds the writes that store the identity and delete the log of the former identity.
     fn persist_identity(&mut self) {
         if !self.has_storage {
             return;
@@ -125,12 +125,12 @@
         }
     }
 
-    /// Leaves the group and draws a new node id: it may have voted under the old one, and no longer knows how.
+    /// Leaves the group and draws a new node id: this replica may have voted under the old one, and drops that state.
     fn abandon_group(&mut self, group: u64) {
         self.raft_node = None;
         self.founders.clear();
         self.queued_proposals.clear();
-        // Node id 0 stands for none.
+        // `| 1` because node id 0 means none.
         self.member.node = self.random.next_u64() | 1;
         self.persist_identity();
         self.report(OwnershipEvent::GroupAbandoned(group));
@@ -140,7 +140,7 @@
         now_ms - hello.received_at_ms <= PRESENT_TICKS * self.settings.tick_ms
     }
 
-    /// Forms a group, or looks after the one that it is in.
+    /// Forms a group if this replica has none; otherwise maintains the members of its group.
     pub(super) fn check_group(&mut self, now_ms: f64) {
         if failpoint::is_active(Failpoint::KeepNodeIdWithoutState) {
             self.member.node = node_from_name(&self.member.name);
@@ -154,8 +154,8 @@
 
     /// Abandons the group if it has had no leader for long and most of its members restarted without state.
     ///
-    /// Those members will never vote in this group again, so it can't elect a leader. Committed entries may be lost with
-    /// them: the new group therefore blocks claims for the longest retry window.
+    /// Those members will never vote in this group again, so it can't elect a leader. Committed entries may have been
+    /// lost with their state, which is why the new group blocks claims for the longest retry window.
     fn abandon_group_if_lost(&mut self, now_ms: f64) {
         let Some(raft_node) = &self.raft_node else {
             return;
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The first of the configured replicas forms a group once all others are present and say that they have none.
+    /// Forms a group if this is the first of the configured replicas and all others are present and have no group.
     fn form_group_if_all_agree(&mut self, now_ms: f64) {
         let first = self.replicas.first();
         if first.is_none_or(|(name, _)| *name != self.member.name) {
@@ -194,7 +194,7 @@
                 _ => return,
             }
         }
-        // By the clock, so that it is above the number of a group that all replicas have forgotten.
+        // Derived from the clock, so that the number is above that of an earlier group that no replica remembers.
         let running_s = ((now_ms - self.started_at_ms) / 1e3) as u64;
         let group = (self.unix_s + running_s).max(self.highest_group + 1);
         self.start_as_founder(now_ms, group, founders);
@@ -204,8 +204,8 @@
 
     pub(super) fn receive_raft(&mut self, now_ms: f64, message: &wire::RaftMessage) {
         if self.is_invited_by(message) {
-            // The leader adds it as a learner; or it is a founder that has not heard so yet. Either way the leader sends
-            // it all that it lacks.
+            // The leader has added this replica as a learner, or it is a founder that has not yet received the list of
+            // founders. In both cases the leader sends it the log or a snapshot.
             let id = self.member_id(message.group);
             self.raft_node = RaftNode::new(now_ms, id, &[], &self.settings, self.has_storage);
             self.founders.clear();
@@ -219,8 +219,8 @@
         }
     }
 
-    /// Whether the message makes this replica a member of a group. Never of one below the highest that it has seen: that
-    /// one may have been abandoned.
+    /// Whether the message makes this replica a member of a group. A group with a number below the highest seen is not
+    /// accepted, as it may have been abandoned.
     fn is_invited_by(&self, message: &wire::RaftMessage) -> bool {
         raft_node::recipient(&message.message) == Some(self.member.node)
             && !failpoint::is_active(Failpoint::KeepNodeIdWithoutState)
@@ -230,7 +230,7 @@
     }
 }
 
-/// The node id that the failpoint `empty` gives a replica: always the same, as if it had not lost its state.
+/// The node id that the failpoint `empty` gives a replica: the same after each restart, as if no state were lost.
 fn node_from_name(name: &str) -> u64 {
     let hash = name.bytes().fold(1, |sum: u64, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
--- a/crates/asterdale-ownership/src/replica/membership.rs
+++ b/crates/asterdale-ownership/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! Keeps the members of the Raft group in step with the configured replicas. Only the leader does this.
+//! Reconciles the members of the Raft group with the configured replicas. Only the leader does this.
 
 use std::collections::BTreeSet;
 
@@ -8,8 +8,8 @@
 use crate::OwnershipEvent;
 
 impl Replica {
-    /// Proposes at most one change: a replacement of a restarted member first, then the removal of one that is no longer
-    /// configured.
+    /// Proposes at most one change: a replacement of a restarted member first, then the removal of one that is no
+    /// longer configured.
     pub(super) fn reconcile_members(&mut self, now_ms: f64) {
         let Some(raft_node) = self.raft_node.as_ref().filter(|node| node.is_leader()) else {
             return;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The first present replica that is to become a member in place of the one that has its name.
+    /// The first present replica that may replace the member of the same name.
     fn find_replacement(&self, now_ms: f64, raft_node: &RaftNode) -> Option<Member> {
         let hellos = self.replicas.iter().filter_map(|(name, _)| {
             self.last_hellos
@@ -41,10 +41,10 @@
             .next()
     }
 
-    /// Whether this process may take the place of the members that have its name.
+    /// Whether the process that sent this hello may replace the members that have its name.
     ///
-    /// Those must have been silent: two live processes under one name would both vote if one were added while the other
-    /// is still a member. And it must not belong to another group, as its log is of no use here.
+    /// No message may have come from those members for [`REPLACE_AFTER_TICKS`]: if one were still alive, two processes
+    /// of the same name would vote. The process must not belong to another group, whose log is not part of this one's.
     fn may_replace(&self, now_ms: f64, hello: &PeerHello, raft_node: &RaftNode) -> bool {
         let members = raft_node.table.members.values();
         let nodes: BTreeSet<u64> = members
--- a/crates/asterdale-ownership/src/replica/mod.rs
+++ b/crates/asterdale-ownership/src/replica/mod.rs
@@ -1,16 +1,16 @@
-//! One replica of the ownership log: which Raft group it belongs to, who its members are, and what owners are answered.
+//! One replica of the ownership log: its Raft group, the members of that group, and the answers to owners.
 //!
-//! The replicas are configured by name. Which process has a name at a time is found out by hello messages and agreed on
-//! in the log.
+//! The replicas are configured by name. Hello messages tell which process currently has a name; the log records which
+//! process is the member of that name.
 //!
-//! - **Forming a group** (`formation`): the first replica of the list forms one once **all** replicas say that they have
-//!   none. So no majority of an earlier group can be at work unheard; one that was paused meanwhile has a lower group
-//!   number, and so lower epochs and fencing tokens.
-//! - **Replacing a member** (`membership`): a replica that restarts without its state never speaks as the member that it
-//!   was. It has another node id, learns the log, and takes the old member's place by an agreed change.
+//! - **Forming a group** (`formation`): the first replica of the list forms a group once **all** replicas report that
+//!   they have none, so no majority of an earlier group can still be active unnoticed. If a majority was only paused at
+//!   that time, its group has a lower number, and so lower epochs and fencing tokens.
+//! - **Replacing a member** (`membership`): a replica that restarts without its state never acts as its former member.
+//!   It has a new node id, receives the log as a learner, and replaces the old member by a membership change.
 //! - **Loss of a majority** (`formation`): if most members restarted without state, the others abandon the group. A new
-//!   one is formed, which grants no claims before the longest retry window has passed.
-//! - **Commands of owners** (`commands`): the leader proposes them and answers once they are applied.
+//!   group is formed, which grants no claims before the longest retry window has passed.
+//! - **Commands of owners** (`commands`): the leader proposes them and answers them once they are applied.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -38,11 +38,12 @@
 
 /// Ticks between two hello messages to each other replica: as often as Raft's heartbeats.
 const HELLO_TICKS: f64 = 3.0;
-/// A replica counts as present if a hello was received within this many ticks: four hellos, three of which may be lost.
+/// A replica is present if a hello was received within this many ticks: four hellos, of which three may be lost.
 const PRESENT_TICKS: f64 = 12.0;
-/// A member that was silent for this many ticks may be replaced: two elections, so that a pause alone does not do it.
+/// A member that sent no message for this many ticks may be replaced: two election timeouts, so that a short pause does
+/// not cause a replacement.
 const REPLACE_AFTER_TICKS: f64 = 40.0;
-/// Processes that were silent for this many ticks are forgotten.
+/// The last message of a process is forgotten after this many ticks without another one.
 const FORGET_AFTER_TICKS: f64 = 100.0 * REPLACE_AFTER_TICKS;
 
 /// The last hello of another replica.
@@ -53,7 +54,7 @@
     received_at_ms: f64,
 }
 
-/// When and from where a process was last heard.
+/// Time and source address of the last message of a process.
 #[derive(Clone, Copy, Debug)]
 struct LastMessage {
     received_at_ms: f64,
@@ -70,31 +71,31 @@
     unix_s: u64,
     started_at_ms: f64,
     raft_node: Option<RaftNode>,
-    /// The founders of its group, if it knows them.
+    /// The founders of this replica's group, if known.
     founders: Vec<Member>,
-    /// The highest group number that it has seen.
+    /// The highest group number that this replica has seen.
     highest_group: u64,
     last_hellos: BTreeMap<String, PeerHello>,
-    /// By node id. Also gives the addresses of members that a learner does not know yet.
+    /// By node id. Also the source of the addresses of members that a learner does not know yet.
     last_messages: BTreeMap<u64, LastMessage>,
     next_hello_at_ms: f64,
     leaderless_since_ms: f64,
     queued_proposals: Vec<Proposal>,
-    /// How many ownerless requests each owner would take, by node id.
+    /// How many ownerless requests each owner can take, by node id.
     owner_capacities: BTreeMap<u64, u32>,
-    /// Until when an ownerless request is not offered again, by key.
+    /// Time until which an ownerless request is not offered again, by key.
     offered_until_ms: BTreeMap<Vec<u8>, f64>,
-    /// Another process has its name in a later group: it ignores all messages.
+    /// Whether another process has this replica's name in a later group. A superseded replica ignores all messages.
     superseded: bool,
     has_storage: bool,
-    /// The identity's writes. They are handed out together with the log's, so that a crash can't leave an identity with
-    /// another identity's log.
+    /// Writes of the identity. They are returned together with those of the log, so that a crash can't leave an
+    /// identity with the log of another one.
     pending_writes: Vec<StorageWrite>,
     actions: Vec<Action>,
 }
 
 impl Replica {
-    /// A replica that starts now: the member that it was if its stored state is complete, otherwise one without a group.
+    /// A replica that starts now: as the former member if its stored state is complete, otherwise without a group.
     pub fn new(now_ms: f64, mut config: ReplicaConfig) -> Replica {
         let restored = RestoredMember::load(now_ms, &config);
         if let Some(restored) = &restored {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Its node in a Raft group, if it is in one.
+    /// The replica's Raft node, if it has a group.
     pub fn raft_node(&self) -> Option<&RaftNode> {
         self.raft_node.as_ref()
     }
@@ -163,7 +164,7 @@
         }
         if let Some(raft_node) = &mut self.raft_node {
             raft_node.tick(now_ms);
-            // Leases and windows must also expire while no owner sends a command.
+            // Leases and retry windows must expire even if no owner sends a command.
             let max_unproposed_ms = self.settings.renewal_interval_ms() / 2.0;
             if raft_node.is_leader()
                 && raft_node.since_last_proposal_ms(now_ms) >= max_unproposed_ms
@@ -174,8 +175,8 @@
         self.flush(now_ms)
     }
 
-    /// Takes a message. What follows from it is returned by [`Replica::flush`], so that the commands of several messages
-    /// share an entry of the log.
+    /// Handles a message. Its commands are proposed by [`Replica::flush`], so that the commands of several messages
+    /// share one log entry.
     pub fn receive(
         &mut self,
         now_ms: f64,
@@ -203,8 +204,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Proposes the queued commands and returns all that is to be done. Actions are in order: what follows an
-    /// [`Action::Persist`] must wait until it is durable.
+    /// Proposes the queued commands and returns all pending actions, in order: those after an [`Action::Persist`] must
+    /// not be executed before its writes are durable.
     pub fn flush(&mut self, now_ms: f64) -> Vec<Action> {
         let mut writes = std::mem::take(&mut self.pending_writes);
         let Some(raft_node) = &mut self.raft_node else {
--- a/crates/asterdale-ownership/src/replica/status.rs
+++ b/crates/asterdale-ownership/src/replica/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of a replica.
+//! The status of a replica, for operators.
 
 use super::Replica;
 use crate::table::{OwnershipTable, RequestState};
@@ -16,16 +16,16 @@
     pub owners: Vec<(String, u64)>,
     /// Requests by state: started, ownerless, handed over, completed, failed, outcome unknown.
     pub requests_by_state: [usize; 6],
-    /// Bytes that the table takes.
+    /// Size of the table, in bytes.
     pub size_bytes: usize,
-    /// For how many milliseconds nothing can be claimed yet.
+    /// Remaining time during which claims are blocked, in milliseconds.
     pub claims_blocked_ms: f64,
     /// Index of the last applied log entry.
     pub applied_index: u64,
 }
 
 impl Replica {
-    /// Its present state; all empty while it has no group.
+    /// The current status; the default value while the replica has no group.
     pub fn status(&self) -> ReplicaStatus {
         let Some(raft_node) = &self.raft_node else {
             return ReplicaStatus::default();
--- a/crates/asterdale-ownership/src/storage.rs
+++ b/crates/asterdale-ownership/src/storage.rs
@@ -1,8 +1,8 @@
-//! The durable state of a replica, where it has durable storage: its identity, Raft's hard state, snapshot and log.
+//! The durable state of a replica that has durable storage: its identity, Raft's hard state, snapshot and log.
 //!
-//! The writes of a turn must be durable before any message of that turn leaves: votes, acknowledgements of entries and
-//! answers to owners all promise that the replica remembers. A replica that restarts with all of its state is the same
-//! member of its group; one that lacks any of it must join as another.
+//! The writes of a turn must be durable before any message of that turn is sent: votes, acknowledgements of entries and
+//! answers to owners are only valid if the replica still knows them after a restart. A replica that restarts with its
+//! complete state is the same member of its group; one that lacks any part of it must join as a new member.
 
 use prost::Message as _;
 use protobuf::Message as _;
@@ -24,14 +24,14 @@
         last_index: u64,
         /// The snapshot, encoded.
         bytes: Vec<u8>,
-        /// Later entries are to be deleted too: they belong to another log.
+        /// Whether later entries are deleted too, because they belong to another log.
         delete_all_entries: bool,
     },
-    /// Appends entries, the first of which has this index. Stored entries from that index on are deleted before.
+    /// Appends entries, the first of which has this index, after deleting all stored entries from that index on.
     Entries(u64, Vec<Vec<u8>>),
 }
 
-/// What was found in durable storage.
+/// The contents of durable storage at the start of a replica.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
     /// The last [`StorageWrite::Identity`]; empty if there was none.
@@ -61,22 +61,22 @@
     pub founders: Vec<Member>,
 }
 
-/// A log in memory and the snapshot that it begins with.
+/// A log in memory and the snapshot that precedes its first entry.
 pub(crate) struct RestoredLog {
     pub(crate) log: MemStorage,
     pub(crate) snapshot: Snapshot,
 }
 
 impl StoredState {
-    /// The stored identity; `None` if there is none or it can't be read.
+    /// The stored identity; `None` if there is none or it can't be decoded.
     pub fn identity(&self) -> Option<ReplicaIdentity> {
         ReplicaIdentity::decode(&self.identity[..])
             .ok()
             .filter(|identity| identity.node != 0)
     }
 
-    /// Rebuilds the log; `None` if anything is missing or doesn't fit together. The replica then has to join as another
-    /// member: with part of its memory lost it could vote for a leader that lacks committed entries.
+    /// Rebuilds the log; `None` if any part is missing or inconsistent. The replica then has to join as a new member:
+    /// with part of its state lost, it could vote for a leader that lacks committed entries.
     pub(crate) fn restore_log(&self) -> Option<RestoredLog> {
         let snapshot = Snapshot::parse_from_bytes(&self.snapshot).ok()?;
         let mut hard_state = HardState::parse_from_bytes(&self.hard_state).ok()?;
@@ -88,7 +88,7 @@
         let entries = self.contiguous_entries_after(snapshot_index)?;
         let last_index = snapshot_index + entries.len() as u64;
         if hard_state.commit > last_index {
-            // It has acknowledged entries that are gone.
+            // Entries that this replica acknowledged are missing.
             return None;
         }
         log.wl().append(&entries).ok()?;
@@ -98,7 +98,7 @@
         Some(RestoredLog { log, snapshot })
     }
 
-    /// The entries after an index; `None` if one is missing or can't be read.
+    /// The entries after an index; `None` if one is missing or can't be decoded.
     fn contiguous_entries_after(&self, index: u64) -> Option<Vec<RaftEntry>> {
         let mut entries = Vec::new();
         for (number, bytes) in self.entries.iter().filter(|(number, _)| *number > index) {
--- a/crates/asterdale-ownership/src/table/commands.rs
+++ b/crates/asterdale-ownership/src/table/commands.rs
@@ -1,6 +1,6 @@
 //! Commands on requests: lookup, claim, complete, hand over, release.
 //!
-//! Every command can be repeated: an owner sends one again until it has an answer.
+//! Every command is idempotent: an owner sends it again until it is answered.
 
 use super::{answer, OwnedRequest, OwnershipTable, RequestState};
 use crate::message::wire::{
@@ -8,8 +8,8 @@
 };
 use crate::message::{is_valid_request, CommandKind, Member, MAX_BODY_BYTES};
 
-/// Bounds of the wait that an owner is told when the table is full: no busy retries, and no long wait for a place that
-/// may become free earlier.
+/// Bounds of the retry delay in the answer when the table is full: the minimum avoids busy retries, the maximum avoids
+/// a long wait for capacity that may become free earlier.
 const RETRY_MIN_MS: f64 = 100.0;
 const RETRY_MAX_MS: f64 = 2000.0;
 
@@ -36,14 +36,14 @@
         }
     }
 
-    /// What is known of a key now. A hint, except for outcomes, which never change.
+    /// The current state of a key. Only a hint, except for outcomes, which never change.
     pub fn lookup(&self, seq: u64, lookup: &Lookup) -> Answer {
         self.answer_if_taken(seq, &lookup.key, lookup.body_digest)
             .or_else(|| self.answer_if_blocked(seq))
             .unwrap_or_else(|| answer(seq, Verdict::NotFound))
     }
 
-    /// The answer to whoever asks for a key that can't be claimed; `None` if it can.
+    /// The answer to a command for a key that can't be claimed; `None` if it can.
     fn answer_if_taken(&self, seq: u64, key: &[u8], body_digest: u64) -> Option<Answer> {
         let owned = self.requests.get(key)?;
         if owned.request.body_digest != body_digest {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The answer while nothing may be claimed because an earlier group may have been lost.
+    /// The answer while claims are blocked because an earlier group may have been lost.
     fn answer_if_blocked(&self, seq: u64) -> Option<Answer> {
         let blocked_ms = self.claims_blocked_ms();
         (blocked_ms > 0.0).then(|| Answer {
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Gives a request to an owner, by a fencing token above all earlier ones.
+    /// Grants a request to an owner, with a fencing token higher than all earlier ones.
     fn claim(&mut self, from: &Member, seq: u64, epoch: u64, request: KeyedRequest) -> Answer {
         if !self.is_held_by(epoch, from) {
             return answer(seq, Verdict::EpochEnded);
@@ -100,7 +100,7 @@
             expires_at_ms: expires_at_ms.max(self.now_ms + request.retry_window_ms),
             request,
         };
-        // A request that is in the table has its place already.
+        // The capacity of a request that is already in the table is already counted.
         if is_new && !self.has_capacity_for(&owned) {
             return self.answer_full(seq);
         }
@@ -109,7 +109,7 @@
         granted(seq, self.last_fence)
     }
 
-    /// The token that this very claim has got before: the answer was lost, or the command was duplicated.
+    /// The token that the same claim was granted before, if its answer was lost or the command was duplicated.
     fn fence_of_same_claim(&self, epoch: u64, request: &KeyedRequest) -> Option<u64> {
         let owned = self.requests.get(&request.key)?;
         let is_same = owned.state == RequestState::Started
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Records an outcome, also one of an owner whose epoch has ended: as long as the token is the latest, nobody else
-    /// has claimed the request, so there is no other outcome, and an unknown one becomes known.
+    /// Records an outcome, also from an owner whose epoch has ended: as long as its token is the latest, no other owner
+    /// has claimed the request, so there is no other outcome, and `OutcomeUnknown` is resolved.
     fn complete(&mut self, seq: u64, complete: Complete) -> Answer {
         let Complete { key, fence, result } = complete;
         let Some(owned) = self.requests.get(&key) else {
@@ -157,14 +157,15 @@
             Some(result) if result.len() <= MAX_BODY_BYTES.min(free_bytes) => {
                 RequestState::Completed(result)
             }
-            // A result without a place is dropped. That the request ended must be kept: it must not run again.
+            // A result that exceeds the capacity is dropped. The end of the request is recorded, so it does not run
+            // again.
             _ => RequestState::Failed,
         };
         self.replace_request(&key, Some(owned));
         answer(seq, Verdict::Recorded)
     }
 
-    /// Takes a request that its process never started, for any owner to claim.
+    /// Stores a request that its owner never started, so that any owner may claim it.
     fn hand_over(&mut self, seq: u64, request: KeyedRequest) -> Answer {
         if let Some(taken) = self.answer_if_taken(seq, &request.key, request.body_digest) {
             return taken;
@@ -188,7 +189,7 @@
         answer(seq, Verdict::Recorded)
     }
 
-    /// Forgets a claim whose request was never started. The token proves that nobody has claimed it since.
+    /// Removes a claim whose request was never started. The token proves that no other owner has claimed it since.
     fn release(&mut self, seq: u64, release: &Release) -> Answer {
         let is_unstarted_claim = self.requests.get(&release.key).is_some_and(|owned| {
             owned.fence == release.fence
--- a/crates/asterdale-ownership/src/table/expiry.rs
+++ b/crates/asterdale-ownership/src/table/expiry.rs
@@ -1,14 +1,15 @@
-//! The table's clock, and what expires by it: leases of owners, then retry windows of requests.
+//! The table's clock, and expiry by that clock: first the leases of owners, then the retry windows of requests.
 
 use super::{OwnedRequest, OwnershipTable, RequestState};
 
-/// A time as an ordered key: the bits of non-negative floating point numbers order as the numbers do.
+/// A time as an ordered key: the bits of non-negative floating-point numbers sort in the same order as the numbers.
 pub(super) fn time_bits(time_ms: f64) -> u64 {
     time_ms.max(0.0).to_bits()
 }
 
 impl OwnershipTable {
-    /// Advances the clock by what the leader measured since the entry before, and expires what is due.
+    /// Advances the clock by the time that the leader measured since the previous entry, and expires leases and
+    /// requests.
     pub(super) fn advance_clock(&mut self, elapsed_ms: f64) {
         if elapsed_ms.is_finite() && elapsed_ms > 0.0 {
             self.now_ms += elapsed_ms;
@@ -33,7 +34,8 @@
                 break;
             }
             match self.requests.get(&key) {
-                // It may still be running: forgetting it now would allow a second claim beside the first.
+                // The request may still be running: removing it now would allow a second claim while the first is
+                // active.
                 Some(owned) if self.is_running(owned) => {
                     let mut owned = owned.clone();
                     owned.expires_at_ms = self.now_ms + self.settings.lease_ms;
--- a/crates/asterdale-ownership/src/table/leases.rs
+++ b/crates/asterdale-ownership/src/table/leases.rs
@@ -1,13 +1,13 @@
-//! Epochs of owners and their leases: join, renew, leave, and what the end of an epoch means for its requests.
+//! Epochs of owners and their leases: join, renew, leave, and the effect of the end of an epoch on its requests.
 //!
-//! Owners are told apart by process (`node`), and replace each other by name: a process that restarts joins under the
-//! same name with another node id.
+//! An owner is one process, identified by its node id. A process that restarts joins under the same name with a new
+//! node id, and replaces the former process of that name.
 
 use super::{answer, OwnedRequest, OwnershipTable, RequestState};
 use crate::message::wire::{Answer, Verdict};
 use crate::message::Member;
 
-/// Bound of the two collections of names and of replaced processes: several times the owners of a large fleet.
+/// Maximum size of `latest_node_by_name` and of `replaced_nodes`: several times the owners of a large fleet.
 const MAX_KNOWN_NAMES: usize = 4096;
 
 /// An owner whose lease has not expired.
@@ -19,17 +19,18 @@
     pub node: u64,
     /// When the lease expires, in the table's time, in milliseconds.
     pub expires_at_ms: f64,
-    /// The owner has renewed since it joined: it is alive, its join was not a delayed message of a dead process.
+    /// Whether the owner has renewed since it joined, which shows that its join was not a delayed message of a dead
+    /// process.
     pub renewed: bool,
 }
 
 impl OwnershipTable {
-    /// Grants an epoch. All other epochs of this name end, and so do those that the process itself gave up.
+    /// Grants an epoch, and ends all other epochs of this name, including those that the process itself gave up.
     ///
-    /// A process that has an epoch above `given_up` gets the same one again: a duplicated join must not end an epoch
-    /// under which requests may already be running.
+    /// A process that has an epoch above `given_up` is granted the same one again: a duplicated join must not end an
+    /// epoch under which requests may already be running.
     pub(super) fn join(&mut self, from: &Member, seq: u64, given_up: u64) -> Answer {
-        // A delayed join of a replaced process must not end the epoch of its successor, which is known to be alive.
+        // A delayed join of a replaced process must not end the epoch of its successor, which has shown to be alive.
         if self.has_renewed_lease(&from.name) && self.replaced_nodes.contains(&from.node) {
             return answer(seq, Verdict::EpochEnded);
         }
@@ -65,7 +66,7 @@
         ended.into_iter().for_each(|epoch| self.end_epoch(epoch));
     }
 
-    /// Remembers the process as the latest of its name, and the one before as replaced.
+    /// Records the process as the latest of its name, and the previous one as replaced.
     fn record_latest_node(&mut self, from: &Member) {
         let latest = &mut self.latest_node_by_name;
         if latest.len() >= MAX_KNOWN_NAMES && !latest.contains_key(&from.name) {
@@ -118,10 +119,10 @@
         lease.is_some_and(|lease| lease.node == member.node)
     }
 
-    /// Ends an epoch: what its owner may have started becomes ownerless, or its outcome unknown.
+    /// Ends an epoch: requests that its owner may have started become ownerless, or their outcome becomes unknown.
     ///
-    /// The owner may still be running it. That is safe for a fenced request: the next claim has a higher token, and the
-    /// dependency rejects the old one. Without a fence nothing would stop the old run, so there must be no second one.
+    /// The owner may still be running them. That is safe for a fenced request: the next claim has a higher token, and
+    /// the dependency rejects the old one. An unfenced run can't be stopped, so there must be no second one.
     pub(super) fn end_epoch(&mut self, epoch: u64) {
         self.leases.remove(&epoch);
         let started =
--- a/crates/asterdale-ownership/src/table/mod.rs
+++ b/crates/asterdale-ownership/src/table/mod.rs
@@ -1,9 +1,9 @@
-//! The replicated state: which owner has which keyed request, by which fencing token, and how requests ended.
+//! The replicated state: the owner and fencing token of each keyed request, and the outcomes of requests.
 //!
-//! Every replica applies the same log entries in the same order and so has the same table. Nothing here reads a clock:
-//! each entry says how much time the leader saw pass since the entry before. The table's time therefore never runs
-//! faster than the leader's clock, and stands still while there is no leader. Leases and retry windows can only last
-//! longer than they were meant to, never shorter, which is the safe side.
+//! Every replica applies the same log entries in the same order and so has the same table. No code here reads a clock:
+//! each entry contains the time that the leader measured since the previous entry. The table's time therefore never
+//! runs faster than the leader's clock, and stops while there is no leader. Leases and retry windows may end later than
+//! configured but never earlier, which is the safe direction.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -23,8 +23,9 @@
 pub use leases::OwnerLease;
 pub use request::{OwnedRequest, RequestState};
 
-/// Epochs and fencing tokens of a group begin at the group's number times this. A later group's are above all of an
-/// earlier one's: group numbers are at least a second apart, and no group grants a billion tokens in a second.
+/// Epochs and fencing tokens of a group start at the group's number times this factor. Those of a later group are
+/// higher than all of an earlier one: group numbers are at least a second apart, and no group grants a billion tokens
+/// in a second.
 const NUMBERS_PER_GROUP: u64 = 1 << 30;
 
 /// The ownership table.
@@ -38,8 +39,8 @@
     leases: BTreeMap<u64, OwnerLease>,
     /// The process that joined last under each name.
     latest_node_by_name: BTreeMap<String, u64>,
-    /// Processes that another one replaced under their name, the latest last: a delayed message of theirs must not end
-    /// the epoch of their successor.
+    /// Node ids of processes that another process of the same name replaced, the latest last. A delayed message of such
+    /// a process must not end the epoch of its successor.
     replaced_nodes: VecDeque<u64>,
     requests: BTreeMap<Vec<u8>, OwnedRequest>,
     /// Index of the requests by the end of their retry window.
@@ -47,7 +48,7 @@
     /// Index of the claimable requests by deadline.
     claimable: BTreeSet<(u64, Vec<u8>)>,
     size_bytes: usize,
-    /// The members of the Raft group by node id, as the log has agreed on them.
+    /// The members of the Raft group by node id, by the committed membership changes.
     pub members: BTreeMap<u64, Member>,
     settings: OwnershipSettings,
 }
@@ -63,8 +64,8 @@
 impl OwnershipTable {
     /// The empty table of a new group.
     ///
-    /// Nothing can be claimed before the longest retry window has passed: an earlier group may have lost its memory, and
-    /// the requests that it knew may have run. Once their windows are over their callers no longer retry them.
+    /// Claims are blocked until the longest retry window has passed: an earlier group may have lost its state, and the
+    /// requests in its table may have run. After their retry windows, callers no longer retry those requests.
     pub fn new(group: u64, members: &[Member], settings: OwnershipSettings) -> OwnershipTable {
         let by_node = |member: &Member| (member.node, member.clone());
         OwnershipTable {
@@ -90,7 +91,7 @@
         self.now_ms
     }
 
-    /// For how many milliseconds nothing can be claimed yet.
+    /// Remaining time during which claims are blocked, in milliseconds.
     pub fn claims_blocked_ms(&self) -> f64 {
         (self.claims_blocked_until_ms - self.now_ms).max(0.0)
     }
@@ -110,7 +111,7 @@
         &self.requests
     }
 
-    /// The claimable requests whose deadline has not passed, the most urgent first.
+    /// The claimable requests whose deadline has not passed, earliest deadline first.
     pub fn claimable(&self) -> impl Iterator<Item = &OwnedRequest> {
         let now = time_bits(self.now_ms);
         self.claimable
@@ -119,7 +120,7 @@
             .filter_map(|(_, key)| self.requests.get(key))
     }
 
-    /// Applies an entry of the log. Returns an answer for each command, with the process that sent it.
+    /// Applies an entry of the log. Returns the answer to each command, with the process that sent the command.
     pub fn apply(&mut self, entry: LogEntry) -> Vec<(Member, Answer)> {
         self.advance_clock(entry.elapsed_ms);
         let mut answers = Vec::with_capacity(entry.proposals.len());
@@ -135,8 +136,8 @@
         answers
     }
 
-    /// Replaces what is stored under a key, or removes it. All changes of requests go through here, which keeps both
-    /// indexes and the size in step.
+    /// Replaces the request stored under a key, or removes it. All changes of requests use this function, which keeps
+    /// both indexes and the size consistent.
     fn replace_request(&mut self, key: &[u8], new: Option<OwnedRequest>) {
         if let Some(old) = self.requests.remove(key) {
             self.size_bytes -= old.size_bytes();
--- a/crates/asterdale-ownership/src/table/snapshot.rs
+++ b/crates/asterdale-ownership/src/table/snapshot.rs
@@ -1,6 +1,6 @@
 //! The encoding of the ownership table in snapshots of the log (`TableSnapshot` in `proto/takeover.proto`).
 //!
-//! Only what can't be derived is stored. The indexes over the requests and the table's size are rebuilt on decoding.
+//! Derived data is not stored: the indexes over the requests and the table's size are rebuilt on decoding.
 
 use prost::Message as _;
 
@@ -9,8 +9,8 @@
 use crate::settings::OwnershipSettings;
 
 impl OwnershipTable {
-    /// The complete table as bytes. Two replicas that applied the same entries produce the same bytes: all collections
-    /// are ordered.
+    /// Encodes the complete table. Replicas that applied the same entries produce the same bytes, because all
+    /// collections are ordered.
     pub fn encode(&self) -> Vec<u8> {
         let latest = self.latest_node_by_name.iter().map(|(name, &node)| Member {
             name: name.clone(),
@@ -32,7 +32,7 @@
         .encode_to_vec()
     }
 
-    /// The table that [`OwnershipTable::encode`] wrote on a replica of the same group; `None` if it can't be read.
+    /// Decodes a table that [`OwnershipTable::encode`] wrote; `None` if it is malformed.
     pub fn decode(bytes: &[u8], settings: OwnershipSettings) -> Option<OwnershipTable> {
         let stored = wire::TableSnapshot::decode(bytes).ok()?;
         let mut table = OwnershipTable::new(stored.group, &stored.members, settings);
@@ -100,7 +100,7 @@
         2 => RequestState::HandedOver,
         3 => RequestState::Completed(stored.result),
         4 => RequestState::Failed,
-        // 5, or a state of a later release: never run again, which is safe whatever it means.
+        // 5, or an unknown state of a later release, which is treated as 5: never running it again is always safe.
         _ => RequestState::OutcomeUnknown,
     };
     Some(OwnedRequest {
--- a/crates/asterdale-ownership/tests/cluster/durable_replicas.rs
+++ b/crates/asterdale-ownership/tests/cluster/durable_replicas.rs
@@ -100,8 +100,8 @@
     );
 }
 
-/// Claims key after key; crashes one replica or all before, while or after each outcome is recorded. Returns the recorded
-/// results by key.
+/// Claims key after key; crashes one replica or all before, while or after each outcome is recorded. Returns the
+/// recorded results by key.
 fn record_outcomes_under_crashes(net: &mut Network) -> BTreeMap<u64, u8> {
     let mut recorded = BTreeMap::new();
     for n in 0..60u64 {
--- a/crates/asterdale-ownership/tests/explore.rs
+++ b/crates/asterdale-ownership/tests/explore.rs
@@ -1,13 +1,13 @@
-//! One key, two owners and the replicas' agreed log, in every order of events between them: a message is delivered, lost,
-//! duplicated, or overtaken by a later one; time passes while an owner is paused; each owner may crash and restart as
-//! another process; the leader may change, which loses the commands that it had not answered_results. That the log is agreed is
-//! the `raft` crate's part (`cluster/random_faults.rs` tests it at random). What must hold:
+//! One key, two owners and the replicas' agreed log, in every order of events between them: a message is delivered,
+//! lost, duplicated, or overtaken by a later one; time passes while an owner is paused; each owner may crash and
+//! restart as another process; the leader may change, which loses the commands that it had not answered_results. That
+//! the log is agreed is the `raft` crate's part (`cluster/random_faults.rs` tests it at random). What must hold:
 //!
 //! 1. An unfenced request is started at most once, whoever starts it.
-//! 2. A fencing token is granted once, and from a call with a token on no call with an older one has an called_dependency.
-//! 3. A key has one outcome, and whoever is answered_results gets that one.
-//! 4. An attempt that is answered as never run was not started.
-//! 5. An owner that may act under its lease has an epoch that the table has not ended, unless its process was replaced.
+//! 2. A fencing token is granted once, and from a call with a token on no call with an older one has an
+//! called_dependency. 3. A key has one outcome, and whoever is answered_results gets that one. 4. An attempt that is
+//! answered as never run was not started. 5. An owner that may act under its lease has an epoch that the table has not
+//! ended, unless its process was replaced.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashMap};
