--- a/crates/asterdale-ownership/build.rs
+++ b/crates/asterdale-ownership/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the messages, without outside programs.
+//! Generates the message types from the Protobuf file, without an external `protoc`.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo::rerun-if-changed=proto/takeover.proto");
--- a/crates/asterdale-ownership/src/table/tests.rs
+++ b/crates/asterdale-ownership/src/table/tests.rs
@@ -1,4 +1,4 @@
-//! The decisions of the ownership table, command by command.
+//! Tests of the ownership table's answer to each command.
 
 use super::*;
 
@@ -155,7 +155,8 @@
     );
     let (verdict, newer) = harness.claim(2, second, request(b"fenced", 3, true));
     assert!(verdict == Verdict::Granted && newer > fence);
-    // The first owner returns with both outcomes: too late for the fenced request, in time for the other.
+    // The first owner submits both outcomes. The fenced request has a newer claim, so its outcome is rejected; the
+    // other one has none, so its outcome is recorded.
     let outcome = |key: &[u8], fence| {
         CommandKind::Complete(Complete {
             key: key.to_vec(),
@@ -252,7 +253,7 @@
         Verdict::Granted,
         "a repeated claim needs no capacity"
     );
-    // A result without capacity is dropped, but the end of the request is recorded.
+    // A result that exceeds the capacity is dropped, but the end of the request is recorded.
     let key = vec![0];
     let fence = harness.0.requests()[&key].fence;
     let outcome = CommandKind::Complete(Complete {
--- a/crates/asterdale-ownership/tests/cluster/durable_replicas.rs
+++ b/crates/asterdale-ownership/tests/cluster/durable_replicas.rs
@@ -6,7 +6,7 @@
 
 use crate::network::{claim, complete, lookup, settings, Network, FIRST_OWNER};
 
-/// Replicas with disks that have formed a group, and owners with leases.
+/// A group of replicas with durable storage, and owners with leases.
 fn durable_network(seed: u64, replicas: usize, owners: usize) -> Network {
     let mut net = Network::new(seed, 0, owners, settings());
     net.durable = true;
@@ -28,7 +28,7 @@
     assert_eq!(net.ask(100, 2, outcome).verdict(), Verdict::Recorded);
     assert_eq!(net.ask(100, 3, claim(8, 3)).verdict(), Verdict::Granted);
     let groups_before = count_formed_groups(&net);
-    // A claim is on its way as all replicas and the other owner crash.
+    // A claim is in flight when all replicas and the other owner crash.
     net.submit(101, 1, claim(9, 9));
     (0..3).for_each(|n| net.start_replica(n));
     net.owners.remove(&100);
@@ -59,7 +59,7 @@
     net.until("an answer", 60_000.0, |net| net.verdict(100, 1).is_some());
     assert_eq!(net.verdict(100, 1), Some(Verdict::Granted));
     assert!(!net.replicas.contains_key(&leader) && net.leader().is_some_and(|n| n != leader));
-    // With a working disk it is the same member again, and catches up.
+    // With a working disk the replica restarts as the same member and catches up.
     net.failing_disks.clear();
     net.start_replica(leader);
     net.run(5000.0);
@@ -100,8 +100,8 @@
     );
 }
 
-/// Claims key after key; crashes one replica or all before, while or after each outcome is recorded. Returns the
-/// recorded results by key.
+/// Claims one key after another, and crashes one replica, all or none before, while or after each outcome is recorded.
+/// Returns the recorded results by key.
 fn record_outcomes_under_crashes(net: &mut Network) -> BTreeMap<u64, u8> {
     let mut recorded = BTreeMap::new();
     for n in 0..60u64 {
--- a/crates/asterdale-ownership/tests/cluster/failures.rs
+++ b/crates/asterdale-ownership/tests/cluster/failures.rs
@@ -1,4 +1,4 @@
-//! One failure at a time, of replicas without durable storage.
+//! Single failures, in groups of replicas without durable storage.
 
 use asterdale_ownership::{OwnershipEvent, Verdict};
 
@@ -44,7 +44,7 @@
         1,
         "it has the table"
     );
-    // Without one of the others there is a majority only if the restarted replica counts as one of three.
+    // With one of the others removed, there is a majority only if the restarted replica is one of three voters.
     let others: Vec<usize> = (0..3).filter(|n| *n != restarted).collect();
     net.replicas.remove(&others[0]);
     let outcome = complete(7, granted.number, None);
--- a/crates/asterdale-ownership/tests/cluster/main.rs
+++ b/crates/asterdale-ownership/tests/cluster/main.rs
@@ -1,4 +1,4 @@
-//! Several replicas and owners together on a simulated network.
+//! Tests of several replicas and owners on a simulated network.
 
 mod durable_replicas;
 mod failures;
--- a/crates/asterdale-ownership/tests/cluster/network.rs
+++ b/crates/asterdale-ownership/tests/cluster/network.rs
@@ -1,4 +1,4 @@
-//! Replicas and owners on a simulated network: messages are lost, duplicated, delayed and cut off at random by a seed.
+//! Replicas and owners on a simulated network that loses, duplicates, delays and blocks messages, at random by a seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,9 +13,9 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Time between two looks at all timers, in milliseconds.
+/// Duration of a simulation step, in milliseconds.
 const STEP_MS: f64 = 10.0;
-/// How long a message takes, and how much longer at most while messages are also lost, in milliseconds.
+/// Latency of a message, and the maximum random delay that is added while the loss rate is not 0, in milliseconds.
 const LATENCY_MS: f64 = 1.0;
 const MAX_DELAY_MS: f64 = 40.0;
 const FIRST_PORT: u16 = 9000;
@@ -30,7 +30,7 @@
     usize::from(address.port() - FIRST_PORT)
 }
 
-/// A message on its way.
+/// A message in flight.
 struct InFlight {
     from: usize,
     to: usize,
@@ -41,32 +41,32 @@
     pub now_ms: f64,
     pub replicas: BTreeMap<usize, Replica>,
     pub owners: BTreeMap<usize, Owner>,
-    /// Processes that stand still: their messages wait.
+    /// Paused processes: their timers do not fire, and messages to them are queued.
     pub paused: BTreeSet<usize>,
     /// Pairs of sender and recipient whose messages are all lost.
     pub disconnected: BTreeSet<(usize, usize)>,
     pub loss_rate: f64,
     pub duplicate_rate: f64,
-    /// Answers to owners, by owner and number of the request.
+    /// Answers to owners, by owner and request number.
     pub answers: BTreeMap<(usize, u64), Answer>,
     pub offers: Vec<(usize, KeyedRequest)>,
     pub events: Vec<(usize, OwnershipEvent)>,
-    /// The encoded table at each index of each group's log, as the first replica had it that got there.
+    /// The encoded table by group and log index, of the first replica that applied that index.
     tables: BTreeMap<(u64, u64), Vec<u8>>,
-    /// By time of arrival, as ordered bits, and by number.
+    /// By time of arrival (as ordered bits) and message number.
     in_flight: BTreeMap<(u64, u64), InFlight>,
     message_count: u64,
     random: Pcg64Mcg,
     settings: OwnershipSettings,
     configured_replicas: usize,
-    /// Whether replicas that are started from now on have disks.
+    /// Whether replicas that are started from now on have durable storage.
     pub durable: bool,
     pub disks: BTreeMap<usize, StoredState>,
     /// Replicas whose writes fail.
     pub failing_disks: BTreeSet<usize>,
 }
 
-/// Does a write to a disk.
+/// Applies a write to a disk.
 fn write(disk: &mut StoredState, write: StorageWrite) {
     match write {
         StorageWrite::Identity(bytes) => disk.identity = bytes,
@@ -119,7 +119,7 @@
         MessageAuthenticator::new(b"key")
     }
 
-    /// Starts a new process of a replica: with what is on its disk, or without state.
+    /// Starts a new process of a replica, with the state on its disk or without state.
     pub fn start_replica(&mut self, n: usize) {
         let node = self.random.next_u64() | 1;
         let replicas = 0..self.configured_replicas;
@@ -155,7 +155,7 @@
         self.owners.insert(n, owner);
     }
 
-    /// A random number from 0 to below 1.
+    /// A random number in the range `0.0..1.0`.
     fn random_fraction(&mut self) -> f64 {
         (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -166,7 +166,7 @@
                 Action::Send(to, bytes) => self.send(process, process_at(to), &bytes),
                 Action::Persist(writes) => {
                     if self.failing_disks.contains(&process) {
-                        // Nothing that follows may leave, and the process can't go on as this member.
+                        // No later action may be executed, and the process can't continue as this member.
                         assert!(!writes.is_empty());
                         self.replicas.remove(&process);
                         return;
@@ -212,7 +212,7 @@
             .insert((arrival_ms.to_bits(), self.message_count), message);
     }
 
-    /// Advances the time by one step: delivers what has arrived, fires timers, compares the tables.
+    /// Advances the time by one step: delivers the messages that have arrived, fires timers, compares the tables.
     pub fn step(&mut self) {
         self.now_ms += STEP_MS;
         while let Some(first) = self.in_flight.first_entry() {
@@ -270,12 +270,12 @@
         }
     }
 
-    /// Replicas that have applied the same index of the same log must have the same table.
+    /// Checks that replicas which have applied the same index of the same log have the same table.
     fn compare_tables(&mut self) {
         let nodes = self.replicas.values().filter_map(Replica::raft_node);
         for raft_node in nodes {
             let mut table = raft_node.table.clone();
-            // A change of the members is not an entry of the table.
+            // Membership changes are not commands to the table, so the members are not compared.
             table.members.clear();
             let bytes = table.encode();
             let (group, index) = (raft_node.group, raft_node.applied_index());
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Advances the time by so much.
+    /// Advances the time by this duration.
     pub fn run(&mut self, duration_ms: f64) {
         let end_ms = self.now_ms + duration_ms;
         while self.now_ms < end_ms {
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Advances the time until a condition is met. Returns how long that took, in milliseconds.
+    /// Advances the time until a condition is met. Returns the simulated time that this took, in milliseconds.
     pub fn until(&mut self, what: &str, max_ms: f64, is_met: impl Fn(&Network) -> bool) -> f64 {
         let start_ms = self.now_ms;
         while !is_met(self) {
@@ -335,7 +335,7 @@
         self.answers[&(owner, number)].clone()
     }
 
-    /// The number of a replica that leads and is not paused.
+    /// The number of a leader that is not paused.
     pub fn leader(&self) -> Option<usize> {
         let leads = |replica: &Replica| replica.raft_node().is_some_and(|node| node.is_leader());
         self.replicas
@@ -349,7 +349,7 @@
         self.owners[&owner].lease_until_ms() > self.now_ms
     }
 
-    /// Waits until this many owners have leases, and a second more.
+    /// Waits until this many owners have leases, and then for another second.
     pub fn until_leases(&mut self, owners: usize) {
         self.until("leases", 20_000.0, |net| {
             (FIRST_OWNER..FIRST_OWNER + owners).all(|owner| net.has_lease(owner))
@@ -357,7 +357,7 @@
         self.run(1000.0);
     }
 
-    /// How many events meet a condition.
+    /// Number of events that meet a condition.
     pub fn count_events(&self, is_counted: impl Fn(&OwnershipEvent) -> bool) -> usize {
         let events = self.events.iter();
         events.filter(|(_, event)| is_counted(event)).count()
@@ -368,7 +368,7 @@
     }
 }
 
-/// A fenced request with this key, in an execution of its own.
+/// A fenced request with this key and this number as its execution id.
 pub fn request(key: u64, execution: u64) -> KeyedRequest {
     KeyedRequest {
         key: key.to_be_bytes().to_vec(),
--- a/crates/asterdale-ownership/tests/cluster/random_faults.rs
+++ b/crates/asterdale-ownership/tests/cluster/random_faults.rs
@@ -1,4 +1,4 @@
-//! Many faults at once, drawn from seeds: losses, duplicates, delays, one-way cuts, pauses and restarts.
+//! Combinations of random faults by seed: message loss, duplicates, delays, one-way partitions, pauses and restarts.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 
 const OWNERS: u64 = 4;
 const KEYS: u64 = 12;
-/// The outcome of a claim is submitted under the claim's number plus this.
+/// The outcome of a claim is submitted under the claim's number plus this offset.
 const OUTCOME_OFFSET: u64 = 1_000_000;
 
-/// A dependency that checks fencing tokens: it rejects one below the highest that it has seen for the key.
+/// A dependency that checks fencing tokens: it rejects a token lower than the highest one it has seen for the key.
 #[derive(Default)]
 struct Dependency {
     highest_fences: BTreeMap<Vec<u8>, u64>,
@@ -28,7 +28,7 @@
     }
 }
 
-/// A run with one seed: what owners have asked for, and which outcomes they were told.
+/// A run with one seed: the requests of the owners, and the outcomes that were answered.
 struct Run {
     seed: u64,
     net: Network,
@@ -61,13 +61,13 @@
         }
     }
 
-    /// A fault, or mostly a claim.
+    /// Injects a random fault or, in most cases, submits a claim.
     fn act(&mut self) {
         let net = &mut self.net;
         let owner = FIRST_OWNER + net.random_below(OWNERS) as usize;
         self.number += 1;
         match net.random_below(40) {
-            // Rare, so that only a minority is without state at a time: the one before has been replaced by now.
+            // Rare, so that only a minority is without state at a time: the last one has already been replaced.
             0 if self.number % 200 == 0 => {
                 let replica = net.random_below(self.replicas as u64) as usize;
                 net.start_replica(replica);
@@ -128,7 +128,7 @@
         assert_eq!(*known, result, "seed {seed}: two outcomes of key {key}");
     }
 
-    /// Ends all faults. Every outcome that an owner was told must still be known.
+    /// Ends all faults and checks that every outcome that was answered to an owner is still known.
     fn check_all_outcomes_known(mut self) {
         self.net.paused.clear();
         self.net.disconnected.clear();
--- a/crates/asterdale-ownership/tests/explore.rs
+++ b/crates/asterdale-ownership/tests/explore.rs
@@ -1,13 +1,13 @@
-//! One key, two owners and the replicas' agreed log, in every order of events between them: a message is delivered,
-//! lost, duplicated, or overtaken by a later one; time passes while an owner is paused; each owner may crash and
-//! restart as another process; the leader may change, which loses the commands that it had not answered_results. That
-//! the log is agreed is the `raft` crate's part (`cluster/random_faults.rs` tests it at random). What must hold:
+//! State space exploration of one key, two owners and the replicated log, in every order of events: a message is
+//! delivered, lost, duplicated, or reordered; time passes while an owner is paused; each owner may crash and restart as
+//! a new process; the leader may change, which loses the commands that it had not answered. Agreement on the log itself
+//! is left to the `raft` crate (`cluster/random_faults.rs` tests it with random faults). Invariants:
 //!
-//! 1. An unfenced request is started at most once, whoever starts it.
-//! 2. A fencing token is granted once, and from a call with a token on no call with an older one has an
-//! called_dependency. 3. A key has one outcome, and whoever is answered_results gets that one. 4. An attempt that is
-//! answered as never run was not started. 5. An owner that may act under its lease has an epoch that the table has not
-//! ended, unless its process was replaced.
+//! 1. An unfenced request is started at most once, by any owner.
+//! 2. A fencing token is granted once. After a call with a token, no call with an older token has an effect.
+//! 3. A key has one outcome, and every answer contains that outcome.
+//! 4. An attempt that is answered as never run was not started.
+//! 5. The epoch of an owner that may act under its lease has not ended in the table, unless its process was replaced.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashMap};
@@ -24,9 +24,9 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Steps of which every order is tried, from two states: tens of thousands of states, in seconds.
+/// Number of steps of which every sequence is explored, from two states: tens of thousands of states, in seconds.
 const MAX_DEPTH: usize = 5;
-/// Long running_fence that are drawn from seeds.
+/// Number of long random runs, one for each seed.
 const RUNS: u64 = 1500;
 const STEP_MS: f64 = 800.0;
 
@@ -35,34 +35,34 @@
     Deliver(usize),
     Lose(usize),
     Duplicate(usize),
-    /// Time passes for all; paused owners are not woken.
+    /// Advances the time of all processes; timers of paused owners are not fired.
     AdvanceTime,
     Pause(usize),
     Resume(usize),
     Crash(usize),
-    /// The engine wants to run the key, for the first time or again.
+    /// The engine submits a claim of the key, the first one or a retry.
     SubmitClaim(usize),
-    /// The engine looks at the lease, and starts the claimed request if it may.
+    /// The engine checks the lease, and starts the claimed request if the lease is valid.
     Start(usize),
-    /// Its call reaches the dependency.
+    /// The call of the engine's run reaches the dependency.
     CallDependency(usize),
     RecordOutcome(usize),
-    /// Another replica leads: messages to the one before are lost.
+    /// Another replica becomes the leader: messages to the previous one are lost.
     ChangeLeader,
 }
 
-/// What the engine of an owner does with the key.
+/// The state of an owner's engine for the key.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Engine {
-    /// Attempts so far: each is another execution.
+    /// Attempts so far, each with its own execution id.
     attempts: u64,
-    /// The number of a claim without an answer.
+    /// The request number of an unanswered claim.
     claim_number: Option<u64>,
     /// The token of a granted claim that has not been started.
     granted_fence: Option<u64>,
     running_fence: Option<u64>,
     called_dependency: bool,
-    /// Number and result of an outcome that is being recorded.
+    /// Request number and result of an outcome that is being recorded.
     recording: Option<(u64, Vec<u8>)>,
 }
 
@@ -75,7 +75,7 @@
     engines: [Engine; 2],
     paused: [bool; 2],
     crashed: [bool; 2],
-    /// Messages in flight to an owner, or to the replicas.
+    /// Messages in flight, with the index of the recipient owner; `None` for the replicas.
     messages: Vec<(Option<usize>, Vec<u8>)>,
     budget: BTreeMap<&'static str, u32>,
     fenced: bool,
@@ -205,7 +205,7 @@
         }
     }
 
-    /// The replicas receive commands: all that is proposed is agreed.
+    /// Delivers commands to the replicas: all of them are committed and applied at once.
     fn replicas_receive(&mut self, bytes: &[u8]) {
         let Some((from, _, MessageBody::Commands(asked))) = decode(&authenticator(), bytes) else {
             panic!("no command")
@@ -282,7 +282,7 @@
         all
     }
 
-    /// Returns `false` if the step is not possible any more.
+    /// Takes a step. Returns `false` if the step is not possible in this state.
     fn take_step(&mut self, step: Step) -> bool {
         match step {
             Step::Deliver(n) => {
@@ -477,7 +477,7 @@
             continue;
         }
         next.check();
-        // A state that was explored with as many steps left shows nothing new.
+        // A state that was already explored with at least as many steps left is skipped.
         let left = seen.entry(next.digest()).or_insert(0);
         if *left < depth {
             *left = depth;
@@ -486,7 +486,7 @@
     }
 }
 
-/// The first step is always the first owner's claim: what is of interest comes after it.
+/// The initial state of the exploration: the first owner has submitted a claim.
 fn world_with_claim(fenced: bool) -> World {
     let mut world = World::new(fenced);
     world.take_step(Step::SubmitClaim(0));
@@ -529,7 +529,7 @@
         for _ in 0..90 {
             let steps = world.steps();
             let step = steps[random.next_u32() as usize % steps.len()];
-            // If the step that was drawn is not possible, another one is drawn.
+            // A drawn step that is not possible is skipped.
             let mut next = world.clone();
             if next.take_step(step) {
                 next.check();
--- a/crates/asterdale-ownership/tests/stored_messages.rs
+++ b/crates/asterdale-ownership/tests/stored_messages.rs
@@ -1,5 +1,5 @@
-//! Messages between replicas and owners that an earlier release wrote are read to the same values, and are written
-//! again byte for byte: every kind, every command, every verdict, each field with a value of its own.
+//! Messages between replicas and owners that an earlier release encoded are decoded to the same values and encoded to
+//! the same bytes: every kind, every command and every verdict, each field with a distinct value.
 //! `fixtures/ownership/README.md` says how the file was made.
 
 use asterdale_membership::authentication::MessageAuthenticator;
@@ -79,7 +79,7 @@
         .collect()
 }
 
-/// The verdicts by their stored numbers.
+/// The verdicts in the order of their encoded numbers.
 const VERDICTS: [Verdict; 14] = [
     Verdict::NotLeader,
     Verdict::Joined,
@@ -97,7 +97,7 @@
     Verdict::Fenced,
 ];
 
-/// One answer of each verdict.
+/// One answer with each verdict.
 fn answers() -> Vec<Answer> {
     let answer = |n: i32| Answer {
         seq: 100 + n as u64,
@@ -134,7 +134,7 @@
     ]
 }
 
-/// An entry of the log, which goes into the library's messages and onto disks.
+/// An entry of the log, which is part of Raft messages and of the durable state.
 fn entry() -> LogEntry {
     let proposals = commands().into_iter().map(|command| Proposal {
         from: Some(other()),
@@ -146,7 +146,7 @@
     }
 }
 
-/// The file: each part behind its length in four bytes; the entry is the last.
+/// The parts of the file, each preceded by its length in four bytes; the log entry is the last part.
 fn stored() -> Vec<&'static [u8]> {
     let (mut rest, mut all) = (MESSAGES, Vec::new());
     while let Some((length, after)) = rest.split_first_chunk::<4>() {
--- a/crates/asterdale-ownership/tests/stored_state.rs
+++ b/crates/asterdale-ownership/tests/stored_state.rs
@@ -1,5 +1,6 @@
-//! What a replica of an earlier release had on disk, and its ownership table, are read to the same leases, requests,
-//! fences and epochs, and are written again byte for byte. `fixtures/ownership/README.md` says how the files were made.
+//! The durable state of a replica of an earlier release, and its ownership table, are decoded to the same leases,
+//! requests, fences and epochs, and are encoded to the same bytes. `fixtures/ownership/README.md` says how the files
+//! were made.
 
 use std::net::SocketAddr;
 
@@ -22,7 +23,7 @@
 const ENTRIES: &[u8] = include_bytes!("fixtures/ownership/entries.bin");
 const TABLE: &[u8] = include_bytes!("fixtures/ownership/book.bin");
 
-/// Fencing tokens and epochs of a group begin at its number times this.
+/// Fencing tokens and epochs of a group start at the group's number times this factor.
 const NUMBERS_PER_GROUP: u64 = 1 << 30;
 
 fn settings() -> OwnershipSettings {
@@ -36,7 +37,7 @@
     ([127, 0, 0, 1], 9000 + n).into()
 }
 
-/// The replica's log entries: each behind its index (8 bytes) and its length (4).
+/// The replica's log entries, each preceded by its index (8 bytes) and its length (4 bytes).
 fn entries() -> Vec<(u64, Vec<u8>)> {
     let (mut rest, mut all) = (ENTRIES, Vec::new());
     while let Some((number, after)) = rest.split_first_chunk::<8>() {
@@ -95,7 +96,7 @@
         "{actions:?}"
     );
     let status = replica.status();
-    // Up to the commit index that it had stored; a leader will confirm the other entries.
+    // Entries are applied up to the stored commit index; a leader has yet to confirm the later ones.
     assert_eq!(
         (
             status.group,
