--- a/crates/asterdale-ownership/src/message.rs
+++ b/crates/asterdale-ownership/src/message.rs
@@ -27,7 +27,7 @@
 /// Length of an execution id.
 const EXECUTION_ID_BYTES: usize = 16;
 /// Exclusive upper bound of the durations and sizes of a request: eleven days in milliseconds.
-const MAX_NUMBER: f64 = 1e9;
+const REQUEST_NUMBER_LIMIT: f64 = 1e9;
 
 /// The `Member` message for the process with this name, node id and address.
 pub fn member(name: &str, node: u64, address: SocketAddr) -> Member {
@@ -95,5 +95,5 @@
         && request.class.len() <= MAX_NAME_BYTES
         && numbers
             .iter()
-            .all(|number| number.is_finite() && *number >= 0.0 && *number < MAX_NUMBER)
+            .all(|number| number.is_finite() && *number >= 0.0 && *number < REQUEST_NUMBER_LIMIT)
 }
--- a/crates/asterdale-ownership/src/owner/lease.rs
+++ b/crates/asterdale-ownership/src/owner/lease.rs
@@ -9,7 +9,7 @@
 /// older one could not extend the lease.
 const MAX_RENEWALS: usize = 32;
 /// Renewal intervals without any answer after which the owner tries the next replica: one renewal may be lost.
-const UNANSWERED_INTERVALS: f64 = 1.5;
+const MAX_UNANSWERED_INTERVALS: f64 = 1.5;
 
 /// A join or renewal that was sent.
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
         };
         self.renewals.insert(command.seq, renewal);
         // A replica that does not answer is not the leader or is unreachable.
-        if now_ms - self.last_answer_at_ms > UNANSWERED_INTERVALS * interval_ms {
+        if now_ms - self.last_answer_at_ms > MAX_UNANSWERED_INTERVALS * interval_ms {
             self.try_next_replica();
             self.resend_pending();
         }
--- a/crates/asterdale-ownership/src/owner/requests.rs
+++ b/crates/asterdale-ownership/src/owner/requests.rs
@@ -140,7 +140,7 @@
             return;
         }
         let Some(number) = pending.number else {
-            return self.handle_abandoned_answer(pending, &answer);
+            return self.handle_late_answer(pending, &answer);
         };
         if is_epoch_ended {
             self.end_epoch();
@@ -149,7 +149,7 @@
     }
 
     /// Handles the answer to a request whose caller has stopped waiting.
-    fn handle_abandoned_answer(&mut self, pending: PendingRequest, answer: &Answer) {
+    fn handle_late_answer(&mut self, pending: PendingRequest, answer: &Answer) {
         match (pending.request, answer.verdict()) {
             (OwnershipRequest::Claim(request), Verdict::Granted) => {
                 self.release_claim(request.key, answer.number);
--- a/crates/asterdale-ownership/src/replica/formation.rs
+++ b/crates/asterdale-ownership/src/replica/formation.rs
@@ -2,7 +2,7 @@
 
 use rand_pcg::rand_core::Rng;
 
-use super::{PeerHello, Replica, PRESENT_TICKS};
+use super::{PeerHello, Replica, PRESENCE_TIMEOUT_TICKS};
 use crate::failpoint::{self, Failpoint};
 use crate::message::wire::{self, Hello};
 use crate::message::{Member, MessageBody};
@@ -64,10 +64,10 @@
         };
         self.last_hellos.insert(from.name.clone(), peer);
         let mut members = hello.members.iter();
-        let namesake = members.find(|member| member.name == self.member.name);
+        let same_name_member = members.find(|member| member.name == self.member.name);
         match &self.raft_node {
             None if hello.members_are_founders
-                && namesake.is_some_and(|member| member.node == self.member.node) =>
+                && same_name_member.is_some_and(|member| member.node == self.member.node) =>
             {
                 self.start_as_founder(now_ms, hello.group, hello.members.clone());
             }
@@ -78,7 +78,7 @@
                 self.abandon_group(group);
                 // This process already has a new node id, so a founder of its name with another id is another process.
                 self.superseded = hello.members_are_founders
-                    && namesake.is_some_and(|member| member.node != self.member.node);
+                    && same_name_member.is_some_and(|member| member.node != self.member.node);
             }
             _ => {}
         }
@@ -137,7 +137,7 @@
     }
 
     pub(super) fn is_present(&self, now_ms: f64, hello: &PeerHello) -> bool {
-        now_ms - hello.received_at_ms <= PRESENT_TICKS * self.settings.tick_ms
+        now_ms - hello.received_at_ms <= PRESENCE_TIMEOUT_TICKS * self.settings.tick_ms
     }
 
     /// Forms a group if this replica has none; otherwise maintains the members of its group.
@@ -171,9 +171,11 @@
                     && hello.member.node != member.node
             })
         };
-        let lost = members.values().filter(restarted_without_state).count();
+        let lost_count = members.values().filter(restarted_without_state).count();
         let leaderless_ms = now_ms - self.leaderless_since_ms;
-        if leaderless_ms > ABANDON_AFTER_TICKS * self.settings.tick_ms && lost * 2 > members.len() {
+        if leaderless_ms > ABANDON_AFTER_TICKS * self.settings.tick_ms
+            && lost_count * 2 > members.len()
+        {
             let group = raft_node.group;
             self.abandon_group(group);
         }
@@ -203,7 +205,7 @@
     }
 
     pub(super) fn receive_raft(&mut self, now_ms: f64, message: &wire::RaftMessage) {
-        if self.is_invited_by(message) {
+        if self.is_added_by(message) {
             // The leader has added this replica as a learner, or it is a founder that has not yet received the list of
             // founders. In both cases the leader sends it the log or a snapshot.
             let id = self.member_id(message.group);
@@ -221,7 +223,7 @@
 
     /// Whether the message makes this replica a member of a group. A group with a number below the highest seen is not
     /// accepted, as it may have been abandoned.
-    fn is_invited_by(&self, message: &wire::RaftMessage) -> bool {
+    fn is_added_by(&self, message: &wire::RaftMessage) -> bool {
         raft_node::recipient(&message.message) == Some(self.member.node)
             && !failpoint::is_active(Failpoint::KeepNodeIdWithoutState)
             && self.raft_node.is_none()
--- a/crates/asterdale-ownership/src/replica/membership.rs
+++ b/crates/asterdale-ownership/src/replica/membership.rs
@@ -15,7 +15,7 @@
             return;
         };
         let replacement = self.find_replacement(now_ms, raft_node);
-        let unlisted = self.find_unlisted_member(raft_node);
+        let unconfigured = self.find_unconfigured_member(raft_node);
         let Some(raft_node) = &mut self.raft_node else {
             return;
         };
@@ -23,7 +23,7 @@
             if raft_node.propose_replacement(&new) == ReplacementStep::Promote {
                 self.report(OwnershipEvent::ReplicaReplaced(new.name));
             }
-        } else if let Some(node) = unlisted {
+        } else if let Some(node) = unconfigured {
             raft_node.propose_removal(node);
         }
     }
@@ -52,9 +52,9 @@
             .map(|member| member.node)
             .collect();
         let is_only_member = nodes.len() == 1 && nodes.contains(&hello.member.node);
-        let is_free = hello.group == 0 || hello.group == raft_node.group;
-        let mut others = nodes.iter().filter(|node| **node != hello.member.node);
-        is_free && !is_only_member && others.all(|node| self.is_silent(now_ms, *node))
+        let has_no_other_group = hello.group == 0 || hello.group == raft_node.group;
+        let mut old_nodes = nodes.iter().filter(|node| **node != hello.member.node);
+        has_no_other_group && !is_only_member && old_nodes.all(|node| self.is_silent(now_ms, *node))
     }
 
     fn is_silent(&self, now_ms: f64, node: u64) -> bool {
@@ -64,12 +64,12 @@
             .is_none_or(|last| now_ms - last.received_at_ms > max_silence_ms)
     }
 
-    fn find_unlisted_member(&self, raft_node: &RaftNode) -> Option<u64> {
-        let is_listed =
+    fn find_unconfigured_member(&self, raft_node: &RaftNode) -> Option<u64> {
+        let is_configured =
             |member: &Member| self.replicas.iter().any(|(name, _)| *name == member.name);
         let mut members = raft_node.table.members.values();
         members
-            .find(|member| !is_listed(member))
+            .find(|member| !is_configured(member))
             .map(|member| member.node)
     }
 }
--- a/crates/asterdale-ownership/src/replica/mod.rs
+++ b/crates/asterdale-ownership/src/replica/mod.rs
@@ -39,7 +39,7 @@
 /// Ticks between two hello messages to each other replica: as often as Raft's heartbeats.
 const HELLO_TICKS: f64 = 3.0;
 /// A replica is present if a hello was received within this many ticks: four hellos, of which three may be lost.
-const PRESENT_TICKS: f64 = 12.0;
+const PRESENCE_TIMEOUT_TICKS: f64 = 12.0;
 /// A member that sent no message for this many ticks may be replaced: two election timeouts, so that a short pause does
 /// not cause a replacement.
 const REPLACE_AFTER_TICKS: f64 = 40.0;
--- a/crates/asterdale-ownership/src/table/commands.rs
+++ b/crates/asterdale-ownership/src/table/commands.rs
@@ -81,11 +81,11 @@
         if let Some(fence) = self.fence_of_same_claim(epoch, &request) {
             return granted(seq, fence);
         }
-        let refusal = self
+        let rejection = self
             .answer_if_taken(seq, &request.key, request.body_digest)
             .or_else(|| self.answer_if_blocked(seq));
-        if let Some(refusal) = refusal {
-            return refusal;
+        if let Some(rejection) = rejection {
+            return rejection;
         }
         let previous = self.requests.get(&request.key);
         let (deadline_ms, expires_at_ms) =
--- a/crates/asterdale-ownership/tests/cluster/durable_replicas.rs
+++ b/crates/asterdale-ownership/tests/cluster/durable_replicas.rs
@@ -12,7 +12,7 @@
     net.durable = true;
     net.configure_replicas(replicas);
     (0..replicas).for_each(|n| net.start_replica(n));
-    net.until_leases(owners);
+    net.run_until_leases(owners);
     net
 }
 
@@ -23,24 +23,33 @@
 #[test]
 fn durable_replicas_survive_a_crash_of_all() {
     let mut net = durable_network(3, 3, 2);
-    let granted = net.ask(100, 1, claim(7, 1));
+    let granted = net.submit_and_wait(100, 1, claim(7, 1));
     let outcome = complete(7, granted.number, Some(b"sold"));
-    assert_eq!(net.ask(100, 2, outcome).verdict(), Verdict::Recorded);
-    assert_eq!(net.ask(100, 3, claim(8, 3)).verdict(), Verdict::Granted);
+    assert_eq!(
+        net.submit_and_wait(100, 2, outcome).verdict(),
+        Verdict::Recorded
+    );
+    assert_eq!(
+        net.submit_and_wait(100, 3, claim(8, 3)).verdict(),
+        Verdict::Granted
+    );
     let groups_before = count_formed_groups(&net);
     // A claim is in flight when all replicas and the other owner crash.
     net.submit(101, 1, claim(9, 9));
     (0..3).for_each(|n| net.start_replica(n));
     net.owners.remove(&100);
-    net.until("a leader", 60_000.0, |net| net.leader().is_some());
-    let known = net.ask(101, 2, lookup(7));
+    net.run_until("a leader", 60_000.0, |net| net.leader().is_some());
+    let known = net.submit_and_wait(101, 2, lookup(7));
     assert_eq!(
         (known.verdict(), &known.result[..]),
         (Verdict::Completed, &b"sold"[..])
     );
     // The crashed owner's request becomes ownerless once its lease has expired.
     net.run(6000.0);
-    assert_eq!(net.ask(101, 3, claim(8, 5)).verdict(), Verdict::Granted);
+    assert_eq!(
+        net.submit_and_wait(101, 3, claim(8, 5)).verdict(),
+        Verdict::Granted
+    );
     assert_eq!(
         (groups_before, count_formed_groups(&net)),
         (1, 1),
@@ -51,12 +60,12 @@
 }
 
 #[test]
-fn replica_with_a_failing_disk_falls_silent() {
+fn group_continues_without_a_replica_whose_disk_fails() {
     let mut net = durable_network(3, 3, 1);
     let leader = net.leader().unwrap();
     net.failing_disks.insert(leader);
     net.submit(100, 1, claim(7, 1));
-    net.until("an answer", 60_000.0, |net| net.verdict(100, 1).is_some());
+    net.run_until("an answer", 60_000.0, |net| net.verdict(100, 1).is_some());
     assert_eq!(net.verdict(100, 1), Some(Verdict::Granted));
     assert!(!net.replicas.contains_key(&leader) && net.leader().is_some_and(|n| n != leader));
     // With a working disk the replica restarts as the same member and catches up.
@@ -76,7 +85,10 @@
 fn replica_with_an_incomplete_log_joins_as_another_member() {
     let mut net = durable_network(3, 3, 1);
     for n in 0..20 {
-        assert_eq!(net.ask(100, n, claim(n, n)).verdict(), Verdict::Granted);
+        assert_eq!(
+            net.submit_and_wait(100, n, claim(n, n)).verdict(),
+            Verdict::Granted
+        );
     }
     let damaged = (0..3).find(|n| Some(*n) != net.leader()).unwrap();
     let node = net.replicas[&damaged].raft_node().map(|node| node.node);
@@ -90,7 +102,7 @@
         "it does not speak as the member that it was"
     );
     let replaced = OwnershipEvent::ReplicaReplaced(format!("k{damaged}"));
-    net.until("the replacement", 90_000.0, |net| {
+    net.run_until("the replacement", 90_000.0, |net| {
         net.events.iter().any(|(_, event)| *event == replaced)
     });
     net.run(3000.0);
@@ -107,7 +119,7 @@
     for n in 0..60u64 {
         let owner = FIRST_OWNER + net.random_below(3) as usize;
         let key = 1000 + n;
-        let granted = net.ask(owner, 10 * n + 1, claim(key, n));
+        let granted = net.submit_and_wait(owner, 10 * n + 1, claim(key, n));
         if granted.verdict() != Verdict::Granted {
             continue;
         }
@@ -121,7 +133,7 @@
             3 => (0..3).for_each(|replica| net.start_replica(replica)),
             _ => {}
         }
-        net.until("an answer", 60_000.0, |net| {
+        net.run_until("an answer", 60_000.0, |net| {
             net.verdict(owner, outcome_number).is_some()
         });
         if net.verdict(owner, outcome_number) == Some(Verdict::Recorded) {
@@ -144,7 +156,7 @@
             recorded.len()
         );
         for (number, (key, result)) in (10_000..).zip(recorded) {
-            let known = net.ask(FIRST_OWNER, number, lookup(key));
+            let known = net.submit_and_wait(FIRST_OWNER, number, lookup(key));
             assert_eq!(
                 (known.verdict(), known.result),
                 (Verdict::Completed, vec![result]),
--- a/crates/asterdale-ownership/tests/cluster/network.rs
+++ b/crates/asterdale-ownership/tests/cluster/network.rs
@@ -31,7 +31,7 @@
 }
 
 /// A message in flight.
-struct InFlight {
+struct InFlightMessage {
     from: usize,
     to: usize,
     bytes: Vec<u8>,
@@ -54,7 +54,7 @@
     /// The encoded table by group and log index, of the first replica that applied that index.
     tables: BTreeMap<(u64, u64), Vec<u8>>,
     /// By time of arrival (as ordered bits) and message number.
-    in_flight: BTreeMap<(u64, u64), InFlight>,
+    in_flight: BTreeMap<(u64, u64), InFlightMessage>,
     message_count: u64,
     random: Pcg64Mcg,
     settings: OwnershipSettings,
@@ -67,7 +67,7 @@
 }
 
 /// Applies a write to a disk.
-fn write(disk: &mut StoredState, write: StorageWrite) {
+fn apply_write(disk: &mut StoredState, write: StorageWrite) {
     match write {
         StorageWrite::Identity(bytes) => disk.identity = bytes,
         StorageWrite::HardState(bytes) => disk.hard_state = bytes,
@@ -172,7 +172,9 @@
                         return;
                     }
                     let disk = self.disks.entry(process).or_default();
-                    writes.into_iter().for_each(|one| write(disk, one));
+                    writes
+                        .into_iter()
+                        .for_each(|write| apply_write(disk, write));
                 }
                 Action::Report(event) => self.events.push((process, event)),
                 Action::Answer(number, answer) => {
@@ -197,7 +199,7 @@
             } else {
                 0.0
             };
-            let message = InFlight {
+            let message = InFlightMessage {
                 from,
                 to,
                 bytes: bytes.to_vec(),
@@ -206,7 +208,7 @@
         }
     }
 
-    fn enqueue(&mut self, arrival_ms: f64, message: InFlight) {
+    fn enqueue(&mut self, arrival_ms: f64, message: InFlightMessage) {
         self.message_count += 1;
         self.in_flight
             .insert((arrival_ms.to_bits(), self.message_count), message);
@@ -230,7 +232,7 @@
         self.compare_tables();
     }
 
-    fn deliver(&mut self, message: &InFlight) {
+    fn deliver(&mut self, message: &InFlightMessage) {
         let Some((from, address, body)) = decode(&Network::authenticator(), &message.bytes) else {
             panic!("message of process {} can't be decoded", message.from)
         };
@@ -299,7 +301,7 @@
     }
 
     /// Advances the time until a condition is met. Returns the simulated time that this took, in milliseconds.
-    pub fn until(&mut self, what: &str, max_ms: f64, is_met: impl Fn(&Network) -> bool) -> f64 {
+    pub fn run_until(&mut self, what: &str, max_ms: f64, is_met: impl Fn(&Network) -> bool) -> f64 {
         let start_ms = self.now_ms;
         while !is_met(self) {
             assert!(
@@ -327,9 +329,14 @@
     }
 
     /// Submits a request and waits for its answer.
-    pub fn ask(&mut self, owner: usize, number: u64, request: OwnershipRequest) -> Answer {
+    pub fn submit_and_wait(
+        &mut self,
+        owner: usize,
+        number: u64,
+        request: OwnershipRequest,
+    ) -> Answer {
         self.submit(owner, number, request);
-        self.until("an answer", 30_000.0, |net| {
+        self.run_until("an answer", 30_000.0, |net| {
             net.answers.contains_key(&(owner, number))
         });
         self.answers[&(owner, number)].clone()
@@ -350,8 +357,8 @@
     }
 
     /// Waits until this many owners have leases, and then for another second.
-    pub fn until_leases(&mut self, owners: usize) {
-        self.until("leases", 20_000.0, |net| {
+    pub fn run_until_leases(&mut self, owners: usize) {
+        self.run_until("leases", 20_000.0, |net| {
             (FIRST_OWNER..FIRST_OWNER + owners).all(|owner| net.has_lease(owner))
         });
         self.run(1000.0);
--- a/crates/asterdale-ownership/tests/cluster/random_faults.rs
+++ b/crates/asterdale-ownership/tests/cluster/random_faults.rs
@@ -46,7 +46,7 @@
     fn new(seed: u64) -> Run {
         let replicas = 3 + 2 * (seed as usize % 2);
         let mut net = Network::new(seed, replicas, OWNERS as usize, settings());
-        net.until("a leader", 30_000.0, |net| net.leader().is_some());
+        net.run_until("a leader", 30_000.0, |net| net.leader().is_some());
         net.run(2000.0);
         (net.loss_rate, net.duplicate_rate) = (0.05, 0.1);
         Run {
@@ -62,7 +62,7 @@
     }
 
     /// Injects a random fault or, in most cases, submits a claim.
-    fn act(&mut self) {
+    fn take_random_action(&mut self) {
         let net = &mut self.net;
         let owner = FIRST_OWNER + net.random_below(OWNERS) as usize;
         self.number += 1;
@@ -93,8 +93,9 @@
 
     fn restart_owner(&mut self, owner: usize) {
         self.net.start_owner(owner);
-        self.claims.retain(|(of, _), _| *of != owner);
-        self.completions.retain(|(of, _), _| *of != owner);
+        self.claims.retain(|(claimant, _), _| *claimant != owner);
+        self.completions
+            .retain(|(claimant, _), _| *claimant != owner);
     }
 
     fn handle_answers(&mut self) {
@@ -136,7 +137,9 @@
         self.net.run(20_000.0);
         for (key, result) in self.outcomes {
             self.number += 1;
-            let known = self.net.ask(FIRST_OWNER, self.number, lookup(key));
+            let known = self
+                .net
+                .submit_and_wait(FIRST_OWNER, self.number, lookup(key));
             assert_eq!(
                 (known.verdict(), known.result),
                 (Verdict::Completed, result),
@@ -153,7 +156,7 @@
         let mut run = Run::new(seed);
         for _ in 0..400 {
             run.net.run(50.0);
-            run.act();
+            run.take_random_action();
             run.handle_answers();
         }
         run.check_all_outcomes_known();
--- a/crates/asterdale-ownership/tests/explore.rs
+++ b/crates/asterdale-ownership/tests/explore.rs
@@ -27,7 +27,7 @@
 /// Number of steps of which every sequence is explored, from two states: tens of thousands of states, in seconds.
 const MAX_DEPTH: usize = 5;
 /// Number of long random runs, one for each seed.
-const RUNS: u64 = 1500;
+const RANDOM_RUNS: u64 = 1500;
 const STEP_MS: f64 = 800.0;
 
 #[derive(Clone, Copy, Debug)]
@@ -67,7 +67,7 @@
 }
 
 #[derive(Clone)]
-struct World {
+struct Model {
     now_ms: f64,
     table: OwnershipTable,
     last_entry_ms: f64,
@@ -77,9 +77,9 @@
     crashed: [bool; 2],
     /// Messages in flight, with the index of the recipient owner; `None` for the replicas.
     messages: Vec<(Option<usize>, Vec<u8>)>,
-    budget: BTreeMap<&'static str, u32>,
+    step_budget: BTreeMap<&'static str, u32>,
     fenced: bool,
-    processes: u64,
+    process_count: u64,
     fences: Vec<u64>,
     starts: Vec<(usize, u64)>,
     /// The highest fencing token that reached the dependency.
@@ -88,7 +88,7 @@
     answered_results: Vec<Vec<u8>>,
 }
 
-const REPLICAS: &str = "127.0.0.1:9000";
+const REPLICA_ADDRESS: &str = "127.0.0.1:9000";
 
 fn authenticator() -> MessageAuthenticator {
     MessageAuthenticator::new(b"key")
@@ -103,7 +103,7 @@
 
 fn owner(now_ms: f64, n: usize, process: u64) -> Owner {
     let address: SocketAddr = ([127, 0, 0, 1], 9001 + n as u16).into();
-    let replicas = vec![REPLICAS.parse().unwrap()];
+    let replicas = vec![REPLICA_ADDRESS.parse().unwrap()];
     Owner::new(
         now_ms,
         member(&format!("o{n}"), process, address),
@@ -113,9 +113,9 @@
     )
 }
 
-impl World {
-    fn new(fenced: bool) -> World {
-        let mut world = World {
+impl Model {
+    fn new(fenced: bool) -> Model {
+        let mut model = Model {
             now_ms: 0.0,
             table: OwnershipTable::new(1, &[], settings()),
             last_entry_ms: 0.0,
@@ -124,17 +124,17 @@
             paused: [false; 2],
             crashed: [false; 2],
             messages: Vec::new(),
-            budget: [
-                ("lost", 1),
-                ("twice", 1),
-                ("stop", 1),
+            step_budget: [
+                ("loss", 1),
+                ("duplicate", 1),
+                ("pause", 1),
                 ("crash", 1),
                 ("leader", 1),
                 ("time", 4),
             ]
             .into(),
             fenced,
-            processes: 2,
+            process_count: 2,
             fences: Vec::new(),
             starts: Vec::new(),
             highest_fence: 0,
@@ -142,20 +142,20 @@
             answered_results: Vec::new(),
         };
         for n in 0..2 {
-            world.wake(n);
+            model.wake(n);
         }
-        while !world.messages.is_empty() {
-            world.take_step(Step::Deliver(0));
+        while !model.messages.is_empty() {
+            model.take_step(Step::Deliver(0));
         }
-        assert!(world
+        assert!(model
             .owners
             .iter()
             .flatten()
             .all(|owner| owner.lease_until_ms() > 0.0));
-        world
+        model
     }
 
-    fn act(&mut self, n: usize, actions: Vec<Action>) {
+    fn execute(&mut self, n: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(_, bytes) => self.messages.push((None, bytes)),
@@ -169,7 +169,7 @@
                             assert!(!self.fences.contains(&fence), "a token is granted twice");
                             self.fences.push(fence);
                         } else if verdict == Verdict::Completed {
-                            self.note_answer(answer.result);
+                            self.check_answered_result(answer.result);
                         }
                     } else if let Some((_, result)) =
                         engine.recording.take_if(|recording| recording.0 == number)
@@ -177,7 +177,7 @@
                         if verdict == Verdict::Recorded {
                             let known = self.outcome.get_or_insert_with(|| result.clone());
                             assert_eq!(*known, result, "two outcomes are recorded");
-                            self.note_answer(result);
+                            self.check_answered_result(result);
                         }
                     }
                 }
@@ -186,9 +186,11 @@
         }
     }
 
-    fn note_answer(&mut self, result: Vec<u8>) {
+    fn check_answered_result(&mut self, result: Vec<u8>) {
         assert!(
-            self.answered_results.iter().all(|before| *before == result),
+            self.answered_results
+                .iter()
+                .all(|earlier| *earlier == result),
             "two answers"
         );
         self.answered_results.push(result);
@@ -201,16 +203,16 @@
             .filter(|owner| owner.next_wake_ms() <= now_ms)
         {
             let actions = owner.wake(now_ms);
-            self.act(n, actions);
+            self.execute(n, actions);
         }
     }
 
     /// Delivers commands to the replicas: all of them are committed and applied at once.
-    fn replicas_receive(&mut self, bytes: &[u8]) {
-        let Some((from, _, MessageBody::Commands(asked))) = decode(&authenticator(), bytes) else {
+    fn deliver_to_replicas(&mut self, bytes: &[u8]) {
+        let Some((from, _, MessageBody::Commands(batch))) = decode(&authenticator(), bytes) else {
             panic!("no command")
         };
-        let proposals = asked.commands.into_iter();
+        let proposals = batch.commands.into_iter();
         let proposals = proposals.map(|command| Proposal {
             from: Some(from.clone()),
             command: Some(command),
@@ -218,7 +220,7 @@
         let answers = self.apply(proposals.collect());
         let to = usize::from(from.port as u16 - 9001);
         let answers = answers.into_iter().map(|(_, answer)| answer).collect();
-        let replica: Member = member("k", 99, REPLICAS.parse().unwrap());
+        let replica: Member = member("k", 99, REPLICA_ADDRESS.parse().unwrap());
         let body = MessageBody::Answers(Answers {
             answers,
             leader: None,
@@ -237,11 +239,11 @@
         })
     }
 
-    fn spend(&mut self, what: &'static str) -> bool {
-        let left = self.budget.get_mut(what).unwrap();
-        let is_left = *left > 0;
-        *left = left.saturating_sub(1);
-        is_left
+    fn use_budget(&mut self, step: &'static str) -> bool {
+        let remaining = self.step_budget.get_mut(step).unwrap();
+        let is_available = *remaining > 0;
+        *remaining = remaining.saturating_sub(1);
+        is_available
     }
 
     fn steps(&self) -> Vec<Step> {
@@ -291,12 +293,12 @@
             }
             Step::Lose(n) => {
                 self.messages.remove(n);
-                return self.spend("lost");
+                return self.use_budget("loss");
             }
             Step::Duplicate(n) => {
                 let (to, bytes) = self.messages[n].clone();
                 self.deliver(to, &bytes);
-                return self.spend("twice");
+                return self.use_budget("duplicate");
             }
             Step::AdvanceTime => {
                 self.now_ms += STEP_MS;
@@ -306,11 +308,11 @@
                     .collect::<Vec<_>>()
                     .into_iter()
                     .for_each(|n| self.wake(n));
-                return self.spend("time");
+                return self.use_budget("time");
             }
             Step::Pause(n) => {
                 self.paused[n] = true;
-                return self.spend("stop");
+                return self.use_budget("pause");
             }
             Step::Resume(n) => {
                 self.paused[n] = false;
@@ -318,7 +320,7 @@
             }
             Step::Crash(n) => {
                 self.restart(n);
-                return self.spend("crash");
+                return self.use_budget("crash");
             }
             Step::SubmitClaim(n) => self.submit_claim(n),
             Step::Start(n) => return self.start(n),
@@ -326,16 +328,16 @@
             Step::RecordOutcome(n) => return self.record_outcome(n),
             Step::ChangeLeader => {
                 self.messages.retain(|(to, _)| to.is_some());
-                return self.spend("leader");
+                return self.use_budget("leader");
             }
         }
         true
     }
 
     fn restart(&mut self, n: usize) {
-        self.processes += 1;
+        self.process_count += 1;
         self.crashed[n] = true;
-        self.owners[n] = Some(owner(self.now_ms, n, self.processes));
+        self.owners[n] = Some(owner(self.now_ms, n, self.process_count));
         self.engines[n] = Engine {
             attempts: self.engines[n].attempts,
             ..Engine::default()
@@ -385,7 +387,7 @@
         if let Some(owner) = &mut self.owners[n] {
             owner.submit(number, outcome);
             let actions = owner.flush(now_ms);
-            self.act(n, actions);
+            self.execute(n, actions);
         }
         true
     }
@@ -407,13 +409,13 @@
         if let Some(owner) = &mut self.owners[n] {
             owner.submit(number, OwnershipRequest::Claim(request));
             let actions = owner.flush(now_ms);
-            self.act(n, actions);
+            self.execute(n, actions);
         }
     }
 
     fn deliver(&mut self, to: Option<usize>, bytes: &[u8]) {
         let Some(to) = to else {
-            return self.replicas_receive(bytes);
+            return self.deliver_to_replicas(bytes);
         };
         let Some((_, _, MessageBody::Answers(answers))) = decode(&authenticator(), bytes) else {
             panic!("no answer")
@@ -422,7 +424,7 @@
         if let Some(owner) = &mut self.owners[to] {
             let mut actions = owner.receive(now_ms, answers);
             actions.extend(owner.flush(now_ms));
-            self.act(to, actions);
+            self.execute(to, actions);
         }
     }
 
@@ -433,13 +435,13 @@
         let mut fences: Vec<u64> = self.starts.iter().map(|(_, fence)| *fence).collect();
         fences.dedup();
         assert_eq!(fences.len(), self.starts.len(), "one token, two starts");
-        let alone = self
+        let not_restarted = self
             .owners
             .iter()
             .flatten()
             .zip(self.crashed)
             .filter(|(_, crashed)| !crashed);
-        for (owner, _) in alone.filter(|(owner, _)| owner.lease_until_ms() > self.now_ms) {
+        for (owner, _) in not_restarted.filter(|(owner, _)| owner.lease_until_ms() > self.now_ms) {
             let epoch = owner.epoch().unwrap_or(0);
             assert!(
                 self.table.leases().contains_key(&epoch),
@@ -452,7 +454,7 @@
         let mut hasher = DefaultHasher::new();
         let text = format!(
             "{:?} {:?} {:?} {:?}",
-            self.owners, self.engines, self.paused, self.budget
+            self.owners, self.engines, self.paused, self.step_budget
         );
         (
             text,
@@ -467,45 +469,45 @@
     }
 }
 
-fn explore(world: &World, depth: usize, seen: &mut HashMap<u64, usize>) {
+fn explore(model: &Model, depth: usize, seen: &mut HashMap<u64, usize>) {
     if depth == 0 {
         return;
     }
-    for step in world.steps() {
-        let mut next = world.clone();
+    for step in model.steps() {
+        let mut next = model.clone();
         if !next.take_step(step) {
             continue;
         }
         next.check();
         // A state that was already explored with at least as many steps left is skipped.
-        let left = seen.entry(next.digest()).or_insert(0);
-        if *left < depth {
-            *left = depth;
+        let explored_depth = seen.entry(next.digest()).or_insert(0);
+        if *explored_depth < depth {
+            *explored_depth = depth;
             explore(&next, depth - 1, seen);
         }
     }
 }
 
 /// The initial state of the exploration: the first owner has submitted a claim.
-fn world_with_claim(fenced: bool) -> World {
-    let mut world = World::new(fenced);
-    world.take_step(Step::SubmitClaim(0));
-    world
+fn model_with_claim(fenced: bool) -> Model {
+    let mut model = Model::new(fenced);
+    model.take_step(Step::SubmitClaim(0));
+    model
 }
 
 #[test]
 fn every_order_of_events_gives_one_owner() {
     for fenced in [true, false] {
         let mut seen = HashMap::new();
-        let mut world = world_with_claim(fenced);
-        explore(&world, MAX_DEPTH, &mut seen);
+        let mut model = model_with_claim(fenced);
+        explore(&model, MAX_DEPTH, &mut seen);
         // Again from the state in which the claim is granted and started.
-        while !world.messages.is_empty() {
-            world.take_step(Step::Deliver(0));
+        while !model.messages.is_empty() {
+            model.take_step(Step::Deliver(0));
         }
-        world.take_step(Step::Start(0));
-        assert_eq!(world.starts.len(), 1);
-        explore(&world, MAX_DEPTH, &mut seen);
+        model.take_step(Step::Start(0));
+        assert_eq!(model.starts.len(), 1);
+        explore(&model, MAX_DEPTH, &mut seen);
         eprintln!("fenced {fenced}: {} states", seen.len());
         assert!(seen.len() > 5_000, "{}", seen.len());
     }
@@ -514,29 +516,29 @@
 #[test]
 fn long_random_runs_give_one_owner() {
     let mut outcomes = 0;
-    for seed in 0..RUNS {
+    for seed in 0..RANDOM_RUNS {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let mut world = world_with_claim(seed % 2 == 0);
-        world.budget = [
-            ("lost", 6),
-            ("twice", 6),
-            ("stop", 3),
+        let mut model = model_with_claim(seed % 2 == 0);
+        model.step_budget = [
+            ("loss", 6),
+            ("duplicate", 6),
+            ("pause", 3),
             ("crash", 2),
             ("leader", 2),
             ("time", 14),
         ]
         .into();
         for _ in 0..90 {
-            let steps = world.steps();
+            let steps = model.steps();
             let step = steps[random.next_u32() as usize % steps.len()];
             // A drawn step that is not possible is skipped.
-            let mut next = world.clone();
+            let mut next = model.clone();
             if next.take_step(step) {
                 next.check();
-                world = next;
+                model = next;
             }
         }
-        outcomes += u32::from(world.outcome.is_some());
+        outcomes += u32::from(model.outcome.is_some());
     }
     assert!(
         outcomes > 20,
--- a/crates/asterdale-ownership/tests/stored_messages.rs
+++ b/crates/asterdale-ownership/tests/stored_messages.rs
@@ -18,7 +18,7 @@
     member("alpha", 0x0102_0304_0506_0708, ([10, 0, 0, 7], 4100).into())
 }
 
-fn other() -> Member {
+fn other_member() -> Member {
     member("beta", 9, ([0xfd00, 0, 0, 0, 0, 0, 0, 9], 4200).into())
 }
 
@@ -116,7 +116,7 @@
         MessageBody::Hello(Hello {
             group: 1000,
             highest_group: 1001,
-            members: vec![sender(), other()],
+            members: vec![sender(), other_member()],
             members_are_founders: true,
         }),
         MessageBody::Raft(RaftMessage {
@@ -128,7 +128,7 @@
         }),
         MessageBody::Answers(Answers {
             answers: answers(),
-            leader: Some(other()),
+            leader: Some(other_member()),
             to: 0x0807_0605_0403_0201,
         }),
     ]
@@ -137,7 +137,7 @@
 /// An entry of the log, which is part of Raft messages and of the durable state.
 fn entry() -> LogEntry {
     let proposals = commands().into_iter().map(|command| Proposal {
-        from: Some(other()),
+        from: Some(other_member()),
         command: Some(command),
     });
     LogEntry {
@@ -161,15 +161,15 @@
 fn stored_messages_are_read() {
     let (authenticator, stored) = (MessageAuthenticator::new(KEY), stored());
     assert_eq!(stored.len(), messages().len() + 1);
-    let at = ([10, 0, 0, 7], 4100).into();
+    let address = ([10, 0, 0, 7], 4100).into();
     for (bytes, expected) in stored.into_iter().zip(messages()) {
         assert_eq!(
             decode(&authenticator, bytes),
-            Some((sender(), at, expected))
+            Some((sender(), address, expected))
         );
     }
     assert_eq!(
-        socket_addr(&other()),
+        socket_addr(&other_member()),
         Some(([0xfd00, 0, 0, 0, 0, 0, 0, 9], 4200).into())
     );
 }
--- a/crates/asterdale-ownership/tests/stored_state.rs
+++ b/crates/asterdale-ownership/tests/stored_state.rs
@@ -33,7 +33,7 @@
     }
 }
 
-fn at(n: u16) -> SocketAddr {
+fn address(n: u16) -> SocketAddr {
     ([127, 0, 0, 1], 9000 + n).into()
 }
 
@@ -62,9 +62,9 @@
 fn stored_identity_is_read_and_written_again() {
     let identity = stored().identity().unwrap();
     let founders = vec![
-        member("k0", 10_277_665_017_230_984_823, at(0)),
-        member("k1", 7_228_268_180_155_082_411, at(1)),
-        member("k2", 13_638_903_821_675_014_887, at(2)),
+        member("k0", 10_277_665_017_230_984_823, address(0)),
+        member("k1", 7_228_268_180_155_082_411, address(1)),
+        member("k2", 13_638_903_821_675_014_887, address(2)),
     ];
     assert_eq!(
         identity,
@@ -81,8 +81,8 @@
 #[test]
 fn replica_restores_itself_from_stored_state() {
     let config = ReplicaConfig {
-        member: member("k1", 4321, at(1)),
-        replicas: (0..3u16).map(|n| (format!("k{n}"), at(n))).collect(),
+        member: member("k1", 4321, address(1)),
+        replicas: (0..3u16).map(|n| (format!("k{n}"), address(n))).collect(),
         settings: settings(),
         authenticator: MessageAuthenticator::new(b"key"),
         seed: 1,
