--- a/crates/asterdale-ownership/tests/cluster/durable_replicas.rs
+++ b/crates/asterdale-ownership/tests/cluster/durable_replicas.rs
@@ -99,7 +99,7 @@
     net.start_replica(damaged);
     assert!(
         net.replicas[&damaged].raft_node().is_none(),
-        "it does not speak as the member that it was"
+        "it does not continue as its former member"
     );
     let replaced = OwnershipEvent::ReplicaReplaced(format!("k{damaged}"));
     net.run_until("the replacement", 90_000.0, |net| {
--- a/crates/asterdale-ownership/tests/cluster/failures.rs
+++ b/crates/asterdale-ownership/tests/cluster/failures.rs
@@ -48,7 +48,7 @@
     assert_eq!(
         status.requests_by_state.iter().sum::<usize>(),
         1,
-        "it has the table"
+        "the table was transferred"
     );
     // With one of the others removed, there is a majority only if the restarted replica is one of three voters.
     let others: Vec<usize> = (0..3).filter(|n| *n != restarted).collect();
@@ -61,7 +61,11 @@
     net.replicas.remove(&others[1]);
     net.submit(100, 3, claim(8, 3));
     net.run(10_000.0);
-    assert_eq!(net.verdict(100, 3), None, "one of three decides nothing");
+    assert_eq!(
+        net.verdict(100, 3),
+        None,
+        "one replica of three is not a majority"
+    );
 }
 
 #[test]
@@ -72,7 +76,7 @@
     let survivor = 1;
     net.start_replica(0);
     net.start_replica(2);
-    net.run_until("the end of the group", 60_000.0, |net| {
+    net.run_until("the group to be abandoned", 60_000.0, |net| {
         net.events
             .iter()
             .any(|(n, event)| *n == survivor && matches!(event, OwnershipEvent::GroupAbandoned(_)))
@@ -91,7 +95,7 @@
     assert_eq!(granted.verdict(), Verdict::Granted);
     assert!(
         granted.number > lost.number && group > 1000,
-        "its fencing tokens are above all of the lost group's"
+        "its fencing tokens are higher than all of the lost group"
     );
 }
 
@@ -105,7 +109,7 @@
     net.owners.get_mut(&101).unwrap().set_capacity(4);
     net.disconnected
         .extend((0..3).map(|replica| (replica, 100)));
-    let stopped_ms = net.run_until("the end of its lease", 5000.0, |net| !net.has_lease(100));
+    let stopped_ms = net.run_until("the expiry of its lease", 5000.0, |net| !net.has_lease(100));
     let offered_ms = net.run_until("the offer", 9000.0, |net| !net.offers.is_empty());
     assert!(
         stopped_ms <= 2000.0 && offered_ms >= 300.0,
--- a/crates/asterdale-ownership/tests/cluster/network.rs
+++ b/crates/asterdale-ownership/tests/cluster/network.rs
@@ -287,7 +287,7 @@
                 .or_insert_with(|| bytes.clone());
             assert!(
                 *expected == bytes,
-                "two tables at index {index} of group {group}"
+                "tables differ at index {index} of group {group}"
             );
         }
     }
@@ -306,7 +306,7 @@
         while !is_met(self) {
             assert!(
                 self.now_ms < start_ms + max_ms,
-                "waited in vain for {what}; events: {:?}",
+                "timed out waiting for {what}; events: {:?}",
                 self.events
             );
             self.step();
--- a/crates/asterdale-ownership/tests/explore.rs
+++ b/crates/asterdale-ownership/tests/explore.rs
@@ -166,7 +166,10 @@
                         engine.claim_number = None;
                         if verdict == Verdict::Granted {
                             engine.granted_fence = Some(fence);
-                            assert!(!self.fences.contains(&fence), "a token is granted twice");
+                            assert!(
+                                !self.fences.contains(&fence),
+                                "a fencing token is granted twice"
+                            );
                             self.fences.push(fence);
                         } else if verdict == Verdict::Completed {
                             self.check_answered_result(answer.result);
@@ -176,7 +179,7 @@
                     {
                         if verdict == Verdict::Recorded {
                             let known = self.outcome.get_or_insert_with(|| result.clone());
-                            assert_eq!(*known, result, "two outcomes are recorded");
+                            assert_eq!(*known, result, "two different outcomes are recorded");
                             self.check_answered_result(result);
                         }
                     }
@@ -191,7 +194,7 @@
             self.answered_results
                 .iter()
                 .all(|earlier| *earlier == result),
-            "two answers"
+            "two different results are answered"
         );
         self.answered_results.push(result);
     }
@@ -210,7 +213,7 @@
     /// Delivers commands to the replicas: all of them are committed and applied at once.
     fn deliver_to_replicas(&mut self, bytes: &[u8]) {
         let Some((from, _, MessageBody::Commands(batch))) = decode(&authenticator(), bytes) else {
-            panic!("no command")
+            panic!("the message has no commands")
         };
         let proposals = batch.commands.into_iter();
         let proposals = proposals.map(|command| Proposal {
@@ -418,7 +421,7 @@
             return self.deliver_to_replicas(bytes);
         };
         let Some((_, _, MessageBody::Answers(answers))) = decode(&authenticator(), bytes) else {
-            panic!("no answer")
+            panic!("the message has no answers")
         };
         let now_ms = self.now_ms;
         if let Some(owner) = &mut self.owners[to] {
@@ -434,7 +437,11 @@
         }
         let mut fences: Vec<u64> = self.starts.iter().map(|(_, fence)| *fence).collect();
         fences.dedup();
-        assert_eq!(fences.len(), self.starts.len(), "one token, two starts");
+        assert_eq!(
+            fences.len(),
+            self.starts.len(),
+            "two starts with the same fencing token"
+        );
         let not_restarted = self
             .owners
             .iter()
@@ -445,7 +452,7 @@
             let epoch = owner.epoch().unwrap_or(0);
             assert!(
                 self.table.leases().contains_key(&epoch),
-                "a lease outlives its epoch"
+                "an owner has a valid lease for an epoch that has ended"
             );
         }
     }
@@ -540,8 +547,5 @@
         }
         outcomes += u32::from(model.outcome.is_some());
     }
-    assert!(
-        outcomes > 20,
-        "hardly a run comes to an outcome: {outcomes}"
-    );
+    assert!(outcomes > 20, "too few runs record an outcome: {outcomes}");
 }
--- a/crates/asterdale-ownership/tests/stored_messages.rs
+++ b/crates/asterdale-ownership/tests/stored_messages.rs
@@ -179,7 +179,7 @@
     let Some((_, _, MessageBody::Answers(answers))) =
         decode(&MessageAuthenticator::new(KEY), stored()[3])
     else {
-        panic!("not read")
+        panic!("the stored answers can't be decoded")
     };
     let verdicts: Vec<Verdict> = answers.answers.iter().map(Answer::verdict).collect();
     assert_eq!(verdicts, VERDICTS);
