--- a/crates/asterdale-ownership/src/owner/lease.rs
+++ b/crates/asterdale-ownership/src/owner/lease.rs
@@ -26,8 +26,8 @@
             self.lease_lapsed = true;
             self.report(OwnershipEvent::LeaseLapsed(self.epoch.unwrap_or(0)));
         }
-        // The owner receives no answers, but its renewals may still reach the leader and would keep the epoch alive, so
-        // that owners which can run its requests do not get them.
+        // The owner receives no answers, but its renewals may still reach the leader. They would extend the lease
+        // there, and so keep other owners from taking over its requests.
         if self.lease_lapsed && now_ms >= self.lease_until_ms + self.settings.lease_ms {
             self.end_epoch();
         }
--- a/crates/asterdale-ownership/src/raft_node/mod.rs
+++ b/crates/asterdale-ownership/src/raft_node/mod.rs
@@ -187,8 +187,8 @@
         let Ok(message) = Message::parse_from_bytes(bytes) else {
             return;
         };
-        // To a member that lost its state, a heartbeat can have a commit index beyond the end of its log, on which the
-        // `raft` crate panics.
+        // A heartbeat to a member that lost its state can have a commit index beyond the end of that member's log, on
+        // which the `raft` crate panics.
         let is_commit_beyond_log = message.get_msg_type() == MessageType::MsgHeartbeat
             && message.commit > self.raft.raft.raft_log.last_index();
         if message.to == self.node && !is_commit_beyond_log {
--- a/crates/asterdale-ownership/src/raft_node/ready.rs
+++ b/crates/asterdale-ownership/src/raft_node/ready.rs
@@ -58,7 +58,7 @@
         let committed = ready.take_committed_entries();
         self.apply(committed, output);
         if !ready.entries().is_empty() {
-            // Can't fail for a gap: Raft's new entries continue the log that it read from this store.
+            // Can't fail: Raft's new entries continue the log that it read from this store, without a gap.
             let _ = self.store.log.wl().append(ready.entries());
             if self.writes.is_some() {
                 self.persist(storage::entries_write(ready.entries()));
--- a/crates/asterdale-ownership/src/replica/membership.rs
+++ b/crates/asterdale-ownership/src/replica/membership.rs
@@ -43,8 +43,9 @@
 
     /// Whether the process that sent this hello may replace the members that have its name.
     ///
-    /// No message may have come from those members for [`REPLACE_AFTER_TICKS`]: if one were still alive, two processes
-    /// of the same name would vote. The process must not belong to another group, whose log is not part of this one's.
+    /// Those members must have sent no message for [`REPLACE_AFTER_TICKS`]: if one were still alive, two processes of
+    /// the same name could vote. The process must not belong to another group, as its log would be of no use in this
+    /// one.
     fn may_replace(&self, now_ms: f64, hello: &PeerHello, raft_node: &RaftNode) -> bool {
         let members = raft_node.table.members.values();
         let nodes: BTreeSet<u64> = members
--- a/crates/asterdale-ownership/src/storage.rs
+++ b/crates/asterdale-ownership/src/storage.rs
@@ -1,8 +1,8 @@
 //! The durable state of a replica that has durable storage: its identity, Raft's hard state, snapshot and log.
 //!
 //! The writes of a turn must be durable before any message of that turn is sent: votes, acknowledgements of entries and
-//! answers to owners are only valid if the replica still knows them after a restart. A replica that restarts with its
-//! complete state is the same member of its group; one that lacks any part of it must join as a new member.
+//! answers to owners must still hold after the replica restarts. A replica that restarts with its complete state is the
+//! same member of its group; one that lacks any part of it must join as a new member.
 
 use prost::Message as _;
 use protobuf::Message as _;
--- a/crates/asterdale-ownership/src/table/commands.rs
+++ b/crates/asterdale-ownership/src/table/commands.rs
@@ -100,7 +100,7 @@
             expires_at_ms: expires_at_ms.max(self.now_ms + request.retry_window_ms),
             request,
         };
-        // The capacity of a request that is already in the table is already counted.
+        // A request that is already in the table already counts against the capacity.
         if is_new && !self.has_capacity_for(&owned) {
             return self.answer_full(seq);
         }
--- a/crates/asterdale-ownership/src/table/leases.rs
+++ b/crates/asterdale-ownership/src/table/leases.rs
@@ -30,7 +30,7 @@
     /// A process that has an epoch above `given_up` is granted the same one again: a duplicated join must not end an
     /// epoch under which requests may already be running.
     pub(super) fn join(&mut self, from: &Member, seq: u64, given_up: u64) -> Answer {
-        // A delayed join of a replaced process must not end the epoch of its successor, which has shown to be alive.
+        // A delayed join of a replaced process must not end the epoch of its successor, which is known to be alive.
         if self.has_renewed_lease(&from.name) && self.replaced_nodes.contains(&from.node) {
             return answer(seq, Verdict::EpochEnded);
         }
--- a/crates/asterdale-ownership/tests/explore.rs
+++ b/crates/asterdale-ownership/tests/explore.rs
@@ -495,7 +495,8 @@
     }
 }
 
-/// The initial state of the exploration: the first owner has submitted a claim.
+/// The initial state of the exploration. The first step is always the claim of the first owner, because all orders of
+/// interest follow it.
 fn model_with_claim(fenced: bool) -> Model {
     let mut model = Model::new(fenced);
     model.take_step(Step::SubmitClaim(0));
