--- a/crates/asterdale-ownership/src/replica/membership.rs
+++ b/crates/asterdale-ownership/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! Keeps the members of the Raft group in step with the configured replicas. Only the leader does this.
+//! Reconciles the members of the Raft group with the configured replicas. Only the leader does this.
 
 use std::collections::BTreeSet;
 
@@ -8,14 +8,14 @@
 use crate::OwnershipEvent;
 
 impl Replica {
-    /// Proposes at most one change: a replacement of a restarted member first, then the removal of one that is no longer
-    /// configured.
+    /// Proposes at most one change: a replacement of a restarted member first, then the removal of one that is no
+    /// longer configured.
     pub(super) fn reconcile_members(&mut self, now_ms: f64) {
         let Some(raft_node) = self.raft_node.as_ref().filter(|node| node.is_leader()) else {
             return;
         };
         let replacement = self.find_replacement(now_ms, raft_node);
-        let unlisted = self.find_unlisted_member(raft_node);
+        let unconfigured = self.find_unconfigured_member(raft_node);
         let Some(raft_node) = &mut self.raft_node else {
             return;
         };
@@ -23,12 +23,12 @@
             if raft_node.propose_replacement(&new) == ReplacementStep::Promote {
                 self.report(OwnershipEvent::ReplicaReplaced(new.name));
             }
-        } else if let Some(node) = unlisted {
+        } else if let Some(node) = unconfigured {
             raft_node.propose_removal(node);
         }
     }
 
-    /// The first present replica that is to become a member in place of the one that has its name.
+    /// The first present replica that may replace the member of the same name.
     fn find_replacement(&self, now_ms: f64, raft_node: &RaftNode) -> Option<Member> {
         let hellos = self.replicas.iter().filter_map(|(name, _)| {
             self.last_hellos
@@ -41,10 +41,11 @@
             .next()
     }
 
-    /// Whether this process may take the place of the members that have its name.
+    /// Whether the process that sent this hello may replace the members that have its name.
     ///
-    /// Those must have been silent: two live processes under one name would both vote if one were added while the other
-    /// is still a member. And it must not belong to another group, as its log is of no use here.
+    /// Those members must have sent no message for [`REPLACE_AFTER_TICKS`]: if one were still alive, two processes of
+    /// the same name could vote. The process must not belong to another group, as its log would be of no use in this
+    /// one.
     fn may_replace(&self, now_ms: f64, hello: &PeerHello, raft_node: &RaftNode) -> bool {
         let members = raft_node.table.members.values();
         let nodes: BTreeSet<u64> = members
@@ -52,9 +53,9 @@
             .map(|member| member.node)
             .collect();
         let is_only_member = nodes.len() == 1 && nodes.contains(&hello.member.node);
-        let is_free = hello.group == 0 || hello.group == raft_node.group;
-        let mut others = nodes.iter().filter(|node| **node != hello.member.node);
-        is_free && !is_only_member && others.all(|node| self.is_silent(now_ms, *node))
+        let has_no_other_group = hello.group == 0 || hello.group == raft_node.group;
+        let mut old_nodes = nodes.iter().filter(|node| **node != hello.member.node);
+        has_no_other_group && !is_only_member && old_nodes.all(|node| self.is_silent(now_ms, *node))
     }
 
     fn is_silent(&self, now_ms: f64, node: u64) -> bool {
@@ -64,12 +65,12 @@
             .is_none_or(|last| now_ms - last.received_at_ms > max_silence_ms)
     }
 
-    fn find_unlisted_member(&self, raft_node: &RaftNode) -> Option<u64> {
-        let is_listed =
+    fn find_unconfigured_member(&self, raft_node: &RaftNode) -> Option<u64> {
+        let is_configured =
             |member: &Member| self.replicas.iter().any(|(name, _)| *name == member.name);
         let mut members = raft_node.table.members.values();
         members
-            .find(|member| !is_listed(member))
+            .find(|member| !is_configured(member))
             .map(|member| member.node)
     }
 }
--- a/crates/asterdale-ownership/tests/cluster/random_faults.rs
+++ b/crates/asterdale-ownership/tests/cluster/random_faults.rs
@@ -1,4 +1,4 @@
-//! Many faults at once, drawn from seeds: losses, duplicates, delays, one-way cuts, pauses and restarts.
+//! Combinations of random faults by seed: message loss, duplicates, delays, one-way partitions, pauses and restarts.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 
 const OWNERS: u64 = 4;
 const KEYS: u64 = 12;
-/// The outcome of a claim is submitted under the claim's number plus this.
+/// The outcome of a claim is submitted under the claim's number plus this offset.
 const OUTCOME_OFFSET: u64 = 1_000_000;
 
-/// A dependency that checks fencing tokens: it rejects one below the highest that it has seen for the key.
+/// A dependency that checks fencing tokens: it rejects a token lower than the highest one it has seen for the key.
 #[derive(Default)]
 struct Dependency {
     highest_fences: BTreeMap<Vec<u8>, u64>,
@@ -28,7 +28,7 @@
     }
 }
 
-/// A run with one seed: what owners have asked for, and which outcomes they were told.
+/// A run with one seed: the requests of the owners, and the outcomes that were answered.
 struct Run {
     seed: u64,
     net: Network,
@@ -46,7 +46,7 @@
     fn new(seed: u64) -> Run {
         let replicas = 3 + 2 * (seed as usize % 2);
         let mut net = Network::new(seed, replicas, OWNERS as usize, settings());
-        net.until("a leader", 30_000.0, |net| net.leader().is_some());
+        net.run_until("a leader", 30_000.0, |net| net.leader().is_some());
         net.run(2000.0);
         (net.loss_rate, net.duplicate_rate) = (0.05, 0.1);
         Run {
@@ -61,13 +61,13 @@
         }
     }
 
-    /// A fault, or mostly a claim.
-    fn act(&mut self) {
+    /// Injects a random fault or, in most cases, submits a claim.
+    fn take_random_action(&mut self) {
         let net = &mut self.net;
         let owner = FIRST_OWNER + net.random_below(OWNERS) as usize;
         self.number += 1;
         match net.random_below(40) {
-            // Rare, so that only a minority is without state at a time: the one before has been replaced by now.
+            // Rare, so that only a minority is without state at a time: the last one has already been replaced.
             0 if self.number % 200 == 0 => {
                 let replica = net.random_below(self.replicas as u64) as usize;
                 net.start_replica(replica);
@@ -93,8 +93,9 @@
 
     fn restart_owner(&mut self, owner: usize) {
         self.net.start_owner(owner);
-        self.claims.retain(|(of, _), _| *of != owner);
-        self.completions.retain(|(of, _), _| *of != owner);
+        self.claims.retain(|(claimant, _), _| *claimant != owner);
+        self.completions
+            .retain(|(claimant, _), _| *claimant != owner);
     }
 
     fn handle_answers(&mut self) {
@@ -128,7 +129,7 @@
         assert_eq!(*known, result, "seed {seed}: two outcomes of key {key}");
     }
 
-    /// Ends all faults. Every outcome that an owner was told must still be known.
+    /// Ends all faults and checks that every outcome that was answered to an owner is still known.
     fn check_all_outcomes_known(mut self) {
         self.net.paused.clear();
         self.net.disconnected.clear();
@@ -136,7 +137,9 @@
         self.net.run(20_000.0);
         for (key, result) in self.outcomes {
             self.number += 1;
-            let known = self.net.ask(FIRST_OWNER, self.number, lookup(key));
+            let known = self
+                .net
+                .submit_and_wait(FIRST_OWNER, self.number, lookup(key));
             assert_eq!(
                 (known.verdict(), known.result),
                 (Verdict::Completed, result),
@@ -153,7 +156,7 @@
         let mut run = Run::new(seed);
         for _ in 0..400 {
             run.net.run(50.0);
-            run.act();
+            run.take_random_action();
             run.handle_answers();
         }
         run.check_all_outcomes_known();
--- a/crates/asterdale-ownership/tests/stored_messages.rs
+++ b/crates/asterdale-ownership/tests/stored_messages.rs
@@ -1,5 +1,5 @@
-//! Messages between replicas and owners that an earlier release wrote are read to the same values, and are written
-//! again byte for byte: every kind, every command, every verdict, each field with a value of its own.
+//! Messages between replicas and owners that an earlier release encoded are decoded to the same values and encoded to
+//! the same bytes: every kind, every command and every verdict, each field with a distinct value.
 //! `fixtures/ownership/README.md` says how the file was made.
 
 use asterdale_membership::authentication::MessageAuthenticator;
@@ -18,7 +18,7 @@
     member("alpha", 0x0102_0304_0506_0708, ([10, 0, 0, 7], 4100).into())
 }
 
-fn other() -> Member {
+fn other_member() -> Member {
     member("beta", 9, ([0xfd00, 0, 0, 0, 0, 0, 0, 9], 4200).into())
 }
 
@@ -79,7 +79,7 @@
         .collect()
 }
 
-/// The verdicts by their stored numbers.
+/// The verdicts in the order of their encoded numbers.
 const VERDICTS: [Verdict; 14] = [
     Verdict::NotLeader,
     Verdict::Joined,
@@ -97,7 +97,7 @@
     Verdict::Fenced,
 ];
 
-/// One answer of each verdict.
+/// One answer with each verdict.
 fn answers() -> Vec<Answer> {
     let answer = |n: i32| Answer {
         seq: 100 + n as u64,
@@ -116,7 +116,7 @@
         MessageBody::Hello(Hello {
             group: 1000,
             highest_group: 1001,
-            members: vec![sender(), other()],
+            members: vec![sender(), other_member()],
             members_are_founders: true,
         }),
         MessageBody::Raft(RaftMessage {
@@ -128,16 +128,16 @@
         }),
         MessageBody::Answers(Answers {
             answers: answers(),
-            leader: Some(other()),
+            leader: Some(other_member()),
             to: 0x0807_0605_0403_0201,
         }),
     ]
 }
 
-/// An entry of the log, which goes into the library's messages and onto disks.
+/// An entry of the log, which is part of Raft messages and of the durable state.
 fn entry() -> LogEntry {
     let proposals = commands().into_iter().map(|command| Proposal {
-        from: Some(other()),
+        from: Some(other_member()),
         command: Some(command),
     });
     LogEntry {
@@ -146,7 +146,7 @@
     }
 }
 
-/// The file: each part behind its length in four bytes; the entry is the last.
+/// The parts of the file, each preceded by its length in four bytes; the log entry is the last part.
 fn stored() -> Vec<&'static [u8]> {
     let (mut rest, mut all) = (MESSAGES, Vec::new());
     while let Some((length, after)) = rest.split_first_chunk::<4>() {
@@ -161,15 +161,15 @@
 fn stored_messages_are_read() {
     let (authenticator, stored) = (MessageAuthenticator::new(KEY), stored());
     assert_eq!(stored.len(), messages().len() + 1);
-    let at = ([10, 0, 0, 7], 4100).into();
+    let address = ([10, 0, 0, 7], 4100).into();
     for (bytes, expected) in stored.into_iter().zip(messages()) {
         assert_eq!(
             decode(&authenticator, bytes),
-            Some((sender(), at, expected))
+            Some((sender(), address, expected))
         );
     }
     assert_eq!(
-        socket_addr(&other()),
+        socket_addr(&other_member()),
         Some(([0xfd00, 0, 0, 0, 0, 0, 0, 9], 4200).into())
     );
 }
@@ -179,7 +179,7 @@
     let Some((_, _, MessageBody::Answers(answers))) =
         decode(&MessageAuthenticator::new(KEY), stored()[3])
     else {
-        panic!("not read")
+        panic!("the stored answers can't be decoded")
     };
     let verdicts: Vec<Verdict> = answers.answers.iter().map(Answer::verdict).collect();
     assert_eq!(verdicts, VERDICTS);
--- a/crates/asterdale-ownership/tests/stored_state.rs
+++ b/crates/asterdale-ownership/tests/stored_state.rs
@@ -1,5 +1,6 @@
-//! What a replica of an earlier release had on disk, and its ownership table, are read to the same leases, requests,
-//! fences and epochs, and are written again byte for byte. `fixtures/ownership/README.md` says how the files were made.
+//! The durable state of a replica of an earlier release, and its ownership table, are decoded to the same leases,
+//! requests, fences and epochs, and are encoded to the same bytes. `fixtures/ownership/README.md` says how the files
+//! were made.
 
 use std::net::SocketAddr;
 
@@ -22,7 +23,7 @@
 const ENTRIES: &[u8] = include_bytes!("fixtures/ownership/entries.bin");
 const TABLE: &[u8] = include_bytes!("fixtures/ownership/book.bin");
 
-/// Fencing tokens and epochs of a group begin at its number times this.
+/// Fencing tokens and epochs of a group start at the group's number times this factor.
 const NUMBERS_PER_GROUP: u64 = 1 << 30;
 
 fn settings() -> OwnershipSettings {
@@ -32,11 +33,11 @@
     }
 }
 
-fn at(n: u16) -> SocketAddr {
+fn address(n: u16) -> SocketAddr {
     ([127, 0, 0, 1], 9000 + n).into()
 }
 
-/// The replica's log entries: each behind its index (8 bytes) and its length (4).
+/// The replica's log entries, each preceded by its index (8 bytes) and its length (4 bytes).
 fn entries() -> Vec<(u64, Vec<u8>)> {
     let (mut rest, mut all) = (ENTRIES, Vec::new());
     while let Some((number, after)) = rest.split_first_chunk::<8>() {
@@ -61,9 +62,9 @@
 fn stored_identity_is_read_and_written_again() {
     let identity = stored().identity().unwrap();
     let founders = vec![
-        member("k0", 10_277_665_017_230_984_823, at(0)),
-        member("k1", 7_228_268_180_155_082_411, at(1)),
-        member("k2", 13_638_903_821_675_014_887, at(2)),
+        member("k0", 10_277_665_017_230_984_823, address(0)),
+        member("k1", 7_228_268_180_155_082_411, address(1)),
+        member("k2", 13_638_903_821_675_014_887, address(2)),
     ];
     assert_eq!(
         identity,
@@ -80,8 +81,8 @@
 #[test]
 fn replica_restores_itself_from_stored_state() {
     let config = ReplicaConfig {
-        member: member("k1", 4321, at(1)),
-        replicas: (0..3u16).map(|n| (format!("k{n}"), at(n))).collect(),
+        member: member("k1", 4321, address(1)),
+        replicas: (0..3u16).map(|n| (format!("k{n}"), address(n))).collect(),
         settings: settings(),
         authenticator: MessageAuthenticator::new(b"key"),
         seed: 1,
@@ -95,7 +96,7 @@
         "{actions:?}"
     );
     let status = replica.status();
-    // Up to the commit index that it had stored; a leader will confirm the other entries.
+    // Entries are applied up to the stored commit index; a leader has yet to confirm the later ones.
     assert_eq!(
         (
             status.group,
