--- a/crates/asterdale-daemon/src/upgrade/new_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/new_process.rs
@@ -100,7 +100,7 @@
         let _ = self.reader.set_timeout(None);
         while let Ok(Some(payload)) = self.reader.read() {
             let message = match payload {
-                Payload::Release(_) => Some(EngineMessage::HotRestart(HotRestartStep::GuardEnded)),
+                Payload::Release(_) => Some(EngineMessage::HotRestart(HotRestartStep::StandbyEnded)),
                 payload => engine_message(payload, &self.writer, class_count),
             };
             if message.is_some_and(|message| engine.send(message).is_err()) {
@@ -108,7 +108,7 @@
             }
         }
         // An engine that has ended ends this process.
-        let _ = engine.send(EngineMessage::HotRestart(HotRestartStep::GuardEnded));
+        let _ = engine.send(EngineMessage::HotRestart(HotRestartStep::StandbyEnded));
     }
 }
 
--- a/crates/asterdale-daemon/src/upgrade/old_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/old_process.rs
@@ -217,7 +217,7 @@
         match action {
             Action::SendListeners => self.send_listeners(),
             Action::SendTrialState => {
-                self.send_state(HotRestartStep::Rehearse, Payload::TrialState, 0)
+                self.send_state(HotRestartStep::SendTrialState, Payload::TrialState, 0)
             }
             Action::FreezeAndSendState(epoch) => {
                 self.send_state(HotRestartStep::Freeze, Payload::State, epoch)
--- a/crates/asterdale-daemon/src/upgrade/relay.rs
+++ b/crates/asterdale-daemon/src/upgrade/relay.rs
@@ -104,7 +104,7 @@
         }));
     }
 
-    fn guard_ended(&mut self) {
+    fn standby_ended(&mut self) {
         let _ = self.0.send(Payload::Release(Release {}));
     }
 }
--- a/crates/asterdale-engine/src/engine/mod.rs
+++ b/crates/asterdale-engine/src/engine/mod.rs
@@ -150,7 +150,7 @@
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             #[cfg(feature = "hot-restart")]
-            if self.paused.is_paused() && self.guard_successor(mailbox) {
+            if self.paused.is_paused() && self.run_while_paused(mailbox) {
                 return;
             }
             self.run_timers();
--- a/crates/asterdale-engine/src/message/hot_restart.rs
+++ b/crates/asterdale-engine/src/message/hot_restart.rs
@@ -10,7 +10,7 @@
 /// A step of a hot restart, as the engine carries it out.
 pub enum HotRestartStep {
     /// Send the state for a trial restore, and continue.
-    Rehearse(Sender<Vec<u8>>),
+    SendTrialState(Sender<Vec<u8>>),
     /// Stop, and send the state.
     Freeze(Sender<Vec<u8>>),
     /// Continue: the work stays in this process.
@@ -23,10 +23,10 @@
     Mirrored(MirroredEvent),
     /// The new process has ended: take the work back.
     Resume,
-    /// Exit once the connections have ended: no process needs this one as a guard any more.
+    /// Exit once the connections have ended: no process needs this one on standby any more.
     Exit,
-    /// The old process guards this one no longer.
-    GuardEnded,
+    /// The old process is no longer on standby.
+    StandbyEnded,
 }
 
 /// The old process's link to the new one.
@@ -45,8 +45,8 @@
         duration_ms: f64,
         body: &[u8],
     );
-    /// All connections have ended and all idempotency windows have closed: this process is a guard no longer.
-    fn guard_ended(&mut self);
+    /// All connections have ended and all idempotency windows have closed: this process leaves standby.
+    fn standby_ended(&mut self);
 }
 
 /// What the new process tells the old one before it takes effect, so that the old one could take the work back.
--- a/crates/asterdale-engine/src/paused.rs
+++ b/crates/asterdale-engine/src/paused.rs
@@ -10,13 +10,13 @@
 
 /// What the old process knows of the new one while it could take the work back.
 #[derive(Default)]
-pub(crate) struct Guard {
+pub(crate) struct Standby {
     /// Requests that were forwarded and are not answered.
     pub(crate) forwarded: HashMap<ResponseRoute, Arc<dyn Connection>>,
     /// Tasks that the new process has started.
     pub(crate) started_by_successor: HashMap<RequestId, Option<(IdempotencyKey, TaskId)>>,
     /// When the last idempotency window closes, in engine time.
-    pub(crate) guard_until: f64,
+    pub(crate) standby_until: f64,
     /// The link to the new process.
     pub(crate) successor: Option<Box<dyn SuccessorLink>>,
 }
@@ -29,7 +29,7 @@
     /// Messages that came while frozen.
     pub(crate) deferred: Vec<EngineMessage>,
     /// The work belongs to the new process.
-    pub(crate) guard: Option<Guard>,
+    pub(crate) standby: Option<Standby>,
     /// The signal to shut down has come.
     pub(crate) must_exit: bool,
 }
@@ -37,6 +37,6 @@
 impl PausedState {
     /// Whether nothing may be decided here.
     pub fn is_paused(&self) -> bool {
-        self.is_frozen || self.guard.is_some()
+        self.is_frozen || self.standby.is_some()
     }
 }
--- a/crates/asterdale-engine/src/state_transfer/guard.rs
+++ b/crates/asterdale-engine/src/state_transfer/standby.rs
@@ -8,21 +8,21 @@
 use crate::engine::Engine;
 use crate::idempotency::Owner;
 use crate::message::{EngineMessage, MirroredEvent, Reply, Responder, ResponseRoute};
-use crate::paused::Guard;
+use crate::paused::Standby;
 
 /// The interval at which answered connections are closed once the work is the new process's.
 const CLOSE_INTERVAL: Duration = Duration::from_millis(50);
-/// The guard stays this long after the last idempotency window that it knows of, in milliseconds.
-const GUARD_MARGIN_MS: f64 = 1000.0;
+/// The process stays on standby this long after the last idempotency window that it knows of, in milliseconds.
+const STANDBY_MARGIN_MS: f64 = 1000.0;
 
 impl Engine {
     /// Forwards a message to the new process. Returns one that is for this process all the same.
     pub(crate) fn forward_to_successor(&mut self, message: EngineMessage) -> Option<EngineMessage> {
-        let Some(Guard {
+        let Some(Standby {
             forwarded,
             successor: Some(successor),
             ..
-        }) = &mut self.paused.guard
+        }) = &mut self.paused.standby
         else {
             return self.defer(message);
         };
@@ -87,10 +87,10 @@
             self.tasks.answer(task, reply);
             return;
         }
-        let Some(guard) = &mut self.paused.guard else {
+        let Some(standby) = &mut self.paused.standby else {
             return;
         };
-        if let Some(client) = guard.forwarded.remove(&route) {
+        if let Some(client) = standby.forwarded.remove(&route) {
             client.answer(route.request, reply);
         }
     }
@@ -98,7 +98,7 @@
     /// Learns an event of the new process. Tasks that joined an earlier attempt are the new process's: they are not
     /// told of its end here.
     pub(super) fn apply_mirrored(&mut self, event: MirroredEvent) {
-        let Some(guard) = &mut self.paused.guard else {
+        let Some(standby) = &mut self.paused.standby else {
             return;
         };
         let tasks = &mut self.tasks;
@@ -109,7 +109,7 @@
                 body_digest,
                 until_ms,
             } => {
-                guard.guard_until = guard.guard_until.max(until_ms);
+                standby.standby_until = standby.standby_until.max(until_ms);
                 tasks.last_number = tasks.last_number.max(owner);
                 let owner = Owner {
                     task: owner,
@@ -120,7 +120,7 @@
             MirroredEvent::TaskStarted { id, key } => {
                 let number = key.as_ref().map_or(0, |(_, owner)| *owner);
                 tasks.last_number = tasks.last_number.max(number);
-                guard.started_by_successor.insert(id, key);
+                standby.started_by_successor.insert(id, key);
             }
             MirroredEvent::TaskEnded { key, owner, result } => {
                 tasks.idempotency.complete(&key, owner, tasks.now, result);
@@ -132,7 +132,7 @@
     }
 
     /// Handles messages while nothing may be decided here. `true` once the process may exit.
-    pub(crate) fn guard_successor(&mut self, mailbox: &Receiver<EngineMessage>) -> bool {
+    pub(crate) fn run_while_paused(&mut self, mailbox: &Receiver<EngineMessage>) -> bool {
         let mut next_close = Instant::now();
         while self.paused.is_paused() {
             match mailbox.recv_timeout(CLOSE_INTERVAL) {
@@ -141,14 +141,14 @@
                 Err(RecvTimeoutError::Disconnected) => return true,
             }
             self.tasks.now = self.clock.now();
-            let Some(guard) = &mut self.paused.guard else {
+            let Some(standby) = &mut self.paused.standby else {
                 continue;
             };
             let open = self.tasks.frontends.open_connections();
-            let is_over = open == 0 && self.tasks.now > guard.guard_until + GUARD_MARGIN_MS;
+            let is_over = open == 0 && self.tasks.now > standby.standby_until + STANDBY_MARGIN_MS;
             if self.paused.must_exit || is_over {
-                if let Some(successor) = &mut guard.successor {
-                    successor.guard_ended();
+                if let Some(successor) = &mut standby.successor {
+                    successor.standby_ended();
                 }
                 slog::info!(self.tasks.log.lines, "hot restart: old process exits"; "connections" => open);
                 return true;
--- a/crates/asterdale-engine/src/state_transfer/steps.rs
+++ b/crates/asterdale-engine/src/state_transfer/steps.rs
@@ -9,7 +9,7 @@
 use crate::message::{
     EngineMessage, HotRestartStep, RegistryCommand, Reply, RuntimeLinkCommand, SuccessorLink,
 };
-use crate::paused::Guard;
+use crate::paused::Standby;
 use crate::runtime::protocol;
 use crate::runtime_events::FLUSH_TAG;
 use crate::tasks::TaskRecord;
@@ -26,10 +26,10 @@
     ) {
         match step {
             // A draining process has no state to give: the channel is dropped, which says so.
-            HotRestartStep::Rehearse(_) | HotRestartStep::Freeze(_)
+            HotRestartStep::SendTrialState(_) | HotRestartStep::Freeze(_)
                 if self.drain_deadline.is_some() => {}
-            HotRestartStep::Rehearse(to) => {
-                // Nobody receives it where the rehearsal was given up.
+            HotRestartStep::SendTrialState(to) => {
+                // Nobody receives it where the hot restart was given up.
                 let _ = to.send(self.export());
             }
             HotRestartStep::Freeze(to) => self.freeze(&to, mailbox),
@@ -44,11 +44,11 @@
             HotRestartStep::Mirrored(event) => self.apply_mirrored(event),
             HotRestartStep::Resume => self.resume(mailbox),
             HotRestartStep::Exit => {
-                if let Some(guard) = &mut self.paused.guard {
-                    guard.guard_until = f64::NEG_INFINITY;
+                if let Some(standby) = &mut self.paused.standby {
+                    standby.standby_until = f64::NEG_INFINITY;
                 }
             }
-            HotRestartStep::GuardEnded => self.tasks.mirror = None,
+            HotRestartStep::StandbyEnded => self.tasks.mirror = None,
         }
     }
 
@@ -91,7 +91,7 @@
         let _ = self.runtime_link.send(RuntimeLinkCommand::SetPaused(false));
     }
 
-    /// The work belongs to the new process from now on, and this one guards it.
+    /// The work belongs to the new process from now on, and this one goes on standby.
     fn commit_to_successor(
         &mut self,
         successor: Box<dyn SuccessorLink>,
@@ -99,10 +99,10 @@
     ) {
         let last_window_end = self.tasks.idempotency.last_window_end();
         self.paused.is_frozen = false;
-        self.paused.guard = Some(Guard {
+        self.paused.standby = Some(Standby {
             successor: Some(successor),
-            guard_until: last_window_end.max(self.tasks.now),
-            ..Guard::default()
+            standby_until: last_window_end.max(self.tasks.now),
+            ..Standby::default()
         });
         self.registry.send(RegistryCommand::SetPaused(true));
         self.tasks.frontends.set_paused(true);
@@ -115,16 +115,16 @@
     /// Takes the work back. What the new process has started is not started again: its clients are told that it failed,
     /// and the results come with the notices that were missed.
     fn resume(&mut self, mailbox: &Receiver<EngineMessage>) {
-        let Some(guard) = self.paused.guard.take() else {
+        let Some(standby) = self.paused.standby.take() else {
             return;
         };
         slog::error!(self.tasks.log.lines, "hot restart: new process ended, work taken back";
-            "started_there" => guard.started_by_successor.len(), "unanswered" => guard.forwarded.len());
+            "started_there" => standby.started_by_successor.len(), "unanswered" => standby.forwarded.len());
         self.tasks.now = self.clock.now();
-        for (route, client) in guard.forwarded {
+        for (route, client) in standby.forwarded {
             client.answer(route.request, Reply::Failed);
         }
-        self.tasks.started_by_successor = guard.started_by_successor;
+        self.tasks.started_by_successor = standby.started_by_successor;
         self.tasks.frontends.set_paused(false);
         self.registry.send(RegistryCommand::SetPaused(false));
         self.reclaim_link();
