--- a/crates/asterdale-engine/src/counters.rs
+++ b/crates/asterdale-engine/src/counters.rs
@@ -1,4 +1,5 @@
-//! Counters of requests, calls, connections and resources. Any thread adds; they are read when they are printed.
+//! Counters of requests, calls, connections and resources. Any thread may add to them; they are read when they are
+//! printed.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -26,7 +27,7 @@
     }
 }
 
-/// The resident memory of this process by Linux's account, in KiB; 0 where there is none.
+/// The resident memory of this process as Linux reports it, in KiB; 0 if it is not reported.
 pub fn resident_kib() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -63,11 +64,11 @@
     /// Requests that were rejected before the policies saw them, as no ownership replica had capacity or they may have
     /// run. They are not among `tasks_taken`.
     tasks_ownership_rejected,
-    /// Requests that were taken over from a backend that is gone.
+    /// Requests that were taken over from a backend that has ended.
     tasks_taken_over,
     /// Requests that the policies rejected.
     tasks_rejected,
-    /// Requests that failed: by the policies, or with their run.
+    /// Requests that failed: the policies gave them up, or their run failed.
     tasks_failed,
     /// Requests whose edge node gave up or whose connection closed before their reply.
     tasks_aborted,
@@ -98,7 +99,7 @@
     /// Requests that were answered `Overloaded`: more open requests than a connection may carry, or more idempotency
     /// keys than are retained.
     requests_overloaded,
-    /// Requests that were discarded: opened under the number of an open one.
+    /// Requests that were discarded because a request with the same number was open.
     requests_duplicate,
     /// Runs that were started at the runtime.
     runs_started,
@@ -112,9 +113,9 @@
     calls_sent,
     /// Calls that succeeded.
     calls_passed,
-    /// Calls that ended otherwise.
+    /// Calls that ended in any other way.
     calls_failed,
-    /// Calls that this process had no descriptor or port for: they never ran.
+    /// Calls that could not be made for lack of a descriptor or port, and never ran.
     calls_unmade,
     /// Calls that were skipped.
     calls_skipped,
@@ -132,7 +133,7 @@
     connections_idle,
     /// Connections that were closed as the certificate they were opened with expired.
     connections_lapsed,
-    /// Connections that were closed as they brought no complete valid request.
+    /// Connections that were closed as they sent no complete valid request.
     connections_silent,
     /// Connections without open requests that were closed to make room for others.
     connections_given_up,
@@ -142,7 +143,7 @@
     connections_over_memory,
     /// Connections that a peer reset or stopped reading.
     connections_broken,
-    /// Times that accepting paused for want of descriptors.
+    /// Times that accepting paused for lack of descriptors.
     accept_pauses,
     /// Times that the system refused a descriptor for a connection, which then waited.
     accepts_refused,
@@ -162,6 +163,6 @@
     idempotency_keys,
     /// The size of the results that are retained now, in bytes.
     result_bytes,
-    /// The resident memory of this process now, in KiB; 0 where the system does not say.
+    /// The resident memory of this process now, in KiB; 0 if the system does not report it.
     memory_kib,
 }
--- a/crates/asterdale-engine/src/identity_gate.rs
+++ b/crates/asterdale-engine/src/identity_gate.rs
@@ -1,5 +1,5 @@
 //! The identity gate: turns the verdicts of [`asterdale_identity`] into replies, counters and log lines. Where identity
-//! is off, every caller passes and nothing is stored.
+//! is off, every caller is accepted and nothing is stored.
 
 use std::sync::Arc;
 
@@ -13,21 +13,22 @@
 use crate::log::{error_chain, Log, LogLimit};
 use crate::message::{KeyRefresh, Reply};
 
-/// Advice to a caller that cannot be authenticated for want of keys, in milliseconds: by then a key set may have come.
+/// The retry delay sent to a caller that cannot be authenticated for lack of keys, in milliseconds: by then a key set
+/// may have arrived.
 const NO_KEYS_RETRY_AFTER_MS: f64 = 1000.0;
-/// The longest advice to a caller over a quota, in milliseconds.
+/// The longest retry delay sent to a caller over a quota, in milliseconds.
 const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
 
-/// The gate.
+/// The identity policy, if identity is on, with the counters of its verdicts.
 pub struct IdentityGate {
     pub(crate) identity: Option<Identity>,
     counters: Arc<Counters>,
-    /// Is told of keys that no set has held.
+    /// Asks the issuer's actor for a newer set when a token names a key that no set has contained.
     pub(crate) key_refresh: Option<Sender<KeyRefresh>>,
 }
 
 impl IdentityGate {
-    /// A gate with this identity policy; an open one without any.
+    /// A gate with this identity policy; without one it accepts every caller.
     pub fn new(
         identity: Option<Identity>,
         key_refresh: Option<Sender<KeyRefresh>>,
@@ -40,8 +41,8 @@
         }
     }
 
-    /// The start file was read again. Identity cannot be turned on or off that way: requests in flight would lose their
-    /// tenant, or have none.
+    /// Applies the identity settings of a reloaded start file. Identity cannot be turned on or off by a reload:
+    /// requests in flight would lose their tenant, or have none.
     pub fn reload(&mut self, settings: Option<Box<IdentitySettings>>, log: &Log) {
         let error = match (&mut self.identity, settings) {
             (Some(identity), Some(settings)) => match identity.reconfigure(*settings) {
@@ -55,7 +56,7 @@
         slog::error!(log.lines, "identity: reload rejected"; "error" => error);
     }
 
-    /// Offers a key set. `true` if it replaced the one before.
+    /// Offers a key set to the identity policy. Returns `true` if it replaced the previous one.
     pub fn adopt_key_set(&mut self, now: f64, set: &[u8], log: &Log) -> bool {
         static REJECTED: LogLimit = LogLimit::new();
         let Some(identity) = &mut self.identity else {
@@ -85,13 +86,13 @@
         self.identity.as_ref().map(Identity::export_state)
     }
 
-    /// The identity policy, which may continue another process's state before its first verdict.
+    /// The identity policy, for restoring another process's state before the first verdict.
     #[cfg(feature = "hot-restart")]
     pub fn identity_mut(&mut self) -> Option<&mut Identity> {
         self.identity.as_mut()
     }
 
-    /// The tenant and the role whose quota this permit takes up.
+    /// The tenant and the role whose quota this permit counts against.
     #[cfg(feature = "hot-restart")]
     pub fn permit_owner(&self, permit: &ConcurrencyPermit) -> Option<(u32, String)> {
         self.identity
@@ -99,14 +100,14 @@
             .map(|identity| identity.permit_owner(permit))
     }
 
-    /// Takes up a permit that a transferred task had.
+    /// Acquires the permit that a transferred task had.
     #[cfg(feature = "hot-restart")]
     pub fn reacquire_permit(&mut self, permit_owner: &(u32, String)) -> Option<ConcurrencyPermit> {
         self.identity.as_mut()?.reacquire(permit_owner)
     }
 
-    /// The tenant, for the policies, that a caller's requests count for. Where callers are authenticated that is their
-    /// own, whatever the edge node claims.
+    /// The tenant index that the policies use for a caller's requests. Where callers are authenticated it is the
+    /// caller's own tenant, whatever tenant the edge node claims.
     pub fn tenant_index(&self, caller: Option<&Caller>, claimed_tenant: u32) -> usize {
         match (&self.identity, caller) {
             (Some(identity), Some(caller)) => identity.scheduling_tenant(caller.tenant),
@@ -114,14 +115,14 @@
         }
     }
 
-    /// A task is over: its permit is given back here and nowhere else.
+    /// Releases the permit of a task that is over. Permits are released here and nowhere else.
     pub fn release_permit(&mut self, permit: Option<ConcurrencyPermit>) {
         if let (Some(identity), Some(permit)) = (&mut self.identity, permit) {
             identity.release(permit);
         }
     }
 
-    /// Sets the counters of what identity costs.
+    /// Sets the counters of checked signatures and cached tokens.
     pub fn update_counters(&self) {
         if let Some(identity) = &self.identity {
             let signatures = identity.signatures_checked() as usize;
@@ -132,7 +133,7 @@
         }
     }
 
-    /// The reply to a denied caller, which is counted.
+    /// Counts a denied caller. Returns the reply to it.
     pub(crate) fn denial_reply(&self, denied: Denial) -> Reply {
         let kind = denied.reason.status();
         match kind {
--- a/crates/asterdale-engine/src/log.rs
+++ b/crates/asterdale-engine/src/log.rs
@@ -1,4 +1,5 @@
-//! The log: lines to standard error that are never waited for, and at most one a second of one kind of fault.
+//! The log: lines to standard error. Writing never blocks the caller, and a fault of one kind is logged at most once a
+//! second.
 
 use std::io::{LineWriter, Stderr};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -7,9 +8,9 @@
 use slog::{Drain, Level, LevelFilter, Logger};
 use slog_async::AsyncGuard;
 
-/// Lines that wait to be written.
+/// The most lines that are queued to be written.
 const QUEUED_LINES: usize = 256;
-/// The least time between two lines about one kind of fault, in milliseconds.
+/// The minimum time between two lines about one kind of fault, in milliseconds.
 const MIN_INTERVAL_MS: u64 = 1000;
 /// Lines up to this length, in bytes, are written by one system call.
 const LINE_BUFFER_BYTES: usize = 8192;
@@ -17,14 +18,14 @@
 /// The log.
 #[derive(Clone)]
 pub struct Log {
-    /// Takes lines. Faults that may repeat ask [`Log::allows`] first.
+    /// The logger. Check [`Log::allows`] before logging a fault that may repeat.
     pub lines: Logger,
     start: Instant,
 }
 
 impl Log {
-    /// A log whose lines are written by a thread of its own. Lines that it cannot keep up with are dropped, and their
-    /// number is logged. Dropping the guard writes what is left and joins the thread.
+    /// A log whose lines are written by a separate thread. Lines that do not fit its queue are dropped, and their
+    /// number is logged. Dropping the guard writes the remaining lines and joins the thread.
     pub fn to_stderr(name: &str, json: bool, level: Level) -> (Log, AsyncGuard) {
         // A closed standard error must not end the program.
         if json {
@@ -50,7 +51,7 @@
             .chan_size(QUEUED_LINES)
             .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
             .build_with_guard();
-        // The filter comes before the queue, so that lines below the level take no place in it.
+        // The filter comes before the queue, so that lines below the level take no space in it.
         let drain = LevelFilter::new(drain.ignore_res(), level).ignore_res();
         let lines = Logger::root(drain, slog::o!("backend" => name.to_owned()));
         (
@@ -62,7 +63,7 @@
         )
     }
 
-    /// Whether a fault of this kind may be logged now: it may once a second.
+    /// Whether a fault of this kind may be logged now: at most once a second.
     pub fn allows(&self, kind: &LogLimit) -> bool {
         let now = self.start.elapsed().as_millis() as u64 + MIN_INTERVAL_MS;
         let last = kind.0.load(Relaxed);
@@ -71,8 +72,8 @@
     }
 }
 
-/// Standard error, written a line at a time: during a hot restart two processes share it, and pieces of their lines
-/// would mix.
+/// Standard error, written a line at a time: during a hot restart two processes share it, and parts of their lines
+/// would otherwise be interleaved.
 fn line_buffered_stderr() -> LineWriter<Stderr> {
     LineWriter::with_capacity(LINE_BUFFER_BYTES, std::io::stderr())
 }
@@ -89,8 +90,8 @@
     text
 }
 
-/// When a fault that may repeat often was logged last, in milliseconds since `MIN_INTERVAL_MS` before the log's
-/// start; 0 for never.
+/// The rate limit of one kind of fault: when it was logged last, in milliseconds since `MIN_INTERVAL_MS` before the
+/// log's start; 0 for never.
 pub struct LogLimit(AtomicU64);
 
 impl Default for LogLimit {
--- a/crates/asterdale-engine/src/mailbox.rs
+++ b/crates/asterdale-engine/src/mailbox.rs
@@ -1,4 +1,4 @@
-//! The mailbox of an actor that polls sockets: a message wakes it as a readable socket does.
+//! The mailbox of an actor that polls sockets: a message wakes the actor's poll as a readable socket does.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,7 +7,7 @@
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use mio::{Poll, Token, Waker};
 
-/// The senders' end. Never blocks.
+/// The sending half of a mailbox. Sending never blocks.
 pub struct MailboxSender<T> {
     messages: Sender<T>,
     waker: Arc<Waker>,
@@ -24,16 +24,16 @@
     }
 }
 
-/// The actor's end.
+/// The receiving half of a mailbox, which the actor has.
 pub struct MailboxReceiver<T> {
     messages: Receiver<T>,
     is_woken: Arc<AtomicBool>,
 }
 
-/// A mailbox that wakes this poll with this token.
+/// Opens a mailbox that wakes this poll with this token.
 ///
 /// # Errors
-/// The system refuses a waker.
+/// If the system refuses a waker.
 pub fn open<T>(poll: &Poll, token: Token) -> io::Result<(MailboxSender<T>, MailboxReceiver<T>)> {
     let (sender, receiver) = unbounded();
     let waker = Arc::new(Waker::new(poll.registry(), token)?);
@@ -52,21 +52,21 @@
 }
 
 impl<T> MailboxSender<T> {
-    /// Sends a message; `false` if nobody will read it.
+    /// Sends a message. Returns `false` if the receiver was dropped or cannot be woken.
     pub fn send(&self, message: T) -> bool {
         if self.messages.send(message).is_err() {
             return false;
         }
-        // One wake-up is enough for all messages that are there when the actor looks.
+        // One wake-up is enough for all messages that are queued when the actor takes them.
         self.is_woken.swap(true, Ordering::AcqRel) || self.waker.wake().is_ok()
     }
 }
 
 impl<T> MailboxReceiver<T> {
-    /// The messages that are there. One that comes from now on wakes the actor again.
+    /// Takes the queued messages. A message that is sent after this call wakes the actor again.
     pub fn take(&self) -> impl Iterator<Item = T> + '_ {
-        // A sender that found the flag set has woken nobody. Its swap came before this one, so its message is seen by
-        // the reads that follow.
+        // A sender that found the flag set did not wake the poll. Its swap came before this one, so the reads that
+        // follow see its message.
         self.is_woken.swap(false, Ordering::AcqRel);
         self.messages.try_iter()
     }
--- a/crates/asterdale-engine/src/mailbox/tests.rs
+++ b/crates/asterdale-engine/src/mailbox/tests.rs
@@ -1,4 +1,4 @@
-//! No message is left unread by an actor that looks only when it is woken.
+//! An actor that reads its mailbox only when it is woken reads every message.
 
 use std::thread;
 use std::time::Duration;
--- a/crates/asterdale-engine/src/ownership/answers.rs
+++ b/crates/asterdale-engine/src/ownership/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the ownership replicas: where each goes, and what a client is told of it.
+//! Handling of the ownership replicas' answers, and the replies to clients that follow from them.
 
 use asterdale::Handle;
 use asterdale_ownership::failpoint::{self, Failpoint};
@@ -10,7 +10,7 @@
 use crate::message::{Reply, Responder};
 use crate::tasks::Tasks;
 
-/// The longest advice to retry that is passed on to a client, in milliseconds.
+/// The longest retry delay that is sent to a client, in milliseconds.
 const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
 
 /// The rejection of an attempt that never ran.
@@ -21,7 +21,7 @@
     }
 }
 
-/// The reply to the client of a request that this process may not run; `None` where the answer does not end it.
+/// The reply to the client of a request that this process may not run; `None` if the answer does not end the request.
 pub(super) fn reply_to(answer: &Answer, lease_ms: f64) -> Option<Reply> {
     let retry_after_ms = answer.ms.clamp(0.0, MAX_RETRY_AFTER_MS) as u64;
     Some(match answer.verdict() {
@@ -35,12 +35,12 @@
     })
 }
 
-/// Injected fault of a proof: a request that runs on another backend is taken for a free one.
+/// Failpoint: a request that runs on another backend is treated as ownerless.
 pub(super) fn lock_is_ignored(verdict: Verdict) -> bool {
     failpoint::is_active(Failpoint::Lock) && verdict == Verdict::InProgress
 }
 
-/// The counter of a reply that is not the result of an own run.
+/// The counter of a reply other than [`Reply::Served`].
 fn counter_of<'a>(counters: &'a Counters, reply: &Reply) -> &'a Count {
     match reply {
         Reply::Rejected { .. } => &counters.tasks_rejected,
@@ -50,7 +50,7 @@
 }
 
 impl Tasks {
-    /// Answers a task, and counts the reply if somebody waited for it.
+    /// Answers a task, and counts the reply if a client was waiting for it.
     pub(super) fn answer_and_count(&mut self, task: Handle, reply: Reply) {
         let counters = self.counters.clone();
         let counter = counter_of(&counters, &reply);
@@ -71,7 +71,7 @@
 }
 
 impl Engine {
-    /// The answer to the ownership request with this number.
+    /// Handles the answer to the ownership request with this number.
     pub(crate) fn ownership_answered(&mut self, number: u64, answer: &Answer) {
         let ownership = &mut self.tasks.ownership;
         let Some(awaiting) = ownership.awaiting.remove(&number) else {
--- a/crates/asterdale-engine/src/ownership/claims.rs
+++ b/crates/asterdale-engine/src/ownership/claims.rs
@@ -15,9 +15,9 @@
 use crate::message::{CallFence, OwnershipClient, Reply, TaskId};
 use crate::tasks::{TaskRecord, Tasks};
 
-/// Durations sent to the replicas are at most this long, so that they fit their fields whatever a client asks for.
+/// The longest duration that is sent to the replicas, so that it fits its field whatever value a client sends.
 const MAX_WIRE_MS: f64 = 9e8;
-/// The fence that a proof's injected fault claims under: above any that was granted.
+/// The fence that is used under an active failpoint: higher than any that is granted.
 const FORGED_FENCE: u64 = u64::MAX >> 1;
 
 /// A call must not be made now: the lease may have lapsed.
@@ -35,7 +35,7 @@
 }
 
 impl Tasks {
-    /// A task as another backend would need it to take it over.
+    /// A task with all that another backend needs to take it over.
     pub(super) fn work_of(
         &self,
         record: &TaskRecord,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Whether a task that the policies start may start now. One that this process does not own is claimed first, and
-    /// starts with the answer.
+    /// Whether a task that the policies start may start now. A task that this process does not own is claimed first,
+    /// and starts when the claim is granted.
     pub(crate) fn claim_before_start(&mut self, task: Handle) -> bool {
         let Some(record) = self.task(task) else {
             return false;
@@ -91,10 +91,10 @@
         }
     }
 
-    /// The fence that a call of this task carries, if it carries one.
+    /// The fence to send with a call of this task, if any.
     ///
     /// # Errors
-    /// The call must not be made now.
+    /// If the call must not be made now.
     pub(crate) fn call_fence(&self, task: Handle) -> Result<Option<CallFence>, LeaseLapsed> {
         let record = self.task(task);
         let Some(owned) = record.and_then(|record| record.ownership.as_ref()) else {
@@ -114,7 +114,7 @@
         }))
     }
 
-    /// Whether a task continues although its client is gone: one that this process owns does, as a repeat on any
+    /// Whether a task continues although its client has given up. A task that this process owns does, as a retry on any
     /// backend gets its result.
     pub(crate) fn continues_without_client(&self, task: Handle) -> bool {
         let record = self.task(task);
@@ -122,7 +122,7 @@
         owned.is_some_and(|owned| owned.granted_fence().is_some())
     }
 
-    /// A claimed task runs on another backend: its task here waits for that run like a repeat.
+    /// Makes a task wait for its run on another backend, as a retry does.
     fn wait_for_remote_run(&mut self, task: Handle) {
         let Some(record) = self.task(task) else {
             return;
@@ -147,12 +147,12 @@
 }
 
 impl Engine {
-    /// The answer to the claim of this task.
+    /// Handles the answer to the claim of this task.
     pub(super) fn claim_answered(&mut self, number: TaskId, answer: &Answer) {
         let tasks = &mut self.tasks;
         let verdict = answer.verdict();
         let Some(task) = tasks.by_number.get(&number).copied() else {
-            return; // the replicas drop the claim, as nobody renews it
+            return; // the replicas drop the claim, as it is not renewed
         };
         let has_claim = tasks
             .task(task)
@@ -192,7 +192,7 @@
         }
     }
 
-    /// This process owns the task under this fence, and starts it if it is still wanted and the lease is valid.
+    /// Starts a task whose claim was granted under this fence, if its result is still needed and the lease is valid.
     fn claim_granted(&mut self, task: Handle, fence: u64) {
         let tasks = &mut self.tasks;
         let (Some(client), Some(record)) = (tasks.ownership.client.clone(), tasks.task(task))
@@ -215,8 +215,7 @@
         tasks.start(task);
     }
 
-    /// Nothing of this task was started here: its client is told so, or what else is known, and another attempt may
-    /// run.
+    /// Ends a task of which nothing was started here. Its client gets this reply, and another attempt may run.
     pub(super) fn never_started(&mut self, task: Handle, reply: Reply) {
         let tasks = &mut self.tasks;
         tasks.set_claim(task, Claim::Remote);
@@ -225,7 +224,7 @@
         self.end_as_stale(task);
     }
 
-    /// Tells the policies that the run of this task has no effect.
+    /// Reports to the policies that the run of this task has no effect.
     fn end_as_stale(&mut self, task: Handle) {
         if let Some(server) = &mut self.server {
             task.run_ended(server, self.tasks.now, Outcome::Stale, &mut self.tasks);
--- a/crates/asterdale-engine/src/ownership/handoff.rs
+++ b/crates/asterdale-engine/src/ownership/handoff.rs
@@ -10,7 +10,7 @@
 
 impl Tasks {
     /// Hands off a task that the policies reject while this process drains; its client then waits for the backend that
-    /// takes it. `false` if it is to be rejected.
+    /// takes it over. Returns `false` if the task must be rejected.
     pub(crate) fn hand_off(&mut self, task: Handle, is_final: bool, retry_after_ms: f64) -> bool {
         let Some(client) = self.ownership.client.clone() else {
             return false;
@@ -56,7 +56,7 @@
         true
     }
 
-    /// Another backend may take the task: its client waits for that run, for as long as this process drains.
+    /// Makes the client of a handed-off task wait for the run on another backend, as long as this process drains.
     pub(super) fn handed_off(
         &mut self,
         idempotency_key: &IdempotencyKey,
--- a/crates/asterdale-engine/src/ownership/lookup.rs
+++ b/crates/asterdale-engine/src/ownership/lookup.rs
@@ -11,12 +11,12 @@
 use crate::message::{IdempotencyKey, Reply, Request, RequestHead, ResponseRoute};
 use crate::tasks::Tasks;
 
-/// Requests to the replicas that are under way at once. Beyond that, keyed requests are rejected.
+/// The most pending requests to the replicas. Beyond that, keyed requests are answered `Overloaded`.
 const MAX_AWAITING: usize = 8192;
 
 impl Tasks {
-    /// The ownership of a request under this idempotency key, if its class has replicated ownership. `left_ms` is how
-    /// long its client still waits; `tenant` is empty where callers are not authenticated.
+    /// The ownership of a new request under this idempotency key, if its class has replicated ownership. `left_ms` is
+    /// how long its client still waits; `tenant` is empty where callers are not authenticated.
     pub(crate) fn ownership_of(
         &self,
         head: &RequestHead,
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Looks up a request, which waits for the answer.
+    /// Looks up a request. The policies see it once the answer is there.
     pub(crate) fn look_up(&mut self, request: Request, key: &OwnershipKey) {
         let route = request.route();
         if self.ownership.lookups.contains_key(&route) {
@@ -80,7 +80,7 @@
         self.ownership.lookups.insert(route, number);
     }
 
-    /// The clients of requests that are being looked up no longer wait.
+    /// Cancels the look-ups of requests whose clients no longer wait.
     pub(crate) fn cancel_lookups(&mut self, is_cancelled: impl Fn(ResponseRoute) -> bool) {
         let numbers: Vec<u64> = self
             .ownership
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Ends a look-up before its answer; its request.
+    /// Cancels a pending look-up. Returns its request.
     pub(super) fn take_lookup(&mut self, number: u64) -> Option<Request> {
         let Some(Awaiting::Lookup { request, .. }) = self.ownership.awaiting.remove(&number) else {
             return None;
@@ -108,8 +108,8 @@
         Some(*request)
     }
 
-    /// A request runs, or has ended, on another backend: the idempotency table knows it from now on, so that the
-    /// policies join it as they join any repeat.
+    /// Enters a request that runs or has ended on another backend into the idempotency table, so that the policies join
+    /// it like any retry.
     fn learn_remote_run(
         &mut self,
         request: &Request,
@@ -136,14 +136,14 @@
         }
     }
 
-    /// How long repeats of this request class are known, in milliseconds.
+    /// How long retries of requests of this class are recognized, in milliseconds.
     pub(super) fn retry_window_ms(&self, class: usize) -> f64 {
         self.settings.decisions.classes[class].retry_window_ms
     }
 }
 
 impl Engine {
-    /// The answer to a look-up.
+    /// Handles the answer to a look-up.
     pub(super) fn lookup_answered(
         &mut self,
         request: Request,
--- a/crates/asterdale-engine/src/ownership/mod.rs
+++ b/crates/asterdale-engine/src/ownership/mod.rs
@@ -1,12 +1,12 @@
-//! Replicated ownership of keyed requests, as the engine uses it. Which process owns a request is agreed by the
-//! ownership replicas ([`asterdale_ownership`]); admission and scheduling stay with the policies, for requests that are
-//! taken over as for all others.
+//! The engine's part of replicated ownership of keyed requests. The ownership replicas ([`asterdale_ownership`]) agree
+//! on the process that owns a request. Admission and scheduling are decided by the policies, also for requests that are
+//! taken over.
 //!
-//! A keyed request that is unknown here is looked up before the policies see it ([`lookup`]), so that a repeat on any
-//! backend joins it or gets its result ([`remote`]). It is claimed when the policies start it, and starts once this
-//! process holds the claim's fence ([`claims`]). Its reply leaves when its outcome is replicated ([`outcomes`]).
-//! Requests whose owner is gone are taken over ([`takeover`]); a draining process hands off what it has not started
-//! ([`handoff`]).
+//! A keyed request that this process does not know is looked up at the replicas before the policies see it
+//! ([`lookup`]), so that a retry on any backend joins the earlier run or gets its result ([`remote`]). The request is
+//! claimed when the policies start it, and starts once this process has the claim's fence ([`claims`]). Its reply is
+//! sent when its outcome is replicated ([`outcomes`]). Requests whose owner has ended are taken over ([`takeover`]); a
+//! draining process hands off the tasks that it has not started ([`handoff`]).
 
 mod answers;
 mod claims;
--- a/crates/asterdale-engine/src/ownership/outcomes.rs
+++ b/crates/asterdale-engine/src/ownership/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes: the reply of a run leaves once its outcome is replicated.
+//! Outcomes: the reply of a run is sent once its outcome is replicated.
 
 use std::sync::Arc;
 
@@ -13,15 +13,15 @@
 use crate::tasks::Tasks;
 
 impl Tasks {
-    /// The ownership of a task whose run is over, if this process owns it.
+    /// Takes the ownership out of a task whose run is over, if this process owns the task.
     fn take_granted(&mut self, task: Handle) -> Option<OwnedTask> {
         self.task_mut(task)?
             .ownership
             .take_if(|owned| owned.granted_fence().is_some())
     }
 
-    /// A run has ended with a result. If this process owns the task, the outcome is replicated; the reply then waits
-    /// for that, and is the task's no longer.
+    /// Replicates the outcome of a run that ended with a result, if this process owns the task. The responder moves
+    /// from the task to the pending request, and the reply is sent once the outcome is replicated.
     pub(crate) fn replicate_outcome(&mut self, task: Handle, result: &Arc<[u8]>) {
         let Some(owned) = self.take_granted(task) else {
             return;
@@ -66,7 +66,8 @@
             .request(want, Awaiting::Outcome(Box::new(ended)));
     }
 
-    /// A run is over without a result that could be replicated. `never_ran`: nothing was started.
+    /// Ends the ownership of a task whose run is over and has no result to replicate. `never_ran`: nothing was started,
+    /// so the claim is reported as unused.
     pub(crate) fn end_ownership(&mut self, task: Handle, never_ran: bool) {
         let Some(owned) = self.take_granted(task) else {
             return;
@@ -87,8 +88,9 @@
         }
     }
 
-    /// The policies release a task. A run whose end was not seen has ended without a result, as it has for those who
-    /// repeat it here; while this process drains, another backend may do better and takes it over.
+    /// Ends the ownership of a task that the policies release. A run whose end was not seen is recorded as ended
+    /// without a result, which is also what its retries on this backend get. While this process drains nothing is
+    /// recorded, so that another backend can take the request over.
     pub(crate) fn release_ownership(&mut self, task: Handle) {
         let Some(owned) = self
             .task_mut(task)
@@ -109,7 +111,7 @@
 }
 
 impl Engine {
-    /// The answer to the outcome of a run.
+    /// Handles the answer to the outcome of a run.
     pub(super) fn outcome_answered(&mut self, ended: EndedRun, answer: &Answer) {
         let tasks = &mut self.tasks;
         if answer.verdict() == Verdict::Fenced {
@@ -134,7 +136,8 @@
 }
 
 impl Tasks {
-    /// Another backend has taken the task over: its outcome counts, and those who wait here wait for that.
+    /// Handles an outcome that was rejected because another backend has taken the task over. The outcome of that run
+    /// counts, and the clients here wait for it.
     fn outcome_fenced(&mut self, ended: EndedRun) {
         let (now, window_ms) = (self.now, self.retry_window_ms(ended.idempotency_key.class));
         let is_reassigned =
--- a/crates/asterdale-engine/src/ownership/record.rs
+++ b/crates/asterdale-engine/src/ownership/record.rs
@@ -7,36 +7,37 @@
 pub struct OwnershipKey {
     /// Request class, tenant and idempotency key, separated by zero bytes.
     pub bytes: Vec<u8>,
-    /// The digest of its body, equal in all processes.
+    /// The digest of the request body, equal in all processes.
     pub body_digest: u64,
 }
 
-/// How far the claim of a task has come.
+/// The state of a task's claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// The task was not claimed.
+    /// No claim was sent.
     None,
-    /// The claim was sent.
+    /// The claim was sent and is not answered.
     Requested,
     /// This process owns the task under this fence.
     Granted(u64),
-    /// The task runs, or has ended, on another backend: here it waits like a repeat.
+    /// This process does not own the task. If it runs or has ended on another backend, it waits for that result as a
+    /// retry does.
     Remote,
 }
 
 /// The replicated ownership of a task.
 pub struct OwnedTask {
-    /// Identifies it to the replicas.
+    /// Identifies the request to the replicas.
     pub key: OwnershipKey,
-    /// Its claim.
+    /// The state of its claim.
     pub claim: Claim,
-    /// Its start and its calls carry the fence.
+    /// Whether its start command and its calls carry the fence.
     pub sends_fence: bool,
-    /// It was taken over from a backend that is gone.
+    /// Whether it was taken over from a backend that has ended.
     pub is_takeover: bool,
     /// When the client gives up this attempt, in engine time.
     pub attempt_deadline: f64,
-    /// When the client gives up all attempts, as far as this one tells.
+    /// When the client gives up all attempts, estimated from this attempt, in engine time.
     pub request_deadline: f64,
     /// The client's estimate of the work, in milliseconds; 0 for none.
     pub cost_hint_ms: f64,
@@ -53,14 +54,14 @@
         }
     }
 
-    /// The fence that its start and its calls carry, if they carry one.
+    /// The fence to send with its start command and its calls, if any.
     pub fn fence_to_send(&self) -> Option<u64> {
         self.granted_fence()
             .filter(|_| self.sends_fence && !failpoint::is_active(Failpoint::Fence))
     }
 
-    /// For how long its result is of use, in milliseconds: a client that gives up this attempt may ask again on any
-    /// backend.
+    /// How long its result is still useful, in milliseconds: a client that gives up this attempt may retry on any
+    /// backend until the deadline of the request.
     pub fn remaining_ms(&self, now: f64) -> f64 {
         (self.request_deadline - now).max(0.0)
     }
--- a/crates/asterdale-engine/src/ownership/remote.rs
+++ b/crates/asterdale-engine/src/ownership/remote.rs
@@ -1,4 +1,4 @@
-//! Runs on other backends that clients of this one wait for.
+//! Runs on other backends that clients of this backend wait for.
 
 use asterdale::Handle;
 use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
@@ -9,13 +9,14 @@
 use crate::message::{IdempotencyKey, Reply, Responder, TaskId};
 use crate::tasks::Tasks;
 
-/// A run that two polls in a row have found without an owner is given up: its clients may try again.
+/// A run that two polls in a row have found without an owner is given up: its clients may retry.
 const OWNERLESS_TIMEOUT_MS: f64 = 1.5 * POLL_INTERVAL_MS;
-/// Advice to clients that are told `Unknown`: after this time the next poll has been answered.
+/// The retry delay that is sent with `Unknown`: by then the next poll has been answered.
 pub(super) const POLL_RETRY_AFTER_MS: u64 = POLL_INTERVAL_MS as u64;
 
 impl Tasks {
-    /// Answers a task that waited in vain for a remote run, if there is a reply of its own for it.
+    /// Answers a task that waited for a remote run and did not get its result, if a reply was recorded for it. Returns
+    /// whether one was.
     pub(crate) fn answer_without_remote_result(&mut self, task: Handle) -> bool {
         let Some(number) = self.task(task).map(|record| record.number) else {
             return false;
@@ -27,7 +28,8 @@
         true
     }
 
-    /// This process takes over a run that tasks here have joined: they wait for its own run from now on.
+    /// When this process takes over a remote run: makes the tasks that had joined it wait for the run here. Returns
+    /// those that do not wait.
     pub(crate) fn rejoin_after_takeover(
         &mut self,
         key: &IdempotencyKey,
@@ -45,7 +47,7 @@
         Vec::new()
     }
 
-    /// A remote run is over as far as this process can tell: everybody who waits for it gets this reply.
+    /// Ends a remote run, as far as this process knows of it: all clients that wait for it get this reply.
     pub(super) fn remote_run_ended(&mut self, key: &IdempotencyKey, reply: &Reply) {
         let Some(run) = self.ownership.remote_runs.remove(key) else {
             return;
@@ -65,9 +67,9 @@
                 self.notify_joined(joined, None);
             }
             _ => {
-                // A repeat that comes later is told what is known then.
+                // A later retry is looked up again.
                 let joined = self.idempotency.forget(key, REMOTE_OWNER);
-                // A task that the policies have released gets no reply from here.
+                // A task that the policies have released gets no reply here.
                 let waiting = joined
                     .iter()
                     .filter(|task| self.by_number.contains_key(task));
@@ -91,8 +93,8 @@
         self.answer_detached(client.responder, reply);
     }
 
-    /// Polls the remote runs that are due, and gives up those whose window has closed. Returns the clients that are
-    /// about to give up.
+    /// Polls the remote runs that are due, and gives up those whose retry window has ended. Returns the clients that
+    /// are about to give up.
     pub(super) fn poll_remote_runs(&mut self) -> Vec<Responder> {
         let now = self.now;
         let (mut polls, mut closed, mut late) = (Vec::new(), Vec::new(), Vec::new());
@@ -125,7 +127,7 @@
 }
 
 impl Engine {
-    /// The answer to a poll.
+    /// Handles the answer to a poll.
     pub(super) fn poll_answered(&mut self, key: &IdempotencyKey, answer: &Answer) {
         let tasks = &mut self.tasks;
         let now = tasks.now;
@@ -139,8 +141,9 @@
             Verdict::NotFound => {
                 let since = *run.ownerless_since.get_or_insert(now);
                 if now - since >= OWNERLESS_TIMEOUT_MS {
-                    // Its owner is gone, or released it before it started. What waits here never ran and may try
-                    // again: it is then a first attempt, or joins the backend that took it over.
+                    // The owner has ended, or released the request before it started. The attempts that wait here
+                    // never ran, so their clients may retry: as a first attempt, or joining the run of the backend
+                    // that took the request over.
                     tasks.remote_run_ended(key, &rejected(0));
                 }
             }
--- a/crates/asterdale-engine/src/ownership/table.rs
+++ b/crates/asterdale-engine/src/ownership/table.rs
@@ -1,4 +1,4 @@
-//! Ownership requests that are under way, and what waits for their answers.
+//! Pending ownership requests, and what is needed to handle their answers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,19 +12,20 @@
 
 /// The interval between polls of a remote run.
 pub(super) const POLL_INTERVAL_MS: f64 = 40.0;
-/// A reply that still waits for the replicas is replaced by `Unknown` this long before its client gives up.
+/// A client whose reply is still waiting for the replicas is answered this long before it gives up: with `Unknown` if
+/// its task may have run.
 pub(super) const ANSWER_MARGIN_MS: f64 = 20.0;
-/// The owner of remote runs in the idempotency table: no task of this process has this number.
+/// The owner of remote runs in the idempotency table. No task of this process has this number.
 pub(super) const REMOTE_OWNER: TaskId = 0;
-/// A look-up without an answer after this time is given up, and the claim decides. Ten times what replicas on the same
-/// network take, and a small part of any deadline.
+/// A look-up without an answer after this time is given up; the claim then finds out whether another process owns the
+/// request. This is ten times what replicas on the same network take to answer, and a small part of any deadline.
 const LOOKUP_TIMEOUT_MS: f64 = 200.0;
-/// A claim without an answer after this many leases is given up: the task is rejected as never started.
+/// A claim without an answer after this many lease lengths is given up: the task is rejected as never started.
 const CLAIM_TIMEOUT_LEASES: f64 = 1.0;
 
-/// What waits for the answer to an ownership request.
+/// What a pending ownership request is for, with what is needed to handle its answer.
 pub(super) enum Awaiting {
-    /// The look-up of a request that the policies have not seen.
+    /// The look-up of a request that the policies have not seen yet.
     Lookup {
         request: Box<Request>,
         idempotency_key: IdempotencyKey,
@@ -36,17 +37,17 @@
     Poll(IdempotencyKey),
     /// The claim of a task that the policies have started.
     Claim { task: TaskId, since: f64 },
-    /// An outcome that must be replicated before its reply leaves.
+    /// An outcome that must be replicated before the reply is sent.
     Outcome(Box<EndedRun>),
     /// The hand-off of a queued task while this process drains.
     HandOff {
         idempotency_key: IdempotencyKey,
         key: OwnershipKey,
         responder: Responder,
-        /// The reply if no other backend takes it.
+        /// The reply if no other backend takes the task over.
         fallback: Reply,
     },
-    /// Nothing: the request is sent for its effect alone.
+    /// The answer is ignored.
     Nothing,
 }
 
@@ -57,34 +58,34 @@
     pub(super) key: OwnershipKey,
     pub(super) result: Arc<[u8]>,
     pub(super) responder: Option<Responder>,
-    /// When its client gives up.
+    /// When its client gives up, in engine time.
     pub(super) deadline: f64,
 }
 
-/// A run on another backend, which clients of this one wait for.
+/// A run on another backend that clients of this backend wait for.
 pub(super) struct RemoteRun {
     pub(super) key: OwnershipKey,
-    /// A poll is under way.
+    /// Whether a poll is pending.
     pub(super) is_polling: bool,
     pub(super) next_poll_at: f64,
-    /// Since when polls have found no owner.
+    /// Since when polls have found no owner, in engine time.
     pub(super) ownerless_since: Option<f64>,
-    /// When the window of its idempotency key closes.
+    /// When the retry window of its idempotency key ends, in engine time.
     pub(super) window_end: f64,
-    /// Clients whose tasks the policies have released.
+    /// Waiting clients whose tasks the policies have released.
     pub(super) detached: Vec<DetachedClient>,
 }
 
-/// A client whose task the policies have released, and who still waits.
+/// A client that still waits for its reply although the policies have released its task.
 pub(super) struct DetachedClient {
     pub(super) responder: Responder,
-    /// When it gives up.
+    /// When it gives up, in engine time.
     pub(super) deadline: f64,
-    /// Its attempt ran here, so it must never be told that it did not.
+    /// Whether its attempt ran here. It must then never get a rejection, which says that the attempt never ran.
     pub(super) ran_here: bool,
 }
 
-/// Requests whose answer is late.
+/// Pending requests that have timed out.
 #[derive(Default)]
 pub(super) struct Overdue {
     pub(super) lookups: Vec<u64>,
@@ -93,25 +94,25 @@
     pub(super) responders: Vec<Responder>,
 }
 
-/// Ownership requests under way. All of it is empty where ownership is not replicated.
+/// The pending ownership requests and the remote runs. It is empty where ownership is not replicated.
 pub struct OwnershipTable {
     pub(super) client: Option<Arc<dyn OwnershipClient>>,
     next_number: u64,
     pub(super) awaiting: HashMap<u64, Awaiting>,
-    /// Look-ups by the route of their request.
+    /// The numbers of pending look-ups, by the response route of their request.
     pub(super) lookups: HashMap<ResponseRoute, u64>,
     pub(super) remote_runs: HashMap<IdempotencyKey, RemoteRun>,
-    /// Replies to tasks that waited for a remote run without getting its result.
+    /// Replies to tasks that waited for a remote run and did not get its result.
     pub(super) replies: HashMap<TaskId, Reply>,
     pub(super) next_tick_at: f64,
-    /// When everything must be answered, while this process drains.
+    /// While this process drains: when all requests must be answered, in engine time.
     pub(super) drain_deadline: Option<f64>,
-    /// Tasks in hand that were taken over.
+    /// The number of open tasks that were taken over.
     pub(super) takeovers: usize,
 }
 
 impl OwnershipTable {
-    /// A table that asks this client; without one nothing is replicated.
+    /// A table that sends requests to this client; without a client nothing is replicated.
     pub fn new(client: Option<Arc<dyn OwnershipClient>>) -> OwnershipTable {
         OwnershipTable {
             client,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Sends a request; its number.
+    /// Sends a request to the replicas. Returns its number.
     pub(super) fn request(&mut self, want: OwnershipRequest, awaiting: Awaiting) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
@@ -142,19 +143,20 @@
         self.client.as_ref().map_or(0.0, |client| client.lease_ms())
     }
 
-    /// This process drains, and has answered everything by then.
+    /// Records that this process drains, and must have answered all requests by the deadline.
     pub fn drain_until(&mut self, deadline: f64) {
         self.drain_deadline = Some(deadline);
     }
 
-    /// This process terminates: anybody may take what it has not completed. Nothing is replicated from then on.
+    /// Releases all requests as this process terminates: other backends may take over those that it has not completed.
+    /// Nothing is replicated from then on.
     pub fn release_all(&mut self) {
         if let Some(client) = self.client.take() {
             client.release_all();
         }
     }
 
-    /// The remote run under this idempotency key, which is polled from now on.
+    /// Returns the remote run under this idempotency key, and starts to poll it if it is new.
     pub(super) fn follow_remote_run(
         &mut self,
         now: f64,
@@ -174,7 +176,8 @@
             })
     }
 
-    /// Finds the requests that have waited too long. Responders of late outcomes are taken out.
+    /// Finds the requests that have timed out. Outcomes whose clients are about to give up stay pending, but lose their
+    /// responders.
     pub(super) fn overdue(&mut self, now: f64) -> Overdue {
         let claim_timeout_ms = CLAIM_TIMEOUT_LEASES * self.lease_ms();
         let mut overdue = Overdue::default();
--- a/crates/asterdale-engine/src/ownership/takeover.rs
+++ b/crates/asterdale-engine/src/ownership/takeover.rs
@@ -1,4 +1,4 @@
-//! Takeover: requests whose owner is gone pass through the policies here like any arrival.
+//! Takeover: requests whose owner has ended pass through the policies of this backend like any other arrival.
 
 use std::hash::Hasher as _;
 
@@ -11,13 +11,13 @@
 use crate::message::{IdempotencyKey, RequestId, TaskId};
 use crate::tasks::TaskRecord;
 
-/// Tasks in hand that were taken over, for each core: a backend that takes over remains one that serves.
+/// The most open taken-over tasks per core, so that a backend that takes over requests can still serve its own clients.
 const TAKEOVERS_PER_CORE: f64 = 2.0;
-/// The least memory that is reserved for a task that is taken over, in KiB: the policies take no zero.
+/// The least memory that is reserved for a task that is taken over, in KiB: the policies do not accept zero.
 const MIN_MEMORY_KB: f64 = 0.1;
 
 impl Engine {
-    /// Takes over requests without an owner, as long as there is capacity.
+    /// Takes over ownerless requests, as long as there is capacity.
     pub(crate) fn take_over(&mut self, ownerless: Vec<KeyedRequest>) {
         for work in ownerless {
             if self.takeover_capacity() == 0 {
@@ -70,7 +70,8 @@
         }
     }
 
-    /// How many requests would be taken over now: as many as the cores are idle for, and a few for each at most.
+    /// How many more requests this process would take over now: in proportion to the idle part of the cores, and up to
+    /// a total of [`TAKEOVERS_PER_CORE`] open ones per core.
     pub(super) fn takeover_capacity(&self) -> u32 {
         let tasks = &self.tasks;
         let is_draining = tasks.ownership.drain_deadline.is_some();
@@ -126,7 +127,8 @@
     }
 }
 
-/// A request id that no edge node has given out: a hash of the earlier one, the settings' seed and the task's number.
+/// A request id that no edge node has assigned: a hash of the earlier execution's id, the settings' seed and the task's
+/// number.
 fn new_request_id(seed: u64, number: TaskId, earlier: &[u8]) -> Option<RequestId> {
     let mut hasher = SipHasher13::new_with_keys(seed, number);
     hasher.write(earlier);
--- a/crates/asterdale-engine/src/ownership/tick.rs
+++ b/crates/asterdale-engine/src/ownership/tick.rs
@@ -1,4 +1,4 @@
-//! The periodic part: requests to the replicas that are late, clients that are about to give up, polls.
+//! Periodic work: requests to the replicas that have timed out, clients that are about to give up, and polls.
 
 use asterdale::Handle;
 
@@ -10,13 +10,13 @@
 use crate::message::{Reply, TaskId};
 use crate::tasks::{TaskRecord, Tasks};
 
-/// The interval between two looks at what waits.
+/// The interval of the periodic work.
 const TICK_INTERVAL_MS: f64 = 20.0;
 
 /// A task whose client is about to give up.
 struct LateTask {
     task: Handle,
-    /// It may have run, here or on another backend.
+    /// Whether it may have run, here or on another backend.
     may_have_run: bool,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl Engine {
-    /// Deals with everything that has waited long enough.
+    /// Does the periodic work, if its interval has passed.
     pub(crate) fn ownership_tick(&mut self) {
         let now = self.tasks.now;
         if now < self.tasks.ownership.next_tick_at {
@@ -82,7 +82,7 @@
     fn answer_late_tasks(&mut self) {
         for LateTask { task, may_have_run } in self.tasks.late_tasks() {
             if may_have_run {
-                // It continues, and a repeat gets its result.
+                // The run continues, and a retry gets its result.
                 let reply = Reply::Unknown {
                     retry_after_ms: POLL_RETRY_AFTER_MS,
                 };
--- a/crates/asterdale-engine/src/state_transfer/format.rs
+++ b/crates/asterdale-engine/src/state_transfer/format.rs
@@ -1,5 +1,5 @@
-//! The engine's state as bytes: MessagePack maps by field name, so that another release can read them. Stored names
-//! must not change; fields that were renamed keep theirs by `serde(rename)`.
+//! The serialized state of the engine: MessagePack maps with field names, so that another release can read them. Stored
+//! names must not change; a renamed field keeps its stored name by `serde(rename)`.
 
 use std::collections::HashMap;
 
@@ -28,7 +28,7 @@
     #[serde(rename = "mark")]
     pub(super) idempotency_key: Option<IdempotencyKey>,
     pub(super) caller: Option<Caller>,
-    /// The tenant and the role whose quota it takes up.
+    /// The tenant and the role whose quota it counts against.
     #[serde(rename = "place")]
     pub(super) permit_owner: Option<(u32, String)>,
     pub(super) started: bool,
@@ -62,7 +62,7 @@
     }
 }
 
-/// The state of the link to the runtime. It is stored as the list of its numbers.
+/// The state of the link to the runtime. It is stored as a list of numbers.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, u64)", into = "(u64, u64, u64)")]
 pub(super) struct TransferredLink {
@@ -115,13 +115,13 @@
 }
 
 impl TransferredState {
-    /// The state as bytes.
+    /// Serializes the state.
     pub(super) fn encode(&self) -> Vec<u8> {
-        // Maps, lists and numbers alone are written, into memory: that cannot fail.
+        // Only maps, lists and numbers are written, and into memory, which cannot fail.
         rmp_serde::to_vec_named(self).unwrap_or_default()
     }
 
-    /// The state of these bytes.
+    /// Deserializes a state.
     pub(super) fn decode(bytes: &[u8]) -> Result<TransferredState, rmp_serde::decode::Error> {
         rmp_serde::from_slice(bytes)
     }
--- a/crates/asterdale-engine/src/state_transfer/mod.rs
+++ b/crates/asterdale-engine/src/state_transfer/mod.rs
@@ -1,6 +1,6 @@
-//! Hot restart: the engine's state passes to a new process ([`restore`]), and this one then forwards between its
-//! connections and the new engine ([`standby`]), continues by itself, or takes the work back ([`steps`]). Which of these
-//! is to be done is decided by `asterdale_hot_restart::old_process`.
+//! Hot restart: the engine's state is transferred to a new process ([`restore`]). The old process then forwards
+//! messages between its connections and the new engine ([`standby`]), continues to serve, or takes the work back
+//! ([`steps`]). `asterdale_hot_restart::old_process` decides which.
 
 mod format;
 mod restore;
--- a/crates/asterdale-engine/src/state_transfer/restore.rs
+++ b/crates/asterdale-engine/src/state_transfer/restore.rs
@@ -1,4 +1,4 @@
-//! The state of an engine, exported and restored.
+//! Export and restore of an engine's state.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 use crate::message::{Connection, Mirror, Responder};
 use crate::tasks::{TaskRecord, Tasks};
 
-/// The highest index of a task's handle that is accepted. The table has room for all below it: a made-up handle must
-/// not take the memory.
+/// The highest index of a task's handle that is accepted. The task table allocates all slots below an index, so a
+/// forged handle must not exhaust the memory.
 const MAX_TASK_INDEX: usize = 1 << 24;
 
-/// DenialReason a state cannot be restored.
+/// Why a state cannot be restored.
 #[derive(Debug, thiserror::Error)]
 pub enum RestoreError {
     /// The bytes are no state.
@@ -31,7 +31,7 @@
         /// In the state.
         found: usize,
     },
-    /// Callers are authenticated in the state only.
+    /// The state has authenticated callers, and the start file does not configure identity.
     #[error("identity is on in the state, and off in the start file")]
     IdentityOff,
     /// The identity part cannot be restored.
@@ -66,7 +66,7 @@
 /// Checks that an engine with this many request classes could restore this state.
 ///
 /// # Errors
-/// It could not.
+/// If it could not.
 pub fn check_state(state: &[u8], classes: usize) -> Result<(), RestoreError> {
     let state = TransferredState::decode(state)?;
     restore_server(state.server, classes).map(drop)
@@ -101,11 +101,12 @@
         state.encode()
     }
 
-    /// An engine that continues the state of another process. `client` makes a connection that answers over one of the
-    /// other process's, by its number. The mirror is told what the other process must know.
+    /// Creates an engine that continues from the state of another process. `client` makes a connection that answers
+    /// over the connection of the other process with the given number. The mirror is notified of what the other process
+    /// must know.
     ///
     /// # Errors
-    /// The state is malformed, or does not fit the start file.
+    /// If the state is malformed, or does not fit the start file.
     pub fn restore(
         settings: EngineSettings,
         ports: EnginePorts,
@@ -175,7 +176,7 @@
             started: task.started,
             must_not_start: task.must_not_start,
             #[cfg(feature = "ownership")]
-            ownership: None, // a process that can be restarted hot belongs to no fleet
+            ownership: None, // a process that can do a hot restart is not in a fleet
             pending_call: task.pending_call,
             last_command: task.last_command,
         });
--- a/crates/asterdale-engine/src/state_transfer/standby.rs
+++ b/crates/asterdale-engine/src/state_transfer/standby.rs
@@ -1,5 +1,5 @@
-//! The old process once the work belongs to the new one: it forwards between its connections and the new engine, and
-//! learns what it needs to take the work back.
+//! The old process on standby, while the work belongs to the new process: it forwards messages between its connections
+//! and the new engine, and keeps the state that it needs to take the work back up to date.
 
 use std::time::{Duration, Instant};
 
@@ -10,13 +10,13 @@
 use crate::message::{EngineMessage, MirroredEvent, Reply, Responder, ResponseRoute};
 use crate::paused::Standby;
 
-/// The interval at which answered connections are closed once the work is the new process's.
+/// The interval at which connections without open requests are closed while this process is on standby.
 const CLOSE_INTERVAL: Duration = Duration::from_millis(50);
 /// The process stays on standby this long after the last idempotency window that it knows of, in milliseconds.
 const STANDBY_MARGIN_MS: f64 = 1000.0;
 
 impl Engine {
-    /// Forwards a message to the new process. Returns one that is for this process all the same.
+    /// Forwards a message to the new process. Returns a message that this process must handle itself.
     pub(crate) fn forward_to_successor(&mut self, message: EngineMessage) -> Option<EngineMessage> {
         let Some(Standby {
             forwarded,
@@ -59,20 +59,20 @@
             } => successor.forward_call_result(task, outcome, duration_ms, &body),
             EngineMessage::Drain => self.paused.must_exit = true,
             EngineMessage::PrintCounters | EngineMessage::HotRestart(_) => return Some(message),
-            // The addresses, the link and the keys are the new process's.
+            // The new process has its own addresses, link and key sets.
             EngineMessage::RuntimeConnected(_)
             | EngineMessage::RuntimeDisconnected
             | EngineMessage::RuntimeNotice(_)
             | EngineMessage::KeySet(_)
             | EngineMessage::Reloaded(..) => {}
-            // A process that can be restarted hot belongs to no fleet.
+            // A process that can do a hot restart is not in a fleet.
             #[cfg(feature = "ownership")]
             EngineMessage::OwnershipAnswer(..) | EngineMessage::OwnerlessRequests(_) => {}
         }
         None
     }
 
-    /// Defers a message while it is not decided which process has the work.
+    /// Defers a message until it is decided which process has the work.
     fn defer(&mut self, message: EngineMessage) -> Option<EngineMessage> {
         if matches!(message, EngineMessage::HotRestart(_)) {
             return Some(message);
@@ -81,7 +81,8 @@
         None
     }
 
-    /// A reply of the new process: to a task that was transferred, or to a request that was forwarded.
+    /// Sends a reply of the new process to the client of a task that was transferred or of a request that was
+    /// forwarded.
     pub(super) fn relay_reply(&mut self, route: ResponseRoute, reply: Reply) {
         if let Some(task) = self.tasks.by_route.get(&route).copied() {
             self.tasks.answer(task, reply);
@@ -95,8 +96,8 @@
         }
     }
 
-    /// Learns an event of the new process. Tasks that joined an earlier attempt are the new process's: they are not
-    /// told of its end here.
+    /// Applies an event of the new process to the state of this one. Tasks that joined an earlier attempt belong to the
+    /// new process: they are not notified of its end here.
     pub(super) fn apply_mirrored(&mut self, event: MirroredEvent) {
         let Some(standby) = &mut self.paused.standby else {
             return;
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Handles messages while nothing may be decided here. `true` once the process may exit.
+    /// Handles messages while this process may not make decisions. Returns `true` once the process may exit.
     pub(crate) fn run_while_paused(&mut self, mailbox: &Receiver<EngineMessage>) -> bool {
         let mut next_close = Instant::now();
         while self.paused.is_paused() {
--- a/crates/asterdale-engine/src/state_transfer/steps.rs
+++ b/crates/asterdale-engine/src/state_transfer/steps.rs
@@ -14,7 +14,8 @@
 use crate::runtime_events::FLUSH_TAG;
 use crate::tasks::TaskRecord;
 
-/// The proof that all commands to the runtime have arrived is waited for this long, before the state is made without.
+/// How long a freeze waits for the confirmation that all commands to the runtime have arrived. After that the state is
+/// exported without it.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Engine {
@@ -25,11 +26,11 @@
         mailbox: &Receiver<EngineMessage>,
     ) {
         match step {
-            // A draining process has no state to give: the channel is dropped, which says so.
+            // A draining process sends no state: the receiver sees that the channel is dropped.
             HotRestartStep::SendTrialState(_) | HotRestartStep::Freeze(_)
                 if self.drain_deadline.is_some() => {}
             HotRestartStep::SendTrialState(to) => {
-                // Nobody receives it where the hot restart was given up.
+                // There is no receiver if the hot restart was given up.
                 let _ = to.send(self.export());
             }
             HotRestartStep::Freeze(to) => self.freeze(&to, mailbox),
@@ -58,8 +59,9 @@
         }
     }
 
-    /// Stops, and sends the state. What was sent to the runtime has arrived by then, or counts as unproven; what the
-    /// runtime says meanwhile is in the state. Nothing is started: the link takes no commands.
+    /// Stops making decisions, and sends the state. By then the commands sent to the runtime have arrived or are
+    /// treated as unconfirmed; notices that the runtime sends meanwhile are included in the state. Nothing is started,
+    /// as the link takes no commands.
     fn freeze(&mut self, to: &Sender<Vec<u8>>, mailbox: &Receiver<EngineMessage>) {
         let deadline = Instant::now() + FLUSH_TIMEOUT;
         if self.tasks.runtime.commands.is_some() && !self.tasks.runtime.is_replaying {
@@ -75,19 +77,19 @@
             }
         }
         self.tasks.runtime.commands = None;
-        // The runtime's actor lives as long as this one.
+        // The runtime's actor runs as long as this one, so the command arrives.
         let _ = self.runtime_link.send(RuntimeLinkCommand::SetPaused(true));
         self.fail_health_checks();
         self.paused.is_frozen = true;
         self.tasks.now = self.clock.now();
-        // Nobody receives it where the hot restart was given up; a thaw follows then.
+        // There is no receiver if the hot restart was given up; `Thaw` follows then.
         let _ = to.send(self.export());
     }
 
-    /// The link is this process's again. What may not have arrived is sent again on the new one.
+    /// Takes back the link to the runtime. Commands that may not have arrived are sent again on the new connection.
     fn reclaim_link(&mut self) {
         self.tasks.runtime.is_replaying = true;
-        // The runtime's actor lives as long as this one.
+        // The runtime's actor runs as long as this one, so the command arrives.
         let _ = self.runtime_link.send(RuntimeLinkCommand::SetPaused(false));
     }
 
@@ -112,8 +114,8 @@
         self.handle_deferred(mailbox);
     }
 
-    /// Takes the work back. What the new process has started is not started again: its clients are told that it failed,
-    /// and the results come with the notices that were missed.
+    /// Takes the work back. Tasks that the new process has started are not started again: their clients get `Failed`,
+    /// and the results arrive with the notices that were missed.
     fn resume(&mut self, mailbox: &Receiver<EngineMessage>) {
         let Some(standby) = self.paused.standby.take() else {
             return;
@@ -146,7 +148,8 @@
             .copied()
             .filter(|task| tasks.task(*task).is_some_and(is_over))
             .collect();
-        // All are answered before the policies are told of the first: what it frees must start none of the others.
+        // All are answered before the first is reported to the policies: the capacity that it frees must not start any
+        // of the others.
         for task in &over {
             if let Some(record) = tasks.task_mut(*task) {
                 record.must_not_start = true;
--- a/crates/asterdale-engine/src/state_transfer/tests.rs
+++ b/crates/asterdale-engine/src/state_transfer/tests.rs
@@ -1,7 +1,7 @@
-//! The state of a hot restart that an earlier release wrote is restored: open tasks, idempotency entries and their
-//! results, keys and the link to the runtime come out as they went in. The stored fields are compared by name as well,
-//! so that a change is seen even where reading and writing change together.
-//! `tests/fixtures/hot_restart/README.md` says how the file was made.
+//! A hot-restart state that an earlier release wrote is restored with all its open tasks, idempotency entries, results
+//! and keys, and the state of the link to the runtime. The names of the stored fields are checked as well, so that a
+//! change is detected even if reading and writing change together. `tests/fixtures/hot_restart/README.md` says how the
+//! file was made.
 
 use asterdale_identity::mint::SecretKey;
 use asterdale_identity::{Identity, Role, Tenant};
@@ -24,12 +24,12 @@
 
 const STATE: &[u8] = include_bytes!("../../tests/fixtures/hot_restart/state.msgpack");
 
-/// Seed of the tests' digests, which the stored state overrides.
+/// The seed of the digests, which the stored state overrides.
 const SEED: u64 = 42;
 /// The engine's time when the first engine started.
 const START_MS: f64 = 1e12;
 
-/// No connections.
+/// Frontends without connections.
 struct NoFrontends;
 
 impl Frontends for NoFrontends {
@@ -42,7 +42,7 @@
     fn set_paused(&self, _: bool) {}
 }
 
-/// A connection that takes every answer.
+/// A connection that discards every reply.
 struct DiscardingConnection(u64);
 
 impl Connection for DiscardingConnection {
@@ -53,7 +53,7 @@
     fn discard_request(&self) {}
 }
 
-/// Two cores, a request class that may run again and one with idempotency keys.
+/// Two cores, an idempotent request class and a keyed one.
 fn settings() -> Settings {
     let class = |name: &str, repeat: &str| {
         json!({"name": name, "repeat": repeat, "objectiveNs": 500e6, "deadlineNs": 2000e6, "worth": 1.0,
@@ -71,7 +71,7 @@
     asterdale_parameters::from_json(SEED, &start)
 }
 
-/// Callers must show a token.
+/// An identity policy under which every caller needs a token.
 fn identity() -> Identity {
     let text = |text: &str| text.to_owned();
     let role = Role {
@@ -103,7 +103,7 @@
     Identity::new(START_MS, identity_settings).unwrap()
 }
 
-/// What an engine starts with; nobody reads what it says.
+/// The settings and ports of an engine. What it sends over the ports is discarded.
 fn start() -> (EngineSettings, EnginePorts) {
     let address = ([127, 0, 0, 1], 9).into();
     let endpoints = Endpoints {
@@ -147,7 +147,7 @@
     TransferredState::decode(state).unwrap()
 }
 
-/// A state as a tree of names and values; lists whose order means nothing are put in order.
+/// A state as a tree of names and values. Lists whose order has no meaning are sorted.
 fn tree(state: &[u8]) -> Value {
     let mut tree = serde_json::to_value(decode(state)).unwrap();
     for list in ["/tasks", "/remembered/entries"] {
@@ -227,7 +227,7 @@
     );
 }
 
-/// Takes a task out of the table, after it was found by its number, its request id and its route.
+/// Takes a task out of the table, after checking that it is found by its number, its request id and its route.
 fn take_task(engine: &mut Engine, number: TaskId) -> TaskRecord {
     let handle = engine.tasks.by_number[&number];
     assert_eq!(engine.tasks.by_id[&id(number as u8)], handle);
@@ -310,7 +310,7 @@
     let mut engine = restored(STATE);
     let entries = &mut engine.tasks.idempotency;
     assert_eq!((entries.len(), entries.bytes()), (4, "sold for 7".len()));
-    // The secret is the stored one: a repeat has the digest of the task that it repeats.
+    // The secret of the digests is the stored one, so that a retry has the same digest as the first attempt.
     assert_eq!(entries.digest(b"bid 1"), 15_236_941_030_769_685_157);
     assert!(entries.has_other_body(&key(b"key-1"), entries.digest(b"bid 2")));
     assert!(entries.is_repeat(&key(b"key-1"), 1_000_000_005_010.0));
