--- a/crates/asterdale-engine/src/log.rs
+++ b/crates/asterdale-engine/src/log.rs
@@ -9,7 +9,7 @@
 use slog_async::AsyncGuard;
 
 /// The most lines that are queued to be written.
-const QUEUED_LINES: usize = 256;
+const MAX_QUEUED_LINES: usize = 256;
 /// The minimum time between two lines about one kind of fault, in milliseconds.
 const MIN_INTERVAL_MS: u64 = 1000;
 /// Lines up to this length, in bytes, are written by one system call.
@@ -48,7 +48,7 @@
         D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
     {
         let (drain, guard) = slog_async::Async::new(drain)
-            .chan_size(QUEUED_LINES)
+            .chan_size(MAX_QUEUED_LINES)
             .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
             .build_with_guard();
         // The filter comes before the queue, so that lines below the level take no space in it.
--- a/crates/asterdale-engine/src/mailbox/tests.rs
+++ b/crates/asterdale-engine/src/mailbox/tests.rs
@@ -8,7 +8,7 @@
 use super::*;
 
 #[test]
-fn actor_that_looks_only_when_woken_reads_every_message() {
+fn actor_that_reads_only_when_woken_reads_every_message() {
     const PER_SENDER: usize = 5000;
     const SENDERS: usize = 3;
     let mut poll = Poll::new().unwrap();
--- a/crates/asterdale-engine/src/ownership/answers.rs
+++ b/crates/asterdale-engine/src/ownership/answers.rs
@@ -4,7 +4,7 @@
 use asterdale_ownership::failpoint::{self, Failpoint};
 use asterdale_ownership::{Answer, Verdict};
 
-use super::table::Awaiting;
+use super::table::PendingRequest;
 use crate::counters::{Count, Counters};
 use crate::engine::Engine;
 use crate::message::{Reply, Responder};
@@ -74,11 +74,11 @@
     /// Handles the answer to the ownership request with this number.
     pub(crate) fn ownership_answered(&mut self, number: u64, answer: &Answer) {
         let ownership = &mut self.tasks.ownership;
-        let Some(awaiting) = ownership.awaiting.remove(&number) else {
+        let Some(pending) = ownership.pending.remove(&number) else {
             return;
         };
-        match awaiting {
-            Awaiting::Lookup {
+        match pending {
+            PendingRequest::Lookup {
                 request,
                 idempotency_key,
                 key,
@@ -87,10 +87,10 @@
                 ownership.lookups.remove(&request.route());
                 self.lookup_answered(*request, &idempotency_key, &key, answer);
             }
-            Awaiting::Poll(idempotency_key) => self.poll_answered(&idempotency_key, answer),
-            Awaiting::Claim { task, .. } => self.claim_answered(task, answer),
-            Awaiting::Outcome(ended) => self.outcome_answered(*ended, answer),
-            Awaiting::HandOff {
+            PendingRequest::Poll(idempotency_key) => self.poll_answered(&idempotency_key, answer),
+            PendingRequest::Claim { task, .. } => self.claim_answered(task, answer),
+            PendingRequest::Outcome(ended) => self.outcome_answered(*ended, answer),
+            PendingRequest::HandOff {
                 idempotency_key,
                 key,
                 responder,
@@ -104,7 +104,7 @@
                     _ => self.tasks.answer_detached(responder, reply),
                 }
             }
-            Awaiting::Nothing => {}
+            PendingRequest::Nothing => {}
         }
     }
 }
--- a/crates/asterdale-engine/src/ownership/claims.rs
+++ b/crates/asterdale-engine/src/ownership/claims.rs
@@ -10,7 +10,7 @@
 
 use super::answers::{lock_is_ignored, rejected, reply_to};
 use super::record::{Claim, OwnedTask};
-use super::table::{Awaiting, REMOTE_OWNER};
+use super::table::{PendingRequest, REMOTE_OWNER};
 use crate::engine::Engine;
 use crate::message::{CallFence, OwnershipClient, Reply, TaskId};
 use crate::tasks::{TaskRecord, Tasks};
@@ -36,7 +36,7 @@
 
 impl Tasks {
     /// A task with all that another backend needs to take it over.
-    pub(super) fn work_of(
+    pub(super) fn keyed_request_of(
         &self,
         record: &TaskRecord,
         owned: &OwnedTask,
@@ -73,13 +73,13 @@
         let Some(client) = &self.ownership.client else {
             return true;
         };
-        let work = self.work_of(record, owned, &**client);
-        let awaiting = Awaiting::Claim {
+        let request = self.keyed_request_of(record, owned, &**client);
+        let pending = PendingRequest::Claim {
             task: record.number,
-            since: self.now,
+            sent_at: self.now,
         };
         self.ownership
-            .request(OwnershipRequest::Claim(work), awaiting);
+            .request(OwnershipRequest::Claim(request), pending);
         self.set_claim(task, Claim::Requested);
         false
     }
@@ -203,8 +203,8 @@
             return;
         };
         let (is_takeover, key) = (owned.is_takeover, owned.key.bytes.clone());
-        let is_wanted = (record.responder.is_some() || is_takeover) && !record.must_not_start;
-        if !is_wanted || !client.may_act() {
+        let is_needed = (record.responder.is_some() || is_takeover) && !record.must_not_start;
+        if !is_needed || !client.may_act() {
             client.claim_unused(key, fence);
             return self.never_started(task, rejected(0));
         }
--- a/crates/asterdale-engine/src/ownership/handoff.rs
+++ b/crates/asterdale-engine/src/ownership/handoff.rs
@@ -4,7 +4,7 @@
 use asterdale_ownership::OwnershipRequest;
 
 use super::record::{Claim, OwnershipKey};
-use super::table::{Awaiting, DetachedClient};
+use super::table::{PendingRequest, DetachedClient};
 use crate::message::{IdempotencyKey, Reply, Responder};
 use crate::tasks::Tasks;
 
@@ -28,7 +28,7 @@
         else {
             return false;
         };
-        let work = self.work_of(record, owned, &*client);
+        let request = self.keyed_request_of(record, owned, &*client);
         let (key, number) = (owned.key.clone(), record.number);
         let Some(record) = self.task_mut(task) else {
             return false;
@@ -42,7 +42,7 @@
         self.by_route.remove(&responder.route());
         let joined = self.idempotency.forget(&idempotency_key, number);
         self.notify_joined(joined, None);
-        let awaiting = Awaiting::HandOff {
+        let pending = PendingRequest::HandOff {
             idempotency_key,
             key,
             responder,
@@ -52,7 +52,7 @@
             },
         };
         self.ownership
-            .request(OwnershipRequest::HandOver(work), awaiting);
+            .request(OwnershipRequest::HandOver(request), pending);
         true
     }
 
--- a/crates/asterdale-engine/src/ownership/lookup.rs
+++ b/crates/asterdale-engine/src/ownership/lookup.rs
@@ -5,14 +5,14 @@
 
 use super::answers::{lock_is_ignored, reply_to};
 use super::record::{Claim, OwnedTask, OwnershipKey};
-use super::table::{Awaiting, REMOTE_OWNER};
+use super::table::{PendingRequest, REMOTE_OWNER};
 use crate::engine::Engine;
 use crate::idempotency::Owner;
 use crate::message::{IdempotencyKey, Reply, Request, RequestHead, ResponseRoute};
 use crate::tasks::Tasks;
 
 /// The most pending requests to the replicas. Beyond that, keyed requests are answered `Overloaded`.
-const MAX_AWAITING: usize = 8192;
+const MAX_PENDING_REQUESTS: usize = 8192;
 
 impl Tasks {
     /// The ownership of a new request under this idempotency key, if its class has replicated ownership. `left_ms` is
@@ -59,24 +59,24 @@
             self.counters.requests_duplicate.add();
             return request.client.discard_request();
         }
-        if self.ownership.awaiting.len() >= MAX_AWAITING {
+        if self.ownership.pending.len() >= MAX_PENDING_REQUESTS {
             self.counters.requests_overloaded.add();
             return request.answer(Reply::Overloaded);
         }
         let Some(idempotency_key) = request.head.idempotency_key.clone() else {
             return;
         };
-        let want = OwnershipRequest::Lookup {
+        let lookup = OwnershipRequest::Lookup {
             key: key.bytes.clone(),
             body_digest: key.body_digest,
         };
-        let awaiting = Awaiting::Lookup {
+        let pending = PendingRequest::Lookup {
             request: Box::new(request),
             idempotency_key,
             key: key.clone(),
-            since: self.now,
+            sent_at: self.now,
         };
-        let number = self.ownership.request(want, awaiting);
+        let number = self.ownership.request(lookup, pending);
         self.ownership.lookups.insert(route, number);
     }
 
@@ -98,7 +98,7 @@
 
     /// Cancels a pending look-up. Returns its request.
     pub(super) fn take_lookup(&mut self, number: u64) -> Option<Request> {
-        let Some(Awaiting::Lookup { request, .. }) = self.ownership.awaiting.remove(&number) else {
+        let Some(PendingRequest::Lookup { request, .. }) = self.ownership.pending.remove(&number) else {
             return None;
         };
         self.ownership.lookups.remove(&request.route());
@@ -110,7 +110,7 @@
 
     /// Enters a request that runs or has ended on another backend into the idempotency table, so that the policies join
     /// it like any retry.
-    fn learn_remote_run(
+    fn record_remote_run(
         &mut self,
         request: &Request,
         idempotency_key: &IdempotencyKey,
@@ -162,7 +162,7 @@
                 tasks.counters.requests_overloaded.add();
                 return request.answer(Reply::Overloaded);
             }
-            tasks.learn_remote_run(&request, idempotency_key, key, answer);
+            tasks.record_remote_run(&request, idempotency_key, key, answer);
             return self.receive_looked_up(request);
         }
         match reply_to(answer, tasks.ownership.lease_ms()) {
--- a/crates/asterdale-engine/src/ownership/outcomes.rs
+++ b/crates/asterdale-engine/src/ownership/outcomes.rs
@@ -7,7 +7,7 @@
 use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
 
 use super::record::OwnedTask;
-use super::table::{Awaiting, DetachedClient, EndedRun, REMOTE_OWNER};
+use super::table::{PendingRequest, DetachedClient, EndedRun, REMOTE_OWNER};
 use crate::engine::Engine;
 use crate::message::Reply;
 use crate::tasks::Tasks;
@@ -49,7 +49,7 @@
             self.by_route.remove(&responder.route());
         }
         self.ownership.takeovers -= usize::from(owned.is_takeover);
-        let want = OwnershipRequest::Complete {
+        let request = OwnershipRequest::Complete {
             key: owned.key.bytes.clone(),
             fence,
             result: Some(result.to_vec()),
@@ -63,7 +63,7 @@
             deadline: owned.attempt_deadline,
         };
         self.ownership
-            .request(want, Awaiting::Outcome(Box::new(ended)));
+            .request(request, PendingRequest::Outcome(Box::new(ended)));
     }
 
     /// Ends the ownership of a task whose run is over and has no result to replicate. `never_ran`: nothing was started,
@@ -77,12 +77,12 @@
             return;
         };
         if !never_ran {
-            let want = OwnershipRequest::Complete {
+            let request = OwnershipRequest::Complete {
                 key: owned.key.bytes,
                 fence,
                 result: None,
             };
-            self.ownership.request(want, Awaiting::Nothing);
+            self.ownership.request(request, PendingRequest::Nothing);
         } else if let Some(client) = &self.ownership.client {
             client.claim_unused(owned.key.bytes, fence);
         }
@@ -100,12 +100,12 @@
         };
         self.ownership.takeovers -= usize::from(owned.is_takeover);
         if let (Some(fence), None) = (owned.granted_fence(), self.ownership.drain_deadline) {
-            let want = OwnershipRequest::Complete {
+            let request = OwnershipRequest::Complete {
                 key: owned.key.bytes,
                 fence,
                 result: None,
             };
-            self.ownership.request(want, Awaiting::Nothing);
+            self.ownership.request(request, PendingRequest::Nothing);
         }
     }
 }
--- a/crates/asterdale-engine/src/ownership/remote.rs
+++ b/crates/asterdale-engine/src/ownership/remote.rs
@@ -4,7 +4,7 @@
 use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
 
 use super::answers::{rejected, reply_to};
-use super::table::{Awaiting, DetachedClient, ANSWER_MARGIN_MS, POLL_INTERVAL_MS, REMOTE_OWNER};
+use super::table::{PendingRequest, DetachedClient, ANSWER_MARGIN_MS, POLL_INTERVAL_MS, REMOTE_OWNER};
 use crate::engine::Engine;
 use crate::message::{IdempotencyKey, Reply, Responder, TaskId};
 use crate::tasks::Tasks;
@@ -97,32 +97,32 @@
     /// are about to give up.
     pub(super) fn poll_remote_runs(&mut self) -> Vec<Responder> {
         let now = self.now;
-        let (mut polls, mut closed, mut late) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut polls, mut ended, mut responders) = (Vec::new(), Vec::new(), Vec::new());
         for (idempotency_key, run) in &mut self.ownership.remote_runs {
-            let (waiting, leaving): (Vec<_>, Vec<_>) = std::mem::take(&mut run.detached)
+            let (waiting, expiring): (Vec<_>, Vec<_>) = std::mem::take(&mut run.detached)
                 .into_iter()
                 .partition(|client| now <= client.deadline - ANSWER_MARGIN_MS);
             run.detached = waiting;
-            late.extend(leaving.into_iter().map(|client| client.responder));
+            responders.extend(expiring.into_iter().map(|client| client.responder));
             if now > run.window_end {
-                closed.push(idempotency_key.clone());
+                ended.push(idempotency_key.clone());
             } else if !run.is_polling && now >= run.next_poll_at {
                 run.is_polling = true;
                 polls.push((idempotency_key.clone(), run.key.clone()));
             }
         }
         for (idempotency_key, key) in polls {
-            let want = OwnershipRequest::Lookup {
+            let lookup = OwnershipRequest::Lookup {
                 key: key.bytes,
                 body_digest: key.body_digest,
             };
             self.ownership
-                .request(want, Awaiting::Poll(idempotency_key));
+                .request(lookup, PendingRequest::Poll(idempotency_key));
         }
-        for idempotency_key in closed {
+        for idempotency_key in ended {
             self.remote_run_ended(&idempotency_key, &Reply::Unknown { retry_after_ms: 0 });
         }
-        late
+        responders
     }
 }
 
--- a/crates/asterdale-engine/src/ownership/table.rs
+++ b/crates/asterdale-engine/src/ownership/table.rs
@@ -24,19 +24,19 @@
 const CLAIM_TIMEOUT_LEASES: f64 = 1.0;
 
 /// What a pending ownership request is for, with what is needed to handle its answer.
-pub(super) enum Awaiting {
+pub(super) enum PendingRequest {
     /// The look-up of a request that the policies have not seen yet.
     Lookup {
         request: Box<Request>,
         idempotency_key: IdempotencyKey,
         key: OwnershipKey,
         /// When it was sent, in engine time.
-        since: f64,
+        sent_at: f64,
     },
     /// The poll of a remote run.
     Poll(IdempotencyKey),
     /// The claim of a task that the policies have started.
-    Claim { task: TaskId, since: f64 },
+    Claim { task: TaskId, sent_at: f64 },
     /// An outcome that must be replicated before the reply is sent.
     Outcome(Box<EndedRun>),
     /// The hand-off of a queued task while this process drains.
@@ -98,7 +98,7 @@
 pub struct OwnershipTable {
     pub(super) client: Option<Arc<dyn OwnershipClient>>,
     next_number: u64,
-    pub(super) awaiting: HashMap<u64, Awaiting>,
+    pub(super) pending: HashMap<u64, PendingRequest>,
     /// The numbers of pending look-ups, by the response route of their request.
     pub(super) lookups: HashMap<ResponseRoute, u64>,
     pub(super) remote_runs: HashMap<IdempotencyKey, RemoteRun>,
@@ -117,7 +117,7 @@
         OwnershipTable {
             client,
             next_number: 1,
-            awaiting: HashMap::new(),
+            pending: HashMap::new(),
             lookups: HashMap::new(),
             remote_runs: HashMap::new(),
             replies: HashMap::new(),
@@ -128,12 +128,12 @@
     }
 
     /// Sends a request to the replicas. Returns its number.
-    pub(super) fn request(&mut self, want: OwnershipRequest, awaiting: Awaiting) -> u64 {
+    pub(super) fn request(&mut self, request: OwnershipRequest, pending: PendingRequest) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
-        self.awaiting.insert(number, awaiting);
+        self.pending.insert(number, pending);
         if let Some(client) = &self.client {
-            client.request(number, want);
+            client.request(number, request);
         }
         number
     }
@@ -181,15 +181,15 @@
     pub(super) fn overdue(&mut self, now: f64) -> Overdue {
         let claim_timeout_ms = CLAIM_TIMEOUT_LEASES * self.lease_ms();
         let mut overdue = Overdue::default();
-        for (&number, awaiting) in &mut self.awaiting {
-            match awaiting {
-                Awaiting::Lookup { since, .. } if now > *since + LOOKUP_TIMEOUT_MS => {
+        for (&number, pending) in &mut self.pending {
+            match pending {
+                PendingRequest::Lookup { sent_at, .. } if now > *sent_at + LOOKUP_TIMEOUT_MS => {
                     overdue.lookups.push(number);
                 }
-                Awaiting::Claim { task, since } if now > *since + claim_timeout_ms => {
+                PendingRequest::Claim { task, sent_at } if now > *sent_at + claim_timeout_ms => {
                     overdue.claims.push((number, *task));
                 }
-                Awaiting::Outcome(ended) if now > ended.deadline - ANSWER_MARGIN_MS => {
+                PendingRequest::Outcome(ended) if now > ended.deadline - ANSWER_MARGIN_MS => {
                     overdue.responders.extend(ended.responder.take());
                 }
                 _ => {}
--- a/crates/asterdale-engine/src/ownership/tick.rs
+++ b/crates/asterdale-engine/src/ownership/tick.rs
@@ -14,27 +14,27 @@
 const TICK_INTERVAL_MS: f64 = 20.0;
 
 /// A task whose client is about to give up.
-struct LateTask {
+struct ExpiringTask {
     task: Handle,
     /// Whether it may have run, here or on another backend.
     may_have_run: bool,
 }
 
 impl Tasks {
-    fn late_tasks(&self) -> Vec<LateTask> {
-        let late = |record: &TaskRecord| {
+    fn expiring_tasks(&self) -> Vec<ExpiringTask> {
+        let expiring = |record: &TaskRecord| {
             let owned = record.ownership.as_ref()?;
-            let is_late =
+            let is_expiring =
                 record.responder.is_some() && self.now > owned.attempt_deadline - ANSWER_MARGIN_MS;
-            if !is_late {
+            if !is_expiring {
                 return None;
             }
-            Some(LateTask {
+            Some(ExpiringTask {
                 task: self.by_number.get(&record.number).copied()?,
                 may_have_run: matches!(owned.claim, Claim::Granted(_) | Claim::Remote),
             })
         };
-        self.slots.iter().flatten().filter_map(late).collect()
+        self.slots.iter().flatten().filter_map(expiring).collect()
     }
 }
 
@@ -57,11 +57,11 @@
             }
         }
         for (number, task) in overdue.claims {
-            self.tasks.ownership.awaiting.remove(&number);
+            self.tasks.ownership.pending.remove(&number);
             client.cancel(number);
             self.claim_timed_out(task);
         }
-        self.answer_late_tasks();
+        self.answer_expiring_tasks();
         let polled = self.tasks.poll_remote_runs();
         for responder in overdue.responders.into_iter().chain(polled) {
             let reply = Reply::Unknown {
@@ -79,8 +79,8 @@
         }
     }
 
-    fn answer_late_tasks(&mut self) {
-        for LateTask { task, may_have_run } in self.tasks.late_tasks() {
+    fn answer_expiring_tasks(&mut self) {
+        for ExpiringTask { task, may_have_run } in self.tasks.expiring_tasks() {
             if may_have_run {
                 // The run continues, and a retry gets its result.
                 let reply = Reply::Unknown {
--- a/crates/asterdale-engine/src/state_transfer/standby.rs
+++ b/crates/asterdale-engine/src/state_transfer/standby.rs
@@ -145,13 +145,14 @@
             let Some(standby) = &mut self.paused.standby else {
                 continue;
             };
-            let open = self.tasks.frontends.open_connections();
-            let is_over = open == 0 && self.tasks.now > standby.standby_until + STANDBY_MARGIN_MS;
+            let open_connections = self.tasks.frontends.open_connections();
+            let is_over = open_connections == 0
+                && self.tasks.now > standby.standby_until + STANDBY_MARGIN_MS;
             if self.paused.must_exit || is_over {
                 if let Some(successor) = &mut standby.successor {
                     successor.standby_ended();
                 }
-                slog::info!(self.tasks.log.lines, "hot restart: old process exits"; "connections" => open);
+                slog::info!(self.tasks.log.lines, "hot restart: old process exits"; "connections" => open_connections);
                 return true;
             }
             if Instant::now() >= next_close {
--- a/crates/asterdale-engine/src/state_transfer/steps.rs
+++ b/crates/asterdale-engine/src/state_transfer/steps.rs
@@ -142,7 +142,7 @@
             let is_started_there = tasks.started_by_successor.contains_key(&record.id);
             !record.started && (record.responder.is_none() || is_started_there)
         };
-        let over: Vec<Handle> = tasks
+        let ended_tasks: Vec<Handle> = tasks
             .by_number
             .values()
             .copied()
@@ -150,13 +150,13 @@
             .collect();
         // All are answered before the first is reported to the policies: the capacity that it frees must not start any
         // of the others.
-        for task in &over {
+        for task in &ended_tasks {
             if let Some(record) = tasks.task_mut(*task) {
                 record.must_not_start = true;
             }
             tasks.answer_failed(*task);
         }
-        for task in over {
+        for task in ended_tasks {
             if let Some(server) = &mut self.server {
                 task.caller_gone(server, self.tasks.now, &mut self.tasks);
             }
--- a/crates/asterdale-engine/src/state_transfer/tests.rs
+++ b/crates/asterdale-engine/src/state_transfer/tests.rs
@@ -59,7 +59,7 @@
         json!({"name": name, "repeat": repeat, "objectiveNs": 500e6, "deadlineNs": 2000e6, "worth": 1.0,
             "lateShare": 0.2, "memorySpanNs": 5000e6})
     };
-    let start = json!({
+    let start_file = json!({
         "extra": {"cores": 2, "memoryKb": 90_000, "blowup": 16, "entryKb": 10, "below": "shared",
             "callsOut": 10, "classCalls": [true, true], "worthWithout": [0.5, 0.0],
             "upstreams": 2, "ownStats": ["core_use"]},
@@ -68,7 +68,7 @@
         "lanes": [class("read", "repeatable"), class("bid", "by_key")],
         "tenants": [{"name": "house", "allowancePerS": 50.0}],
     });
-    asterdale_parameters::from_json(SEED, &start)
+    asterdale_parameters::from_json(SEED, &start_file)
 }
 
 /// An identity policy under which every caller needs a token.
@@ -104,7 +104,7 @@
 }
 
 /// The settings and ports of an engine. What it sends over the ports is discarded.
-fn start() -> (EngineSettings, EnginePorts) {
+fn settings_and_ports() -> (EngineSettings, EnginePorts) {
     let address = ([127, 0, 0, 1], 9).into();
     let endpoints = Endpoints {
         runtime: address,
@@ -138,7 +138,7 @@
 }
 
 fn restored(state: &[u8]) -> Engine {
-    let (engine_settings, ports) = start();
+    let (engine_settings, ports) = settings_and_ports();
     let client = |connection| -> Arc<dyn Connection> { Arc::new(DiscardingConnection(connection)) };
     Engine::restore(engine_settings, ports, state, &client, None).unwrap()
 }
@@ -239,18 +239,18 @@
 }
 
 #[test]
-fn task_at_its_call_is_restored_with_its_caller_and_quota() {
+fn task_waiting_for_its_call_is_restored_with_its_caller_and_quota() {
     let mut engine = restored(STATE);
-    let at_call = take_task(&mut engine, 3);
+    let waiting = take_task(&mut engine, 3);
     assert_eq!(
-        (at_call.class, &at_call.body[..], at_call.idempotency_key),
+        (waiting.class, &waiting.body[..], waiting.idempotency_key),
         (1, &b"bid 3"[..], Some(key(b"key-3")))
     );
     assert_eq!(
         (
-            at_call.started,
-            at_call.must_not_start,
-            at_call.last_command.is_some()
+            waiting.started,
+            waiting.must_not_start,
+            waiting.last_command.is_some()
         ),
         (true, false, false)
     );
@@ -258,9 +258,9 @@
         notice: 3,
         body: b"stock?".to_vec(),
     };
-    assert_eq!(at_call.pending_call, Some(call));
-    assert_eq!(at_call.body_digest, 4_609_995_455_783_861_838);
-    let caller = at_call.caller.unwrap();
+    assert_eq!(waiting.pending_call, Some(call));
+    assert_eq!(waiting.body_digest, 4_609_995_455_783_861_838);
+    let caller = waiting.caller.unwrap();
     assert_eq!(
         (caller.tenant, caller.key.as_deref(), &caller.claims.sub[..]),
         (0, Some("k2"), "desk")
@@ -270,7 +270,7 @@
         ("token-1", 2e9, Some(1e9))
     );
     assert!(
-        at_call.quota_permit.is_some() && take_task(&mut engine, 4).quota_permit.is_none(),
+        waiting.quota_permit.is_some() && take_task(&mut engine, 4).quota_permit.is_none(),
         "a task that joined another takes up no quota"
     );
 }
