--- a/crates/asterdale-engine/src/mailbox/tests.rs
+++ b/crates/asterdale-engine/src/mailbox/tests.rs
@@ -25,7 +25,7 @@
             .unwrap();
         assert!(
             !events.is_empty(),
-            "nobody was woken after {read} messages were read"
+            "no wake-up after {read} messages were read"
         );
         read += receiver.take().count();
     }
--- a/crates/asterdale-engine/src/state_transfer/tests.rs
+++ b/crates/asterdale-engine/src/state_transfer/tests.rs
@@ -330,7 +330,7 @@
     assert_eq!(
         waiting,
         [4],
-        "the repeat that had joined still waits for it"
+        "the retry that had joined still waits for the result"
     );
 }
 
