--- a/crates/asterdale-hot-restart/build.rs
+++ b/crates/asterdale-hot-restart/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the protocol buffer messages, without a protoc on the machine.
+//! Compiles the protocol buffer messages. This needs no installed protoc.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo::rerun-if-changed=proto/hot_restart.proto");
--- a/crates/asterdale-hot-restart/src/frame.rs
+++ b/crates/asterdale-hot-restart/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: messages as bytes, each after its length in four bytes, big endian.
+//! Frames: encoded messages, each preceded by its length in four bytes, big endian.
 
 use prost::Message;
 use thiserror::Error;
@@ -8,20 +8,20 @@
 
 /// The longest frame, in bytes: a request with its body, a result, or a chunk of a state.
 pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
-/// The bytes of a state that go into one frame: few enough that other frames are not delayed by much.
+/// The most bytes of a state in one frame, so that other frames are not delayed by much.
 pub const STATE_CHUNK_BYTES: usize = 256 * 1024;
 /// The largest state, in bytes, to bound the memory of the process that reads it.
 pub const MAX_STATE_BYTES: usize = 128 * 1024 * 1024;
-/// The bytes of a frame's length.
+/// The size of a frame's length field, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Bytes that are no frame. The connection can't be read any further.
+/// The bytes are not a valid frame. Nothing more can be read from the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The length is beyond [`MAX_FRAME_BYTES`].
+    /// The length exceeds [`MAX_FRAME_BYTES`].
     #[error("a frame is too long")]
     TooLong,
-    /// The bytes are no message of the protocol.
+    /// The bytes are not a message of the protocol.
     #[error("a frame can't be decoded")]
     Undecodable,
 }
@@ -51,7 +51,7 @@
     /// The next message, or `None` until more bytes have arrived. Messages of an unknown kind are skipped.
     ///
     /// # Errors
-    /// If the bytes are no frame; the decoder is of no use from then on.
+    /// If the bytes are not a valid frame. The decoder can't be used after that.
     pub fn next_message(&mut self) -> Result<Option<Payload>, FrameError> {
         loop {
             let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else {
--- a/crates/asterdale-hot-restart/src/lib.rs
+++ b/crates/asterdale-hot-restart/src/lib.rs
@@ -1,9 +1,10 @@
 //! Hot restart: the protocol by which a new process takes over from a serving one on the same machine. Messages, their
-//! frames, and a state machine for each side, without I/O and without a clock: events and times come in, actions go out.
+//! frames, and a state machine for each side, without I/O and without a clock: events and times come in, actions go
+//! out.
 //!
-//! Both machines keep two invariants at every instant: at most one process may start requests, and a process that may
-//! start them knows all that were ever started. `tests/exploration.rs` checks them in every order of messages, timeouts
-//! and crashes; `docs/upgrade.md` compares this design with others.
+//! Both state machines keep two invariants at all times: at most one process may start requests, and a process that may
+//! start requests knows all that were ever started. `tests/exploration.rs` checks them in every order of messages,
+//! timeouts and crashes; `docs/upgrade.md` compares this design with others.
 
 pub mod frame;
 pub mod new_process;
@@ -15,5 +16,5 @@
     include!(concat!(env!("OUT_DIR"), "/asterdale.hot_restart.v1.rs"));
 }
 
-/// The version of the protocol. Processes of different versions refuse each other.
+/// The version of the protocol. Processes of different versions reject each other.
 pub const VERSION: u32 = 1;
--- a/crates/asterdale-hot-restart/src/new_process.rs
+++ b/crates/asterdale-hot-restart/src/new_process.rs
@@ -1,33 +1,33 @@
-//! The new process's side: it was started to take over. It starts no request before it has read `Go`, or is certain that
-//! the old process has ended after it sent its complete state.
+//! The side of the new process, which was started to take over. It starts no request before it has received `Go`, or
+//! knows that the old process has ended after sending its complete state.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// The time for each message of the old process, in milliseconds: longer than any timeout of the old process, which kills
-/// this one first.
+/// The time from the hello until the state has arrived, in milliseconds. It is longer than the timeouts of the old
+/// process together, so a process that is too slow is killed by the old process first.
 const MESSAGE_TIMEOUT_MS: f64 = 20_000.0;
 
 /// The phase of a hot restart, as the new process sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// It has said hello.
+    /// The hello was sent.
     AwaitingListeners,
-    /// It has the listeners.
+    /// The listeners have arrived.
     AwaitingTrialState,
-    /// It has read a trial state.
+    /// A trial state was read.
     AwaitingState,
-    /// It has read the state, and has said so.
+    /// The state was read and confirmed.
     AwaitingGo,
-    /// It serves.
+    /// This process serves.
     Serving,
-    /// It has to exit.
+    /// This process must exit.
     Exited,
 }
 
 impl fmt::Display for Phase {
-    /// The name that earlier releases print, which stays as it is.
+    /// The name that earlier releases print. It must not change.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Phase::AwaitingListeners => "Greeted",
@@ -40,7 +40,7 @@
     }
 }
 
-/// A state that this process can't continue from, for this reason.
+/// Why this process can't continue from a state.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct UnusableState(pub String);
@@ -56,7 +56,7 @@
     State(u64, Result<(), UnusableState>),
     /// `Go` has arrived, with this epoch.
     Go(u64),
-    /// The old process has ended: its end of the connection is closed, and all that it had sent was read.
+    /// The old process has ended: its end of the connection is closed, and everything that it sent was read.
     OldProcessEnded,
     /// Time has passed.
     Tick,
@@ -75,7 +75,7 @@
     TakeOver,
     /// Send the reason, and exit.
     Refuse(TakeOverError),
-    /// Nobody is on standby any more, and replies for the old process's connections are dropped.
+    /// Continue without a process on standby. Replies for the old process's connections are dropped.
     ServeAlone,
 }
 
@@ -110,7 +110,7 @@
 }
 
 impl NewProcess {
-    /// It has just said hello.
+    /// Creates the state machine of a process that has just sent its hello.
     pub fn new(now_ms: f64) -> NewProcess {
         NewProcess {
             phase: Phase::AwaitingListeners,
@@ -124,7 +124,7 @@
         self.phase
     }
 
-    /// The epoch of the state that it has read.
+    /// The epoch of the state that was read.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -134,7 +134,7 @@
         self.phase == Phase::Serving
     }
 
-    /// Handles an event: the actions that follow from it.
+    /// Handles an event. Returns the actions that follow from it.
     pub fn handle(&mut self, now_ms: f64, event: Event) -> Vec<Action> {
         match self.phase {
             Phase::Exited => Vec::new(),
@@ -145,11 +145,12 @@
         }
     }
 
-    /// The state is here. There is no timeout: only the old process knows whether it still serves.
+    /// Handles an event after the state has arrived. There is no timeout, as only the old process knows whether it
+    /// still serves.
     fn handle_awaiting_go(&mut self, event: Event) -> Vec<Action> {
         match event {
-            // The old process does not close its end while it lives, unless it has killed this process. So it is dead,
-            // has started nothing after it made the state, and the complete state is here.
+            // While the old process runs, it closes its end only after it has killed this process. So it has ended, it
+            // has started nothing since it exported the state, and the complete state has arrived.
             Event::OldProcessEnded => {
                 self.phase = Phase::Serving;
                 vec![Action::TakeOver, Action::ServeAlone]
--- a/crates/asterdale-hot-restart/src/old_process.rs
+++ b/crates/asterdale-hot-restart/src/old_process.rs
@@ -1,6 +1,6 @@
-//! The old process's side: it serves, and hands its requests over to the new process that it has started. Until it sends
-//! `Go` it can continue as if nothing had happened. From then on it is on standby: it keeps its state, is told of
-//! everything that the new process starts, and takes over again if the new process ends.
+//! The side of the old process, which serves and hands its requests over to the new process that it has started. Until
+//! it sends `Go` it can continue as if nothing had happened. From then on it is on standby: it keeps its state, is
+//! notified of everything that the new process starts, and takes over again if the new process ends.
 
 use std::fmt;
 
@@ -13,13 +13,14 @@
 const LISTENERS_TIMEOUT_MS: f64 = 2_000.0;
 /// The time for the new process to read a trial state, in milliseconds. Requests are served meanwhile.
 const TRIAL_STATE_TIMEOUT_MS: f64 = 5_000.0;
-/// The time for the new process to read the state, in milliseconds. Nothing is started meanwhile, so it is the shortest.
+/// The time for the new process to read the state, in milliseconds. Nothing is started meanwhile, so it is the
+/// shortest.
 const STATE_TIMEOUT_MS: f64 = 1_000.0;
 
 /// The phase of a hot restart, as the old process sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// The new process was started, and has not said hello.
+    /// The new process was started, and has not sent its hello.
     AwaitingHello,
     /// The listeners were sent.
     SendingListeners,
@@ -27,16 +28,16 @@
     SendingTrialState,
     /// No requests are started here any more, and the state was sent.
     SendingState,
-    /// The new process serves, and this one would take over again.
+    /// The new process serves, and this one takes over again if that ends.
     Standby,
     /// This process serves: the hot restart has failed, or was undone.
     Serving,
-    /// This process has nothing left to do.
+    /// This process must exit.
     Exited,
 }
 
 impl fmt::Display for Phase {
-    /// The name that is sent to whoever requested the upgrade. Programs read it: it stays as it is.
+    /// The name that is sent to the requester of the upgrade. Programs read it, so it must not change.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Phase::AwaitingHello => "Offered",
@@ -53,7 +54,7 @@
 /// What happens to the old process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The new process has said hello.
+    /// The new process has sent its hello.
     Hello {
         /// The version of its protocol.
         version: u32,
@@ -70,7 +71,7 @@
     StateLoaded(u64),
     /// The new process can't continue, for this reason.
     Refused(String),
-    /// The new process has ended: its end of the connection is closed, and all that it had sent was read.
+    /// The new process has ended: its end of the connection is closed, and everything that it sent was read.
     NewProcessEnded,
     /// This process has to drain and exit.
     Drain,
@@ -99,7 +100,7 @@
     TakeOverAgain,
     /// Exit without notice to the runtime or the registry, which belong to the new process.
     Exit,
-    /// Report to whoever requested the upgrade.
+    /// Report to the requester of the upgrade.
     Report(Result<(), HandOverError>),
 }
 
@@ -118,7 +119,7 @@
     /// The new process was too slow in this phase.
     #[error("the new process took too long: {0}")]
     TimedOut(Phase),
-    /// Another process than the one that was started has said hello.
+    /// The hello came from another process than the one that was started.
     #[error("a stranger spoke in the place of the new process")]
     InvalidNonce,
     /// The new process has another protocol, or another format of the state.
@@ -154,8 +155,8 @@
 }
 
 impl OldProcess {
-    /// The new process was just started. `epoch` is the one that this process serves in, `state_format` the format of its
-    /// state.
+    /// Creates the state machine when the new process has just been started. `epoch` is the epoch that this process
+    /// serves in, `state_format` the format of its state.
     pub fn new(now_ms: f64, epoch: u64, state_format: u32) -> OldProcess {
         OldProcess {
             phase: Phase::AwaitingHello,
@@ -193,7 +194,7 @@
         )
     }
 
-    /// Handles an event: the actions that follow from it.
+    /// Handles an event. Returns the actions that follow from it.
     pub fn handle(&mut self, now_ms: f64, event: Event) -> Vec<Action> {
         match self.phase {
             Phase::Serving | Phase::Exited => Vec::new(),
@@ -202,7 +203,7 @@
         }
     }
 
-    /// The new process serves.
+    /// Handles an event while the new process serves.
     fn handle_on_standby(&mut self, event: &Event) -> Vec<Action> {
         match event {
             Event::NewProcessEnded => {
@@ -218,7 +219,7 @@
         }
     }
 
-    /// This process can still continue as if nothing had happened.
+    /// Handles an event while this process can still continue as if nothing had happened.
     fn handle_before_go(&mut self, now_ms: f64, event: Event) -> Vec<Action> {
         let is_late = self.deadline_ms().is_some_and(|due| now_ms >= due);
         match (self.phase, event) {
@@ -263,7 +264,7 @@
         self.deadline_ms = deadline_ms;
     }
 
-    /// Whether the new process is the one that was started, and can read what it would be sent.
+    /// Checks that the new process is the one that was started, and that it can read the state of this one.
     fn check_hello(
         &self,
         version: u32,
--- a/crates/asterdale-hot-restart/tests/exploration.rs
+++ b/crates/asterdale-hot-restart/tests/exploration.rs
@@ -7,7 +7,7 @@
 use asterdale_hot_restart::old_process::{self, OldProcess};
 use asterdale_hot_restart::VERSION;
 
-/// The most requests that are started: enough for some before, some during and some after the hot restart.
+/// The most requests that are started: enough for one before, one during and one after the hot restart.
 const MAX_REQUESTS: u8 = 3;
 
 /// Requests that a process knows to have been started, by number.
@@ -49,7 +49,7 @@
 struct World {
     old_process: Option<OldProcess>,
     new_process: Option<NewProcess>,
-    /// The requests that each knows to have been started.
+    /// The requests that each process knows to have been started.
     old_process_knows: Requests,
     new_process_knows: Requests,
     to_new_process: VecDeque<ToNewProcess>,
@@ -124,7 +124,7 @@
             new_process.handle(0.0, event)
         };
         if takes_over_early {
-            // Bring it to the phase of one that has received everything.
+            // Bring it to the phase of a process that has received everything.
             let mut owner = NewProcess::new(0.0);
             owner.handle(0.0, new_process::Event::Listeners);
             owner.handle(0.0, new_process::Event::TrialState(Ok(())));
@@ -185,7 +185,7 @@
         self.step_old_process(0.0, event, fault);
     }
 
-    /// Everything that can happen next: a name, and the world after it.
+    /// Everything that can happen next: its name, and the state after it.
     fn next(&self, fault: InjectedFault) -> Vec<(&'static str, World)> {
         let mut next = NextWorlds {
             world: self,
@@ -230,7 +230,7 @@
     }
 }
 
-/// Collects the worlds that can follow one.
+/// Collects the states that can follow a state.
 struct NextWorlds<'a> {
     world: &'a World,
     fault: InjectedFault,
@@ -274,7 +274,7 @@
         }
     }
 
-    /// A process receives a message, or one that the other does not usually send in its place.
+    /// A process receives its next message, or an unusual one in its place.
     fn add_messages(&mut self) {
         let (world, fault) = (self.world, self.fault);
         if world.new_process.is_some() && !world.to_new_process.is_empty() {
@@ -325,7 +325,7 @@
         }
     }
 
-    /// A process sees the end of the other, once it has received all that was sent.
+    /// A process sees that the other has ended, once it has received all that the other sent.
     fn add_ends(&mut self) {
         let (world, fault) = (self.world, self.fault);
         let has_read_all = world.to_old_process.is_empty() && !world.old_process_saw_end;
@@ -345,7 +345,8 @@
     }
 }
 
-/// Explores every order of events: the count of worlds reached, or the path to the first that breaks an invariant.
+/// Explores every order of events. Returns the number of states reached, or the path to the first state that violates
+/// an invariant.
 fn explore(fault: InjectedFault) -> Result<usize, String> {
     let first = World {
         old_process: Some(OldProcess::new(0.0, 1, 1)),
@@ -363,7 +364,7 @@
     while let Some((world, path)) = open.pop() {
         world.check().map_err(|what| format!("{what}: {path:?}"))?;
         let next = world.next(fault);
-        // Where nothing but a crash or a request can happen, a process that is left must serve.
+        // If only crashes and new requests can follow, a process that is left must serve.
         let only_crashes_follow = next
             .iter()
             .all(|(name, _)| name.ends_with("killed") || name.ends_with("starts a request"));
--- a/crates/asterdale-hot-restart/tests/frames.rs
+++ b/crates/asterdale-hot-restart/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames: decoding from pieces of any size, malformed ones, kinds of later releases.
+//! Decoding of frames: from pieces of any size, malformed frames, and message kinds of later releases.
 
 use asterdale_hot_restart::frame::{encode, FrameDecoder, FrameError, MAX_FRAME_BYTES};
 use asterdale_hot_restart::message::frame::Payload;
@@ -42,7 +42,7 @@
     let mut undecodable = FrameDecoder::default();
     undecodable.push(&[0, 0, 0, 3, 0xff, 0xff, 0xff]);
     assert_eq!(undecodable.next_message(), Err(FrameError::Undecodable));
-    // A kind of a later release is skipped: field 500, two bytes.
+    // A message kind of a later release is skipped: field 500, two bytes.
     let mut later = FrameDecoder::default();
     later.push(&[0, 0, 0, 5, 0xa2, 0x1f, 2, 1, 2]);
     later.push(&encode(Payload::Go(Go { epoch: 1 })));
--- a/crates/asterdale-hot-restart/tests/stored_frames.rs
+++ b/crates/asterdale-hot-restart/tests/stored_frames.rs
@@ -1,6 +1,6 @@
-//! Frames of the hot-restart protocol that an earlier release wrote are read to the same messages, and are written
-//! again byte for byte: one or more of every kind, each field with a value of its own. `fixtures/frames/README.md` says
-//! how the file was made.
+//! Frames of the hot-restart protocol that an earlier release wrote are decoded to the same messages, and encoded again
+//! to the same bytes. There is at least one frame of every kind, and each field has a distinct value.
+//! `fixtures/frames/README.md` says how the file was made.
 
 use asterdale_hot_restart::frame::{encode, FrameDecoder};
 use asterdale_hot_restart::message::frame::Payload;
@@ -70,7 +70,7 @@
     ]
 }
 
-/// What is relayed to the new process.
+/// Messages that are relayed to the new process.
 fn request_messages() -> Vec<Payload> {
     vec![
         Payload::Request(Request {
@@ -88,7 +88,7 @@
             unread_ms: 4.5,
             tenant: 2,
         }),
-        // Payload is absent is told apart from what is empty.
+        // An absent field is distinguished from an empty one.
         Payload::Request(Request {
             route: route(2, 1),
             id: vec![b'0'; 16],
@@ -122,7 +122,7 @@
     ]
 }
 
-/// What is sent to the old process, and its release.
+/// Messages that are sent to the old process, and its release.
 fn reply_messages() -> Vec<Payload> {
     vec![
         Payload::Reply(Reply {
@@ -152,7 +152,7 @@
     ]
 }
 
-/// Between the control socket and whoever requests an upgrade.
+/// Messages between the control socket and the requester of an upgrade.
 fn control_messages() -> Vec<Payload> {
     vec![
         Payload::Upgrade(Upgrade {
