--- a/crates/asterdale-hot-restart/src/new_process.rs
+++ b/crates/asterdale-hot-restart/src/new_process.rs
@@ -7,7 +7,7 @@
 
 /// The time from the hello until the state has arrived, in milliseconds. It is longer than the timeouts of the old
 /// process together, so a process that is too slow is killed by the old process first.
-const MESSAGE_TIMEOUT_MS: f64 = 20_000.0;
+const STATE_TIMEOUT_MS: f64 = 20_000.0;
 
 /// The phase of a hot restart, as the new process sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -114,7 +114,7 @@
     pub fn new(now_ms: f64) -> NewProcess {
         NewProcess {
             phase: Phase::AwaitingListeners,
-            deadline_ms: now_ms + MESSAGE_TIMEOUT_MS,
+            deadline_ms: now_ms + STATE_TIMEOUT_MS,
             epoch: 0,
         }
     }
--- a/crates/asterdale-hot-restart/tests/exploration.rs
+++ b/crates/asterdale-hot-restart/tests/exploration.rs
@@ -46,7 +46,7 @@
 }
 
 #[derive(Clone)]
-struct World {
+struct SystemState {
     old_process: Option<OldProcess>,
     new_process: Option<NewProcess>,
     /// The requests that each process knows to have been started.
@@ -59,7 +59,7 @@
     new_process_saw_end: bool,
 }
 
-impl World {
+impl SystemState {
     fn key(&self) -> String {
         let old_process = self
             .old_process
@@ -125,12 +125,12 @@
         };
         if takes_over_early {
             // Bring it to the phase of a process that has received everything.
-            let mut owner = NewProcess::new(0.0);
-            owner.handle(0.0, new_process::Event::Listeners);
-            owner.handle(0.0, new_process::Event::TrialState(Ok(())));
-            owner.handle(0.0, new_process::Event::State(9, Ok(())));
-            owner.handle(0.0, new_process::Event::Go(9));
-            *new_process = owner;
+            let mut serving_process = NewProcess::new(0.0);
+            serving_process.handle(0.0, new_process::Event::Listeners);
+            serving_process.handle(0.0, new_process::Event::TrialState(Ok(())));
+            serving_process.handle(0.0, new_process::Event::State(9, Ok(())));
+            serving_process.handle(0.0, new_process::Event::Go(9));
+            *new_process = serving_process;
         }
         for action in actions {
             match action {
@@ -186,35 +186,35 @@
     }
 
     /// Everything that can happen next: its name, and the state after it.
-    fn next(&self, fault: InjectedFault) -> Vec<(&'static str, World)> {
-        let mut next = NextWorlds {
-            world: self,
+    fn next(&self, fault: InjectedFault) -> Vec<(&'static str, SystemState)> {
+        let mut next = NextStates {
+            system: self,
             fault,
-            worlds: Vec::new(),
+            states: Vec::new(),
         };
         next.add_requests();
         next.add_messages();
         next.add_timeouts_and_kills();
         next.add_ends();
-        next.worlds
+        next.states
     }
 
     /// Checks the invariants.
     fn check(&self) -> Result<(), &'static str> {
-        let old_process = self
+        let old_may_start = self
             .old_process
             .as_ref()
             .is_some_and(OldProcess::may_start_requests);
-        let new_process = self
+        let new_may_start = self
             .new_process
             .as_ref()
             .is_some_and(NewProcess::may_start_requests);
-        if old_process && new_process {
+        if old_may_start && new_may_start {
             return Err("two processes may start requests");
         }
         let all: Requests = (0..self.started).collect();
-        if old_process && self.old_process_knows != all
-            || new_process && self.new_process_knows != all
+        if old_may_start && self.old_process_knows != all
+            || new_may_start && self.new_process_knows != all
         {
             return Err("a process that may start requests does not know all that were started");
         }
@@ -231,23 +231,23 @@
 }
 
 /// Collects the states that can follow a state.
-struct NextWorlds<'a> {
-    world: &'a World,
+struct NextStates<'a> {
+    system: &'a SystemState,
     fault: InjectedFault,
-    worlds: Vec<(&'static str, World)>,
+    states: Vec<(&'static str, SystemState)>,
 }
 
-impl NextWorlds<'_> {
-    fn add(&mut self, name: &'static str, change: impl FnOnce(&mut World)) {
-        let mut world = self.world.clone();
-        change(&mut world);
-        self.worlds.push((name, world));
+impl NextStates<'_> {
+    fn add(&mut self, name: &'static str, change: impl FnOnce(&mut SystemState)) {
+        let mut system = self.system.clone();
+        change(&mut system);
+        self.states.push((name, system));
     }
 
     /// A process that may start requests starts one.
     fn add_requests(&mut self) {
-        let (world, fault) = (self.world, self.fault);
-        if world.started >= MAX_REQUESTS {
+        let (system, fault) = (self.system, self.fault);
+        if system.started >= MAX_REQUESTS {
             return;
         }
         let may_start = |old_process: &OldProcess| {
@@ -255,91 +255,91 @@
                 || fault == InjectedFault::NoFreeze
                     && old_process.phase() == old_process::Phase::SendingState
         };
-        if world.old_process.as_ref().is_some_and(may_start) {
-            self.add("the old process starts a request", |world| {
-                world.old_process_knows.insert(world.started);
-                world.started += 1;
+        if system.old_process.as_ref().is_some_and(may_start) {
+            self.add("the old process starts a request", |system| {
+                system.old_process_knows.insert(system.started);
+                system.started += 1;
             });
         }
-        let new_process = world.new_process.as_ref();
+        let new_process = system.new_process.as_ref();
         if new_process.is_some_and(NewProcess::may_start_requests) {
-            self.add("the new process starts a request", |world| {
+            self.add("the new process starts a request", |system| {
                 if fault != InjectedFault::NoMirror {
-                    let mirror = ToOldProcess::Mirror(world.started);
-                    world.to_old_process.push_back(mirror);
+                    let mirror = ToOldProcess::Mirror(system.started);
+                    system.to_old_process.push_back(mirror);
                 }
-                world.new_process_knows.insert(world.started);
-                world.started += 1;
+                system.new_process_knows.insert(system.started);
+                system.started += 1;
             });
         }
     }
 
     /// A process receives its next message, or an unusual one in its place.
     fn add_messages(&mut self) {
-        let (world, fault) = (self.world, self.fault);
-        if world.new_process.is_some() && !world.to_new_process.is_empty() {
-            self.add("the new process receives", |world| {
-                world.deliver_to_new_process(fault);
+        let (system, fault) = (self.system, self.fault);
+        if system.new_process.is_some() && !system.to_new_process.is_empty() {
+            self.add("the new process receives", |system| {
+                system.deliver_to_new_process(fault);
             });
-            if let Some(ToNewProcess::TrialState) = world.to_new_process.front() {
-                self.add("the trial state is unusable", |world| {
-                    world.to_new_process.pop_front();
+            if let Some(ToNewProcess::TrialState) = system.to_new_process.front() {
+                self.add("the trial state is unusable", |system| {
+                    system.to_new_process.pop_front();
                     let unusable = Err(UnusableState("no".into()));
-                    world.step_new_process(new_process::Event::TrialState(unusable), fault);
+                    system.step_new_process(new_process::Event::TrialState(unusable), fault);
                 });
             }
         }
-        if world.old_process.is_some() && !world.to_old_process.is_empty() {
-            self.add("the old process receives", |world| {
-                world.deliver_to_old_process(fault);
+        if system.old_process.is_some() && !system.to_old_process.is_empty() {
+            self.add("the old process receives", |system| {
+                system.deliver_to_old_process(fault);
             });
-            if let Some(ToOldProcess::Hello) = world.to_old_process.front() {
-                self.add("another release says hello", |world| {
-                    world.to_old_process.pop_front();
-                    world.step_old_process(0.0, hello(99), fault);
+            if let Some(ToOldProcess::Hello) = system.to_old_process.front() {
+                self.add("another release says hello", |system| {
+                    system.to_old_process.pop_front();
+                    system.step_old_process(0.0, hello(99), fault);
                 });
             }
         }
     }
 
     fn add_timeouts_and_kills(&mut self) {
-        let (world, fault) = (self.world, self.fault);
-        let deadline = world.old_process.as_ref().and_then(OldProcess::deadline_ms);
+        let (system, fault) = (self.system, self.fault);
+        let deadline = system.old_process.as_ref().and_then(OldProcess::deadline_ms);
         if deadline.is_some() {
-            self.add("the old process times out", |world| {
-                world.step_old_process(1e9, old_process::Event::Tick, fault);
+            self.add("the old process times out", |system| {
+                system.step_old_process(1e9, old_process::Event::Tick, fault);
             });
-            self.add("the old process is told to drain", |world| {
-                world.step_old_process(0.0, old_process::Event::Drain, fault);
+            self.add("the old process is told to drain", |system| {
+                system.step_old_process(0.0, old_process::Event::Drain, fault);
             });
         }
-        if world.old_process.is_some() {
-            self.add("the old process is killed", |world| {
-                world.old_process = None;
+        if system.old_process.is_some() {
+            self.add("the old process is killed", |system| {
+                system.old_process = None;
             });
         }
-        if world.new_process.is_some() {
-            self.add("the new process is killed", |world| {
-                world.new_process = None;
+        if system.new_process.is_some() {
+            self.add("the new process is killed", |system| {
+                system.new_process = None;
             });
         }
     }
 
     /// A process sees that the other has ended, once it has received all that the other sent.
     fn add_ends(&mut self) {
-        let (world, fault) = (self.world, self.fault);
-        let has_read_all = world.to_old_process.is_empty() && !world.old_process_saw_end;
-        if world.new_process.is_none() && world.old_process.is_some() && has_read_all {
-            self.add("the old process sees the end", |world| {
-                world.old_process_saw_end = true;
-                world.step_old_process(0.0, old_process::Event::NewProcessEnded, fault);
+        let (system, fault) = (self.system, self.fault);
+        let has_read_all = system.to_old_process.is_empty() && !system.old_process_saw_end;
+        if system.new_process.is_none() && system.old_process.is_some() && has_read_all {
+            self.add("the old process sees the end", |system| {
+                system.old_process_saw_end = true;
+                system.step_old_process(0.0, old_process::Event::NewProcessEnded, fault);
             });
         }
-        let has_read_all = world.to_new_process.is_empty() && !world.new_process_saw_end;
-        if world.old_process.is_none() && world.new_process.is_some() && has_read_all {
-            self.add("the new process sees the end", |world| {
-                world.new_process_saw_end = true;
-                world.step_new_process(new_process::Event::OldProcessEnded, fault);
+        let has_read_all = system.to_new_process.is_empty() && !system.new_process_saw_end;
+        if system.old_process.is_none() && system.new_process.is_some() && has_read_all {
+            self.add("the new process sees the end", |system| {
+                system.new_process_saw_end = true;
+                system.step_new_process(new_process::Event::OldProcessEnded, fault);
             });
         }
     }
@@ -348,7 +348,7 @@
 /// Explores every order of events. Returns the number of states reached, or the path to the first state that violates
 /// an invariant.
 fn explore(fault: InjectedFault) -> Result<usize, String> {
-    let first = World {
+    let initial = SystemState {
         old_process: Some(OldProcess::new(0.0, 1, 1)),
         new_process: Some(NewProcess::new(0.0)),
         old_process_knows: Requests::new(),
@@ -359,36 +359,36 @@
         old_process_saw_end: false,
         new_process_saw_end: false,
     };
-    let mut seen = HashSet::from([first.key()]);
-    let mut open = vec![(first, Vec::new())];
-    while let Some((world, path)) = open.pop() {
-        world.check().map_err(|what| format!("{what}: {path:?}"))?;
-        let next = world.next(fault);
+    let mut seen = HashSet::from([initial.key()]);
+    let mut unexplored = vec![(initial, Vec::new())];
+    while let Some((system, path)) = unexplored.pop() {
+        system.check().map_err(|what| format!("{what}: {path:?}"))?;
+        let next = system.next(fault);
         // If only crashes and new requests can follow, a process that is left must serve.
         let only_crashes_follow = next
             .iter()
             .all(|(name, _)| name.ends_with("killed") || name.ends_with("starts a request"));
-        let serving = world
+        let serving = system
             .old_process
             .as_ref()
             .is_some_and(OldProcess::may_start_requests)
-            || world
+            || system
                 .new_process
                 .as_ref()
                 .is_some_and(NewProcess::may_start_requests);
         if only_crashes_follow
             && !serving
-            && (world.old_process.is_some() || world.new_process.is_some())
+            && (system.old_process.is_some() || system.new_process.is_some())
         {
             return Err(format!(
                 "no process serves, and nothing can happen: {path:?}"
             ));
         }
-        for (name, world) in next {
-            if seen.insert(world.key()) {
+        for (name, system) in next {
+            if seen.insert(system.key()) {
                 let mut path = path.clone();
                 path.push(name);
-                open.push((world, path));
+                unexplored.push((system, path));
             }
         }
     }
@@ -397,8 +397,8 @@
 
 #[test]
 fn the_invariants_hold_in_every_order_of_events() {
-    let worlds = explore(InjectedFault::None).unwrap();
-    assert_eq!(worlds, 410);
+    let states = explore(InjectedFault::None).unwrap();
+    assert_eq!(states, 410);
 }
 
 #[test]
--- a/crates/asterdale-hot-restart/tests/frames.rs
+++ b/crates/asterdale-hot-restart/tests/frames.rs
@@ -26,15 +26,15 @@
         .iter()
         .flat_map(|payload| encode(payload.clone()))
         .collect();
-    for piece in [1, 3, 4096, bytes.len()] {
-        let (mut decoder, mut got) = (FrameDecoder::default(), Vec::new());
-        for piece in bytes.chunks(piece) {
+    for piece_bytes in [1, 3, 4096, bytes.len()] {
+        let (mut decoder, mut decoded) = (FrameDecoder::default(), Vec::new());
+        for piece in bytes.chunks(piece_bytes) {
             decoder.push(piece);
             while let Some(payload) = decoder.next_message().unwrap() {
-                got.push(payload);
+                decoded.push(payload);
             }
         }
-        assert_eq!(got, all);
+        assert_eq!(decoded, all);
     }
     let mut too_long = FrameDecoder::default();
     too_long.push(&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes());
