--- a/crates/asterdale-engine/src/ownership/lookup.rs
+++ b/crates/asterdale-engine/src/ownership/lookup.rs
@@ -1,4 +1,4 @@
-//! The look-up of a keyed request before the policies see it.
+//! The lookup of a keyed request before the policies see it.
 
 use asterdale::parameters::Idempotency;
 use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
@@ -80,7 +80,7 @@
         self.ownership.lookups.insert(route, number);
     }
 
-    /// Cancels the look-ups of requests whose clients no longer wait.
+    /// Cancels the lookups of requests whose clients no longer wait.
     pub(crate) fn cancel_lookups(&mut self, is_cancelled: impl Fn(ResponseRoute) -> bool) {
         let numbers: Vec<u64> = self
             .ownership
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Cancels a pending look-up. Returns its request.
+    /// Cancels a pending lookup. Returns its request.
     pub(super) fn take_lookup(&mut self, number: u64) -> Option<Request> {
         let Some(PendingRequest::Lookup { request, .. }) = self.ownership.pending.remove(&number) else {
             return None;
@@ -143,7 +143,7 @@
 }
 
 impl Engine {
-    /// Handles the answer to a look-up.
+    /// Handles the answer to a lookup.
     pub(super) fn lookup_answered(
         &mut self,
         request: Request,
--- a/crates/asterdale-engine/src/ownership/table.rs
+++ b/crates/asterdale-engine/src/ownership/table.rs
@@ -17,7 +17,7 @@
 pub(super) const ANSWER_MARGIN_MS: f64 = 20.0;
 /// The owner of remote runs in the idempotency table. No task of this process has this number.
 pub(super) const REMOTE_OWNER: TaskId = 0;
-/// A look-up without an answer after this time is given up; the claim then finds out whether another process owns the
+/// A lookup without an answer after this time is given up; the claim then finds out whether another process owns the
 /// request. This is ten times what replicas on the same network take to answer, and a small part of any deadline.
 const LOOKUP_TIMEOUT_MS: f64 = 200.0;
 /// A claim without an answer after this many lease lengths is given up: the task is rejected as never started.
@@ -25,7 +25,7 @@
 
 /// What a pending ownership request is for, with what is needed to handle its answer.
 pub(super) enum PendingRequest {
-    /// The look-up of a request that the policies have not seen yet.
+    /// The lookup of a request that the policies have not seen yet.
     Lookup {
         request: Box<Request>,
         idempotency_key: IdempotencyKey,
@@ -47,7 +47,7 @@
         /// The reply if no other backend takes the task over.
         fallback: Reply,
     },
-    /// The answer is ignored.
+    /// A request that is sent only for its effect: its answer is ignored.
     Nothing,
 }
 
@@ -99,7 +99,7 @@
     pub(super) client: Option<Arc<dyn OwnershipClient>>,
     next_number: u64,
     pub(super) pending: HashMap<u64, PendingRequest>,
-    /// The numbers of pending look-ups, by the response route of their request.
+    /// The numbers of pending lookups, by the response route of their request.
     pub(super) lookups: HashMap<ResponseRoute, u64>,
     pub(super) remote_runs: HashMap<IdempotencyKey, RemoteRun>,
     /// Replies to tasks that waited for a remote run and did not get its result.
