--- a/crates/asterdale-daemon/src/upgrade/new_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/new_process.rs
@@ -100,7 +100,9 @@
         let _ = self.reader.set_timeout(None);
         while let Ok(Some(payload)) = self.reader.read() {
             let message = match payload {
-                Payload::Release(_) => Some(EngineMessage::HotRestart(HotRestartStep::StandbyEnded)),
+                Payload::Release(_) => {
+                    Some(EngineMessage::HotRestart(HotRestartStep::StandbyEnded))
+                }
                 payload => engine_message(payload, &self.writer, class_count),
             };
             if message.is_some_and(|message| engine.send(message).is_err()) {
--- a/crates/asterdale-engine/src/ownership/handoff.rs
+++ b/crates/asterdale-engine/src/ownership/handoff.rs
@@ -4,7 +4,7 @@
 use asterdale_ownership::OwnershipRequest;
 
 use super::record::{Claim, OwnershipKey};
-use super::table::{PendingRequest, DetachedClient};
+use super::table::{DetachedClient, PendingRequest};
 use crate::message::{IdempotencyKey, Reply, Responder};
 use crate::tasks::Tasks;
 
--- a/crates/asterdale-engine/src/ownership/lookup.rs
+++ b/crates/asterdale-engine/src/ownership/lookup.rs
@@ -98,7 +98,8 @@
 
     /// Cancels a pending lookup. Returns its request.
     pub(super) fn take_lookup(&mut self, number: u64) -> Option<Request> {
-        let Some(PendingRequest::Lookup { request, .. }) = self.ownership.pending.remove(&number) else {
+        let Some(PendingRequest::Lookup { request, .. }) = self.ownership.pending.remove(&number)
+        else {
             return None;
         };
         self.ownership.lookups.remove(&request.route());
--- a/crates/asterdale-engine/src/ownership/outcomes.rs
+++ b/crates/asterdale-engine/src/ownership/outcomes.rs
@@ -7,7 +7,7 @@
 use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
 
 use super::record::OwnedTask;
-use super::table::{PendingRequest, DetachedClient, EndedRun, REMOTE_OWNER};
+use super::table::{DetachedClient, EndedRun, PendingRequest, REMOTE_OWNER};
 use crate::engine::Engine;
 use crate::message::Reply;
 use crate::tasks::Tasks;
--- a/crates/asterdale-engine/src/ownership/remote.rs
+++ b/crates/asterdale-engine/src/ownership/remote.rs
@@ -4,7 +4,9 @@
 use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
 
 use super::answers::{rejected, reply_to};
-use super::table::{PendingRequest, DetachedClient, ANSWER_MARGIN_MS, POLL_INTERVAL_MS, REMOTE_OWNER};
+use super::table::{
+    DetachedClient, PendingRequest, ANSWER_MARGIN_MS, POLL_INTERVAL_MS, REMOTE_OWNER,
+};
 use crate::engine::Engine;
 use crate::message::{IdempotencyKey, Reply, Responder, TaskId};
 use crate::tasks::Tasks;
--- a/crates/asterdale-engine/src/ownership/takeover.rs
+++ b/crates/asterdale-engine/src/ownership/takeover.rs
@@ -127,8 +127,8 @@
     }
 }
 
-/// A request id that no edge node has assigned: a hash of the previous execution's id, the settings' seed and the task's
-/// number.
+/// A request id that no edge node has assigned: a hash of the previous execution's id, the settings' seed and the
+/// task's number.
 fn new_request_id(seed: u64, number: TaskId, previous: &[u8]) -> Option<RequestId> {
     let mut hasher = SipHasher13::new_with_keys(seed, number);
     hasher.write(previous);
--- a/crates/asterdale-engine/src/state_transfer/standby.rs
+++ b/crates/asterdale-engine/src/state_transfer/standby.rs
@@ -146,8 +146,8 @@
                 continue;
             };
             let open_connections = self.tasks.frontends.open_connections();
-            let is_over = open_connections == 0
-                && self.tasks.now > standby.standby_until + STANDBY_MARGIN_MS;
+            let is_over =
+                open_connections == 0 && self.tasks.now > standby.standby_until + STANDBY_MARGIN_MS;
             if self.paused.must_exit || is_over {
                 if let Some(successor) = &mut standby.successor {
                     successor.standby_ended();
--- a/crates/asterdale-hot-restart/tests/exploration.rs
+++ b/crates/asterdale-hot-restart/tests/exploration.rs
@@ -304,7 +304,10 @@
 
     fn add_timeouts_and_kills(&mut self) {
         let (system, fault) = (self.system, self.fault);
-        let deadline = system.old_process.as_ref().and_then(OldProcess::deadline_ms);
+        let deadline = system
+            .old_process
+            .as_ref()
+            .and_then(OldProcess::deadline_ms);
         if deadline.is_some() {
             self.add("the old process times out", |system| {
                 system.step_old_process(1e9, old_process::Event::Tick, fault);
