--- a/crates/asterdale-daemon/tests/upgrade.rs
+++ b/crates/asterdale-daemon/tests/upgrade.rs
@@ -194,7 +194,10 @@
     let site = TestSite::new();
     let (asked, mut stranger, _) = site.start_upgrade();
     stranger.send_hello(b"made up", asterdale_hot_restart::VERSION);
-    site.assert_old_process_serves(asked, "a stranger");
+    site.assert_old_process_serves(
+        asked,
+        "another process connected in place of the new process",
+    );
 }
 
 #[test]
@@ -220,7 +223,7 @@
     let (asked, mut scripted, nonce) = site.start_upgrade();
     scripted.send_hello(&nonce, asterdale_hot_restart::VERSION);
     scripted.send(Payload::StateLoaded(StateLoaded { epoch: 2 }));
-    site.assert_old_process_serves(asked, "out of turn");
+    site.assert_old_process_serves(asked, "sent an unexpected message");
 }
 
 #[test]
@@ -270,7 +273,10 @@
     stranger
         .write_all(&encode(Payload::Hello(Hello::default())))
         .unwrap();
-    site.assert_old_process_serves(asked, "a stranger");
+    site.assert_old_process_serves(
+        asked,
+        "another process connected in place of the new process",
+    );
 }
 
 #[test]
@@ -311,7 +317,7 @@
     let site = TestSite::new();
     let asked = site.request_upgrade(&site.scripted_program());
     site.assert_serves_meanwhile();
-    site.assert_old_process_serves(asked, "too long: Offered");
+    site.assert_old_process_serves(asked, "too long in phase Offered");
 }
 
 #[test]
--- a/crates/asterdale-hot-restart/src/new_process.rs
+++ b/crates/asterdale-hot-restart/src/new_process.rs
@@ -83,16 +83,16 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum TakeOverError {
     /// The old process ended before it had sent its state.
-    #[error("the process before ended")]
+    #[error("the old process has ended")]
     OldProcessEnded,
     /// The old process was too slow.
-    #[error("the process before took too long")]
+    #[error("the old process took too long")]
     TimedOut,
     /// The state can't be used.
     #[error(transparent)]
     UnusableState(#[from] UnusableState),
     /// The old process has sent a message that does not belong in this phase.
-    #[error("the process before spoke out of turn: {event:?} in {phase}")]
+    #[error("the old process sent an unexpected message: {event:?} in {phase}")]
     UnexpectedEvent {
         /// The message.
         event: Event,
--- a/crates/asterdale-hot-restart/src/old_process.rs
+++ b/crates/asterdale-hot-restart/src/old_process.rs
@@ -114,17 +114,17 @@
     #[error("the new process refuses: {0}")]
     Refused(String),
     /// The old process was told to drain.
-    #[error("this process is leaving")]
+    #[error("this process is draining")]
     Draining,
     /// The new process was too slow in this phase.
-    #[error("the new process took too long: {0}")]
+    #[error("the new process took too long in phase {0}")]
     TimedOut(Phase),
     /// The hello came from another process than the one that was started.
-    #[error("a stranger spoke in the place of the new process")]
+    #[error("another process connected in place of the new process")]
     InvalidNonce,
     /// The new process has another protocol, or another format of the state.
     #[error(
-        "the new process speaks version {version} and reads shape {state_format}, this one version {} and shape {own_state_format}",
+        "the new process has protocol version {version} and state format {state_format}, this one version {} and format {own_state_format}",
         crate::VERSION
     )]
     Incompatible {
@@ -136,7 +136,7 @@
         own_state_format: u32,
     },
     /// The new process has sent a message that does not belong in this phase.
-    #[error("the new process spoke out of turn: {event:?} in {phase}")]
+    #[error("the new process sent an unexpected message: {event:?} in {phase}")]
     UnexpectedEvent {
         /// The message.
         event: Event,
--- a/crates/asterdale-hot-restart/tests/exploration.rs
+++ b/crates/asterdale-hot-restart/tests/exploration.rs
@@ -415,7 +415,7 @@
         let found = explore(fault);
         assert!(
             found.is_err(),
-            "{fault:?} was not found in {found:?} worlds"
+            "{fault:?} was not found in {found:?} states"
         );
     }
 }
