--- a/crates/asterdale-daemon/src/upgrade/new_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/new_process.rs
@@ -100,9 +100,7 @@
         let _ = self.reader.set_timeout(None);
         while let Ok(Some(payload)) = self.reader.read() {
             let message = match payload {
-                Payload::Release(_) => {
-                    Some(EngineMessage::HotRestart(HotRestartStep::StandbyEnded))
-                }
+                Payload::Release(_) => Some(EngineMessage::HotRestart(HotRestartStep::StopMirror)),
                 payload => engine_message(payload, &self.writer, class_count),
             };
             if message.is_some_and(|message| engine.send(message).is_err()) {
@@ -110,7 +108,7 @@
             }
         }
         // An engine that has ended ends this process.
-        let _ = engine.send(EngineMessage::HotRestart(HotRestartStep::StandbyEnded));
+        let _ = engine.send(EngineMessage::HotRestart(HotRestartStep::StopMirror));
     }
 }
 
--- a/crates/asterdale-engine/src/message/hot_restart.rs
+++ b/crates/asterdale-engine/src/message/hot_restart.rs
@@ -25,8 +25,8 @@
     Resume,
     /// Exit once the connections have ended: no process needs this one on standby any more.
     Exit,
-    /// The old process is no longer on standby.
-    StandbyEnded,
+    /// The old process is no longer on standby: stop mirroring events to it.
+    StopMirror,
 }
 
 /// The old process's link to the new one.
--- a/crates/asterdale-engine/src/state_transfer/steps.rs
+++ b/crates/asterdale-engine/src/state_transfer/steps.rs
@@ -49,7 +49,7 @@
                     standby.standby_until = f64::NEG_INFINITY;
                 }
             }
-            HotRestartStep::StandbyEnded => self.tasks.mirror = None,
+            HotRestartStep::StopMirror => self.tasks.mirror = None,
         }
     }
 
