--- a/crates/asterdale-engine/src/state_transfer/mod.rs
+++ b/crates/asterdale-engine/src/state_transfer/mod.rs
@@ -1,6 +1,6 @@
-//! Hot restart: the engine's state is transferred to a new process ([`restore`]). The old process then forwards
-//! messages between its connections and the new engine ([`standby`]), continues to serve, or takes the work back
-//! ([`steps`]). `asterdale_hot_restart::old_process` decides which.
+//! Hot restart: the engine's state is transferred to a new process (`restore`). The old process then forwards
+//! messages between its connections and the new engine (`standby`), continues to serve, or takes the work back
+//! (`steps`). `asterdale_hot_restart::old_process` decides which.
 
 mod format;
 mod restore;
