--- a/crates/asterdale-daemon/src/upgrade/new_process.rs
+++ b/crates/asterdale-daemon/src/upgrade/new_process.rs
@@ -101,7 +101,7 @@
         let _ = self.reader.set_timeout(None);
         while let Ok(Some(payload)) = self.reader.read() {
             let message = match payload {
-                Payload::Release(_) => Some(EngineMessage::HotRestart(HotRestartStep::GuardEnded)),
+                Payload::Release(_) => Some(EngineMessage::HotRestart(HotRestartStep::StopMirror)),
                 payload => engine_message(payload, &self.writer, class_count),
             };
             if message.is_some_and(|message| engine.send(message).is_err()) {
@@ -109,7 +109,7 @@
             }
         }
         // Fails only if the engine has ended, which also ends this process.
-        let _ = engine.send(EngineMessage::HotRestart(HotRestartStep::GuardEnded));
+        let _ = engine.send(EngineMessage::HotRestart(HotRestartStep::StopMirror));
     }
 }
 
--- a/crates/asterdale-engine/src/mailbox/tests.rs
+++ b/crates/asterdale-engine/src/mailbox/tests.rs
@@ -1,4 +1,4 @@
-//! No message is left unread by an actor that looks only when it is woken.
+//! An actor that reads its mailbox only when it is woken reads every message.
 
 use std::thread;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use super::*;
 
 #[test]
-fn actor_that_looks_only_when_woken_reads_every_message() {
+fn actor_that_reads_only_when_woken_reads_every_message() {
     const PER_SENDER: usize = 5000;
     const SENDERS: usize = 3;
     let mut poll = Poll::new().unwrap();
@@ -25,7 +25,7 @@
             .unwrap();
         assert!(
             !events.is_empty(),
-            "nobody was woken after {read} messages were read"
+            "no wake-up after {read} messages were read"
         );
         read += receiver.take().count();
     }
--- a/crates/asterdale-engine/src/message/hot_restart.rs
+++ b/crates/asterdale-engine/src/message/hot_restart.rs
@@ -23,10 +23,10 @@
     Mirrored(MirroredEvent),
     /// The new process has ended: take the work back.
     TakeBack,
-    /// Exit once the connections have ended: this process is no longer needed as a guard.
+    /// Exit once the connections have ended: no process needs this one on standby any more.
     Exit,
-    /// The old process no longer guards this one: it can no longer take the work back.
-    GuardEnded,
+    /// The old process is no longer on standby: stop mirroring events to it.
+    StopMirror,
 }
 
 /// The old process's link to the new one.
@@ -45,8 +45,8 @@
         duration_ms: f64,
         body: &[u8],
     );
-    /// Reports that this process is no longer a guard: all connections and all idempotency windows have ended.
-    fn guard_ended(&mut self);
+    /// Reports that this process has left standby: all connections and all idempotency windows have ended.
+    fn standby_ended(&mut self);
 }
 
 /// An event of the new process. It is reported to the old process before it takes effect, so that the old process can
--- a/crates/asterdale-engine/src/ownership/handoff.rs
+++ b/crates/asterdale-engine/src/ownership/handoff.rs
@@ -4,13 +4,13 @@
 use asterdale_ownership::OwnershipRequest;
 
 use super::record::{Claim, OwnershipKey};
-use super::table::{Awaiting, DetachedClient};
+use super::table::{DetachedClient, PendingRequest};
 use crate::message::{IdempotencyKey, Reply, Responder};
 use crate::tasks::Tasks;
 
 impl Tasks {
     /// Hands off a task that the policies reject while this process drains; its client then waits for the backend that
-    /// takes it. `false` if it is to be rejected.
+    /// takes it over. Returns `false` if the task must be rejected.
     pub(crate) fn hand_off(&mut self, task: Handle, is_final: bool, retry_after_ms: f64) -> bool {
         let Some(client) = self.ownership.client.clone() else {
             return false;
@@ -28,7 +28,7 @@
         else {
             return false;
         };
-        let work = self.work_of(record, owned, &*client);
+        let request = self.keyed_request_of(record, owned, &*client);
         let (key, number) = (owned.key.clone(), record.number);
         let Some(record) = self.task_mut(task) else {
             return false;
@@ -42,7 +42,7 @@
         self.by_route.remove(&responder.route());
         let joined = self.idempotency.forget(&idempotency_key, number);
         self.notify_joined(joined, None);
-        let awaiting = Awaiting::HandOff {
+        let pending = PendingRequest::HandOff {
             idempotency_key,
             key,
             responder,
@@ -52,11 +52,11 @@
             },
         };
         self.ownership
-            .request(OwnershipRequest::HandOver(work), awaiting);
+            .request(OwnershipRequest::HandOver(request), pending);
         true
     }
 
-    /// Another backend may take the task: its client waits for that run, for as long as this process drains.
+    /// Makes the client of a handed-off task wait for the run on another backend, as long as this process drains.
     pub(super) fn handed_off(
         &mut self,
         idempotency_key: &IdempotencyKey,
--- a/crates/asterdale-engine/src/ownership/lookup.rs
+++ b/crates/asterdale-engine/src/ownership/lookup.rs
@@ -1,22 +1,22 @@
-//! The look-up of a keyed request before the policies see it.
+//! The lookup of a keyed request before the policies see it.
 
 use asterdale::parameters::Idempotency;
 use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
 
 use super::answers::{lock_is_ignored, reply_to};
 use super::record::{Claim, OwnedTask, OwnershipKey};
-use super::table::{Awaiting, REMOTE_OWNER};
+use super::table::{PendingRequest, REMOTE_OWNER};
 use crate::engine::Engine;
 use crate::idempotency::Owner;
 use crate::message::{IdempotencyKey, Reply, Request, RequestHead, ResponseRoute};
 use crate::tasks::Tasks;
 
-/// Requests to the replicas that are under way at once. Beyond that, keyed requests are rejected.
-const MAX_AWAITING: usize = 8192;
+/// The most pending requests to the replicas. Beyond that, keyed requests are answered `Overloaded`.
+const MAX_PENDING_REQUESTS: usize = 8192;
 
 impl Tasks {
-    /// The ownership of a request under this idempotency key, if its class has replicated ownership. `left_ms` is how
-    /// long its client still waits; `tenant` is empty where callers are not authenticated.
+    /// The ownership of a new request under this idempotency key, if its class has replicated ownership. `left_ms` is
+    /// how long its client still waits; `tenant` is empty where callers are not authenticated.
     pub(crate) fn ownership_of(
         &self,
         head: &RequestHead,
@@ -52,35 +52,35 @@
         })
     }
 
-    /// Looks up a request, which waits for the answer.
+    /// Looks up a request. The policies see it once the answer is there.
     pub(crate) fn look_up(&mut self, request: Request, key: &OwnershipKey) {
         let route = request.route();
         if self.ownership.lookups.contains_key(&route) {
             self.counters.requests_duplicate.add();
             return request.client.discard_request();
         }
-        if self.ownership.awaiting.len() >= MAX_AWAITING {
+        if self.ownership.pending.len() >= MAX_PENDING_REQUESTS {
             self.counters.requests_overloaded.add();
             return request.answer(Reply::Overloaded);
         }
         let Some(idempotency_key) = request.head.idempotency_key.clone() else {
             return;
         };
-        let want = OwnershipRequest::Lookup {
+        let lookup = OwnershipRequest::Lookup {
             key: key.bytes.clone(),
             body_digest: key.body_digest,
         };
-        let awaiting = Awaiting::Lookup {
+        let pending = PendingRequest::Lookup {
             request: Box::new(request),
             idempotency_key,
             key: key.clone(),
-            since: self.now,
+            sent_at: self.now,
         };
-        let number = self.ownership.request(want, awaiting);
+        let number = self.ownership.request(lookup, pending);
         self.ownership.lookups.insert(route, number);
     }
 
-    /// The clients of requests that are being looked up no longer wait.
+    /// Cancels the lookups of requests whose clients no longer wait.
     pub(crate) fn cancel_lookups(&mut self, is_cancelled: impl Fn(ResponseRoute) -> bool) {
         let numbers: Vec<u64> = self
             .ownership
@@ -96,9 +96,10 @@
         }
     }
 
-    /// Ends a look-up before its answer; its request.
+    /// Cancels a pending lookup. Returns its request.
     pub(super) fn take_lookup(&mut self, number: u64) -> Option<Request> {
-        let Some(Awaiting::Lookup { request, .. }) = self.ownership.awaiting.remove(&number) else {
+        let Some(PendingRequest::Lookup { request, .. }) = self.ownership.pending.remove(&number)
+        else {
             return None;
         };
         self.ownership.lookups.remove(&request.route());
@@ -108,9 +109,9 @@
         Some(*request)
     }
 
-    /// A request runs, or has ended, on another backend: the idempotency table knows it from now on, so that the
-    /// policies join it as they join any repeat.
-    fn learn_remote_run(
+    /// Enters a request that runs or has ended on another backend into the idempotency table, so that the policies join
+    /// it like any retry.
+    fn record_remote_run(
         &mut self,
         request: &Request,
         idempotency_key: &IdempotencyKey,
@@ -136,14 +137,14 @@
         }
     }
 
-    /// How long repeats of this request class are known, in milliseconds.
+    /// How long retries of requests of this class are recognized, in milliseconds.
     pub(super) fn retry_window_ms(&self, class: usize) -> f64 {
         self.settings.decisions.classes[class].retry_window_ms
     }
 }
 
 impl Engine {
-    /// The answer to a look-up.
+    /// Handles the answer to a lookup.
     pub(super) fn lookup_answered(
         &mut self,
         request: Request,
@@ -162,7 +163,7 @@
                 tasks.counters.requests_overloaded.add();
                 return request.answer(Reply::Overloaded);
             }
-            tasks.learn_remote_run(&request, idempotency_key, key, answer);
+            tasks.record_remote_run(&request, idempotency_key, key, answer);
             return self.receive_looked_up(request);
         }
         match reply_to(answer, tasks.ownership.lease_ms()) {
--- a/crates/asterdale-engine/src/ownership/outcomes.rs
+++ b/crates/asterdale-engine/src/ownership/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes: the reply of a run leaves once its outcome is replicated.
+//! Outcomes: the reply of a run is sent once its outcome is replicated.
 
 use std::sync::Arc;
 
@@ -7,21 +7,21 @@
 use asterdale_ownership::{Answer, OwnershipRequest, Verdict};
 
 use super::record::OwnedTask;
-use super::table::{Awaiting, DetachedClient, EndedRun, REMOTE_OWNER};
+use super::table::{DetachedClient, EndedRun, PendingRequest, REMOTE_OWNER};
 use crate::engine::Engine;
 use crate::message::Reply;
 use crate::tasks::Tasks;
 
 impl Tasks {
-    /// The ownership of a task whose run is over, if this process owns it.
+    /// Takes the ownership out of a task whose run is over, if this process owns the task.
     fn take_granted(&mut self, task: Handle) -> Option<OwnedTask> {
         self.task_mut(task)?
             .ownership
             .take_if(|owned| owned.granted_fence().is_some())
     }
 
-    /// A run has ended with a result. If this process owns the task, the outcome is replicated; the reply then waits
-    /// for that, and is the task's no longer.
+    /// Replicates the outcome of a run that ended with a result, if this process owns the task. The responder moves
+    /// from the task to the pending request, and the reply is sent once the outcome is replicated.
     pub(crate) fn replicate_outcome(&mut self, task: Handle, result: &Arc<[u8]>) {
         let Some(owned) = self.take_granted(task) else {
             return;
@@ -49,7 +49,7 @@
             self.by_route.remove(&responder.route());
         }
         self.ownership.takeovers -= usize::from(owned.is_takeover);
-        let want = OwnershipRequest::Complete {
+        let request = OwnershipRequest::Complete {
             key: owned.key.bytes.clone(),
             fence,
             result: Some(result.to_vec()),
@@ -63,10 +63,11 @@
             deadline: owned.attempt_deadline,
         };
         self.ownership
-            .request(want, Awaiting::Outcome(Box::new(ended)));
+            .request(request, PendingRequest::Outcome(Box::new(ended)));
     }
 
-    /// A run is over without a result that could be replicated. `never_ran`: nothing was started.
+    /// Ends the ownership of a task whose run is over and has no result to replicate. `never_ran`: nothing was started,
+    /// so the claim is reported as unused.
     pub(crate) fn end_ownership(&mut self, task: Handle, never_ran: bool) {
         let Some(owned) = self.take_granted(task) else {
             return;
@@ -76,19 +77,20 @@
             return;
         };
         if !never_ran {
-            let want = OwnershipRequest::Complete {
+            let request = OwnershipRequest::Complete {
                 key: owned.key.bytes,
                 fence,
                 result: None,
             };
-            self.ownership.request(want, Awaiting::Nothing);
+            self.ownership.request(request, PendingRequest::Nothing);
         } else if let Some(client) = &self.ownership.client {
             client.claim_unused(owned.key.bytes, fence);
         }
     }
 
-    /// The policies release a task. A run whose end was not seen has ended without a result, as it has for those who
-    /// repeat it here; while this process drains, another backend may do better and takes it over.
+    /// Ends the ownership of a task that the policies release. A run whose end was not seen is recorded as ended
+    /// without a result, which is also what its retries on this backend get. While this process drains nothing is
+    /// recorded, so that another backend can take the request over.
     pub(crate) fn release_ownership(&mut self, task: Handle) {
         let Some(owned) = self
             .task_mut(task)
@@ -98,18 +100,18 @@
         };
         self.ownership.takeovers -= usize::from(owned.is_takeover);
         if let (Some(fence), None) = (owned.granted_fence(), self.ownership.drain_deadline) {
-            let want = OwnershipRequest::Complete {
+            let request = OwnershipRequest::Complete {
                 key: owned.key.bytes,
                 fence,
                 result: None,
             };
-            self.ownership.request(want, Awaiting::Nothing);
+            self.ownership.request(request, PendingRequest::Nothing);
         }
     }
 }
 
 impl Engine {
-    /// The answer to the outcome of a run.
+    /// Handles the answer to the outcome of a run.
     pub(super) fn outcome_answered(&mut self, ended: EndedRun, answer: &Answer) {
         let tasks = &mut self.tasks;
         if answer.verdict() == Verdict::Fenced {
@@ -134,7 +136,8 @@
 }
 
 impl Tasks {
-    /// Another backend has taken the task over: its outcome counts, and those who wait here wait for that.
+    /// Handles an outcome that was rejected because another backend has taken the task over. The outcome of that run
+    /// counts, and the clients here wait for it.
     fn outcome_fenced(&mut self, ended: EndedRun) {
         let (now, window_ms) = (self.now, self.retry_window_ms(ended.idempotency_key.class));
         let is_reassigned =
--- a/crates/asterdale-engine/src/paused.rs
+++ b/crates/asterdale-engine/src/paused.rs
@@ -10,13 +10,13 @@
 
 /// What the old process records about the new one, so that it can take the work back if the new process ends.
 #[derive(Default)]
-pub(crate) struct Guard {
+pub(crate) struct Standby {
     /// Requests that were forwarded and are not yet answered.
     pub(crate) forwarded: HashMap<ResponseRoute, Arc<dyn Connection>>,
     /// Tasks that the new process has started.
     pub(crate) started_by_successor: HashMap<RequestId, Option<(IdempotencyKey, TaskId)>>,
     /// When the last idempotency window ends, in engine time.
-    pub(crate) guard_until: f64,
+    pub(crate) standby_until: f64,
     /// The link to the new process.
     pub(crate) successor: Option<Box<dyn SuccessorLink>>,
 }
@@ -29,7 +29,7 @@
     /// Messages that were received while the engine was frozen.
     pub(crate) deferred: Vec<EngineMessage>,
     /// Set once the work belongs to the new process.
-    pub(crate) guard: Option<Guard>,
+    pub(crate) standby: Option<Standby>,
     /// The signal to shut down was received.
     pub(crate) must_exit: bool,
 }
@@ -37,6 +37,6 @@
 impl PausedState {
     /// Whether the engine is paused: it must make no decisions.
     pub fn is_paused(&self) -> bool {
-        self.is_frozen || self.guard.is_some()
+        self.is_frozen || self.standby.is_some()
     }
 }
--- a/crates/asterdale-engine/src/state_transfer/guard.rs
+++ b/crates/asterdale-engine/src/state_transfer/standby.rs
@@ -1,5 +1,5 @@
-//! The old process once the work belongs to the new one: it forwards between its connections and the new engine, and
-//! learns what it needs to take the work back.
+//! The old process on standby, while the work belongs to the new process: it forwards messages between its connections
+//! and the new engine, and keeps the state that it needs to take the work back up to date.
 
 use std::time::{Duration, Instant};
 
@@ -8,21 +8,21 @@
 use crate::engine::Engine;
 use crate::idempotency::Owner;
 use crate::message::{EngineMessage, MirroredEvent, Reply, Responder, ResponseRoute};
-use crate::paused::Guard;
+use crate::paused::Standby;
 
-/// The interval at which answered connections are closed once the work is the new process's.
+/// The interval at which connections without open requests are closed while this process is on standby.
 const CLOSE_INTERVAL: Duration = Duration::from_millis(50);
-/// The guard stays this long after the last idempotency window that it knows of, in milliseconds.
-const GUARD_MARGIN_MS: f64 = 1000.0;
+/// The process stays on standby this long after the last idempotency window that it knows of, in milliseconds.
+const STANDBY_MARGIN_MS: f64 = 1000.0;
 
 impl Engine {
-    /// Forwards a message to the new process. Returns one that is for this process all the same.
+    /// Forwards a message to the new process. Returns a message that this process must handle itself.
     pub(crate) fn forward_to_successor(&mut self, message: EngineMessage) -> Option<EngineMessage> {
-        let Some(Guard {
+        let Some(Standby {
             forwarded,
             successor: Some(successor),
             ..
-        }) = &mut self.paused.guard
+        }) = &mut self.paused.standby
         else {
             return self.defer(message);
         };
@@ -59,20 +59,20 @@
             } => successor.forward_call_result(task, outcome, duration_ms, &body),
             EngineMessage::Drain => self.paused.must_exit = true,
             EngineMessage::PrintCounters | EngineMessage::HotRestart(_) => return Some(message),
-            // The addresses, the link and the keys are the new process's.
+            // The new process has its own addresses, link and key sets.
             EngineMessage::RuntimeConnected(_)
             | EngineMessage::RuntimeDisconnected
             | EngineMessage::RuntimeNotice(_)
             | EngineMessage::KeySet(_)
             | EngineMessage::Reloaded(..) => {}
-            // A process that can be restarted hot belongs to no fleet.
+            // A process that can do a hot restart is not in a fleet.
             #[cfg(feature = "ownership")]
             EngineMessage::OwnershipAnswer(..) | EngineMessage::OwnerlessRequests(_) => {}
         }
         None
     }
 
-    /// Defers a message while it is not decided which process has the work.
+    /// Defers a message until it is decided which process has the work.
     fn defer(&mut self, message: EngineMessage) -> Option<EngineMessage> {
         if matches!(message, EngineMessage::HotRestart(_)) {
             return Some(message);
@@ -81,24 +81,25 @@
         None
     }
 
-    /// A reply of the new process: to a task that was transferred, or to a request that was forwarded.
+    /// Sends a reply of the new process to the client of a task that was transferred or of a request that was
+    /// forwarded.
     pub(super) fn relay_reply(&mut self, route: ResponseRoute, reply: Reply) {
         if let Some(task) = self.tasks.by_route.get(&route).copied() {
             self.tasks.answer(task, reply);
             return;
         }
-        let Some(guard) = &mut self.paused.guard else {
+        let Some(standby) = &mut self.paused.standby else {
             return;
         };
-        if let Some(client) = guard.forwarded.remove(&route) {
+        if let Some(client) = standby.forwarded.remove(&route) {
             client.answer(route.request, reply);
         }
     }
 
-    /// Learns an event of the new process. Tasks that joined an earlier attempt are the new process's: they are not
-    /// told of its end here.
+    /// Applies an event of the new process to the state of this one. Tasks that joined an earlier attempt belong to the
+    /// new process: they are not notified of its end here.
     pub(super) fn apply_mirrored(&mut self, event: MirroredEvent) {
-        let Some(guard) = &mut self.paused.guard else {
+        let Some(standby) = &mut self.paused.standby else {
             return;
         };
         let tasks = &mut self.tasks;
@@ -109,7 +110,7 @@
                 body_digest,
                 until_ms,
             } => {
-                guard.guard_until = guard.guard_until.max(until_ms);
+                standby.standby_until = standby.standby_until.max(until_ms);
                 tasks.last_number = tasks.last_number.max(owner);
                 let owner = Owner {
                     task: owner,
@@ -120,7 +121,7 @@
             MirroredEvent::TaskStarted { id, key } => {
                 let number = key.as_ref().map_or(0, |(_, owner)| *owner);
                 tasks.last_number = tasks.last_number.max(number);
-                guard.started_by_successor.insert(id, key);
+                standby.started_by_successor.insert(id, key);
             }
             MirroredEvent::TaskEnded { key, owner, result } => {
                 tasks.idempotency.complete(&key, owner, tasks.now, result);
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Handles messages while nothing may be decided here. `true` once the process may exit.
-    pub(crate) fn guard_successor(&mut self, mailbox: &Receiver<EngineMessage>) -> bool {
+    /// Handles messages while this process may not make decisions. Returns `true` once the process may exit.
+    pub(crate) fn run_while_paused(&mut self, mailbox: &Receiver<EngineMessage>) -> bool {
         let mut next_close = Instant::now();
         while self.paused.is_paused() {
             match mailbox.recv_timeout(CLOSE_INTERVAL) {
@@ -141,16 +142,17 @@
                 Err(RecvTimeoutError::Disconnected) => return true,
             }
             self.tasks.now = self.clock.now();
-            let Some(guard) = &mut self.paused.guard else {
+            let Some(standby) = &mut self.paused.standby else {
                 continue;
             };
-            let open = self.tasks.frontends.open_connections();
-            let is_over = open == 0 && self.tasks.now > guard.guard_until + GUARD_MARGIN_MS;
+            let open_connections = self.tasks.frontends.open_connections();
+            let is_over =
+                open_connections == 0 && self.tasks.now > standby.standby_until + STANDBY_MARGIN_MS;
             if self.paused.must_exit || is_over {
-                if let Some(successor) = &mut guard.successor {
-                    successor.guard_ended();
+                if let Some(successor) = &mut standby.successor {
+                    successor.standby_ended();
                 }
-                slog::info!(self.tasks.log.lines, "hot restart: old process exits"; "connections" => open);
+                slog::info!(self.tasks.log.lines, "hot restart: old process exits"; "connections" => open_connections);
                 return true;
             }
             if Instant::now() >= next_close {
--- a/crates/asterdale-engine/src/state_transfer/steps.rs
+++ b/crates/asterdale-engine/src/state_transfer/steps.rs
@@ -9,12 +9,13 @@
 use crate::message::{
     EngineMessage, HotRestartStep, RegistryCommand, Reply, RuntimeLinkCommand, SuccessorLink,
 };
-use crate::paused::Guard;
+use crate::paused::Standby;
 use crate::runtime::protocol;
 use crate::runtime_events::FLUSH_TAG;
 use crate::tasks::TaskRecord;
 
-/// The proof that all commands to the runtime have arrived is waited for this long, before the state is made without.
+/// How long a freeze waits for the confirmation that all commands to the runtime have arrived. After that the state is
+/// exported without it.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Engine {
@@ -25,11 +26,11 @@
         mailbox: &Receiver<EngineMessage>,
     ) {
         match step {
-            // A draining process has no state to give: the channel is dropped, which says so.
+            // A draining process sends no state: the receiver sees that the channel is dropped.
             HotRestartStep::SendTrialState(_) | HotRestartStep::Freeze(_)
                 if self.drain_deadline.is_some() => {}
             HotRestartStep::SendTrialState(to) => {
-                // Nobody receives it where the rehearsal was given up.
+                // There is no receiver if the hot restart was given up.
                 let _ = to.send(self.export());
             }
             HotRestartStep::Freeze(to) => self.freeze(&to, mailbox),
@@ -44,11 +45,11 @@
             HotRestartStep::Mirrored(event) => self.apply_mirrored(event),
             HotRestartStep::TakeBack => self.resume(mailbox),
             HotRestartStep::Exit => {
-                if let Some(guard) = &mut self.paused.guard {
-                    guard.guard_until = f64::NEG_INFINITY;
+                if let Some(standby) = &mut self.paused.standby {
+                    standby.standby_until = f64::NEG_INFINITY;
                 }
             }
-            HotRestartStep::GuardEnded => self.tasks.mirror = None,
+            HotRestartStep::StopMirror => self.tasks.mirror = None,
         }
     }
 
@@ -58,8 +59,9 @@
         }
     }
 
-    /// Stops, and sends the state. What was sent to the runtime has arrived by then, or counts as unproven; what the
-    /// runtime says meanwhile is in the state. Nothing is started: the link takes no commands.
+    /// Stops making decisions, and sends the state. By then the commands sent to the runtime have arrived or are
+    /// treated as unconfirmed; notices that the runtime sends meanwhile are included in the state. Nothing is started,
+    /// as the link takes no commands.
     fn freeze(&mut self, to: &Sender<Vec<u8>>, mailbox: &Receiver<EngineMessage>) {
         let deadline = Instant::now() + FLUSH_TIMEOUT;
         if self.tasks.runtime.commands.is_some() && !self.tasks.runtime.is_replaying {
@@ -75,23 +77,23 @@
             }
         }
         self.tasks.runtime.commands = None;
-        // The runtime's actor lives as long as this one.
+        // The runtime's actor runs as long as this one, so the command arrives.
         let _ = self.runtime_link.send(RuntimeLinkCommand::SetPaused(true));
         self.fail_health_checks();
         self.paused.is_frozen = true;
         self.tasks.now = self.clock.now();
-        // Nobody receives it where the hot restart was given up; a thaw follows then.
+        // There is no receiver if the hot restart was given up; `Thaw` follows then.
         let _ = to.send(self.export());
     }
 
-    /// The link is this process's again. What may not have arrived is sent again on the new one.
+    /// Takes back the link to the runtime. Commands that may not have arrived are sent again on the new connection.
     fn reclaim_link(&mut self) {
         self.tasks.runtime.is_replaying = true;
-        // The runtime's actor lives as long as this one.
+        // The runtime's actor runs as long as this one, so the command arrives.
         let _ = self.runtime_link.send(RuntimeLinkCommand::SetPaused(false));
     }
 
-    /// The work belongs to the new process from now on, and this one guards it.
+    /// The work belongs to the new process from now on, and this one goes on standby.
     fn commit_to_successor(
         &mut self,
         successor: Box<dyn SuccessorLink>,
@@ -99,10 +101,10 @@
     ) {
         let last_window_end = self.tasks.idempotency.last_window_end();
         self.paused.is_frozen = false;
-        self.paused.guard = Some(Guard {
+        self.paused.standby = Some(Standby {
             successor: Some(successor),
-            guard_until: last_window_end.max(self.tasks.now),
-            ..Guard::default()
+            standby_until: last_window_end.max(self.tasks.now),
+            ..Standby::default()
         });
         self.registry.send(RegistryCommand::SetPaused(true));
         self.tasks.frontends.set_paused(true);
@@ -112,19 +114,19 @@
         self.handle_deferred(mailbox);
     }
 
-    /// Takes the work back. What the new process has started is not started again: its clients are told that it failed,
-    /// and the results come with the notices that were missed.
+    /// Takes the work back. Tasks that the new process has started are not started again: their clients get `Failed`,
+    /// and the results arrive with the notices that were missed.
     fn resume(&mut self, mailbox: &Receiver<EngineMessage>) {
-        let Some(guard) = self.paused.guard.take() else {
+        let Some(standby) = self.paused.standby.take() else {
             return;
         };
         slog::error!(self.tasks.log.lines, "hot restart: new process ended, work taken back";
-            "started_there" => guard.started_by_successor.len(), "unanswered" => guard.forwarded.len());
+            "started_there" => standby.started_by_successor.len(), "unanswered" => standby.forwarded.len());
         self.tasks.now = self.clock.now();
-        for (route, client) in guard.forwarded {
+        for (route, client) in standby.forwarded {
             client.answer(route.request, Reply::Failed);
         }
-        self.tasks.started_by_successor = guard.started_by_successor;
+        self.tasks.started_by_successor = standby.started_by_successor;
         self.tasks.frontends.set_paused(false);
         self.registry.send(RegistryCommand::SetPaused(false));
         self.reclaim_link();
@@ -140,20 +142,21 @@
             let is_started_there = tasks.started_by_successor.contains_key(&record.id);
             !record.started && (record.responder.is_none() || is_started_there)
         };
-        let over: Vec<Handle> = tasks
+        let ended_tasks: Vec<Handle> = tasks
             .by_number
             .values()
             .copied()
             .filter(|task| tasks.task(*task).is_some_and(is_over))
             .collect();
-        // All are answered before the policies are told of the first: what it frees must start none of the others.
-        for task in &over {
+        // All are answered before the first is reported to the policies: the capacity that it frees must not start any
+        // of the others.
+        for task in &ended_tasks {
             if let Some(record) = tasks.task_mut(*task) {
                 record.must_not_start = true;
             }
             tasks.answer_failed(*task);
         }
-        for task in over {
+        for task in ended_tasks {
             if let Some(server) = &mut self.server {
                 task.caller_gone(server, self.tasks.now, &mut self.tasks);
             }
--- a/crates/asterdale-engine/src/state_transfer/tests.rs
+++ b/crates/asterdale-engine/src/state_transfer/tests.rs
@@ -1,7 +1,7 @@
-//! The state of a hot restart that an earlier release wrote is restored: open tasks, idempotency entries and their
-//! results, keys and the link to the runtime come out as they went in. The stored fields are compared by name as well,
-//! so that a change is seen even where reading and writing change together.
-//! `tests/fixtures/hot_restart/README.md` says how the file was made.
+//! A hot-restart state that an earlier release wrote is restored with all its open tasks, idempotency entries, results
+//! and keys, and the state of the link to the runtime. The names of the stored fields are checked as well, so that a
+//! change is detected even if reading and writing change together. `tests/fixtures/hot_restart/README.md` says how the
+//! file was made.
 
 use asterdale_identity::mint::SecretKey;
 use asterdale_identity::{Identity, Role, Tenant};
@@ -24,12 +24,12 @@
 
 const STATE: &[u8] = include_bytes!("../../tests/fixtures/hot_restart/state.msgpack");
 
-/// Seed of the tests' digests, which the stored state overrides.
+/// The seed of the digests, which the stored state overrides.
 const SEED: u64 = 42;
 /// The engine's time when the first engine started.
 const START_MS: f64 = 1e12;
 
-/// No connections.
+/// Frontends without connections.
 struct NoFrontends;
 
 impl Frontends for NoFrontends {
@@ -42,7 +42,7 @@
     fn set_paused(&self, _: bool) {}
 }
 
-/// A connection that takes every answer.
+/// A connection that discards every reply.
 struct DiscardingConnection(u64);
 
 impl Connection for DiscardingConnection {
@@ -53,13 +53,13 @@
     fn discard_request(&self) {}
 }
 
-/// Two cores, a request class that may run again and one with idempotency keys.
+/// Two cores, an idempotent request class and a keyed one.
 fn settings() -> Settings {
     let class = |name: &str, repeat: &str| {
         json!({"name": name, "repeat": repeat, "objectiveNs": 500e6, "deadlineNs": 2000e6, "worth": 1.0,
             "lateShare": 0.2, "memorySpanNs": 5000e6})
     };
-    let start = json!({
+    let start_file = json!({
         "extra": {"cores": 2, "memoryKb": 90_000, "blowup": 16, "entryKb": 10, "below": "shared",
             "callsOut": 10, "classCalls": [true, true], "worthWithout": [0.5, 0.0],
             "upstreams": 2, "ownStats": ["core_use"]},
@@ -68,10 +68,10 @@
         "lanes": [class("read", "repeatable"), class("bid", "by_key")],
         "tenants": [{"name": "house", "allowancePerS": 50.0}],
     });
-    asterdale_parameters::from_json(SEED, &start)
+    asterdale_parameters::from_json(SEED, &start_file)
 }
 
-/// Callers must show a token.
+/// An identity policy under which every caller needs a token.
 fn identity() -> Identity {
     let text = |text: &str| text.to_owned();
     let role = Role {
@@ -103,8 +103,8 @@
     Identity::new(START_MS, identity_settings).unwrap()
 }
 
-/// What an engine starts with; nobody reads what it says.
-fn start() -> (EngineSettings, EnginePorts) {
+/// The settings and ports of an engine. What it sends over the ports is discarded.
+fn settings_and_ports() -> (EngineSettings, EnginePorts) {
     let address = ([127, 0, 0, 1], 9).into();
     let endpoints = Endpoints {
         runtime: address,
@@ -138,7 +138,7 @@
 }
 
 fn restored(state: &[u8]) -> Engine {
-    let (engine_settings, ports) = start();
+    let (engine_settings, ports) = settings_and_ports();
     let client = |connection| -> Arc<dyn Connection> { Arc::new(DiscardingConnection(connection)) };
     Engine::restore(engine_settings, ports, state, &client, None).unwrap()
 }
@@ -147,7 +147,7 @@
     TransferredState::decode(state).unwrap()
 }
 
-/// A state as a tree of names and values; lists whose order means nothing are put in order.
+/// A state as a tree of names and values. Lists whose order has no meaning are sorted.
 fn tree(state: &[u8]) -> Value {
     let mut tree = serde_json::to_value(decode(state)).unwrap();
     for list in ["/tasks", "/remembered/entries"] {
@@ -227,7 +227,7 @@
     );
 }
 
-/// Takes a task out of the table, after it was found by its number, its request id and its route.
+/// Takes a task out of the table, after checking that it is found by its number, its request id and its route.
 fn take_task(engine: &mut Engine, number: TaskId) -> TaskRecord {
     let handle = engine.tasks.by_number[&number];
     assert_eq!(engine.tasks.by_id[&id(number as u8)], handle);
@@ -239,18 +239,18 @@
 }
 
 #[test]
-fn task_at_its_call_is_restored_with_its_caller_and_quota() {
+fn task_waiting_for_its_call_is_restored_with_its_caller_and_quota() {
     let mut engine = restored(STATE);
-    let at_call = take_task(&mut engine, 3);
+    let waiting = take_task(&mut engine, 3);
     assert_eq!(
-        (at_call.class, &at_call.body[..], at_call.idempotency_key),
+        (waiting.class, &waiting.body[..], waiting.idempotency_key),
         (1, &b"bid 3"[..], Some(key(b"key-3")))
     );
     assert_eq!(
         (
-            at_call.started,
-            at_call.must_not_start,
-            at_call.last_command.is_some()
+            waiting.started,
+            waiting.must_not_start,
+            waiting.last_command.is_some()
         ),
         (true, false, false)
     );
@@ -258,9 +258,9 @@
         notice: 3,
         body: b"stock?".to_vec(),
     };
-    assert_eq!(at_call.pending_call, Some(call));
-    assert_eq!(at_call.body_digest, 4_609_995_455_783_861_838);
-    let caller = at_call.caller.unwrap();
+    assert_eq!(waiting.pending_call, Some(call));
+    assert_eq!(waiting.body_digest, 4_609_995_455_783_861_838);
+    let caller = waiting.caller.unwrap();
     assert_eq!(
         (caller.tenant, caller.key.as_deref(), &caller.claims.sub[..]),
         (0, Some("k2"), "desk")
@@ -270,7 +270,7 @@
         ("token-1", 2e9, Some(1e9))
     );
     assert!(
-        at_call.quota_permit.is_some() && take_task(&mut engine, 4).quota_permit.is_none(),
+        waiting.quota_permit.is_some() && take_task(&mut engine, 4).quota_permit.is_none(),
         "a task that joined another takes up no quota"
     );
 }
@@ -310,7 +310,7 @@
     let mut engine = restored(STATE);
     let entries = &mut engine.tasks.idempotency;
     assert_eq!((entries.len(), entries.bytes()), (4, "sold for 7".len()));
-    // The secret is the stored one: a repeat has the digest of the task that it repeats.
+    // The secret of the digests is the stored one, so that a retry has the same digest as the first attempt.
     assert_eq!(entries.digest(b"bid 1"), 15_236_941_030_769_685_157);
     assert!(entries.has_other_body(&key(b"key-1"), entries.digest(b"bid 2")));
     assert!(entries.is_repeat(&key(b"key-1"), 1_000_000_005_010.0));
@@ -330,7 +330,7 @@
     assert_eq!(
         waiting,
         [4],
-        "the repeat that had joined still waits for it"
+        "the retry that had joined still waits for the result"
     );
 }
 
