--- a/crates/asterdale-fastcgi/src/error.rs
+++ b/crates/asterdale-fastcgi/src/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// Why the bytes of a peer cannot be parsed any further.
+/// Why the input of a connection cannot be parsed any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
     /// A record has this protocol version, which is not 1.
@@ -11,7 +11,7 @@
     /// The content of a record of this type is shorter than the type requires.
     #[error("a record of type {0} is truncated")]
     TruncatedRecord(u8),
-    /// The length of a parameter's name or value exceeds the bytes that are there.
+    /// The length of a parameter's name or value exceeds the remaining bytes.
     #[error("a parameter's length exceeds its record stream")]
     LengthOutOfBounds,
     /// The incomplete requests of a connection exceed their memory limit.
--- a/crates/asterdale-fastcgi/src/lib.rs
+++ b/crates/asterdale-fastcgi/src/lib.rs
@@ -1,5 +1,5 @@
-//! FastCGI 1.0 codec for the application's side: parses the records that a web server sent and encodes responses for
-//! vectored writes. It does no I/O: the caller reads into and writes from buffers of this crate.
+//! FastCGI 1.0 codec for the application side: parses the records that a web server sent and encodes responses for
+//! vectored writes. The crate does no I/O: the caller reads into and writes from buffers of this crate.
 
 mod error;
 mod params;
--- a/crates/asterdale-fastcgi/src/params.rs
+++ b/crates/asterdale-fastcgi/src/params.rs
@@ -2,7 +2,7 @@
 
 use crate::error::ProtocolError;
 
-/// The first bit of a length says that the length takes four bytes; the other bits belong to the number.
+/// The high bit of a length's first byte marks a four-byte length; the other 31 bits are its value.
 const LONG_LENGTH_FLAG: u8 = 0x80;
 
 /// The name-value pairs that are encoded in these bytes. The first invalid length is returned as an error and ends the
--- a/crates/asterdale-fastcgi/src/record_reader.rs
+++ b/crates/asterdale-fastcgi/src/record_reader.rs
@@ -4,7 +4,8 @@
 
 /// Length of a record header, in bytes.
 pub(crate) const HEADER_BYTES: usize = 8;
-/// Size of the buffer while no larger record is expected, in bytes: one read takes many of the platform's requests.
+/// Size of the buffer while no larger record is expected, in bytes. One read of this size takes many of the platform's
+/// requests.
 const DEFAULT_BUFFER_BYTES: usize = 4 * 1024;
 /// The only protocol version of the specification.
 pub(crate) const VERSION: u8 = 1;
@@ -30,8 +31,8 @@
 }
 
 impl RecordReader {
-    /// The buffer space for the next read. It is never empty, and large enough for the rest of the record whose header
-    /// has been received. Call [`RecordReader::commit`] after the read.
+    /// The buffer space for the next read. The space is never empty, and is large enough for the rest of the record
+    /// whose header has been received. Call [`RecordReader::commit`] after the read.
     pub fn free_space(&mut self) -> &mut [u8] {
         self.buffer.copy_within(self.start..self.end, 0);
         self.end -= self.start;
@@ -44,7 +45,7 @@
         &mut self.buffer[self.end..]
     }
 
-    /// Records that `count` bytes were read into [`RecordReader::free_space`].
+    /// Adds `count` bytes, which were read into [`RecordReader::free_space`], to the unparsed bytes.
     pub fn commit(&mut self, count: usize) {
         self.end += count;
     }
--- a/crates/asterdale-fastcgi/src/request_assembler.rs
+++ b/crates/asterdale-fastcgi/src/request_assembler.rs
@@ -6,8 +6,9 @@
 use crate::record_reader::Record;
 use crate::{protocol_status, record_type};
 
-/// Memory limit for the incomplete requests of one connection, in bytes. The platform's 32 concurrent requests need
-/// less. The limit keeps many connections that open requests and never complete them from exhausting the memory.
+/// Memory limit for the incomplete requests of one connection, in bytes. The 32 concurrent requests that the platform
+/// sends at most need less. The limit keeps many connections that open requests and never complete them from exhausting
+/// the memory.
 const MAX_PENDING_BYTES: usize = 96 * 1024;
 /// The platform's limit for a request body, in bytes.
 const MAX_BODY_BYTES: usize = 2 * 1024;
@@ -36,7 +37,7 @@
 /// The result of handling one record.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AssemblyEvent {
-    /// Nothing to do: more records are needed, or the record has no meaning in this state.
+    /// Nothing to do: more records are needed, or the record is ignored in this state.
     Pending,
     /// The request of this id is complete.
     Complete(u16, CompleteRequest),
@@ -44,7 +45,8 @@
     Abort(u16),
     /// The caller must send END_REQUEST for this id with this protocol status now.
     EndRequest(u16, u8),
-    /// The body of this request is too long, and may never end. The request is dropped; the caller should not read on.
+    /// The body of this request exceeds the limit, and may be endless. The request is dropped; the caller should stop
+    /// reading from the connection.
     BodyTooLong(u16),
     /// The caller must answer this GET_VALUES query now.
     GetValues(Vec<u8>),
@@ -130,8 +132,8 @@
         Ok(AssemblyEvent::Pending)
     }
 
-    /// An incomplete request was never passed on, so nothing ran and its END_REQUEST is due at once. A complete one is
-    /// the caller's.
+    /// An incomplete request was never passed to the caller and did not run, so END_REQUEST is sent at once. The caller
+    /// aborts a complete one.
     fn abort(&mut self, request_id: u16) -> AssemblyEvent {
         match self.remove(request_id) {
             Some(_) => AssemblyEvent::EndRequest(request_id, protocol_status::COMPLETE),
@@ -175,7 +177,7 @@
         self.complete_or_check_limit(request_id)
     }
 
-    /// Returns the request once both of its streams have ended, which they may in either order.
+    /// Returns the request once both of its streams have ended, in either order.
     fn complete_or_check_limit(&mut self, request_id: u16) -> Result<AssemblyEvent, ProtocolError> {
         let is_complete = self
             .pending
@@ -201,7 +203,7 @@
     }
 }
 
-/// The event for a record of request id 0. Record types that belong to a request are ignored there.
+/// The event for a record of request id 0. Record types that belong to a request are ignored.
 fn management_event(record_type: u8, content: &[u8]) -> AssemblyEvent {
     match record_type {
         record_type::GET_VALUES => AssemblyEvent::GetValues(content.to_vec()),
--- a/crates/asterdale-fastcgi/src/response.rs
+++ b/crates/asterdale-fastcgi/src/response.rs
@@ -6,7 +6,7 @@
 use crate::record_reader::{HEADER_BYTES, VERSION};
 use crate::{protocol_status, record_type, Params};
 
-/// The content of a record is no longer, in bytes: its length is a `u16`.
+/// The maximum length of a record's content, in bytes: the length field is a `u16`.
 const MAX_CONTENT_BYTES: usize = u16::MAX as usize;
 /// Records are padded to a multiple of this many bytes, as the specification recommends.
 const ALIGNMENT_BYTES: usize = 8;
@@ -23,10 +23,10 @@
 
 impl Response {
     /// A complete response: one STDOUT record with `head` and `body`, the end of that stream, and END_REQUEST. A body
-    /// that does not fit into the record beside `head` (64 KiB - 1 in all) is cut.
+    /// that does not fit into the record beside `head` (64 KiB - 1 in all) is truncated.
     ///
     /// # Panics
-    /// If `head` alone is longer than that.
+    /// If `head` alone exceeds that length.
     pub fn new(request_id: u16, head: &str, body: Arc<[u8]>) -> Response {
         let body = if head.len() + body.len() > MAX_CONTENT_BYTES {
             body[..MAX_CONTENT_BYTES - head.len()].into()
@@ -84,7 +84,7 @@
     Response::single_record(record)
 }
 
-/// The response to GET_VALUES with content `query`: the requested variables, as far as they are defined here.
+/// The response to GET_VALUES with content `query`: those of the requested variables that are supported.
 pub fn values_response(
     query: &[u8],
     max_connections: usize,
