--- a/crates/asterdale-identity/benches/verdict.rs
+++ b/crates/asterdale-identity/benches/verdict.rs
@@ -82,7 +82,7 @@
         .is_ok()
 }
 
-/// A token that is not cached: one signature.
+/// A token that is not cached: one signature verification.
 #[divan::bench(sample_count = 200)]
 fn new_token(bencher: Bencher<'_, '_>) {
     let (identity, key) = identity();
@@ -112,7 +112,7 @@
     bencher.bench_local(|| assert!(!is_authenticated(&mut identity, black_box(&token))));
 }
 
-/// An expired token: parsed, its key looked up, and denied without a signature.
+/// An expired token: parsed, its key looked up, and denied without a signature verification.
 #[divan::bench(sample_count = 200)]
 fn expired_token(bencher: Bencher<'_, '_>) {
     let (mut identity, key) = identity();
--- a/crates/asterdale-identity/src/authorization/mod.rs
+++ b/crates/asterdale-identity/src/authorization/mod.rs
@@ -1,6 +1,6 @@
-//! Authorization: whether a tenant's caller may run a request of some class now. Roles permit request classes up to a
-//! cost; tenants are granted roles. Quotas of rate and concurrency count for each tenant and role separately, so that one
-//! role's load does not take another's quota.
+//! Authorization: whether a caller of a tenant may run a request of a given class now. Roles permit request classes up
+//! to a cost; tenants are granted roles. Rate and concurrency quotas are separate for each tenant and role, so that the
+//! load of one role does not use up the quota of another.
 
 mod name_registry;
 mod quota;
@@ -12,8 +12,8 @@
 use name_registry::NameRegistry;
 use quota::Quota;
 
-/// The number of tenant names that a process distinguishes over its lifetime, including those that were removed from the
-/// settings: their numbers are never reused, as idempotency keys contain them.
+/// The number of tenant names that a process distinguishes over its lifetime, including those that were removed from
+/// the settings: their numbers are never reused, as idempotency keys contain them.
 pub const MAX_TENANTS: usize = 1024;
 /// The number of role names that a process distinguishes over its lifetime.
 pub const MAX_ROLES: usize = 64;
@@ -21,17 +21,17 @@
 /// A request to be authorized.
 #[derive(Clone, Copy, Debug)]
 pub struct AccessRequest {
-    /// The index of its request class.
+    /// The index of the request class.
     pub request_class: usize,
-    /// The cost that it declares, in milliseconds of one core.
+    /// The cost that the request declares, in milliseconds of one core.
     pub declared_cost_ms: Option<f64>,
-    /// Whether it repeats a request that is known here. A repeat costs nothing, and must not be told that it never ran:
-    /// it takes no part of the quotas.
+    /// Whether the request repeats one that this process already knows. A repeat is not subject to the quotas: it
+    /// causes no further run, and a quota denial would state that the request never ran.
     pub is_repeat: bool,
 }
 
-/// The permission for one request to be in flight. It counts for its tenant's quota until it is given to
-/// [`Authorizer::release`].
+/// The permission for one request to be in flight. It counts against the quota of its tenant and role until it is
+/// passed to [`Authorizer::release`].
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct ConcurrencyPermit {
@@ -53,7 +53,7 @@
 }
 
 impl Authorizer {
-    /// Replaces the roles and tenants. Numbers and quotas in use stay.
+    /// Replaces the roles and tenants. Assigned numbers and the usage of quotas are kept.
     ///
     /// # Errors
     /// [`IdentityError`] if there were too many names over the lifetime of the process. Nothing changes then.
@@ -94,8 +94,8 @@
         self.tenants.len() as u32
     }
 
-    /// The index of the tenant of the scheduling parameters that a tenant's requests count for; 0 for a tenant that is
-    /// not in the settings any more.
+    /// The index in the scheduling parameters of the tenant that this tenant's requests are counted for; 0 for a tenant
+    /// that is not in the settings any more.
     pub fn scheduling_tenant(&self, tenant: u32) -> usize {
         self.tenants
             .get(tenant as usize)
@@ -103,12 +103,12 @@
             .map_or(0, |tenant| tenant.scheduling_tenant)
     }
 
-    /// Decides whether a caller of this tenant with these roles may run a request now. The first role that permits it and
-    /// has quota left is used. The result has no permit for a repeat.
+    /// Decides whether a caller of this tenant with these roles may run a request now. The first role that permits it
+    /// and has quota left is used. The result has no permit for a repeat.
     ///
     /// # Errors
-    /// If no role permits it, the reason of the last role; a role that does not permit the request class says less than
-    /// any other.
+    /// If no role permits the request, the denial of the last role. A denial for the request class is returned only if
+    /// no role was denied for another reason.
     pub fn authorize(
         &mut self,
         now_ms: f64,
@@ -174,17 +174,17 @@
         }))
     }
 
-    /// Takes back the permit of a request that has ended.
+    /// Releases the permit of a request that has ended.
     pub fn release(&mut self, permit: ConcurrencyPermit) {
         self.quotas[permit.tenant as usize][permit.role].release();
     }
 
-    /// The names of all tenants, by their numbers, to transfer to another process.
+    /// The names of all tenants, indexed by tenant number, to transfer to another process.
     pub fn tenant_names(&self) -> Vec<String> {
         self.tenant_numbers.names()
     }
 
-    /// Assigns tenant numbers as another process did. To be called before [`Authorizer::configure`].
+    /// Assigns the same tenant numbers as another process. Must be called before [`Authorizer::configure`].
     pub fn restore_tenant_names(&mut self, names: &[String]) {
         for name in names.iter().take(MAX_TENANTS) {
             let number = self.tenant_numbers.get_or_assign(name);
@@ -198,8 +198,8 @@
         (permit.tenant, role_name.to_owned())
     }
 
-    /// Issues the permit of a request that another process had authorized; `None` if the tenant or the role does not exist
-    /// any more. It is not subject to the quota.
+    /// Issues a permit for a request that another process had authorized; `None` if the tenant or the role does not
+    /// exist any more. The quota is not checked.
     pub fn reacquire(&mut self, (tenant, role): &(u32, String)) -> Option<ConcurrencyPermit> {
         let role = self.role_numbers.get(role)?;
         self.quotas
--- a/crates/asterdale-identity/src/authorization/name_registry.rs
+++ b/crates/asterdale-identity/src/authorization/name_registry.rs
@@ -13,13 +13,13 @@
         self.numbers.get(name).copied()
     }
 
-    /// The number of a name, which is the next free one if the name is new.
+    /// The number of a name. A new name is assigned the next free number.
     pub fn get_or_assign(&mut self, name: &str) -> usize {
         let next = self.numbers.len();
         *self.numbers.entry(name.to_owned()).or_insert(next)
     }
 
-    /// How many names there would be with these. A new name that occurs twice in them counts twice.
+    /// The number of names after adding these. A new name that occurs twice in `names` counts twice.
     pub fn len_with<'a>(&self, names: impl Iterator<Item = &'a str>) -> usize {
         let new_names = names.filter(|name| !self.numbers.contains_key(*name));
         self.numbers.len() + new_names.count()
@@ -32,7 +32,7 @@
             .map(|(name, _)| name.as_str())
     }
 
-    /// All names, by their numbers.
+    /// All names, indexed by number.
     pub fn names(&self) -> Vec<String> {
         let mut names = vec![String::new(); self.numbers.len()];
         for (name, &number) in &self.numbers {
--- a/crates/asterdale-identity/src/authorization/quota.rs
+++ b/crates/asterdale-identity/src/authorization/quota.rs
@@ -4,11 +4,11 @@
 use crate::settings::Role;
 use crate::token_bucket::TokenBucket;
 
-/// What a tenant uses of a role's limits.
+/// A tenant's usage of a role's limits.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Quota {
     open_requests: usize,
-    /// Made with the first request, as the burst is a setting of the role.
+    /// Created at the first request, as the burst is a setting of the role.
     bucket: Option<TokenBucket>,
 }
 
@@ -29,12 +29,12 @@
         Ok(())
     }
 
-    /// Counts a request that is in flight already, whatever the limits are.
+    /// Counts a request that is already in flight, without checking the limits.
     pub fn reacquire(&mut self) {
         self.open_requests += 1;
     }
 
-    /// Counts one request less in flight.
+    /// Counts one fewer request in flight.
     pub fn release(&mut self) {
         self.open_requests = self.open_requests.saturating_sub(1);
     }
--- a/crates/asterdale-identity/src/credentials.rs
+++ b/crates/asterdale-identity/src/credentials.rs
@@ -1,4 +1,4 @@
-//! What a request presents to prove who sent it.
+//! The credentials of a request: a token or a client certificate.
 
 /// The credentials of one request, and how it arrived.
 #[derive(Clone, Copy, Debug)]
@@ -9,12 +9,12 @@
     pub certificate: Option<&'a Certificate>,
     /// The number of the edge node that forwarded the request.
     pub edge_node: u32,
-    /// When the request reached the machine, in Unix milliseconds. Times outside of the last
-    /// [`crate::IdentitySettings::clock_skew_ms`] are clamped to them.
+    /// When the request reached the machine, in Unix milliseconds. Clamped to the period from
+    /// [`crate::IdentitySettings::clock_skew_ms`] ago until now.
     pub received_ms: f64,
 }
 
-/// A client certificate. Whoever made the handshake has verified its chain and its validity at that time.
+/// A client certificate. The TLS handshake has verified its chain, and its validity at that time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Certificate {
     /// Its names, each with the prefix `dns:`, `uri:` or `email:`.
@@ -23,6 +23,7 @@
     pub not_before_ms: f64,
     /// The end of its validity, in Unix milliseconds.
     pub not_after_ms: f64,
-    /// SHA-256 of the certificate in hexadecimal. A certificate is revoked by it, as a token is by its `jti`.
+    /// SHA-256 of the certificate in hexadecimal. Key sets revoke a certificate by this digest, as they revoke a token
+    /// by its `jti`.
     pub sha256_hex: String,
 }
--- a/crates/asterdale-identity/src/denial.rs
+++ b/crates/asterdale-identity/src/denial.rs
@@ -1,4 +1,4 @@
-//! Reasons for which a caller is denied, and the status that it is told.
+//! Reasons for which a caller is denied, and the status of the response.
 
 use thiserror::Error;
 
@@ -17,7 +17,7 @@
     /// No key set so far contained the token's key.
     #[error("the token's key is unknown")]
     KeyUnknown,
-    /// The token's key is announced, and not active yet.
+    /// The token's key is announced, but not active yet.
     #[error("the token's key is not active yet")]
     KeyNotYetActive,
     /// The token's key is retired.
@@ -26,7 +26,7 @@
     /// The token's key is revoked.
     #[error("the token's key is revoked")]
     KeyRevoked,
-    /// The signature is not one of the token's key.
+    /// The signature was not made with the token's key.
     #[error("the token's signature is invalid")]
     BadSignature,
     /// The token or certificate is not valid yet.
@@ -35,7 +35,7 @@
     /// The token or certificate has expired.
     #[error("the credentials have expired")]
     Expired,
-    /// The token is of another issuer.
+    /// The token was issued by another issuer.
     #[error("the token is of another issuer")]
     WrongIssuer,
     /// The token is meant for another audience.
@@ -74,21 +74,21 @@
     /// There is no key set, or it is too old.
     #[error("there is no usable key set")]
     NoUsableKeySet,
-    /// The signature budget of the edge node, or of all, is used up.
+    /// The signature budget of the edge node, or of all edge nodes together, is used up.
     #[error("the signature budget is used up")]
     SignatureBudget,
 }
 
-/// The status that a denied caller is told.
+/// The status of the response to a denied caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DenialStatus {
     /// 401: not authenticated. Says nothing about whether an earlier attempt ran.
     Unauthenticated,
-    /// 403: authenticated and not permitted. Says nothing about whether an earlier attempt ran.
+    /// 403: authenticated, but not permitted. Says nothing about whether an earlier attempt ran.
     Forbidden,
-    /// 429: permitted, and over its quota. This attempt did not run.
+    /// 429: permitted, but over the quota. This attempt did not run.
     QuotaExceeded,
-    /// 503: cannot be decided now. This attempt did not run.
+    /// 503: no decision is possible now. This attempt did not run.
     Unavailable,
 }
 
@@ -112,7 +112,7 @@
 }
 
 impl DenialReason {
-    /// The status that the caller is told.
+    /// The status of the response to the caller.
     pub fn status(self) -> DenialStatus {
         use DenialReason::*;
         match self {
@@ -125,8 +125,9 @@
         }
     }
 
-    /// Whether the denial of a token may be cached until the next key set: it holds whenever the token was received. Reasons that
-    /// depend on the time do not count: a request that is read late may have been received before the expiry.
+    /// Whether the denial of a token may be cached until the next key set, which requires that the denial does not
+    /// depend on when the token was received. Reasons that depend on the time are not cacheable: a request that is read
+    /// late may have been received before the expiry.
     pub(crate) fn is_cacheable(self) -> bool {
         use DenialReason::*;
         matches!(
--- a/crates/asterdale-identity/src/error.rs
+++ b/crates/asterdale-identity/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of configuring an identity and of taking over its state.
+//! Errors of configuring an [`crate::Identity`] and of restoring its state.
 
 use thiserror::Error;
 
--- a/crates/asterdale-identity/src/failpoint.rs
+++ b/crates/asterdale-identity/src/failpoint.rs
@@ -11,7 +11,7 @@
     Unpassed = "unpassed",
     /// The old process is not notified of what the new process starts.
     Unmirrored = "unmirrored",
-    /// The old process goes on serving beside the new one.
+    /// The old process continues to serve beside the new one.
     Fence = "fence",
     /// The listener is closed before the commit.
     Listener = "listener",
--- a/crates/asterdale-identity/src/identity/authentication.rs
+++ b/crates/asterdale-identity/src/identity/authentication.rs
@@ -11,18 +11,19 @@
 use crate::token::{self, Audience, Claims};
 use crate::token_cache::TokenDigest;
 
-/// The times by which a request is judged, in Unix milliseconds.
+/// The times that a request is checked against, in Unix milliseconds.
 #[derive(Clone, Copy)]
 struct RequestTime {
     now_ms: f64,
-    /// When the request was received, never later than now. It decides about expiry, so that a request that waited to be
-    /// read is not denied for that. It is at most the clock skew ago, so that a wrong time prolongs nothing by more.
+    /// When the request was received, never later than now. Expiry is checked against this time, so that a request that
+    /// is read late is not denied because of the delay. The time is at most the clock skew ago, so that a wrong time
+    /// extends no validity by more than the clock skew.
     received_ms: f64,
 }
 
 impl Identity {
-    /// Authenticates the caller of a request. A token that was denied before costs a digest and a look-up, any other at
-    /// most one signature within the budget of its edge node.
+    /// Authenticates the caller of a request. A token whose denial is cached costs a digest and a look-up, any other at
+    /// most one signature verification, within the budget of its edge node.
     ///
     /// # Errors
     /// The reason for which the credentials are not accepted.
@@ -92,8 +93,8 @@
         Ok(caller)
     }
 
-    /// Verifies a token that is not cached. Every check that needs no signature comes first: a forged token would be
-    /// denied anyway, and a genuine one tells the truth about itself.
+    /// Verifies a token that is not cached. All checks that need no signature verification come first. They may use the
+    /// unverified claims: a forged token is denied in any case, and the claims of a genuine one are correct.
     fn verify_token(
         &mut self,
         time: RequestTime,
@@ -127,8 +128,8 @@
         })
     }
 
-    /// The caller that the connection's certificate stands for. It is not cached: it costs no signature, and changed
-    /// settings apply at once.
+    /// The caller that the settings assign to the connection's certificate. The result is not cached, as no signature
+    /// is verified here; so changed settings apply at once.
     fn authenticate_certificate(
         &self,
         time: RequestTime,
@@ -168,9 +169,9 @@
         }
     }
 
-    /// Checks everything but the signature, and returns the tenant's number. Revocations come first: they apply even if
-    /// the key set is too old to accept anything. A certificate needs a usable key set, too, as it contains the
-    /// revocations of certificates.
+    /// Checks everything but the signature, and returns the tenant's number. Revocations are checked first, as they
+    /// apply even if the key set is too old to accept any credentials. Certificates need a usable key set, too, as the
+    /// key set contains their revocations.
     fn check_claims(
         &self,
         time: RequestTime,
--- a/crates/asterdale-identity/src/identity/mod.rs
+++ b/crates/asterdale-identity/src/identity/mod.rs
@@ -1,5 +1,5 @@
-//! The two checks that a request passes: authentication of its caller, then authorization. The steps of authentication are
-//! in [`authentication`].
+//! The two checks that a request passes: authentication of its caller, then authorization. The steps of authentication
+//! are in [`authentication`].
 
 mod authentication;
 
@@ -15,14 +15,14 @@
 use crate::signature_budget::SignatureBudget;
 use crate::token_cache::{RejectedTokens, TokenDigester, VerifiedTokens};
 
-/// Slots for rejected tokens, for each entry of the cache of verified ones: a flood has more tokens than there are
-/// callers.
+/// The number of slots for rejected tokens per entry of the cache of verified tokens. A flood has more tokens than
+/// there are callers.
 const REJECTED_PER_VERIFIED: usize = 2;
 
 /// The state that a hot restart transfers. Its field names are part of the stored form.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct IdentityState {
-    /// The names of the tenants, by their numbers.
+    /// The names of the tenants, indexed by tenant number.
     tenants: Vec<String>,
     #[serde(rename = "ring")]
     keyring: KeyringState,
@@ -41,7 +41,8 @@
 }
 
 impl Identity {
-    /// Without keys: every request is denied with [`DenialReason::NoUsableKeySet`] until a key set is adopted.
+    /// An identity without keys. Every request is denied with [`DenialReason::NoUsableKeySet`] until a key set is
+    /// adopted.
     ///
     /// # Errors
     /// [`IdentityError`] if there are too many roles or tenants.
@@ -64,7 +65,8 @@
         })
     }
 
-    /// Replaces the settings. Keys, permits and tenant numbers stay, and so do the seed and the cache's capacity.
+    /// Replaces the settings. Keys, permits and tenant numbers are kept, and so are the seed and the capacity of the
+    /// cache.
     ///
     /// # Errors
     /// [`IdentityError`] if there are too many roles or tenants. Nothing changes then.
@@ -103,8 +105,8 @@
         Ok(outcome)
     }
 
-    /// The state to transfer to another process: tenant numbers and the keyring. Quota levels are not part of it, which
-    /// costs one burst at most; permits are transferred with their requests.
+    /// The state to transfer to another process: tenant numbers and the keyring. The levels of rate quotas are not part
+    /// of it, so that each quota admits at most one additional burst. Permits are transferred with their requests.
     pub fn export_state(&self) -> IdentityState {
         IdentityState {
             tenants: self.authorizer.tenant_names(),
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Takes over the state of another process. To be called before any request.
+    /// Restores the state of another process. Must be called before any request is handled.
     ///
     /// # Errors
     /// [`IdentityError`] if the key set is rejected, or there are too many tenants.
@@ -159,8 +161,8 @@
         self.verified_tokens.len()
     }
 
-    /// The reason for which an authenticated caller is revoked by now, if it is. Expiry and the end of an overlap do not
-    /// count: they are checked once, when the request is received.
+    /// The reason for which an authenticated caller has been revoked since, if it has. Expiry and the end of a key's
+    /// overlap are not considered: they are checked once, when the request is received.
     pub fn revocation(&self, caller: &Caller) -> Option<DenialReason> {
         let is_key_revoked = caller
             .key
@@ -172,8 +174,8 @@
         self.keyring.check_revocations(&caller.claims).err()
     }
 
-    /// Decides whether the caller may run this request now. The permit must be given to [`Identity::release`] once the
-    /// request has ended; a repeat has none.
+    /// Decides whether the caller may run this request now. The permit must be passed to [`Identity::release`] once the
+    /// request has ended; a repeat gets none.
     ///
     /// # Errors
     /// The reason for which the request is not permitted.
@@ -187,12 +189,12 @@
             .authorize(now_ms, caller.tenant, &caller.claims.roles, request)
     }
 
-    /// The index of the tenant of the scheduling parameters that this tenant's requests count for.
+    /// The index in the scheduling parameters of the tenant that this tenant's requests are counted for.
     pub fn scheduling_tenant(&self, tenant: u32) -> usize {
         self.authorizer.scheduling_tenant(tenant)
     }
 
-    /// Takes back the permit of a request that has ended.
+    /// Releases the permit of a request that has ended.
     pub fn release(&mut self, permit: ConcurrencyPermit) {
         self.authorizer.release(permit);
     }
--- a/crates/asterdale-identity/src/json_depth.rs
+++ b/crates/asterdale-identity/src/json_depth.rs
@@ -1,9 +1,11 @@
-//! Limit on the nesting of JSON, checked before it is parsed, so that deep input costs no recursion.
+//! Limit on the nesting of JSON, checked before it is parsed, so that deeply nested input causes no deep recursion in
+//! the parser.
 
-/// Levels of arrays and objects. Claims need one; claims that are not known here may have a few.
+/// The maximum nesting of arrays and objects. The known claims need two levels; unknown claims, which are ignored, may
+/// need a few more.
 const MAX_NESTING: usize = 8;
 
-/// Parses JSON. `None` if it is invalid, of another shape than `T`, or nested deeper than the limit.
+/// Parses JSON. `None` if it is invalid, does not match `T`, or is nested deeper than the limit.
 pub(crate) fn parse_json<'a, T: serde::Deserialize<'a>>(json: &'a [u8]) -> Option<T> {
     if nesting_depth(json) > MAX_NESTING {
         return None;
--- a/crates/asterdale-identity/src/jws.rs
+++ b/crates/asterdale-identity/src/jws.rs
@@ -24,7 +24,7 @@
     pub typ: Option<String>,
 }
 
-/// A decoded compact serialization, whose signature is not verified.
+/// A decoded compact serialization, whose signature is not verified yet.
 pub(crate) struct CompactJws<'a> {
     pub header: Vec<u8>,
     pub payload: Vec<u8>,
@@ -36,15 +36,15 @@
 /// Why a signed document was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JwsError {
-    /// It is no compact serialization of the expected type and algorithm.
+    /// The document is not a compact serialization of the expected type and algorithm.
     Malformed,
-    /// None of the keys has signed it.
+    /// None of the keys has signed the document.
     UntrustedSigner,
 }
 
 impl<'a> CompactJws<'a> {
-    /// Splits and decodes the three parts. `None` for anything but two dots and unpadded base64url; the JSON
-    /// serializations, which allow several signatures, are not supported.
+    /// Splits and decodes the three parts. `None` unless the text consists of three parts in unpadded base64url,
+    /// separated by dots. The JSON serializations, which allow several signatures, are not supported.
     pub fn decode(text: &'a [u8]) -> Option<CompactJws<'a>> {
         let mut dots = text
             .iter()
--- a/crates/asterdale-identity/src/keyring/key_set.rs
+++ b/crates/asterdale-identity/src/keyring/key_set.rs
@@ -1,5 +1,5 @@
-//! The payload of a signed key set: public keys with times, a sequence number and revocations. It is JSON in files and on
-//! the wire; its field names are part of that form.
+//! The payload of a signed key set: public keys with times, a sequence number and revocations. It is encoded as JSON in
+//! files and on the wire, with the names of its fields.
 
 use std::collections::HashSet;
 
@@ -13,12 +13,12 @@
 
 /// The media type (`typ`) in the header of a signed key set.
 pub const KEY_SET_TYPE: &str = "asterdale-keys+jws";
-/// The longest signed key set, in bytes: the limit for a response of the issuer.
+/// The maximum length of a signed key set, in bytes. It also limits a response of the issuer.
 pub const MAX_KEY_SET_BYTES: usize = 64 * 1024;
-/// The most keys in a set. A rotation needs three: announced, active and outgoing.
+/// The maximum number of keys in a set. A rotation needs three: announced, active and outgoing.
 pub const MAX_KEYS: usize = 16;
-/// The most revocations of one kind in a set: about as many as fit into its length. Few are needed where tokens expire
-/// within minutes.
+/// The maximum number of revocations of one kind in a set: about as many as fit into [`MAX_KEY_SET_BYTES`]. Few are
+/// needed where tokens expire within minutes.
 const MAX_REVOCATIONS_PER_KIND: usize = 4096;
 /// The key type (`kty`) of RFC 8037.
 pub(crate) const KEY_TYPE: &str = "OKP";
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySet {
-    /// The sequence number, which grows with each set that is signed.
+    /// The sequence number, which increases with each set that is signed.
     pub seq: u64,
     /// When the set was signed.
     pub issued_ms: f64,
@@ -100,7 +100,7 @@
         if self.tenants.contains(&claims.tenant) {
             return Err(DenialReason::TenantRevoked);
         }
-        // The name is only formatted where it is needed, as that allocates.
+        // The name is formatted only if subjects are revoked, as formatting allocates.
         let is_subject_revoked = !self.subjects.is_empty()
             && self
                 .subjects
--- a/crates/asterdale-identity/src/keyring/known_keys.rs
+++ b/crates/asterdale-identity/src/keyring/known_keys.rs
@@ -1,5 +1,5 @@
-//! The keys of all key sets so far. It ensures that a key id always means the same key, and that a revoked key stays
-//! revoked whatever later sets say.
+//! The keys of all key sets so far. They ensure that a key id always refers to the same key, and that a revoked key
+//! stays revoked even if later sets do not list the revocation.
 
 use std::collections::{HashMap, HashSet};
 
@@ -8,8 +8,8 @@
 
 use super::phase::ScheduledKey;
 
-/// The number of keys that are remembered: with one new key a minute, most of a day. Beyond it the keys that no set
-/// contained for longest are forgotten, the revoked ones last.
+/// The maximum number of keys that are retained: those of most of a day at one new key per minute. Beyond it, the keys
+/// that have been absent from the sets for longest are evicted, revoked ones last.
 pub(super) const MAX_KNOWN_KEYS: usize = 1024;
 
 /// A key of any set so far. Its field names are part of the stored form.
@@ -45,7 +45,7 @@
         self.by_id.get(id).is_some_and(|known| known.revoked)
     }
 
-    /// Records the keys and the revoked key ids of a set, and forgets excess keys.
+    /// Records the keys and the revoked key ids of a set, and evicts excess keys.
     pub fn record(
         &mut self,
         sequence: u64,
@@ -68,7 +68,7 @@
         while self.by_id.len() > MAX_KNOWN_KEYS && self.forget_oldest(keys) {}
     }
 
-    /// Forgets the oldest key that is not in `current`; `false` if there is none.
+    /// Evicts the oldest key that is not in `current`; `false` if there is none.
     fn forget_oldest(&mut self, current: &HashMap<String, ScheduledKey>) -> bool {
         let oldest = self
             .by_id
@@ -83,7 +83,7 @@
         self.by_id.clone()
     }
 
-    /// Adds the keys of another process as far as there is space, and its revocations.
+    /// Adds the keys of another process with their revocations, as far as there is space.
     pub fn restore(&mut self, keys: HashMap<String, KnownKey>) {
         let space = MAX_KNOWN_KEYS.saturating_sub(self.by_id.len());
         for (id, key) in keys.into_iter().take(space) {
--- a/crates/asterdale-identity/src/keyring/mod.rs
+++ b/crates/asterdale-identity/src/keyring/mod.rs
@@ -1,15 +1,16 @@
-//! The keys that may have signed a token, by time. A state machine that is driven by signed key sets.
+//! State machine of the keys that may sign tokens, driven by signed key sets.
 //!
 //! A key set is a JWS signed by a root key. Its payload is a JWK Set (RFC 7517) with times, a sequence number and
-//! revocations. A key's phase is a function of the last adopted set and the time, so the end of an overlap needs no event:
+//! revocations. A key's phase is a function of the last adopted set and the time, so the end of an overlap needs no
+//! event:
 //!
 //! ```text
 //!   announced --from_ms--> active --a later set has until_ms--> outgoing --until_ms--> retired
-//!       any of them --a set revokes the key--> revoked, for good
+//!       any of them --a set revokes the key--> revoked, permanently
 //! ```
 //!
-//! A set that is older, malformed, not signed by a root key, or that contains a known key id with another key is rejected,
-//! and the last adopted one stays.
+//! A set that is older, malformed, not signed by a root key, or that contains a known key id with another key is
+//! rejected, and the last adopted set stays in use.
 
 mod key_set;
 mod known_keys;
@@ -36,8 +37,8 @@
 use known_keys::{KnownKey, KnownKeys};
 use phase::ScheduledKey;
 
-/// How far ahead of this clock a key set may be signed, in milliseconds. Beyond it one of the clocks is wrong, and the
-/// age of the set could not be determined.
+/// How far ahead of the local clock the signing time of a key set may be, in milliseconds. A larger difference means
+/// that one of the clocks is wrong, so that the age of the set could not be determined.
 const MAX_ISSUED_AHEAD_MS: f64 = 300_000.0;
 
 /// The result of offering a key set that was accepted.
@@ -52,7 +53,7 @@
 /// Why a key set was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum KeySetError {
-    /// It is too long, or not a JWS in compact serialization with a key set as its payload.
+    /// The key set is too long, or not a JWS in compact serialization with a key set as its payload.
     #[error("the key set is malformed")]
     Malformed,
     /// No root key signed it.
@@ -61,13 +62,13 @@
     /// Its sequence number is lower than the last one's.
     #[error("the key set is older than the last one")]
     OlderSequence,
-    /// It has the last one's sequence number, and another content.
+    /// It has the sequence number of the last one, but different content.
     #[error("the key set reuses the sequence number of another one")]
     ReusedSequence,
-    /// This key id is known with another key.
+    /// This key id belongs to another key.
     #[error("the key id {0} is known with another key")]
     ReusedKeyId(String),
-    /// The key of this id is invalid, occurs twice, or is one too many.
+    /// The key of this id is invalid, occurs twice, or exceeds [`MAX_KEYS`].
     #[error("the key {0} is invalid, occurs twice, or is one too many")]
     InvalidKey(String),
     /// It was signed in the future.
@@ -102,7 +103,8 @@
 }
 
 impl Keyring {
-    /// An empty keyring. Key sets must be signed by one of these root keys, and are usable for `max_age_ms` after that.
+    /// An empty keyring. Key sets must be signed by one of these root keys, and are usable for `max_age_ms` after their
+    /// signing time.
     pub fn new(root_keys: Vec<VerifyingKey>, max_age_ms: f64) -> Keyring {
         Keyring {
             root_keys,
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Changes the root keys and the age limit for future checks. The keys stay.
+    /// Changes the root keys and the age limit for future checks. The adopted keys are kept.
     pub fn reconfigure(&mut self, root_keys: Vec<VerifyingKey>, max_age_ms: f64) {
         (self.root_keys, self.max_age_ms) = (root_keys, max_age_ms);
     }
@@ -144,7 +146,7 @@
                 JwsError::UntrustedSigner => KeySetError::UntrustedSigner,
                 JwsError::Malformed => KeySetError::Malformed,
             })?;
-        // The parser's error is dropped: it would repeat text of whoever sent the set.
+        // The parser's error is dropped, as it would repeat text of the set.
         let set: KeySet = serde_json::from_slice(&payload).map_err(|_| KeySetError::Malformed)?;
         self.check_sequence(set.seq)?;
         if set.issued_ms > now_ms + MAX_ISSUED_AHEAD_MS {
@@ -203,10 +205,10 @@
         }
     }
 
-    /// Takes over the state of another process. Its key set is verified like any other.
+    /// Restores the state of another process. The key set in it is verified like any other.
     ///
     /// # Errors
-    /// The reason for which its key set is rejected. Nothing changes then.
+    /// The reason for which the key set is rejected. Nothing changes then.
     pub fn restore_state(&mut self, now_ms: f64, state: KeyringState) -> Result<(), KeySetError> {
         if let Some(text) = &state.key_set {
             self.offer_key_set(now_ms, text)?;
@@ -246,7 +248,7 @@
         self.revocations.keys.contains(id) || self.known_keys.is_revoked(id)
     }
 
-    /// Checks that tokens of this key are accepted at a time, give or take the clock skew.
+    /// Checks that tokens of this key are accepted at a time, with the clock skew as tolerance.
     ///
     /// # Errors
     /// The reason for which they are not.
@@ -269,8 +271,8 @@
         self.keys.get(id).map(|key| &key.public)
     }
 
-    /// Checks that the token, the subject and the tenant of these claims are not revoked. Allocates only if subjects are
-    /// revoked.
+    /// Checks that the token, the subject and the tenant of these claims are not revoked. Allocates only if subjects
+    /// are revoked.
     ///
     /// # Errors
     /// The revocation that applies.
--- a/crates/asterdale-identity/src/keyring/phase.rs
+++ b/crates/asterdale-identity/src/keyring/phase.rs
@@ -6,18 +6,18 @@
 use crate::failpoint::{self, Failpoint};
 use crate::token::MAX_NAME_BYTES;
 
-/// The phase of a key's life.
+/// The phase of a key's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Known, and not signing yet.
+    /// Published, but not used for signing yet.
     Announced,
-    /// Signing.
+    /// Used for signing.
     Active,
-    /// Replaced by another key, and still accepted until the overlap ends.
+    /// Replaced by another key, but still accepted until the overlap ends.
     Outgoing,
     /// The overlap has ended, or the last set does not contain the key any more.
     Retired,
-    /// Not trusted any more, for good.
+    /// Permanently distrusted.
     Revoked,
 }
 
@@ -42,7 +42,7 @@
         })
     }
 
-    /// The phase at a time. Revocations are not known here.
+    /// The phase at a time. Revocations are not considered; [`super::Keyring::phase`] does that.
     pub fn phase(&self, time_ms: f64) -> Phase {
         let is_retired = self
             .retired_from_ms
--- a/crates/asterdale-identity/src/keyring/rotation.rs
+++ b/crates/asterdale-identity/src/keyring/rotation.rs
@@ -5,8 +5,8 @@
 
 use super::key_set::{parse_public_key, KeySet, PublicJwk, Revocations, MAX_KEYS};
 
-/// How long a retired key stays in the sets, in milliseconds, so that whoever inspects a set sees the keys that were
-/// retired last: a day.
+/// How long a retired key stays in the sets, in milliseconds: one day, so that recently retired keys can be seen in a
+/// set.
 const RETIRED_KEY_LISTED_MS: f64 = 86_400_000.0;
 
 /// Why a key set cannot be changed as requested.
@@ -47,8 +47,8 @@
             .ok_or_else(|| RotationError::UnknownKey(id.to_owned()))
     }
 
-    /// Announces a key that becomes active at `from_ms`. Servers need to have the set before that. Keys that were retired
-    /// long ago are removed.
+    /// Announces a key that becomes active at `from_ms`. Servers must have received the set by then. Keys that were
+    /// retired long ago are removed.
     ///
     /// # Errors
     /// [`RotationError`] for an invalid key, an id that is in use, or too many keys.
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// Retires a key at `until_ms`, or earlier if that was decided before.
+    /// Retires a key at `until_ms`, or at its previous retirement time if that is earlier.
     ///
     /// # Errors
     /// [`RotationError::UnknownKey`].
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    /// Gives the set the next sequence number and the time `now_ms`, to be signed.
+    /// Prepares the set for signing: it gets the next sequence number, and `now_ms` as its signing time.
     pub fn advance_sequence(&mut self, now_ms: f64) {
         self.seq += 1;
         self.issued_ms = now_ms;
--- a/crates/asterdale-identity/src/keyring/tests.rs
+++ b/crates/asterdale-identity/src/keyring/tests.rs
@@ -93,7 +93,7 @@
     assert_eq!(keyring.phase("k1", 2000.0), Some(Retired));
 }
 
-/// Sets that a keyring rejects which has adopted the set 5 with key `k1`; `reused` has its id and another key.
+/// Sets that a keyring must reject after it has adopted set 5 with key `k1`. `reused` is another key with the id `k1`.
 fn invalid_sets(reused: &PublicJwk) -> [(KeySet, KeySetError); 6] {
     let twice = jwk(&secret_key(2), 0.0, None);
     let mut weak = jwk(&secret_key(3), 0.0, None);
@@ -147,7 +147,7 @@
         (keyring.sequence(), keyring.phase("k1", 1.0)),
         (Some(5), Some(Phase::Active))
     );
-    // The key id stays known after the sets do not contain the key any more.
+    // The key id stays known after later sets no longer contain the key.
     offer(&mut keyring, &key_set(6, vec![])).unwrap();
     assert_eq!(
         offer(&mut keyring, &key_set(7, vec![reused])),
@@ -204,10 +204,10 @@
 }
 
 proptest! {
-    // The same cases each time: a run that fails can be run again.
+    // A fixed seed generates the same cases in each run, so that a failure can be reproduced.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
-    /// Sequence numbers only grow, an id never changes its key, a revoked key is never accepted again, and a key is
-    /// accepted only if the last adopted set says so.
+    /// Sequence numbers only increase, an id never refers to another key, a revoked key is never accepted again, and a
+    /// key is accepted only if the last adopted set says so.
     #[test]
     fn any_order_of_sets_keeps_the_invariants(
         sets in prop::collection::vec(
--- a/crates/asterdale-identity/src/lib.rs
+++ b/crates/asterdale-identity/src/lib.rs
@@ -1,9 +1,10 @@
-//! Authentication and authorization of callers. It has no I/O and no clock: bytes and times are passed in, decisions are
-//! returned. Times are Unix milliseconds as `f64`, by the caller's clock.
+//! Authentication and authorization of callers. The crate has no I/O and no clock: bytes and times are passed in,
+//! decisions are returned. Times are Unix milliseconds as `f64`, by the caller's clock.
 //!
-//! A request passes two checks. [`Identity::authenticate`] finds out who sends it: it parses the token, looks its key up
-//! in the [`keyring`] and verifies the signature, within a budget for each edge node, or finds the token in the cache of
-//! verified tokens. [`Identity::authorize`] then decides by the caller's tenant and roles whether the request may run now.
+//! A request passes two checks. [`Identity::authenticate`] identifies the caller: it parses the token, looks up the key
+//! in the [`keyring`] and verifies the signature, within a budget for each edge node, or finds the token in the cache
+//! of verified tokens. [`Identity::authorize`] then decides by the caller's tenant and roles whether the request may
+//! run now.
 //!
 //! `docs/identity.md` compares the alternatives to this design and lists the responses.
 
--- a/crates/asterdale-identity/src/mint.rs
+++ b/crates/asterdale-identity/src/mint.rs
@@ -1,5 +1,5 @@
-//! The issuer's side: secret keys, tokens and signed key sets. It serves the command line and test stand-ins; a serving
-//! process has no secret key.
+//! The issuer side: secret keys, tokens and signed key sets. It is used by the command line and by test stand-ins; a
+//! backend has no secret key.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -12,19 +12,19 @@
 use crate::keyring::{KeySet, CURVE, KEY_SET_TYPE, KEY_TYPE};
 use crate::token::{Claims, ALGORITHM};
 
-/// A key that signs. Its secret half is wiped when it is dropped, and never printed.
+/// A signing key. The secret is zeroized on drop, and never printed.
 pub struct SecretKey {
     id: String,
     key: SigningKey,
 }
 
-/// Why a secret key could not be made or parsed. It names the field, never its content.
+/// Why a secret key could not be generated or parsed. Messages name the field, never its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SecretKeyError {
     /// The system's random number generator failed.
     #[error("the system gives no random bytes: {0}")]
     Random(#[from] getrandom::Error),
-    /// The text is no private JWK.
+    /// The text is not a private JWK.
     #[error("this is no private JWK")]
     NotPrivateJwk,
     /// The key is of another type or curve.
@@ -149,7 +149,7 @@
     }
 }
 
-/// Signs a JWS in compact serialization, whatever its header says.
+/// Signs a JWS in compact serialization. The header is not checked.
 pub fn sign_jws(key: &SecretKey, header: &Value, payload: &Value) -> String {
     sign_jws_bytes(key, header, payload.to_string().as_bytes())
 }
--- a/crates/asterdale-identity/src/refresh.rs
+++ b/crates/asterdale-identity/src/refresh.rs
@@ -1,18 +1,19 @@
-//! Schedule of the requests for a new key set to the issuer. All servers of a fleet start at about the same time and see
-//! the same failures, so each adds a random delay of its own: an issuer that recovers is not queried by all at once.
+//! Schedule of the requests for a new key set to the issuer. All servers of a fleet start at about the same time and
+//! see the same failures, so each adds a random delay of its own, and an issuer that recovers is not queried by all
+//! servers at once.
 
 use rand_pcg::rand_core::Rng;
 use rand_pcg::Pcg32;
 
 /// The backoff after the first failure, in milliseconds. It doubles with each further failure.
 const INITIAL_BACKOFF_MS: f64 = 250.0;
-/// Failures in a row beyond which the backoff does not double any more, which keeps the power finite. The interval limits the
-/// backoff far earlier.
+/// The number of consecutive failures beyond which the backoff does not double any more, which keeps the power of two
+/// finite. The interval limits the backoff far earlier.
 const MAX_COUNTED_FAILURES: u32 = 20;
-/// The shortest time between two requests if one is wanted early (for an unknown key id), in milliseconds: key ids that
-/// callers make up must not flood the issuer.
+/// The minimum time between two requests if one is requested early (for an unknown key id), in milliseconds. Without
+/// this limit, callers could flood the issuer with requests by sending made-up key ids.
 const MIN_EARLY_INTERVAL_MS: f64 = 1000.0;
-/// The number of this use's random stream, which keeps it apart from others of the same seed.
+/// The stream number of the random generator, which separates it from other generators with the same seed.
 const RANDOM_STREAM: u64 = 0x1d;
 
 /// When to request the key set next. Times are milliseconds by the caller's clock.
@@ -25,7 +26,7 @@
 }
 
 impl RefreshSchedule {
-    /// A schedule with the first request at once, and then about one each `interval_ms`.
+    /// A schedule with the first request at once, and then about one per `interval_ms`.
     pub fn new(now_ms: f64, interval_ms: f64, seed: u64) -> RefreshSchedule {
         RefreshSchedule {
             interval_ms,
@@ -61,7 +62,7 @@
         self.next_request_ms = now_ms + delay_ms;
     }
 
-    /// Moves the next request forward: a newer key set is needed.
+    /// Schedules the next request earlier, as a newer key set is needed.
     pub fn request_early(&mut self) {
         let earliest_ms = self.last_request_ms + MIN_EARLY_INTERVAL_MS;
         self.next_request_ms = self.next_request_ms.min(earliest_ms);
--- a/crates/asterdale-identity/src/settings.rs
+++ b/crates/asterdale-identity/src/settings.rs
@@ -28,7 +28,7 @@
     pub roles: Vec<Role>,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// The callers that client certificates stand for.
+    /// The callers that client certificates are mapped to.
     pub certificate_mappings: Vec<CertificateMapping>,
 }
 
@@ -43,7 +43,7 @@
     pub max_concurrent: usize,
     /// The limit of requests per second of one tenant.
     pub requests_per_s: f64,
-    /// The number of requests that may come at once after an idle time.
+    /// The number of requests that are admitted at once after an idle period.
     pub burst: f64,
     /// The largest cost that a request may declare, in milliseconds of one core; infinite for no limit.
     pub max_cost_ms: f64,
@@ -54,13 +54,13 @@
 pub struct Tenant {
     /// The name, as in tokens.
     pub name: String,
-    /// The index of the tenant of the scheduling parameters that its requests count for.
+    /// The index in the scheduling parameters of the tenant that its requests are counted for.
     pub scheduling_tenant: usize,
     /// The names of the roles that its callers may have.
     pub roles: Vec<String>,
 }
 
-/// The caller that a client certificate stands for.
+/// The caller that a client certificate is mapped to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CertificateMapping {
     /// The name in the certificate, as in [`crate::Certificate::names`].
--- a/crates/asterdale-identity/src/signature_budget.rs
+++ b/crates/asterdale-identity/src/signature_budget.rs
@@ -1,18 +1,18 @@
 //! Limit on the CPU time for verifying signatures.
 //!
 //! A verification takes about 50 µs, so a flood of new invalid tokens could occupy a core. Each edge node has a token
-//! bucket, and all edge nodes share two pools of half the total rate each: one for edge nodes that recently brought a
-//! valid token (trusted), one for the others. Thus neither many made-up edge node numbers nor a flood behind one edge node
-//! uses up what trusted ones need. Cached tokens need no verification and are not limited.
+//! bucket, and all edge nodes share two pools of half the total rate each: one for edge nodes that recently forwarded a
+//! valid token (trusted), one for the others. Thus neither many forged edge node numbers nor a flood through one edge
+//! node uses up the budget that trusted edge nodes need. Cached tokens need no verification and are not limited.
 
 use std::collections::HashMap;
 
 use crate::token_bucket::TokenBucket;
 
-/// The number of edge nodes that are distinguished, far more than there are. Beyond it the one that was idle for longest
-/// is removed: its bucket is full again, so it loses nothing.
+/// The maximum number of edge nodes that are tracked, far more than there are. Beyond it, the one that has been idle
+/// for longest is removed: its bucket is full again, so it loses no budget.
 const MAX_EDGE_NODES: usize = 1024;
-/// What an invalid signature costs, in valid ones: it slows guessing, and does not slow valid callers.
+/// The cost of an invalid signature, in valid ones. It slows down guessing without slowing down valid callers.
 const INVALID_SIGNATURE_COST: f64 = 4.0;
 /// How long an edge node stays trusted after a valid token, in milliseconds.
 const TRUST_PERIOD_MS: f64 = 60_000.0;
@@ -21,7 +21,7 @@
 
 struct EdgeNode {
     bucket: TokenBucket,
-    /// When it last brought a valid new token, in milliseconds.
+    /// When it last forwarded a valid token that was not cached, in milliseconds.
     last_valid_ms: f64,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl SignatureBudget {
-    /// A full budget of these signatures per second for one edge node, and for all.
+    /// A full budget with these rates of signatures per second, for each edge node and in total.
     pub fn new(now_ms: f64, per_edge_per_s: f64, total_per_s: f64) -> SignatureBudget {
         let pool = TokenBucket::full(now_ms, BURST_S * total_per_s / 2.0);
         SignatureBudget {
@@ -58,7 +58,7 @@
         (self.per_edge_per_s, self.total_per_s) = (per_edge_per_s, total_per_s);
     }
 
-    /// Takes one signature of the budget for this edge node.
+    /// Takes one signature verification from the budget for this edge node.
     ///
     /// # Errors
     /// The milliseconds until one is available.
@@ -75,7 +75,7 @@
         let taken = self
             .pool(is_trusted)
             .try_take(now_ms, pool_rate, BURST_S * pool_rate);
-        // Trusted edge nodes may use what the untrusted ones leave, and not the other way round.
+        // Trusted edge nodes may use what the untrusted ones leave, but not vice versa.
         match taken {
             Err(_) if is_trusted => {
                 self.untrusted_pool
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Records the result of a verification that was taken for this edge node.
+    /// Records the result of a verification that was taken from the budget for this edge node.
     pub fn record_result(&mut self, now_ms: f64, edge_node: u32, is_valid: bool) {
         let (edge_rate, pool_rate) = (self.per_edge_per_s, self.total_per_s / 2.0);
         let Some(edge) = self.edges.get_mut(&edge_node) else {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Removes the edge node that was idle for longest, if `edge_node` is new and there is no space for it.
+    /// Removes the edge node that has been idle for longest, if `edge_node` is new and there is no space for it.
     fn make_space_for(&mut self, edge_node: u32) {
         if self.edges.len() < MAX_EDGE_NODES || self.edges.contains_key(&edge_node) {
             return;
--- a/crates/asterdale-identity/src/signature_budget/tests.rs
+++ b/crates/asterdale-identity/src/signature_budget/tests.rs
@@ -1,4 +1,4 @@
-//! Rates per edge node, and the pools of trusted and untrusted ones.
+//! Rates per edge node, and the pools of trusted and untrusted edge nodes.
 
 use super::*;
 
--- a/crates/asterdale-identity/src/token.rs
+++ b/crates/asterdale-identity/src/token.rs
@@ -1,5 +1,6 @@
-//! Parsing of tokens: JWTs (RFC 7519) in JWS compact serialization. A token is parsed completely before its signature is
-//! verified, so that any other reason to reject it costs no cryptography. Until then its content is not to be trusted.
+//! Parsing of tokens: JWTs (RFC 7519) in JWS compact serialization. A token is parsed completely before its signature
+//! is verified, so that a rejection for any other reason costs no cryptography. The content must not be trusted before
+//! the signature is verified.
 
 use ed25519_dalek::VerifyingKey;
 use serde::{Deserialize, Serialize};
@@ -10,11 +11,12 @@
 
 pub use crate::jws::{JwsHeader, ALGORITHM};
 
-/// The longest token, in bytes: it is one parameter of a request, beside which others must fit.
+/// The maximum length of a token, in bytes. A token is one parameter of a request, and the other parameters must fit
+/// beside it.
 pub const MAX_TOKEN_BYTES: usize = 4096;
-/// The most roles in a token. An office's staff has two or three.
+/// The maximum number of roles in a token. The staff of an office has two or three.
 pub const MAX_TOKEN_ROLES: usize = 8;
-/// The longest name in a token (subject, tenant, role, ids), in bytes.
+/// The maximum length of a name in a token (subject, tenant, role, ids), in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
 /// The claims of a token. Times are Unix seconds, as in RFC 7519. Unknown claims are ignored.
@@ -30,9 +32,9 @@
     pub tenant: String,
     /// The roles.
     pub roles: Vec<String>,
-    /// The expiry: not accepted from then on.
+    /// The expiry time, from which on the token is not accepted.
     pub exp: f64,
-    /// Not accepted before.
+    /// The time before which the token is not accepted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub nbf: Option<f64>,
     /// The time of issue.
@@ -62,7 +64,7 @@
     }
 }
 
-/// A parsed token, whose signature is not verified.
+/// A parsed token, whose signature is not verified yet.
 pub struct UnverifiedToken<'a> {
     /// The header.
     pub header: JwsHeader,
@@ -99,7 +101,8 @@
     })
 }
 
-/// The algorithm is parsed on its own first: a header with `none` lacks a key id, and should be denied for the algorithm.
+/// The algorithm is parsed separately first: a header with the algorithm `none` lacks a key id, but is to be denied
+/// because of the algorithm.
 fn parse_header(json: &[u8]) -> Result<JwsHeader, DenialReason> {
     #[derive(Deserialize)]
     struct Algorithm {
--- a/crates/asterdale-identity/src/token_bucket.rs
+++ b/crates/asterdale-identity/src/token_bucket.rs
@@ -17,7 +17,8 @@
         }
     }
 
-    /// Adds what has accrued since the last update. A clock that steps back neither adds nor removes anything.
+    /// Adds the tokens that have accrued since the last update. A clock that steps back neither adds nor removes
+    /// tokens.
     fn refill(&mut self, now_ms: f64, per_s: f64, burst: f64) {
         let elapsed_ms = (now_ms - self.updated_ms).max(0.0);
         self.level = (self.level + elapsed_ms * per_s / 1000.0).min(burst);
--- a/crates/asterdale-identity/src/token_bucket/tests.rs
+++ b/crates/asterdale-identity/src/token_bucket/tests.rs
@@ -1,4 +1,4 @@
-//! Waiting times, and clocks that step back.
+//! Retry delays, and clocks that step back.
 
 use super::*;
 
--- a/crates/asterdale-identity/src/token_cache.rs
+++ b/crates/asterdale-identity/src/token_cache.rs
@@ -1,7 +1,7 @@
 //! Caches of verified and of rejected tokens, by a keyed digest of the token's text.
 //!
-//! A cached token is not accepted as such: its key, times and revocations are checked again each time, so that no entry
-//! outlives what it is based on. Only the signature is not verified again.
+//! A cached token is not accepted unconditionally: its key, times and revocations are checked again at each use, so
+//! that no entry stays valid for longer than its key and claims. Only the signature is not verified again.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 /// The first half of the SHA-512 of a secret and the token's text.
 pub(crate) type TokenDigest = [u8; 32];
 
-/// Computes digests that callers cannot predict, so that they cannot aim at a slot of the cache.
+/// Computes digests that callers cannot predict, so that they cannot target a slot of the cache.
 pub(crate) struct TokenDigester {
     secret: [u8; 64],
 }
@@ -39,8 +39,8 @@
     }
 }
 
-/// Tokens that are denied until the next key set. A direct-mapped table of fixed size, in which a new entry replaces the
-/// one in its slot: costs do not grow with the number of invalid tokens.
+/// Tokens that are denied until the next key set. A direct-mapped table of fixed size, in which a new entry replaces
+/// the one in its slot, so that costs do not grow with the number of invalid tokens.
 pub(crate) struct RejectedTokens {
     slots: Vec<Option<(TokenDigest, DenialReason)>>,
 }
@@ -79,7 +79,7 @@
 }
 
 /// Callers whose token's signature was verified. A full cache evicts the oldest entry of the tenant with the most
-/// entries, so that a tenant that mints thousands of tokens evicts its own.
+/// entries, so that a tenant with thousands of tokens evicts its own.
 pub(crate) struct VerifiedTokens {
     capacity: usize,
     callers: HashMap<TokenDigest, Arc<Caller>>,
--- a/crates/asterdale-identity/tests/authorization.rs
+++ b/crates/asterdale-identity/tests/authorization.rs
@@ -151,7 +151,7 @@
             retry_after_ms: 750.0
         }
     );
-    // A repeat is permitted nevertheless, and takes no part of the quota.
+    // A repeat is permitted nevertheless, as it is not subject to the quota.
     assert_eq!(
         authorizer.authorize(250.0, tenant_a, &roles, &request(0, None, true)),
         Ok(None)
--- a/crates/asterdale-identity/tests/identity/authentication.rs
+++ b/crates/asterdale-identity/tests/identity/authentication.rs
@@ -145,9 +145,9 @@
         authenticate(&mut identity, NOW_MS + 2_000.0, &short),
         Err(DenialReason::Expired)
     );
-    // It was valid then: the later denial was not cached.
+    // The token was valid at this time, and the later denial was not cached.
     assert_eq!(authenticate(&mut identity, NOW_MS, &short), Ok(0));
-    // A time of receipt in the future counts as now.
+    // A time of receipt in the future is clamped to the current time.
     let ahead = Credentials {
         received_ms: NOW_MS + 1e9,
         ..credentials(&short, NOW_MS)
@@ -157,7 +157,7 @@
         authenticate(&mut identity, 0.0, &short),
         Err(DenialReason::KeyNotYetActive)
     );
-    // A time of receipt in the past counts for no more than the clock skew.
+    // A time of receipt in the past is clamped to the clock skew.
     let old = |now_ms| Credentials {
         received_ms: now_ms - 1e6,
         ..credentials(&short, now_ms)
--- a/crates/asterdale-identity/tests/identity/revocation.rs
+++ b/crates/asterdale-identity/tests/identity/revocation.rs
@@ -7,7 +7,7 @@
 
 type Change = fn(&mut KeySet);
 
-/// Changes of the key set after which a token of tenant `a` is denied, and for what reason.
+/// Changes of the key set after which a token of tenant `a` is denied, with the reason of the denial.
 fn changes() -> [(Change, DenialReason); 5] {
     [
         (
@@ -84,7 +84,7 @@
 fn without_a_usable_key_set_only_revocations_are_decided() {
     let good = token(2, |claims| claims.exp += 1e6);
     let mut identity = Identity::new(NOW_MS, settings()).unwrap();
-    // Without a key set it cannot be said that the key is unknown.
+    // Without a key set it cannot be decided that the key is unknown.
     assert_eq!(
         authenticate(&mut identity, NOW_MS, &good),
         Err(DenialReason::NoUsableKeySet)
--- a/crates/asterdale-identity/tests/rotation.rs
+++ b/crates/asterdale-identity/tests/rotation.rs
@@ -1,4 +1,4 @@
-//! The issuer's changes to a key set, seen by a keyring.
+//! The issuer's changes to a key set, as a keyring adopts them.
 
 use asterdale_identity::keyring::{KeySet, Keyring, Phase, MAX_KEYS};
 use asterdale_identity::mint::SecretKey;
@@ -42,7 +42,7 @@
         publish(&mut set, 120.0),
         (Some(Phase::Retired), Some(Phase::Active))
     );
-    // Activating the key again does not prolong the overlap.
+    // Activating the key again does not extend the overlap.
     set.activate(130.0, "two", 100.0).unwrap();
     assert_eq!(
         publish(&mut set, 130.0),
--- a/crates/asterdale-identity/tests/stored_keys.rs
+++ b/crates/asterdale-identity/tests/stored_keys.rs
@@ -1,6 +1,6 @@
-//! Key files, a set of keys and a token that an earlier release's command line wrote are read to the same ids, times and
-//! names, judge callers as before, and are written again byte for byte. Times are passed in. `fixtures/keys/README.md`
-//! says how the files were made.
+//! Compatibility with stored files: key files, a key set and a token that the command line of an earlier release wrote
+//! are parsed to the same ids, times and names, lead to the same decisions on callers, and are serialized to the same
+//! bytes. Times are passed in. `fixtures/keys/README.md` describes how the files were made.
 
 use asterdale_identity::keyring::{
     parse_public_key, KeySet, KeySetError, KeySetOutcome, Keyring, Phase, PublicJwk, Revocations,
@@ -117,7 +117,7 @@
     let set: KeySet = serde_json::from_str(SET).unwrap();
     assert_eq!(set, published());
     assert_eq!(serde_json::to_string_pretty(&set).unwrap(), SET);
-    // Signatures of this kind are the same each time.
+    // Ed25519 signatures are deterministic.
     assert_eq!(
         SecretKey::from_jwk(ROOT).unwrap().sign_key_set(&set),
         SIGNED_SET
--- a/crates/asterdale-identity/tests/token.rs
+++ b/crates/asterdale-identity/tests/token.rs
@@ -137,7 +137,7 @@
 }
 
 proptest! {
-    // The same cases each time: a run that fails can be run again.
+    // A fixed seed generates the same cases in each run, so that a failure can be reproduced.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
     #[test]
     fn arbitrary_bytes_neither_panic_nor_verify(bytes: Vec<u8>, at: prop::sample::Index, bit in 0u8..8) {
