--- a/crates/asterdale-fastcgi/src/error.rs
+++ b/crates/asterdale-fastcgi/src/error.rs
@@ -12,12 +12,12 @@
     #[error("a record of type {0} is truncated")]
     TruncatedRecord(u8),
     /// The length of a parameter's name or value exceeds the remaining bytes.
-    #[error("a parameter's length exceeds its record stream")]
+    #[error("the length of a parameter exceeds the remaining bytes")]
     LengthOutOfBounds,
     /// The incomplete requests of a connection exceed their memory limit.
     #[error("the incomplete requests of a connection exceed their memory limit")]
     TooManyPendingBytes,
     /// A request was opened with this id while another request of the same id was incomplete.
-    #[error("request id {0} was opened twice")]
+    #[error("request id {0} is in use by an incomplete request")]
     DuplicateRequestId(u16),
 }
--- a/crates/asterdale-identity/src/denial.rs
+++ b/crates/asterdale-identity/src/denial.rs
@@ -36,13 +36,13 @@
     #[error("the credentials have expired")]
     Expired,
     /// The token was issued by another issuer.
-    #[error("the token is of another issuer")]
+    #[error("the token was issued by another issuer")]
     WrongIssuer,
     /// The token is meant for another audience.
     #[error("the token is meant for another audience")]
     WrongAudience,
     /// No certificate mapping contains any of the certificate's names.
-    #[error("no name of the certificate is known")]
+    #[error("no name of the certificate is mapped to a caller")]
     UnknownCertificate,
     /// The token or certificate itself is revoked.
     #[error("the credentials are revoked")]
--- a/crates/asterdale-identity/src/keyring/mod.rs
+++ b/crates/asterdale-identity/src/keyring/mod.rs
@@ -63,13 +63,13 @@
     #[error("the key set is older than the last one")]
     OlderSequence,
     /// It has the sequence number of the last one, but different content.
-    #[error("the key set reuses the sequence number of another one")]
+    #[error("the key set has the sequence number of the last one, but different content")]
     ReusedSequence,
     /// This key id belongs to another key.
-    #[error("the key id {0} is known with another key")]
+    #[error("the key id {0} belongs to another key")]
     ReusedKeyId(String),
     /// The key of this id is invalid, occurs twice, or exceeds [`MAX_KEYS`].
-    #[error("the key {0} is invalid, occurs twice, or is one too many")]
+    #[error("the key {0} is invalid, occurs twice, or exceeds the maximum number of keys")]
     InvalidKey(String),
     /// It was signed in the future.
     #[error("the key set was signed in the future")]
--- a/crates/asterdale-identity/src/keyring/rotation.rs
+++ b/crates/asterdale-identity/src/keyring/rotation.rs
@@ -16,13 +16,13 @@
     #[error("{0}: the set contains no key of this id")]
     UnknownKey(String),
     /// The public key to announce under this id is invalid.
-    #[error("{0}: this is no valid public key")]
+    #[error("{0}: this is not a valid public key")]
     InvalidPublicKey(String),
     /// This id is in use or revoked.
     #[error("{0}: this key id is in use; a new key needs a new id")]
     KeyIdInUse(String),
     /// The set contains the maximal number of keys.
-    #[error("the set contains {MAX_KEYS} keys already, the maximum")]
+    #[error("the set already contains the maximum of {MAX_KEYS} keys")]
     TooManyKeys,
     /// The key of this id is outgoing or retired.
     #[error("{0}: this key is outgoing or retired; announce a new one")]
--- a/crates/asterdale-identity/src/mint.rs
+++ b/crates/asterdale-identity/src/mint.rs
@@ -22,10 +22,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SecretKeyError {
     /// The system's random number generator failed.
-    #[error("the system gives no random bytes: {0}")]
+    #[error("the system's random number generator failed: {0}")]
     Random(#[from] getrandom::Error),
     /// The text is not a private JWK.
-    #[error("this is no private JWK")]
+    #[error("this is not a private JWK")]
     NotPrivateJwk,
     /// The key is of another type or curve.
     #[error("kty, crv: only OKP and Ed25519 are supported")]
--- a/crates/asterdale-identity/tests/authorization.rs
+++ b/crates/asterdale-identity/tests/authorization.rs
@@ -78,7 +78,7 @@
         Err(DenialReason::RoleNotGranted)
     );
     assert_eq!(
-        authorize(&mut authorizer, 0.0, tenant_b, &["unheard"], 0),
+        authorize(&mut authorizer, 0.0, tenant_b, &["unknown"], 0),
         Err(DenialReason::RoleNotGranted)
     );
     assert_eq!(
@@ -182,7 +182,7 @@
     let tenant_c = authorizer.tenant_number("c").unwrap();
     assert!(
         tenant_c != tenant_a && tenant_c != tenant_b,
-        "a tenant number was assigned again"
+        "a tenant number was reused"
     );
     assert_eq!(
         authorize(&mut authorizer, 0.0, tenant_b, &["clerk"], 0),
--- a/crates/asterdale-identity/tests/identity/authentication.rs
+++ b/crates/asterdale-identity/tests/identity/authentication.rs
@@ -109,7 +109,7 @@
     assert_eq!(
         authenticate(&mut identity, NOW_MS, &cached),
         Ok(0),
-        "a cached one through the same edge node"
+        "a cached token through the same edge node"
     );
     let new = token(2, |claims| claims.jti = string("new"));
     let elsewhere = Credentials {
@@ -120,7 +120,7 @@
     assert_eq!(
         authenticate(&mut identity, NOW_MS, &new),
         Ok(0),
-        "it is cached by now"
+        "the token is cached by now"
     );
     let late = token(2, |claims| claims.jti = string("late"));
     let denial = identity
--- a/crates/asterdale-identity/tests/token.rs
+++ b/crates/asterdale-identity/tests/token.rs
@@ -112,7 +112,7 @@
     assert_eq!(
         parse_error(text.as_bytes()),
         Some(DenialReason::Malformed),
-        "a claim that comes twice"
+        "a duplicate claim"
     );
 }
 
@@ -149,7 +149,7 @@
         let at = at.index(text.len());
         text[at] ^= 1 << bit;
         if let Ok(token) = parse(&text) {
-            prop_assert!(!token.is_signed_by(&key), "one bit at {at}");
+            prop_assert!(!token.is_signed_by(&key), "accepted with a flipped bit in byte {at}");
         }
     }
 }
