--- a/crates/asterdale-identity/src/authorization/mod.rs
+++ b/crates/asterdale-identity/src/authorization/mod.rs
@@ -59,11 +59,11 @@
     /// [`IdentityError`] if there were too many names over the lifetime of the process. Nothing changes then.
     pub fn configure(&mut self, roles: &[Role], tenants: &[Tenant]) -> Result<(), IdentityError> {
         let tenant_names = tenants.iter().map(|tenant| tenant.name.as_str());
-        if self.tenant_numbers.len_with(tenant_names) > MAX_TENANTS {
+        if self.tenant_numbers.len_including(tenant_names) > MAX_TENANTS {
             return Err(IdentityError::TooManyTenants);
         }
         let role_names = roles.iter().map(|role| role.name.as_str());
-        if self.role_numbers.len_with(role_names) > MAX_ROLES {
+        if self.role_numbers.len_including(role_names) > MAX_ROLES {
             return Err(IdentityError::TooManyRoles);
         }
         self.tenants.fill(None);
--- a/crates/asterdale-identity/src/authorization/name_registry.rs
+++ b/crates/asterdale-identity/src/authorization/name_registry.rs
@@ -20,7 +20,7 @@
     }
 
     /// The number of names after adding these. A new name that occurs twice in `names` counts twice.
-    pub fn len_with<'a>(&self, names: impl Iterator<Item = &'a str>) -> usize {
+    pub fn len_including<'a>(&self, names: impl Iterator<Item = &'a str>) -> usize {
         let new_names = names.filter(|name| !self.numbers.contains_key(*name));
         self.numbers.len() + new_names.count()
     }
--- a/crates/asterdale-identity/src/keyring/known_keys.rs
+++ b/crates/asterdale-identity/src/keyring/known_keys.rs
@@ -65,11 +65,11 @@
                 known.revoked = true;
             }
         }
-        while self.by_id.len() > MAX_KNOWN_KEYS && self.forget_oldest(keys) {}
+        while self.by_id.len() > MAX_KNOWN_KEYS && self.evict_oldest(keys) {}
     }
 
     /// Evicts the oldest key that is not in `current`; `false` if there is none.
-    fn forget_oldest(&mut self, current: &HashMap<String, ScheduledKey>) -> bool {
+    fn evict_oldest(&mut self, current: &HashMap<String, ScheduledKey>) -> bool {
         let oldest = self
             .by_id
             .iter()
--- a/crates/asterdale-identity/src/keyring/tests.rs
+++ b/crates/asterdale-identity/src/keyring/tests.rs
@@ -131,9 +131,9 @@
     for (bad, error) in invalid_sets(&reused) {
         assert_eq!(offer(&mut keyring, &bad), Err(error));
     }
-    let by_other = secret_key(1).sign_key_set(&key_set(6, vec![]));
+    let signed_by_other_key = secret_key(1).sign_key_set(&key_set(6, vec![]));
     assert_eq!(
-        keyring.offer_key_set(1000.0, by_other.as_bytes()),
+        keyring.offer_key_set(1000.0, signed_by_other_key.as_bytes()),
         Err(KeySetError::UntrustedSigner)
     );
     for invalid in [&b""[..], b"<html>", b"a.b.c", &[0xff; 99]] {
@@ -185,18 +185,18 @@
 }
 
 #[test]
-fn known_keys_are_limited_and_revoked_ones_are_kept_longest() {
+fn known_keys_are_limited_and_revoked_ones_are_evicted_last() {
     let mut keyring = keyring();
-    let many = |n: u64| {
+    let numbered_key = |n: u64| {
         let mut key = jwk(&secret_key(1), 0.0, None);
         key.kid = format!("n{n}");
         key
     };
-    let mut first = key_set(1, vec![many(0)]);
+    let mut first = key_set(1, vec![numbered_key(0)]);
     first.revoked.keys.insert("n0".into());
     offer(&mut keyring, &first).unwrap();
     for n in 1..=MAX_KNOWN_KEYS as u64 + 5 {
-        offer(&mut keyring, &key_set(n + 1, vec![many(n)])).unwrap();
+        offer(&mut keyring, &key_set(n + 1, vec![numbered_key(n)])).unwrap();
     }
     assert_eq!(keyring.known_keys.len(), MAX_KNOWN_KEYS);
     assert_eq!(keyring.phase("n0", 1.0), Some(Phase::Revoked));
--- a/crates/asterdale-identity/src/signature_budget/tests.rs
+++ b/crates/asterdale-identity/src/signature_budget/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Requests `per_s` signatures per second for ten seconds; returns how many the budget granted.
-fn granted(
+fn count_granted(
     budget: &mut SignatureBudget,
     start_ms: f64,
     per_s: u32,
@@ -25,15 +25,15 @@
 #[test]
 fn invalid_signatures_are_granted_at_a_quarter_of_the_rate() {
     let mut budget = SignatureBudget::new(0.0, 20.0, 1000.0);
-    assert!((200..=240).contains(&granted(&mut budget, 0.0, 500, true, |_| 1)));
+    assert!((200..=240).contains(&count_granted(&mut budget, 0.0, 500, true, |_| 1)));
     let mut budget = SignatureBudget::new(0.0, 20.0, 1000.0);
-    assert!((50..=60).contains(&granted(&mut budget, 0.0, 500, false, |_| 1)));
+    assert!((50..=60).contains(&count_granted(&mut budget, 0.0, 500, false, |_| 1)));
 }
 
 #[test]
-fn made_up_edge_nodes_leave_half_to_trusted_ones() {
+fn forged_edge_node_numbers_leave_half_of_the_rate_to_trusted_edge_nodes() {
     let mut budget = SignatureBudget::new(0.0, 20.0, 100.0);
-    assert_eq!(granted(&mut budget, 0.0, 10, true, |_| 1), 100);
+    assert_eq!(count_granted(&mut budget, 0.0, 10, true, |_| 1), 100);
     let (mut valid, mut invalid) = (0, 0);
     for n in 0..20_000u32 {
         let now_ms = 10_000.0 + f64::from(n) / 2.0;
--- a/crates/asterdale-identity/src/token_cache.rs
+++ b/crates/asterdale-identity/src/token_cache.rs
@@ -124,9 +124,9 @@
     }
 
     /// Removes the entries for which `is_kept` is false.
-    pub fn retain(&mut self, mut is_kept: impl FnMut(&Caller) -> bool) {
+    pub fn retain(&mut self, mut should_retain: impl FnMut(&Caller) -> bool) {
         let callers = &mut self.callers;
-        callers.retain(|_, caller| is_kept(caller));
+        callers.retain(|_, caller| should_retain(caller));
         for tokens in &mut self.tokens_by_tenant {
             tokens.retain(|digest| callers.contains_key(digest));
         }
--- a/crates/asterdale-identity/tests/authorization.rs
+++ b/crates/asterdale-identity/tests/authorization.rs
@@ -97,11 +97,11 @@
         (7, None)
     );
     let roles = ["phone".to_owned()];
-    let much = authorizer
+    let cost_denial = authorizer
         .authorize(0.0, tenant_a, &roles, &request(1, Some(50.1), false))
         .unwrap_err();
     assert_eq!(
-        much,
+        cost_denial,
         Denial {
             reason: DenialReason::CostNotAllowed,
             retry_after_ms: 0.0
@@ -141,11 +141,11 @@
         .unwrap();
     authorizer.release(three);
     let roles = ["clerk".to_owned()];
-    let wait = authorizer
+    let rate_denial = authorizer
         .authorize(250.0, tenant_a, &roles, &request(0, None, false))
         .unwrap_err();
     assert_eq!(
-        wait,
+        rate_denial,
         Denial {
             reason: DenialReason::RateQuota,
             retry_after_ms: 750.0
--- a/crates/asterdale-identity/tests/identity/authentication.rs
+++ b/crates/asterdale-identity/tests/identity/authentication.rs
@@ -70,14 +70,14 @@
         authenticate(&mut identity, NOW_MS, &forged),
         Err(DenialReason::BadSignature)
     );
-    let none = Credentials {
+    let no_credentials = Credentials {
         token: None,
         certificate: None,
         edge_node: 4,
         received_ms: NOW_MS,
     };
     assert_eq!(
-        identity.authenticate(NOW_MS, none).unwrap_err(),
+        identity.authenticate(NOW_MS, no_credentials).unwrap_err(),
         Denial::from(DenialReason::MissingCredentials)
     );
     assert_eq!(
@@ -112,11 +112,13 @@
         "a cached token through the same edge node"
     );
     let new = token(2, |claims| claims.jti = string("new"));
-    let elsewhere = Credentials {
+    let through_other_edge_node = Credentials {
         edge_node: 5,
         ..credentials(&new, NOW_MS)
     };
-    assert!(identity.authenticate(NOW_MS, elsewhere).is_ok());
+    assert!(identity
+        .authenticate(NOW_MS, through_other_edge_node)
+        .is_ok());
     assert_eq!(
         authenticate(&mut identity, NOW_MS, &new),
         Ok(0),
@@ -133,7 +135,7 @@
 }
 
 #[test]
-fn clock_jumps_prolong_no_token() {
+fn clock_jumps_extend_no_validity_period() {
     let mut identity = identity();
     let short = token(2, |claims| claims.exp = (NOW_MS + 1_000.0) / 1000.0);
     assert_eq!(authenticate(&mut identity, NOW_MS, &short), Ok(0));
@@ -148,26 +150,26 @@
     // The token was valid at this time, and the later denial was not cached.
     assert_eq!(authenticate(&mut identity, NOW_MS, &short), Ok(0));
     // A time of receipt in the future is clamped to the current time.
-    let ahead = Credentials {
+    let received_in_future = Credentials {
         received_ms: NOW_MS + 1e9,
         ..credentials(&short, NOW_MS)
     };
-    assert!(identity.authenticate(NOW_MS, ahead).is_ok());
+    assert!(identity.authenticate(NOW_MS, received_in_future).is_ok());
     assert_eq!(
         authenticate(&mut identity, 0.0, &short),
         Err(DenialReason::KeyNotYetActive)
     );
     // A time of receipt in the past is clamped to the clock skew.
-    let old = |now_ms| Credentials {
+    let received_long_ago = |now_ms| Credentials {
         received_ms: now_ms - 1e6,
         ..credentials(&short, now_ms)
     };
     assert!(identity
-        .authenticate(NOW_MS + 1_999.0, old(NOW_MS + 1_999.0))
+        .authenticate(NOW_MS + 1_999.0, received_long_ago(NOW_MS + 1_999.0))
         .is_ok());
     assert_eq!(
         identity
-            .authenticate(NOW_MS + 2_000.0, old(NOW_MS + 2_000.0))
+            .authenticate(NOW_MS + 2_000.0, received_long_ago(NOW_MS + 2_000.0))
             .unwrap_err()
             .reason,
         DenialReason::Expired
--- a/crates/asterdale-identity/tests/stored_keys.rs
+++ b/crates/asterdale-identity/tests/stored_keys.rs
@@ -26,7 +26,7 @@
     text.to_owned()
 }
 
-fn published() -> KeySet {
+fn expected_set() -> KeySet {
     let key = |kid: &str, public_key: &str, from_ms, until_ms| {
         let (kty, crv) = (text("OKP"), text("Ed25519"));
         PublicJwk {
@@ -115,7 +115,7 @@
 #[test]
 fn a_stored_set_is_read_and_written_again() {
     let set: KeySet = serde_json::from_str(SET).unwrap();
-    assert_eq!(set, published());
+    assert_eq!(set, expected_set());
     assert_eq!(serde_json::to_string_pretty(&set).unwrap(), SET);
     // Ed25519 signatures are deterministic.
     assert_eq!(
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_stored_signed_set_moves_a_ring_through_the_same_phases() {
+fn a_stored_signed_set_gives_its_keys_the_same_phases() {
     assert_eq!(KEY_SET_TYPE, "asterdale-keys+jws");
     let mut keyring = Keyring::new(vec![parse_public_key(ROOT_PUBLIC).unwrap()], 86_400_000.0);
     assert_eq!(
@@ -166,48 +166,48 @@
 
 #[test]
 fn a_stored_token_is_read_and_written_again() {
-    let line = TOKEN.strip_suffix('\n').unwrap();
-    let read = token::parse(line.as_bytes()).unwrap();
+    let token_text = TOKEN.strip_suffix('\n').unwrap();
+    let parsed = token::parse(token_text.as_bytes()).unwrap();
     let typ = Some(text("JWT"));
     assert_eq!(
-        read.header,
+        parsed.header,
         JwsHeader {
             alg: text("EdDSA"),
             kid: text("sign-2"),
             typ
         }
     );
-    assert_eq!(read.claims, claims());
-    assert!(read.is_signed_by(&parse_public_key(SIGN_PUBLIC).unwrap()));
+    assert_eq!(parsed.claims, claims());
+    assert!(parsed.is_signed_by(&parse_public_key(SIGN_PUBLIC).unwrap()));
     assert_eq!(
         SecretKey::from_jwk(SIGN).unwrap().sign_token(&claims()),
-        line
+        token_text
     );
 }
 
 #[test]
-fn a_stored_token_passes_with_the_stored_set_until_it_expires_and_what_is_revoked_does_not() {
+fn a_stored_token_is_accepted_until_it_expires_and_revoked_tokens_are_denied() {
     let mut identity = identity();
     identity
         .offer_key_set(SIGNED_MS, SIGNED_SET.as_bytes())
         .unwrap();
-    let mut ask = |now: f64, token: &str| {
+    let mut check = |now_ms: f64, token: &str| {
         let credentials = Credentials {
             token: Some(token.as_bytes()),
             certificate: None,
             edge_node: 4,
-            received_ms: now,
+            received_ms: now_ms,
         };
         identity
-            .authenticate(now, credentials)
+            .authenticate(now_ms, credentials)
             .map(|caller| (caller.tenant, caller.key.clone()))
             .map_err(|denial| denial.reason)
     };
-    let (line, end) = (TOKEN.trim_end(), (ISSUED_S + 600.0) * 1000.0);
-    assert_eq!(ask(SIGNED_MS, line), Ok((1, Some(text("sign-2")))));
-    assert_eq!(ask(end + 499.0, line), Ok((1, Some(text("sign-2")))));
-    assert_eq!(ask(end + 500.0, line), Err(DenialReason::Expired));
-    let sign = SecretKey::from_jwk(SIGN).unwrap();
+    let (token, end_ms) = (TOKEN.trim_end(), (ISSUED_S + 600.0) * 1000.0);
+    assert_eq!(check(SIGNED_MS, token), Ok((1, Some(text("sign-2")))));
+    assert_eq!(check(end_ms + 499.0, token), Ok((1, Some(text("sign-2")))));
+    assert_eq!(check(end_ms + 500.0, token), Err(DenialReason::Expired));
+    let signing_key = SecretKey::from_jwk(SIGN).unwrap();
     for (claims, reason) in [
         (
             Claims {
@@ -231,6 +231,9 @@
             DenialReason::TenantRevoked,
         ),
     ] {
-        assert_eq!(ask(SIGNED_MS, &sign.sign_token(&claims)), Err(reason));
+        assert_eq!(
+            check(SIGNED_MS, &signing_key.sign_token(&claims)),
+            Err(reason)
+        );
     }
 }
--- a/crates/asterdale-identity/tests/token.rs
+++ b/crates/asterdale-identity/tests/token.rs
@@ -38,8 +38,8 @@
         changed.rsplit_once('.').unwrap().0,
         text.rsplit_once('.').unwrap().1,
     );
-    let grafted = format!("{body}.{signature}");
-    assert!(!parse(grafted.as_bytes())
+    let with_other_signature = format!("{body}.{signature}");
+    assert!(!parse(with_other_signature.as_bytes())
         .unwrap()
         .is_signed_by(&own.public_key()));
 }
@@ -102,12 +102,12 @@
             "{field}"
         );
     }
-    let twice =
+    let duplicate_claim =
         r#"{"iss":"i","aud":"a","sub":"s","sub":"t","tenant":"t","roles":[],"exp":1,"jti":"1"}"#;
     let text = sign_jws_bytes(
         &SecretKey::from_seed([7; 32], "k"),
         &head(),
-        twice.as_bytes(),
+        duplicate_claim.as_bytes(),
     );
     assert_eq!(
         parse_error(text.as_bytes()),
