--- a/crates/asterdale-engine/src/access.rs
+++ b/crates/asterdale-engine/src/access.rs
@@ -30,7 +30,9 @@
         let denied = match identity.authenticate(self.now, credentials) {
             Ok(caller) => {
                 let key = head.idempotency_key.as_mut();
-                if let Some(key) = key.filter(|_| !failpoint::is_active(Failpoint::Mark)) {
+                if let Some(key) =
+                    key.filter(|_| !failpoint::is_active(Failpoint::KeyWithoutTenant))
+                {
                     key.tenant = caller.tenant;
                 }
                 return Ok(Some(caller));
--- a/crates/asterdale-engine/src/state_transfer/restore.rs
+++ b/crates/asterdale-engine/src/state_transfer/restore.rs
@@ -87,7 +87,7 @@
             tasks: transferred.collect(),
             idempotency: tasks
                 .idempotency
-                .export(failpoint::is_active(Failpoint::Unpassed)),
+                .export(failpoint::is_active(Failpoint::EntriesNotTransferred)),
             identity: tasks.identity_gate.export(),
             edge_node_indexes: self.edge_node_indexes.clone(),
             link: TransferredLink {
--- a/crates/asterdale-identity/src/failpoint.rs
+++ b/crates/asterdale-identity/src/failpoint.rs
@@ -6,9 +6,9 @@
     /// A token that was verified before is accepted although its key has been revoked.
     Cache = "cache",
     /// The idempotency key does not include the tenant.
-    Mark = "mark",
+    KeyWithoutTenant = "mark",
     /// Idempotency entries are not part of the state transfer.
-    Unpassed = "unpassed",
+    EntriesNotTransferred = "unpassed",
     /// The old process is not notified of what the new process starts.
     Unmirrored = "unmirrored",
     /// The old process continues to serve beside the new one.
