--- a/crates/asterdale-identity/src/authorization/mod.rs
+++ b/crates/asterdale-identity/src/authorization/mod.rs
@@ -26,7 +26,7 @@
     /// The cost that the request declares, in milliseconds of one core.
     pub declared_cost_ms: Option<f64>,
     /// Whether the request repeats one that this process already knows. A repeat is not subject to the quotas: it
-    /// causes no further run, and a quota denial would state that the request never ran.
+    /// causes no further run, and a quota denial would wrongly state that the request never ran.
     pub is_repeat: bool,
 }
 
--- a/crates/asterdale-identity/src/identity/authentication.rs
+++ b/crates/asterdale-identity/src/identity/authentication.rs
@@ -128,8 +128,8 @@
         })
     }
 
-    /// The caller that the settings assign to the connection's certificate. The result is not cached, as no signature
-    /// is verified here; so changed settings apply at once.
+    /// The caller that the settings assign to the connection's certificate. The result is not cached: no signature is
+    /// verified here, and changed settings apply at once.
     fn authenticate_certificate(
         &self,
         time: RequestTime,
--- a/crates/asterdale-identity/src/keyring/key_set.rs
+++ b/crates/asterdale-identity/src/keyring/key_set.rs
@@ -1,5 +1,5 @@
-//! The payload of a signed key set: public keys with times, a sequence number and revocations. It is encoded as JSON in
-//! files and on the wire, with the names of its fields.
+//! The payload of a signed key set: public keys with times, a sequence number and revocations. It is JSON in files and
+//! on the wire; its field names are part of that format.
 
 use std::collections::HashSet;
 
--- a/crates/asterdale-identity/src/keyring/known_keys.rs
+++ b/crates/asterdale-identity/src/keyring/known_keys.rs
@@ -1,5 +1,5 @@
-//! The keys of all key sets so far. They ensure that a key id always refers to the same key, and that a revoked key
-//! stays revoked even if later sets do not list the revocation.
+//! The keys of all key sets so far, recorded to ensure that a key id always refers to the same key, and that a revoked
+//! key stays revoked even if later sets do not list the revocation.
 
 use std::collections::{HashMap, HashSet};
 
--- a/crates/asterdale-identity/src/token_cache.rs
+++ b/crates/asterdale-identity/src/token_cache.rs
@@ -1,7 +1,7 @@
 //! Caches of verified and of rejected tokens, by a keyed digest of the token's text.
 //!
 //! A cached token is not accepted unconditionally: its key, times and revocations are checked again at each use, so
-//! that no entry stays valid for longer than its key and claims. Only the signature is not verified again.
+//! that no entry is accepted for longer than its key and claims are valid. Only the signature is not verified again.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
