--- a/crates/asterdale-identity/src/keyring/tests.rs
+++ b/crates/asterdale-identity/src/keyring/tests.rs
@@ -93,7 +93,7 @@
     assert_eq!(keyring.phase("k1", 2000.0), Some(Retired));
 }
 
-/// Sets that a keyring rejects which has adopted the set 5 with key `k1`; `reused` has its id and another key.
+/// Sets that a keyring must reject after it has adopted set 5 with key `k1`. `reused` is another key with the id `k1`.
 fn invalid_sets(reused: &PublicJwk) -> [(KeySet, KeySetError); 6] {
     let twice = jwk(&secret_key(2), 0.0, None);
     let mut weak = jwk(&secret_key(3), 0.0, None);
@@ -131,9 +131,9 @@
     for (bad, error) in invalid_sets(&reused) {
         assert_eq!(offer(&mut keyring, &bad), Err(error));
     }
-    let by_other = secret_key(1).sign_key_set(&key_set(6, vec![]));
+    let signed_by_other_key = secret_key(1).sign_key_set(&key_set(6, vec![]));
     assert_eq!(
-        keyring.offer_key_set(1000.0, by_other.as_bytes()),
+        keyring.offer_key_set(1000.0, signed_by_other_key.as_bytes()),
         Err(KeySetError::UntrustedSigner)
     );
     for invalid in [&b""[..], b"<html>", b"a.b.c", &[0xff; 99]] {
@@ -147,7 +147,7 @@
         (keyring.sequence(), keyring.phase("k1", 1.0)),
         (Some(5), Some(Phase::Active))
     );
-    // The key id stays known after the sets do not contain the key any more.
+    // The key id stays known after later sets no longer contain the key.
     offer(&mut keyring, &key_set(6, vec![])).unwrap();
     assert_eq!(
         offer(&mut keyring, &key_set(7, vec![reused])),
@@ -185,18 +185,18 @@
 }
 
 #[test]
-fn known_keys_are_limited_and_revoked_ones_are_kept_longest() {
+fn known_keys_are_limited_and_revoked_ones_are_evicted_last() {
     let mut keyring = keyring();
-    let many = |n: u64| {
+    let numbered_key = |n: u64| {
         let mut key = jwk(&secret_key(1), 0.0, None);
         key.kid = format!("n{n}");
         key
     };
-    let mut first = key_set(1, vec![many(0)]);
+    let mut first = key_set(1, vec![numbered_key(0)]);
     first.revoked.keys.insert("n0".into());
     offer(&mut keyring, &first).unwrap();
     for n in 1..=MAX_KNOWN_KEYS as u64 + 5 {
-        offer(&mut keyring, &key_set(n + 1, vec![many(n)])).unwrap();
+        offer(&mut keyring, &key_set(n + 1, vec![numbered_key(n)])).unwrap();
     }
     assert_eq!(keyring.known_keys.len(), MAX_KNOWN_KEYS);
     assert_eq!(keyring.phase("n0", 1.0), Some(Phase::Revoked));
@@ -204,10 +204,10 @@
 }
 
 proptest! {
-    // The same cases each time: a run that fails can be run again.
+    // A fixed seed generates the same cases in each run, so that a failure can be reproduced.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
-    /// Sequence numbers only grow, an id never changes its key, a revoked key is never accepted again, and a key is
-    /// accepted only if the last adopted set says so.
+    /// Sequence numbers only increase, an id never refers to another key, a revoked key is never accepted again, and a
+    /// key is accepted only if the last adopted set says so.
     #[test]
     fn any_order_of_sets_keeps_the_invariants(
         sets in prop::collection::vec(
--- a/crates/asterdale-identity/tests/authorization.rs
+++ b/crates/asterdale-identity/tests/authorization.rs
@@ -78,7 +78,7 @@
         Err(DenialReason::RoleNotGranted)
     );
     assert_eq!(
-        authorize(&mut authorizer, 0.0, tenant_b, &["unheard"], 0),
+        authorize(&mut authorizer, 0.0, tenant_b, &["unknown"], 0),
         Err(DenialReason::RoleNotGranted)
     );
     assert_eq!(
@@ -97,11 +97,11 @@
         (7, None)
     );
     let roles = ["phone".to_owned()];
-    let much = authorizer
+    let cost_denial = authorizer
         .authorize(0.0, tenant_a, &roles, &request(1, Some(50.1), false))
         .unwrap_err();
     assert_eq!(
-        much,
+        cost_denial,
         Denial {
             reason: DenialReason::CostNotAllowed,
             retry_after_ms: 0.0
@@ -141,17 +141,17 @@
         .unwrap();
     authorizer.release(three);
     let roles = ["clerk".to_owned()];
-    let wait = authorizer
+    let rate_denial = authorizer
         .authorize(250.0, tenant_a, &roles, &request(0, None, false))
         .unwrap_err();
     assert_eq!(
-        wait,
+        rate_denial,
         Denial {
             reason: DenialReason::RateQuota,
             retry_after_ms: 750.0
         }
     );
-    // A repeat is permitted nevertheless, and takes no part of the quota.
+    // A repeat is permitted nevertheless, as it is not subject to the quota.
     assert_eq!(
         authorizer.authorize(250.0, tenant_a, &roles, &request(0, None, true)),
         Ok(None)
@@ -182,7 +182,7 @@
     let tenant_c = authorizer.tenant_number("c").unwrap();
     assert!(
         tenant_c != tenant_a && tenant_c != tenant_b,
-        "a tenant number was assigned again"
+        "a tenant number was reused"
     );
     assert_eq!(
         authorize(&mut authorizer, 0.0, tenant_b, &["clerk"], 0),
--- a/crates/asterdale-identity/tests/token.rs
+++ b/crates/asterdale-identity/tests/token.rs
@@ -38,8 +38,8 @@
         changed.rsplit_once('.').unwrap().0,
         text.rsplit_once('.').unwrap().1,
     );
-    let grafted = format!("{body}.{signature}");
-    assert!(!parse(grafted.as_bytes())
+    let with_other_signature = format!("{body}.{signature}");
+    assert!(!parse(with_other_signature.as_bytes())
         .unwrap()
         .is_signed_by(&own.public_key()));
 }
@@ -102,17 +102,17 @@
             "{field}"
         );
     }
-    let twice =
+    let duplicate_claim =
         r#"{"iss":"i","aud":"a","sub":"s","sub":"t","tenant":"t","roles":[],"exp":1,"jti":"1"}"#;
     let text = sign_jws_bytes(
         &SecretKey::from_seed([7; 32], "k"),
         &head(),
-        twice.as_bytes(),
+        duplicate_claim.as_bytes(),
     );
     assert_eq!(
         parse_error(text.as_bytes()),
         Some(DenialReason::Malformed),
-        "a claim that comes twice"
+        "a duplicate claim"
     );
 }
 
@@ -137,7 +137,7 @@
 }
 
 proptest! {
-    // The same cases each time: a run that fails can be run again.
+    // A fixed seed generates the same cases in each run, so that a failure can be reproduced.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
     #[test]
     fn arbitrary_bytes_neither_panic_nor_verify(bytes: Vec<u8>, at: prop::sample::Index, bit in 0u8..8) {
@@ -149,7 +149,7 @@
         let at = at.index(text.len());
         text[at] ^= 1 << bit;
         if let Ok(token) = parse(&text) {
-            prop_assert!(!token.is_signed_by(&key), "one bit at {at}");
+            prop_assert!(!token.is_signed_by(&key), "accepted with a flipped bit in byte {at}");
         }
     }
 }
