--- a/crates/asterdale-daemon/tests/certificates.rs
+++ b/crates/asterdale-daemon/tests/certificates.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime};
 
 use asterdale_identity::mint::{sign_jws, SecretKey};
-use asterdale_testkit::scripted::{address, until, Backend, Edge, PATIENCE};
+use asterdale_testkit::scripted::{address, until, Backend, EdgeConnection, PATIENCE};
 use asterdale_testkit::unix_ms;
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair, SanType};
 use rustls::pki_types::pem::PemObject;
@@ -122,7 +122,7 @@
     }
 
     /// A connection with this certificate, or with none.
-    fn connect(&self, shown: Option<&Pair>) -> Edge<Tls> {
+    fn connect(&self, shown: Option<&Pair>) -> EdgeConnection<Tls> {
         let mut roots = RootCertStore::empty();
         roots
             .add(CertificateDer::from_pem_slice(self.server.pem().as_bytes()).unwrap())
@@ -148,7 +148,7 @@
                 .unwrap();
         let stream = TcpStream::connect(self.at).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Edge::on(StreamOwned::new(session, stream))
+        EdgeConnection::on(StreamOwned::new(session, stream))
     }
 }
 
@@ -159,7 +159,7 @@
 }
 
 /// Whether a task on this connection gets any answer at all.
-fn turned_away(edge: &mut Edge<Tls>) -> bool {
+fn turned_away(edge: &mut EdgeConnection<Tls>) -> bool {
     let bytes = asterdale_testkit::scripted::request(1, "/healthz", &[], b"");
     edge.try_send(&bytes).is_err() || !matches!(edge.try_answer(), Ok(Some(_)))
 }
@@ -209,7 +209,7 @@
     ));
     assert!(turned_away(&mut site.connect(Some(&expired))));
     // Plain bytes, and a handshake that never goes on.
-    let mut plain = Edge::on(TcpStream::connect(site.at).unwrap());
+    let mut plain = EdgeConnection::on(TcpStream::connect(site.at).unwrap());
     plain.stream.set_read_timeout(Some(PATIENCE)).unwrap();
     plain.send(&asterdale_testkit::scripted::request(
         1,
@@ -218,7 +218,7 @@
         b"",
     ));
     assert!(!matches!(plain.try_answer(), Ok(Some(_))));
-    let mut silent = Edge::on(TcpStream::connect(site.at).unwrap());
+    let mut silent = EdgeConnection::on(TcpStream::connect(site.at).unwrap());
     silent.stream.set_read_timeout(Some(PATIENCE)).unwrap();
     assert!(matches!(silent.try_answer(), Ok(None)));
     // A good one whose name nobody knows, and one whose subject is revoked.
--- a/crates/asterdale-daemon/tests/crowd.rs
+++ b/crates/asterdale-daemon/tests/crowd.rs
@@ -3,16 +3,16 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use asterdale_testkit::crowd::{Crowd, Order};
+use asterdale_testkit::connection_load::{ConnectionLoad, LoadConfig};
 use asterdale_testkit::process::Daemon;
+use asterdale_testkit::simulated_runtime::SimulatedRuntime;
 use asterdale_testkit::soak::{daemon, MOST_THREADS};
-use asterdale_testkit::worker::Worker;
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 
 const CONNECTIONS: usize = 600;
 
-fn order(at: std::net::SocketAddr, connections: usize, seed: u32) -> Order {
-    Order {
+fn order(at: std::net::SocketAddr, connections: usize, seed: u32) -> LoadConfig {
+    LoadConfig {
         at,
         connections,
         edges: 150,
@@ -49,7 +49,7 @@
 }
 
 /// Every request has its one answer, and nothing ran twice.
-fn all_well(crowd: &Crowd, runs: &HashMap<String, u32>) {
+fn all_well(crowd: &ConnectionLoad, runs: &HashMap<String, u32>) {
     let seen = &crowd.seen;
     assert_eq!(
         (seen.lost, seen.twice, seen.refused),
@@ -64,10 +64,10 @@
 
 #[test]
 fn hundreds_of_connections_need_no_thread_and_every_request_gets_its_one_answer() {
-    let worker = Worker::start(4, (1, 4)).unwrap();
+    let worker = SimulatedRuntime::start(4, (1, 4)).unwrap();
     let (daemon, at) = daemon(&worker, 16 * 1024).unwrap();
     // Every thread has run, and reserved what its allocator wants.
-    let mut first = Crowd::new(Order {
+    let mut first = ConnectionLoad::new(LoadConfig {
         lasts: Duration::from_millis(500),
         ..order(at, 10, 9)
     })
@@ -81,7 +81,7 @@
         Resource::As,
         (size_kib(&daemon) + 32 * 1024) * 1024,
     );
-    let mut crowd = Crowd::new(order(at, CONNECTIONS, 1)).unwrap();
+    let mut crowd = ConnectionLoad::new(order(at, CONNECTIONS, 1)).unwrap();
     let mut most = 0;
     crowd.play(Duration::from_millis(100), |_| {
         most = most.max(daemon.holds().0);
@@ -94,12 +94,12 @@
 
 #[test]
 fn a_refused_descriptor_lets_connections_wait_and_costs_no_request() {
-    let worker = Worker::start(4, (1, 4)).unwrap();
+    let worker = SimulatedRuntime::start(4, (1, 4)).unwrap();
     let (daemon, at) = daemon(&worker, 16 * 1024).unwrap();
     // Room for twenty connections beside what the process has open; forty come.
     let open = daemon.holds().1 as u64;
     hold(&daemon, Resource::Nofile, open + 20);
-    let mut crowd = Crowd::new(order(at, 40, 2)).unwrap();
+    let mut crowd = ConnectionLoad::new(order(at, 40, 2)).unwrap();
     crowd.play(Duration::from_secs(1), |_| true);
     let refused = daemon
         .counter("accepts_refused")
@@ -113,7 +113,7 @@
     all_well(&crowd, &worker.runs());
     // Where there are enough again, none gives way.
     drop(crowd);
-    let mut after = Crowd::new(order(at, 10, 3)).unwrap();
+    let mut after = ConnectionLoad::new(order(at, 10, 3)).unwrap();
     after.play(Duration::from_secs(1), |_| true);
     all_well(&after, &worker.runs());
 }
--- a/crates/asterdale-daemon/tests/identity.rs
+++ b/crates/asterdale-daemon/tests/identity.rs
@@ -1,8 +1,8 @@
 //! Authentication and authorization of callers on real sockets: every row of the table of responses in `docs/identity.md`.
 
 use asterdale_identity::mint::{sign_jws, SecretKey};
-use asterdale_testkit::issuer::{Issuer, Mood};
-use asterdale_testkit::scripted::{until, Answered, Backend, Edge};
+use asterdale_testkit::issuer::{Behavior, Issuer};
+use asterdale_testkit::scripted::{until, Backend, EdgeConnection, Response};
 use asterdale_testkit::unix_ms;
 use serde_json::{json, Value};
 
@@ -92,18 +92,24 @@
 }
 
 fn request(
-    edge: &mut Edge,
+    edge: &mut EdgeConnection,
     number: u16,
     class: &str,
     id: &str,
     other: &[(&str, &str)],
-) -> Answered {
+) -> Response {
     edge.task(number, class, id, other);
     edge.answer().expect("the connection ended")
 }
 
 /// Checks that a page is run for this caller, who gets the result.
-fn assert_page_is_served(backend: &Backend, edge: &mut Edge, number: u16, id: &str, token: &str) {
+fn assert_page_is_served(
+    backend: &Backend,
+    edge: &mut EdgeConnection,
+    number: u16,
+    id: &str,
+    token: &str,
+) {
     edge.task(number, "page", id, &[authorization(token)]);
     assert_eq!(backend.runtime.command("start")["rid"], id);
     backend.runtime.end(id, "PASS", b"");
@@ -114,7 +120,7 @@
     ("HTTP_AUTHORIZATION", token)
 }
 
-fn denied(answer: &Answered) -> (&str, &str) {
+fn denied(answer: &Response) -> (&str, &str) {
     let reason = answer
         .head
         .lines()
@@ -389,7 +395,7 @@
     backend.runtime.command("start");
     backend.runtime.end(ID_A, "PASS", b"sold");
     assert_eq!(edge.status(2), "200");
-    issuer.mood(Mood::Down);
+    issuer.mood(Behavior::Down);
     let other = [authorization(&good), ("HTTP_IDEMPOTENCY_KEY", "other")];
     let mut number = 2;
     until("the set to grow old", || {
@@ -414,7 +420,7 @@
         ("503", "unable")
     );
     issuer.publish(2, set(2, json!({})));
-    issuer.mood(Mood::Good);
+    issuer.mood(Behavior::Good);
     backend.counters_until(|count| count("keys_adopted") == 2 && count("issuer_failed") >= 1);
     assert_eq!(
         request(&mut edge, 903, "bid", ID_B, &[authorization(&good), KEY]).body,
@@ -438,9 +444,14 @@
     ));
     let good = default_token(2, "north");
     let bob = token(2, "north", |claims| claims["sub"] = json!("bob"));
-    for (n, mood) in [Mood::RolledBack, Mood::Rubbish, Mood::Forged, Mood::Down]
-        .into_iter()
-        .enumerate()
+    for (n, mood) in [
+        Behavior::RolledBack,
+        Behavior::Malformed,
+        Behavior::Forged,
+        Behavior::Down,
+    ]
+    .into_iter()
+    .enumerate()
     {
         let (failed, refused) = (
             std::cell::Cell::new(u64::MAX),
@@ -590,7 +601,7 @@
     edge.task(2, "page", ID_B, &[authorization(&clerk)]);
     backend.runtime.command("start");
     // From here on the issuer does not respond: what the new process knows came with the state.
-    issuer.mood(Mood::Down);
+    issuer.mood(Behavior::Down);
     backend.signal("-USR2");
     until("the new process", || {
         backend.log().contains("hot restart: state restored")
--- a/crates/asterdale-daemon/tests/proofs.rs
+++ b/crates/asterdale-daemon/tests/proofs.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use asterdale_testkit::proofs::{fleet, restarts, rotation, upgrade, Order};
+use asterdale_testkit::proofs::{fleet, restarts, rotation, upgrade, ProofConfig};
 
 /// One at a time: each starts many processes, and none is to be judged by what another takes from the machine.
 static ONE: Mutex<()> = Mutex::new(());
@@ -14,7 +14,7 @@
 #[test]
 fn keys_rotate_under_load_and_nobody_is_let_in_or_turned_away_wrongly() {
     let _one = one();
-    let figures = rotation::prove(&Order {
+    let figures = rotation::prove(&ProofConfig {
         seed: 17,
         seconds: 14,
         failpoint: None,
@@ -28,7 +28,7 @@
 fn a_serving_process_is_replaced_under_load_and_nothing_is_lost_or_runs_twice() {
     let _one = one();
     let figures = upgrade::prove(
-        &Order {
+        &ProofConfig {
             seed: 17,
             seconds: 0,
             failpoint: None,
@@ -44,7 +44,7 @@
 #[test]
 fn twelve_processes_keep_one_view_through_crashes_pauses_and_partitions() {
     let _one = one();
-    let order = Order {
+    let order = ProofConfig {
         seed: 17,
         seconds: 0,
         failpoint: None,
@@ -63,7 +63,7 @@
 #[test]
 fn what_was_begun_is_known_after_kills_lost_folders_and_older_copies() {
     let _one = one();
-    let order = Order {
+    let order = ProofConfig {
         seed: 17,
         seconds: 0,
         failpoint: None,
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -5,7 +5,8 @@
 
 use asterdale_fastcgi::record_type;
 use asterdale_testkit::scripted::{
-    self, address, config, counter, launch, now, record, request, until, Backend, Edge, PATIENCE,
+    self, address, config, counter, launch, now, record, request, until, Backend, EdgeConnection,
+    PATIENCE,
 };
 use serde_json::json;
 
@@ -15,7 +16,7 @@
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 
 /// A backend, and an edge node's connection on which task A of this stage is open and runs.
-fn running(stage: &str) -> (Backend, Edge) {
+fn running(stage: &str) -> (Backend, EdgeConnection) {
     let backend = Backend::start();
     let mut edge = backend.connect();
     edge.task(1, stage, ID_A, if stage == "bid" { &[KEY] } else { &[] });
@@ -363,7 +364,7 @@
     let mut edge = backend.connect();
     edge.task(1, "page", ID_A, &[]);
     backend.runtime.command("start");
-    let all: Vec<Edge> = (0..200).map(|_| backend.connect()).collect();
+    let all: Vec<EdgeConnection> = (0..200).map(|_| backend.connect()).collect();
     let mut last = backend.connect();
     last.task(1, "page", ID_B, &[]);
     assert_eq!(backend.runtime.command("start")["rid"], ID_B);
@@ -380,7 +381,7 @@
     let mut edge = backend.connect();
     edge.task(1, "page", ID_A, &[]);
     backend.runtime.command("start");
-    let mut all: Vec<Edge> = (0..80).map(|_| backend.connect()).collect();
+    let mut all: Vec<EdgeConnection> = (0..80).map(|_| backend.connect()).collect();
     for once in &mut all {
         once.send(&request(1, "/healthz", &[], b""));
         assert_eq!(once.status(1), "200");
--- a/crates/asterdale-daemon/tests/takeover.rs
+++ b/crates/asterdale-daemon/tests/takeover.rs
@@ -3,7 +3,7 @@
 
 use std::sync::{Mutex, PoisonError};
 
-use asterdale_testkit::proofs::{takeover, Order};
+use asterdale_testkit::proofs::{takeover, ProofConfig};
 
 /// One at a time.
 static ONE: Mutex<()> = Mutex::new(());
@@ -11,7 +11,7 @@
 #[test]
 fn work_in_hand_survives_owners_and_keepers_and_no_key_has_its_effect_twice() {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let order = Order {
+    let order = ProofConfig {
         seed: 17,
         seconds: 0,
         failpoint: None,
@@ -32,7 +32,7 @@
 #[test]
 fn everybody_may_be_killed_at_once_where_keepers_have_disks() {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let order = Order {
+    let order = ProofConfig {
         seed: 17,
         seconds: 0,
         failpoint: None,
--- a/crates/asterdale-daemon/tests/tenants.rs
+++ b/crates/asterdale-daemon/tests/tenants.rs
@@ -1,7 +1,7 @@
 //! What one tenant sends never meets another's, and a connection that brings management records keeps its requests.
 
 use asterdale_fastcgi::record_type;
-use asterdale_testkit::scripted::{record, Backend, Edge, PATIENCE};
+use asterdale_testkit::scripted::{record, Backend, EdgeConnection, PATIENCE};
 use serde_json::json;
 
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
@@ -62,7 +62,7 @@
 #[test]
 fn interleaved_requests_of_several_tenants_never_get_each_others_results() {
     let backend = backend();
-    let mut edges: Vec<Edge> = (0..3).map(|_| backend.connect()).collect();
+    let mut edges: Vec<EdgeConnection> = (0..3).map(|_| backend.connect()).collect();
     let mut chance = 7u64;
     for round in 0..40u64 {
         let mut open = Vec::new();
@@ -128,7 +128,7 @@
 }
 
 /// The number of the next answer to a request; replies to management records are read over.
-fn next_answer(edge: &mut Edge) -> u16 {
+fn next_answer(edge: &mut EdgeConnection) -> u16 {
     loop {
         match edge.try_answer() {
             Ok(Some(answer)) => return answer.request,
--- a/crates/asterdale-testkit/src/crowd.rs
+++ b/crates/asterdale-testkit/src/connection_load.rs
@@ -18,7 +18,7 @@
 
 /// How a crowd behaves.
 #[derive(Clone)]
-pub struct Order {
+pub struct LoadConfig {
     /// Where the backend listens.
     pub at: SocketAddr,
     /// Connections that are held open.
@@ -44,7 +44,7 @@
 }
 
 /// What became of it all.
-pub struct Seen {
+pub struct LoadStats {
     /// Requests sent.
     pub sent: u64,
     /// Answers by their status.
@@ -61,7 +61,7 @@
     pub times: Histogram<u64>,
 }
 
-impl Seen {
+impl LoadStats {
     /// Answers with this status.
     pub fn with(&self, status: &str) -> u64 {
         self.answered.get(status).copied().unwrap_or(0)
@@ -89,20 +89,20 @@
 }
 
 /// The crowd while it plays.
-pub struct Crowd {
-    order: Order,
+pub struct ConnectionLoad {
+    order: LoadConfig,
     poll: Poll,
     lines: HashMap<usize, Line>,
     made: usize,
     turn: usize,
     /// What became of it so far.
-    pub seen: Seen,
+    pub seen: LoadStats,
 }
 
-impl Crowd {
+impl ConnectionLoad {
     /// Nothing is connected yet.
-    pub fn new(order: Order) -> io::Result<Crowd> {
-        let seen = Seen {
+    pub fn new(order: LoadConfig) -> io::Result<ConnectionLoad> {
+        let seen = LoadStats {
             sent: 0,
             answered: BTreeMap::new(),
             lost: 0,
@@ -111,7 +111,7 @@
             ended: 0,
             times: histogram(),
         };
-        Ok(Crowd {
+        Ok(ConnectionLoad {
             order,
             poll: Poll::new()?,
             lines: HashMap::new(),
@@ -309,7 +309,7 @@
     }
 
     /// Plays; `each` is called about once in so long, and ends it by `false`.
-    pub fn play(&mut self, every: Duration, mut each: impl FnMut(&Seen) -> bool) {
+    pub fn play(&mut self, every: Duration, mut each: impl FnMut(&LoadStats) -> bool) {
         let between = Duration::from_secs_f64(1.0 / self.order.rate);
         if !self.order.once {
             self.fill(self.order.connections);
--- a/crates/asterdale-testkit/src/many.rs
+++ b/crates/asterdale-testkit/src/daemon_fleet.rs
@@ -10,9 +10,9 @@
 
 use serde_json::{json, Value};
 
-use crate::process::{Daemon, Recipe};
+use crate::process::{Daemon, LaunchConfig};
 use crate::relays::Relays;
-use crate::worker::Worker;
+use crate::simulated_runtime::SimulatedRuntime;
 use crate::{scripted, services};
 
 /// The fleet's key, of no use anywhere else.
@@ -20,16 +20,16 @@
 
 /// One place in the fleet.
 struct Member {
-    recipe: Recipe,
+    recipe: LaunchConfig,
     at: SocketAddr,
     control: PathBuf,
-    worker: Worker,
+    worker: SimulatedRuntime,
     daemon: Option<Daemon>,
     stopped: bool,
 }
 
 /// The fleet.
-pub struct Many {
+pub struct DaemonFleet {
     members: Vec<Member>,
     /// What passes between them.
     pub relays: Relays,
@@ -37,7 +37,7 @@
 }
 
 /// How a fleet is made.
-pub struct Order {
+pub struct FleetConfig {
     /// How many.
     pub members: usize,
     /// The first so many are seeds.
@@ -63,20 +63,20 @@
     pub records: Option<SocketAddr>,
 }
 
-impl Order {
+impl FleetConfig {
     /// A fleet whose bids have their effect at this records service, with failpoints where that is asked for.
     pub fn bids(
-        order: &crate::proofs::Order,
+        order: &crate::proofs::ProofConfig,
         members: usize,
         records: SocketAddr,
-    ) -> Result<Order, String> {
+    ) -> Result<FleetConfig, String> {
         let has_failpoint = order.failpoint.is_some();
         let program = if has_failpoint {
             crate::process::failpoint_program()?
         } else {
             crate::process::program()
         };
-        Ok(Order {
+        Ok(FleetConfig {
             members,
             seeds: 3.min(members),
             interval_ms: 100.0,
@@ -102,9 +102,9 @@
     format!("n{n}")
 }
 
-impl Many {
+impl DaemonFleet {
     /// Nobody runs yet.
-    pub fn new(order: &Order) -> Result<Many, String> {
+    pub fn new(order: &FleetConfig) -> Result<DaemonFleet, String> {
         let told = |e: std::io::Error| e.to_string();
         let folder = std::env::temp_dir().join(format!("asterdale-many-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(told)?;
@@ -131,7 +131,7 @@
             } else {
                 (2, None)
             };
-            let worker = Worker::start_calling(cores, order.runs, calls).map_err(told)?;
+            let worker = SimulatedRuntime::start_calling(cores, order.runs, calls).map_err(told)?;
             let control = folder.join(format!("{n}.control"));
             let mut start = scripted::config(at, worker.at, records, registry);
             start["name"] = json!(name(n));
@@ -160,7 +160,7 @@
                 (bid["deadlineNs"], bid["objectiveNs"]) =
                     (json!(5_000_000_000u64), json!(4_000_000_000u64));
             }
-            let recipe = Recipe {
+            let recipe = LaunchConfig {
                 program: order.program.clone(),
                 start,
                 failpoint: order.failpoint.clone(),
@@ -174,7 +174,7 @@
                 stopped: false,
             });
         }
-        Ok(Many {
+        Ok(DaemonFleet {
             members,
             relays,
             folder,
@@ -202,7 +202,7 @@
     }
 
     /// Its runtime.
-    pub fn worker(&self, n: usize) -> &Worker {
+    pub fn worker(&self, n: usize) -> &SimulatedRuntime {
         &self.members[n].worker
     }
 
@@ -324,7 +324,7 @@
     }
 }
 
-impl Drop for Many {
+impl Drop for DaemonFleet {
     fn drop(&mut self) {
         self.members
             .iter_mut()
--- a/crates/asterdale-testkit/src/demo.rs
+++ b/crates/asterdale-testkit/src/demo.rs
@@ -8,14 +8,14 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use serde_json::json;
 
-use crate::caller::{Caller, Fate};
-use crate::process::{program, Daemon, Recipe};
+use crate::edge_client::{EdgeClient, RequestOutcome};
+use crate::process::{program, Daemon, LaunchConfig};
 use crate::proofs::{histogram, quantiles};
-use crate::worker::Worker;
+use crate::simulated_runtime::SimulatedRuntime;
 use crate::{scripted, services, unix_ms};
 
 /// What is asked of the demonstration.
-pub struct Order {
+pub struct Config {
     /// Tasks a second.
     pub rate: f64,
     /// How long.
@@ -23,7 +23,7 @@
 }
 
 #[derive(Default)]
-struct Seen {
+struct OutcomeCounters {
     finished: AtomicU64,
     rejected: AtomicU64,
     abandoned: AtomicU64,
@@ -31,9 +31,9 @@
 }
 
 /// Runs it; what to print at the end.
-pub fn run(order: &Order) -> Result<String, String> {
+pub fn run(order: &Config) -> Result<String, String> {
     let told = |e: std::io::Error| e.to_string();
-    let worker = Worker::start(4, (5, 35)).map_err(told)?;
+    let worker = SimulatedRuntime::start(4, (5, 35)).map_err(told)?;
     let (records, registry) = (
         services::records().map_err(told)?,
         services::registry().map_err(told)?,
@@ -48,14 +48,17 @@
         .as_str()
         .and_then(|at| at.parse().ok())
         .ok_or("no address")?;
-    let mut daemon = Daemon::start(&Recipe {
+    let mut daemon = Daemon::start(&LaunchConfig {
         program: program(),
         start,
         failpoint: None,
     })?;
     daemon.listens(at)?;
     let end = Instant::now() + Duration::from_secs(order.seconds);
-    let (seen, times) = (Arc::new(Seen::default()), Arc::new(Mutex::new(histogram())));
+    let (seen, times) = (
+        Arc::new(OutcomeCounters::default()),
+        Arc::new(Mutex::new(histogram())),
+    );
     let stop = Arc::new(AtomicBool::new(false));
     let lanes = (order.rate / 8.0).ceil().clamp(4.0, 256.0) as u64;
     let threads: Vec<_> = (0..lanes)
@@ -63,7 +66,7 @@
             let (seen, times, stop) = (seen.clone(), times.clone(), stop.clone());
             let every = Duration::from_secs_f64(lanes as f64 / order.rate);
             thread::spawn(move || {
-                let mut caller = Caller::new(at);
+                let mut caller = EdgeClient::new(at);
                 let mut next = Instant::now() + every.mul_f64(lane as f64 / lanes as f64);
                 let mut n = 0u64;
                 while next < end && !stop.load(Relaxed) {
@@ -88,8 +91,8 @@
                     let fate =
                         caller.ask(if bid { "/v1/bid" } else { "/v1/page" }, &fields, b"ask");
                     let status = match &fate {
-                        Fate::Answered(answer) => answer.status(),
-                        Fate::Refused | Fate::Lost => "",
+                        RequestOutcome::Answered(answer) => answer.status(),
+                        RequestOutcome::Refused | RequestOutcome::Lost => "",
                     };
                     match status {
                         "200" => {
@@ -141,7 +144,7 @@
         .lock()
         .map(|times| quantiles(&times))
         .unwrap_or_default();
-    let Seen {
+    let OutcomeCounters {
         finished,
         rejected,
         abandoned,
--- a/crates/asterdale-testkit/src/caller.rs
+++ b/crates/asterdale-testkit/src/edge_client.rs
@@ -5,7 +5,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use crate::scripted::{request, Answered, Edge};
+use crate::scripted::{request, EdgeConnection, Response};
 
 /// A connection that ends this soon after a request was written to it, without an answer, may have been closed
 /// while nothing was open: the request goes out once more.
@@ -14,16 +14,16 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 /// The moments at which one lane of many brings its tasks.
-pub struct Pace {
+pub struct Pacer {
     every: Duration,
     next: Instant,
 }
 
-impl Pace {
+impl Pacer {
     /// Of this lane, where so many together bring so many tasks a second.
-    pub fn new(lane: u64, lanes: u64, rate: f64) -> Pace {
+    pub fn new(lane: u64, lanes: u64, rate: f64) -> Pacer {
         let every = Duration::from_secs_f64(lanes as f64 / rate);
-        Pace {
+        Pacer {
             every,
             next: Instant::now() + every.mul_f64(lane as f64 / lanes as f64),
         }
@@ -38,9 +38,9 @@
 
 /// How a try ended.
 #[derive(Debug)]
-pub enum Fate {
+pub enum RequestOutcome {
     /// With a whole answer.
-    Answered(Answered),
+    Answered(Response),
     /// The connection was refused: nothing ran.
     Refused,
     /// The connection ended without a whole answer, or none came in all the time there is.
@@ -48,17 +48,17 @@
 }
 
 /// One connection, with one request open at a time.
-pub struct Caller {
+pub struct EdgeClient {
     at: SocketAddr,
-    edge: Option<Edge>,
+    edge: Option<EdgeConnection>,
     number: u16,
     patience: Duration,
 }
 
-impl Caller {
+impl EdgeClient {
     /// Nothing is connected before the first request.
-    pub fn new(at: SocketAddr) -> Caller {
-        Caller {
+    pub fn new(at: SocketAddr) -> EdgeClient {
+        EdgeClient {
             at,
             edge: None,
             number: 0,
@@ -74,39 +74,41 @@
         }
     }
 
-    fn connect(&self) -> io::Result<Edge> {
+    fn connect(&self) -> io::Result<EdgeConnection> {
         let stream = TcpStream::connect_timeout(&self.at, Duration::from_secs(5))?;
         stream.set_read_timeout(Some(self.patience))?;
         stream.set_nodelay(true)?;
-        Ok(Edge::on(stream))
+        Ok(EdgeConnection::on(stream))
     }
 
     /// Sends a request and waits for its end.
-    pub fn ask(&mut self, path: &str, fields: &[(&str, &str)], body: &[u8]) -> Fate {
+    pub fn ask(&mut self, path: &str, fields: &[(&str, &str)], body: &[u8]) -> RequestOutcome {
         for fresh in [false, true] {
             if fresh || self.edge.is_none() {
                 match self.connect() {
                     Ok(edge) => self.edge = Some(edge),
-                    Err(_) => return Fate::Refused,
+                    Err(_) => return RequestOutcome::Refused,
                 }
             }
             let Some(edge) = &mut self.edge else {
-                return Fate::Lost;
+                return RequestOutcome::Lost;
             };
             self.number = self.number % 30_000 + 1;
             let began = Instant::now();
             let sent = edge.try_send(&request(self.number, path, fields, body));
             let got = sent.and_then(|()| edge.try_answer());
             match got {
-                Ok(Some(answer)) if answer.request == self.number => return Fate::Answered(answer),
+                Ok(Some(answer)) if answer.request == self.number => {
+                    return RequestOutcome::Answered(answer)
+                }
                 Ok(None) | Err(_) if began.elapsed() < CROSSES && !fresh => self.close(),
                 _ => {
                     self.close();
-                    return Fate::Lost;
+                    return RequestOutcome::Lost;
                 }
             }
         }
-        Fate::Lost
+        RequestOutcome::Lost
     }
 
     fn close(&mut self) {
--- a/crates/asterdale-testkit/src/flood.rs
+++ b/crates/asterdale-testkit/src/flood.rs
@@ -10,14 +10,14 @@
 use asterdale_identity::mint::SecretKey;
 use serde_json::{json, Value};
 
-use crate::caller::{Caller, Fate};
-use crate::process::{program, Daemon, Recipe};
+use crate::edge_client::{EdgeClient, RequestOutcome};
+use crate::process::{program, Daemon, LaunchConfig};
 use crate::proofs::{histogram, quantiles};
-use crate::worker::Worker;
+use crate::simulated_runtime::SimulatedRuntime;
 use crate::{scripted, services, unix_ms};
 
 /// What is measured.
-pub struct Order {
+pub struct Config {
     /// Revoked retries a second.
     pub flood: f64,
     /// Good tasks a second.
@@ -70,7 +70,7 @@
             let (good, other, times) = (good.clone(), other.clone(), times.clone());
             let bearer = format!("Bearer {token}");
             thread::spawn(move || {
-                let mut caller = Caller::new(at);
+                let mut caller = EdgeClient::new(at);
                 let every = Duration::from_secs_f64(lanes as f64 / rate);
                 let mut next = Instant::now() + every.mul_f64(lane as f64 / lanes as f64);
                 let mut n = (rate.to_bits() ^ unix_ms().to_bits()).rotate_left(24) ^ lane << 40;
@@ -90,7 +90,7 @@
                     ];
                     let began = Instant::now();
                     match caller.ask("/v1/page", &fields, b"ask") {
-                        Fate::Answered(answer) if answer.status() == wanted => {
+                        RequestOutcome::Answered(answer) if answer.status() == wanted => {
                             good.fetch_add(1, Relaxed);
                             if let Ok(mut times) = times.lock() {
                                 let _ = times.record((began.elapsed().as_micros() as u64).max(1));
@@ -115,9 +115,9 @@
 }
 
 /// Measures; the figures.
-pub fn measure(order: &Order) -> Result<Value, String> {
+pub fn measure(order: &Config) -> Result<Value, String> {
     let told = |e: std::io::Error| e.to_string();
-    let (worker, now) = (Worker::start(4, (1, 3)).map_err(told)?, unix_ms());
+    let (worker, now) = (SimulatedRuntime::start(4, (1, 3)).map_err(told)?, unix_ms());
     let (root, key) = (generate_key("root")?, generate_key("k")?);
     let set = json!({"seq": 1, "issued_ms": now, "keys": [{"kty": "OKP", "crv": "Ed25519", "kid": "k",
         "x": key.public_key_text(), "from_ms": 0}], "revoked": {"tokens": ["bad"]}});
@@ -142,7 +142,7 @@
         .as_str()
         .and_then(|at| at.parse().ok())
         .ok_or("no address")?;
-    let daemon = Arc::new(Daemon::start(&Recipe {
+    let daemon = Arc::new(Daemon::start(&LaunchConfig {
         program: program(),
         start,
         failpoint: None,
--- a/crates/asterdale-testkit/src/issuer.rs
+++ b/crates/asterdale-testkit/src/issuer.rs
@@ -12,7 +12,7 @@
 
 /// How it behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub enum Behavior {
     /// As it should.
     Good,
     /// Each reply takes this long, in milliseconds.
@@ -22,14 +22,14 @@
     /// It hands out a set from long ago.
     RolledBack,
     /// It says things that are no set.
-    Rubbish,
+    Malformed,
     /// It hands out a set that another root has signed.
     Forged,
 }
 
 #[derive(Default)]
 struct State {
-    mood: Option<Mood>,
+    mood: Option<Behavior>,
     /// All sets, in the order of their numbers.
     sets: Vec<(u64, String)>,
     forged: String,
@@ -70,7 +70,7 @@
     }
 
     /// It behaves like this from now on.
-    pub fn mood(&self, mood: Mood) {
+    pub fn mood(&self, mood: Behavior) {
         if let Ok(mut state) = self.state.lock() {
             state.mood = Some(mood);
         }
@@ -100,7 +100,7 @@
     let (mood, last, old, forged) = {
         let Ok(mut state) = state.lock() else { return };
         state.asked += 1;
-        let mood = state.mood.unwrap_or(Mood::Good);
+        let mood = state.mood.unwrap_or(Behavior::Good);
         (
             mood,
             state.sets.last().cloned(),
@@ -121,14 +121,14 @@
         .is_ok()
     };
     match mood {
-        Mood::Down => {}
-        Mood::Rubbish => {
+        Behavior::Down => {}
+        Behavior::Malformed => {
             drop(out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"keys\":1"))
         }
-        Mood::RolledBack => drop(send(stream, "old", &old.1)),
-        Mood::Forged => drop(send(stream, "forged", &forged)),
-        Mood::Good | Mood::Slow(_) => {
-            if let Mood::Slow(ms) = mood {
+        Behavior::RolledBack => drop(send(stream, "old", &old.1)),
+        Behavior::Forged => drop(send(stream, "forged", &forged)),
+        Behavior::Good | Behavior::Slow(_) => {
+            if let Behavior::Slow(ms) = mood {
                 thread::sleep(Duration::from_millis(ms));
             }
             let known = format!("If-None-Match: \"{}\"", last.0);
--- a/crates/asterdale-testkit/src/lib.rs
+++ b/crates/asterdale-testkit/src/lib.rs
@@ -10,22 +10,22 @@
     reason = "not finished for readers yet, see docs/readability.md"
 )]
 
-pub mod caller;
-pub mod crowd;
+pub mod connection_load;
+pub mod daemon_fleet;
 pub mod demo;
+pub mod edge_client;
 pub mod flood;
 pub mod issuer;
-pub mod many;
-pub mod price;
+pub mod ownership_cost;
+pub mod partial_outage;
 pub mod process;
 pub mod proofs;
 pub mod relays;
 pub mod replace;
 pub mod scripted;
 pub mod services;
+pub mod simulated_runtime;
 pub mod soak;
-pub mod third;
-pub mod worker;
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/asterdale-testkit/src/main.rs
+++ b/crates/asterdale-testkit/src/main.rs
@@ -10,8 +10,8 @@
 
 use std::process::ExitCode;
 
-use asterdale_testkit::proofs::{fleet, restarts, rotation, takeover, upgrade, Order};
-use asterdale_testkit::{demo, flood, price, replace, soak, third};
+use asterdale_testkit::proofs::{fleet, restarts, rotation, takeover, upgrade, ProofConfig};
+use asterdale_testkit::{demo, flood, ownership_cost, partial_outage, replace, soak};
 use clap::{Parser, Subcommand, ValueEnum};
 use serde_json::json;
 use std::time::Duration;
@@ -80,7 +80,8 @@
         rate: f64,
     },
     /// Measure what it costs a bid that others keep it
-    Price {
+    #[command(name = "price")]
+    OwnershipCost {
         /// Processes
         #[arg(long, default_value_t = 5)]
         members: usize,
@@ -101,7 +102,8 @@
         seed: u64,
     },
     /// Measure what a view of the fleet is worth while a third of it dies under load
-    Third {
+    #[command(name = "third")]
+    PartialOutage {
         /// Processes
         #[arg(long, default_value_t = 9)]
         members: usize,
@@ -170,7 +172,7 @@
 
 fn main() -> ExitCode {
     let done = match Line::parse().command {
-        Command::Demo { rate, seconds } => demo::run(&demo::Order {
+        Command::Demo { rate, seconds } => demo::run(&demo::Config {
             rate: rate.clamp(1.0, 5000.0),
             seconds,
         })
@@ -192,7 +194,7 @@
             journal,
             failpoint,
         } => {
-            let order = Order {
+            let order = ProofConfig {
                 seed,
                 seconds,
                 failpoint: failpoint.clone(),
@@ -259,7 +261,7 @@
             println!("{figures:#}");
             true
         }),
-        Command::Price {
+        Command::OwnershipCost {
             members,
             rates,
             keepers,
@@ -271,7 +273,7 @@
                 .into_iter()
                 .map(|rate| rate.clamp(1.0, 10_000.0))
                 .collect();
-            price::measure(&price::Order {
+            ownership_cost::measure(&ownership_cost::Config {
                 members: members.clamp(1, 60),
                 rates,
                 keepers,
@@ -284,7 +286,7 @@
                 true
             })
         }
-        Command::Third {
+        Command::PartialOutage {
             members,
             rate,
             seconds,
@@ -293,8 +295,8 @@
         } => {
             let members = members.clamp(3, 60);
             let rate = rate.clamp(1.0, 5000.0);
-            third::measure(
-                &third::Order {
+            partial_outage::measure(
+                &partial_outage::Config {
                     members,
                     rate,
                     seconds,
@@ -316,7 +318,7 @@
         } => {
             let (rate, lasts) = (rate.clamp(0.1, 5000.0), Duration::from_secs(seconds));
             let connections = connections.clamp(1, 8000);
-            soak::soak(&soak::Soak {
+            soak::soak(&soak::SoakConfig {
                 connections,
                 rate,
                 lasts,
@@ -333,7 +335,7 @@
             rate,
             seconds,
             share,
-        } => flood::measure(&flood::Order {
+        } => flood::measure(&flood::Config {
             flood,
             rate,
             seconds,
--- a/crates/asterdale-testkit/src/price.rs
+++ b/crates/asterdale-testkit/src/ownership_cost.rs
@@ -11,18 +11,18 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
 
-use crate::caller::{Caller, Fate, Pace};
-use crate::many::{self, Many, LEASE_MS, WINDOW_MS};
+use crate::daemon_fleet::{self, DaemonFleet, LEASE_MS, WINDOW_MS};
+use crate::edge_client::{EdgeClient, Pacer, RequestOutcome};
 use crate::process::program;
 use crate::proofs::{histogram, quantiles};
-use crate::services::Keyed;
+use crate::services::IdempotentRecords;
 use crate::unix_ms;
 
 /// Threads that bring the load.
 const LANES: u64 = 160;
 
 /// What is measured.
-pub struct Order {
+pub struct Config {
     /// Processes.
     pub members: usize,
     /// Bids a second in all, one measurement each.
@@ -47,8 +47,9 @@
 impl Load {
     fn lane(&self, seed: u64, lane: u64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ lane << 32);
-        let mut callers: Vec<Caller> = self.places.iter().map(|&at| Caller::new(at)).collect();
-        let mut pace = Pace::new(lane, LANES, self.rate);
+        let mut callers: Vec<EdgeClient> =
+            self.places.iter().map(|&at| EdgeClient::new(at)).collect();
+        let mut pace = Pacer::new(lane, LANES, self.rate);
         while !self.stop.load(Ordering::Relaxed) {
             pace.wait();
             let (id, key) = (
@@ -70,7 +71,7 @@
             let fate = callers[to].ask("/v1/bid", &fields, key.as_bytes());
             if let Ok(mut times) = self.times.lock() {
                 times.1 += 1;
-                if matches!(fate, Fate::Answered(answer) if answer.status() == "200") {
+                if matches!(fate, RequestOutcome::Answered(answer) if answer.status() == "200") {
                     let _ = times.0.record(began.elapsed().as_micros().max(1) as u64);
                 }
             }
@@ -78,9 +79,11 @@
     }
 }
 
-fn once(order: &Order, (keepers, lasts): (usize, bool), rate: f64) -> Result<Value, String> {
-    let records = Keyed::default().serve(0).map_err(|e| e.to_string())?;
-    let mut many = Many::new(&many::Order {
+fn once(order: &Config, (keepers, lasts): (usize, bool), rate: f64) -> Result<Value, String> {
+    let records = IdempotentRecords::default()
+        .serve(0)
+        .map_err(|e| e.to_string())?;
+    let mut fleet = DaemonFleet::new(&daemon_fleet::FleetConfig {
         members: order.members,
         seeds: 3.min(order.members),
         interval_ms: 500.0,
@@ -93,11 +96,11 @@
         lasts,
         records: Some(records),
     })?;
-    for n in 0..many.len() {
-        many.start(n)?;
+    for n in 0..fleet.len() {
+        fleet.start(n)?;
     }
-    for n in 0..many.len() {
-        many.listens(n)?;
+    for n in 0..fleet.len() {
+        fleet.listens(n)?;
     }
     thread::sleep(Duration::from_millis(match (keepers, lasts) {
         (0, false) => 2000,
@@ -106,7 +109,7 @@
         _ => WINDOW_MS + 4 * LEASE_MS,
     }));
     let load = Arc::new(Load {
-        places: (0..many.len()).map(|n| many.at(n)).collect(),
+        places: (0..fleet.len()).map(|n| fleet.at(n)).collect(),
         rate,
         stop: AtomicBool::new(false),
         times: Mutex::new((histogram(), 0)),
@@ -121,9 +124,9 @@
     if let Ok(mut times) = load.times.lock() {
         *times = (histogram(), 0);
     }
-    let (cpu, began) = (many.cpu_ms(), Instant::now());
+    let (cpu, began) = (fleet.cpu_ms(), Instant::now());
     thread::sleep(Duration::from_secs(order.seconds));
-    let (cpu, seconds) = (many.cpu_ms() - cpu, began.elapsed().as_secs_f64());
+    let (cpu, seconds) = (fleet.cpu_ms() - cpu, began.elapsed().as_secs_f64());
     load.stop.store(true, Ordering::Relaxed);
     let (asked, finished, times) = {
         let times = load.times.lock().map_err(|_| "a lane failed")?;
@@ -139,7 +142,7 @@
 }
 
 /// All of them, in turn.
-pub fn measure(order: &Order) -> Result<Value, String> {
+pub fn measure(order: &Config) -> Result<Value, String> {
     let mut plays = Vec::new();
     for &rate in &order.rates {
         for &keepers in &order.keepers {
--- a/crates/asterdale-testkit/src/third.rs
+++ b/crates/asterdale-testkit/src/partial_outage.rs
@@ -12,14 +12,14 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
 
-use crate::caller::{Caller, Fate};
-use crate::many::{self, Many};
+use crate::daemon_fleet::{self, DaemonFleet};
+use crate::edge_client::{EdgeClient, RequestOutcome};
 use crate::process::program;
 use crate::proofs::{histogram, quantiles};
 use crate::unix_ms;
 
 /// What is measured.
-pub struct Order {
+pub struct Config {
     /// Processes.
     pub members: usize,
     /// Tasks a second in all.
@@ -38,7 +38,7 @@
 const LANES: u64 = 64;
 
 #[derive(Default)]
-struct Seen {
+struct OutcomeCounters {
     asked: AtomicU64,
     finished: AtomicU64,
     tries: AtomicU64,
@@ -49,7 +49,7 @@
     lost: AtomicU64,
 }
 
-impl Seen {
+impl OutcomeCounters {
     fn now(&self) -> [u64; 7] {
         [
             &self.asked,
@@ -66,7 +66,7 @@
 
 struct Load {
     places: Vec<SocketAddr>,
-    seen: Seen,
+    seen: OutcomeCounters,
     times: Mutex<hdrhistogram::Histogram<u64>>,
     stop: AtomicBool,
 }
@@ -76,7 +76,8 @@
     /// that said so is kept away from.
     fn lane(&self, lane: u64, seed: u64, rate: f64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ lane << 32);
-        let mut callers: Vec<Caller> = self.places.iter().map(|&at| Caller::new(at)).collect();
+        let mut callers: Vec<EdgeClient> =
+            self.places.iter().map(|&at| EdgeClient::new(at)).collect();
         let mut away = vec![0.0; self.places.len()];
         let every = Duration::from_secs_f64(LANES as f64 / rate);
         let mut next = Instant::now() + every.mul_f64(lane as f64 / LANES as f64);
@@ -111,16 +112,16 @@
                     ("HTTP_X_MEMORY_KB", "8"),
                 ];
                 match callers[to].ask("/v1/page", &fields, b"ask") {
-                    Fate::Refused => drop(self.seen.refused.fetch_add(1, Relaxed)),
-                    Fate::Lost => drop(self.seen.lost.fetch_add(1, Relaxed)),
-                    Fate::Answered(answer) if answer.status() == "200" => {
+                    RequestOutcome::Refused => drop(self.seen.refused.fetch_add(1, Relaxed)),
+                    RequestOutcome::Lost => drop(self.seen.lost.fetch_add(1, Relaxed)),
+                    RequestOutcome::Answered(answer) if answer.status() == "200" => {
                         self.seen.finished.fetch_add(1, Relaxed);
                         if let Ok(mut times) = self.times.lock() {
                             let _ = times.record((((unix_ms() - began) * 1e3) as u64).max(1));
                         }
                         break;
                     }
-                    Fate::Answered(answer) => {
+                    RequestOutcome::Answered(answer) => {
                         let field = |name: &str| {
                             answer.head.lines().find_map(|line| line.strip_prefix(name))
                         };
@@ -140,8 +141,8 @@
 }
 
 /// Plays it once; the figures of each part.
-fn once(order: &Order, talks: bool) -> Result<Value, String> {
-    let mut many = Many::new(&many::Order {
+fn once(order: &Config, talks: bool) -> Result<Value, String> {
+    let mut fleet = DaemonFleet::new(&daemon_fleet::FleetConfig {
         members: order.members,
         seeds: 3.min(order.members),
         interval_ms: 200.0,
@@ -155,16 +156,16 @@
         lasts: false,
         records: None,
     })?;
-    for n in 0..many.len() {
-        many.start(n)?;
+    for n in 0..fleet.len() {
+        fleet.start(n)?;
     }
-    for n in 0..many.len() {
-        many.listens(n)?;
+    for n in 0..fleet.len() {
+        fleet.listens(n)?;
     }
     thread::sleep(Duration::from_secs(4));
     let load = Arc::new(Load {
-        places: (0..many.len()).map(|n| many.at(n)).collect(),
-        seen: Seen::default(),
+        places: (0..fleet.len()).map(|n| fleet.at(n)).collect(),
+        seen: OutcomeCounters::default(),
         times: Mutex::new(histogram()),
         stop: AtomicBool::new(false),
     });
@@ -178,10 +179,10 @@
     let third = order.members / 3;
     for part in ["1 all", "2 without a third", "3 all again"] {
         match part {
-            "2 without a third" => (0..third).for_each(|n| many.kill(n)),
+            "2 without a third" => (0..third).for_each(|n| fleet.kill(n)),
             "3 all again" => {
                 for n in 0..third {
-                    many.start(n)?;
+                    fleet.start(n)?;
                 }
             }
             _ => {}
@@ -200,8 +201,8 @@
     }
     load.stop.store(true, Relaxed);
     lanes.into_iter().for_each(|lane| drop(lane.join()));
-    let twice: u32 = (0..many.len())
-        .flat_map(|n| many.worker(n).runs().into_values())
+    let twice: u32 = (0..fleet.len())
+        .flat_map(|n| fleet.worker(n).runs().into_values())
         .map(|runs| runs - 1)
         .sum();
     let times = load
@@ -213,11 +214,11 @@
 }
 
 /// Both, in turn, with so many seeds.
-pub fn measure(order: &Order, repeats: u64) -> Result<Value, String> {
+pub fn measure(order: &Config, repeats: u64) -> Result<Value, String> {
     let mut plays = Vec::new();
     for repeat in 0..repeats {
         for talks in [true, false] {
-            let order = Order {
+            let order = Config {
                 seed: order.seed + repeat,
                 ..*order
             };
--- a/crates/asterdale-testkit/src/process.rs
+++ b/crates/asterdale-testkit/src/process.rs
@@ -57,7 +57,7 @@
 
 /// How the daemon is started.
 #[derive(Clone)]
-pub struct Recipe {
+pub struct LaunchConfig {
     /// The program.
     pub program: PathBuf,
     /// The start file.
@@ -77,7 +77,7 @@
 
 impl Daemon {
     /// Starts one. It may not listen yet.
-    pub fn start(recipe: &Recipe) -> Result<Daemon, String> {
+    pub fn start(recipe: &LaunchConfig) -> Result<Daemon, String> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let file =
--- a/crates/asterdale-testkit/src/proofs/bids.rs
+++ b/crates/asterdale-testkit/src/proofs/bids.rs
@@ -9,8 +9,8 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::caller::{Caller, Fate, Pace};
-use crate::many::WINDOW_MS;
+use crate::daemon_fleet::WINDOW_MS;
+use crate::edge_client::{EdgeClient, Pacer, RequestOutcome};
 use crate::unix_ms;
 
 /// Threads that bring the load.
@@ -121,8 +121,9 @@
     /// One lane: each task goes to some backend, and to others until it has a result or its caller gives up.
     pub(super) fn lane(&self, seed: u64, lane: u64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ lane << 32);
-        let mut callers: Vec<Caller> = self.places.iter().map(|&at| Caller::new(at)).collect();
-        let mut pace = Pace::new(lane, self.lanes, self.rate);
+        let mut callers: Vec<EdgeClient> =
+            self.places.iter().map(|&at| EdgeClient::new(at)).collect();
+        let mut pace = Pacer::new(lane, self.lanes, self.rate);
         while !self.stop.load(Ordering::Relaxed) {
             pace.wait();
             let key = (random.next_u32() % 2 == 0).then(|| self.key(&mut random));
@@ -144,7 +145,7 @@
         }
     }
 
-    fn bid(&self, key: Option<String>, callers: &mut [Caller], random: &mut Pcg64Mcg) -> Bid {
+    fn bid(&self, key: Option<String>, callers: &mut [EdgeClient], random: &mut Pcg64Mcg) -> Bid {
         let began = unix_ms();
         let mut bid = Bid {
             key,
@@ -195,8 +196,8 @@
             let body = bid.key.clone().unwrap_or_default();
             let mut pause = 20.0;
             match callers[to].ask(path, &fields, body.as_bytes()) {
-                Fate::Refused | Fate::Lost => {}
-                Fate::Answered(answer) => {
+                RequestOutcome::Refused | RequestOutcome::Lost => {}
+                RequestOutcome::Answered(answer) => {
                     let field =
                         |name: &str| answer.head.lines().find_map(|line| line.strip_prefix(name));
                     let unknown = field("X-Outcome: unknown").is_some();
--- a/crates/asterdale-testkit/src/proofs/fleet.rs
+++ b/crates/asterdale-testkit/src/proofs/fleet.rs
@@ -11,10 +11,10 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
 
-use super::{histogram, quantiles, Order};
-use crate::many::{self, name, Many};
+use super::{histogram, quantiles, ProofConfig};
+use crate::daemon_fleet::{self, name, DaemonFleet};
 use crate::process::{failpoint_program, program};
-use crate::relays::Way;
+use crate::relays::LinkConditions;
 
 /// How often the views are asked for.
 const LOOK: Duration = Duration::from_millis(50);
@@ -62,7 +62,7 @@
 /// What is proven.
 pub struct Told {
     /// Seed and failpoint.
-    pub order: Order,
+    pub order: ProofConfig,
     /// How many processes.
     pub members: usize,
     /// From one probe to the next, in milliseconds.
@@ -72,7 +72,7 @@
 }
 
 struct Play {
-    many: Many,
+    fleet: DaemonFleet,
     random: Pcg64Mcg,
     interval_ms: f64,
     /// The highest generation that each holder has held of each name, since it started.
@@ -105,8 +105,8 @@
     /// Looks at all views: what they hold, and whether that ever went back.
     fn look(&mut self) -> BTreeMap<usize, Value> {
         let mut all = BTreeMap::new();
-        for n in self.many.live() {
-            let Some(shown) = self.many.shown(n) else {
+        for n in self.fleet.live() {
+            let Some(shown) = self.fleet.shown(n) else {
                 continue;
             };
             let members = shown["members"]
@@ -124,7 +124,7 @@
                 if generation < *held {
                     eprintln!(
                         "{} goes back from {held} to {generation} of {name}",
-                        many::name(n)
+                        daemon_fleet::name(n)
                     );
                     self.back += 1;
                 }
@@ -139,7 +139,7 @@
 
     /// Why not all who live hold the same.
     fn unsettled(&mut self) -> Option<String> {
-        let (live, all) = (self.many.live(), self.look());
+        let (live, all) = (self.fleet.live(), self.look());
         let mut first: Option<(BTreeMap<String, u64>, Value)> = None;
         for &n in &live {
             let Some(shown) = all.get(&n) else {
@@ -153,7 +153,7 @@
                     shown["certain"]
                 ));
             }
-            let there = many::there(shown);
+            let there = daemon_fleet::there(shown);
             let expected: Vec<String> = {
                 let mut names: Vec<String> = live.iter().map(|&n| name(n)).collect();
                 names.sort_unstable();
@@ -185,7 +185,7 @@
     fn bound(&self) -> Duration {
         // The terms' own bound, written out: questions to the dead, a probe, the longest suspicion and the shortest,
         // news and exchanges, twice.
-        let n = self.many.len();
+        let n = self.fleet.len();
         let log = ((n + 1) as f64).log10().max(1.0);
         let intervals = 30.0 + 4.0 + 30.0 * log + 5.0 * log + (4.0 * log).ceil() + 30.0;
         Duration::from_secs_f64(2.0 * BUSY * intervals * self.interval_ms / 1e3)
@@ -202,7 +202,7 @@
             thread::sleep(LOOK);
         }
         let ms = began.elapsed().as_millis() as u64;
-        let ended = self.many.ended();
+        let ended = self.fleet.ended();
         if let Some(why) = &why {
             eprintln!("{what}: not settled in {ms} ms: {why}; ended: {ended:?}");
             self.unsettled.push(format!("{what}: {why}"));
@@ -226,7 +226,7 @@
     fn start(&mut self, who: &[usize]) -> Result<(), String> {
         for &n in who {
             self.held.retain(|(holder, _), _| *holder != n);
-            self.many.start(n)?;
+            self.fleet.start(n)?;
         }
         Ok(())
     }
@@ -235,7 +235,7 @@
     fn kill(&mut self, who: &[usize]) {
         self.look();
         for &n in who {
-            self.many.kill(n);
+            self.fleet.kill(n);
         }
     }
 
@@ -251,34 +251,34 @@
     fn part(&self, one: &[usize], other: &[usize]) {
         for &a in one {
             for &b in other {
-                self.many.relays.set(
+                self.fleet.relays.set(
                     a,
                     b,
-                    Way {
+                    LinkConditions {
                         cut: true,
-                        ..Way::default()
+                        ..LinkConditions::default()
                     },
                 );
-                self.many.relays.set(
+                self.fleet.relays.set(
                     b,
                     a,
-                    Way {
+                    LinkConditions {
                         cut: true,
-                        ..Way::default()
+                        ..LinkConditions::default()
                     },
                 );
             }
         }
     }
 
-    fn everywhere(&self, way: Way) {
-        let all = 0..self.many.len();
+    fn everywhere(&self, way: LinkConditions) {
+        let all = 0..self.fleet.len();
         all.clone()
-            .for_each(|a| all.clone().for_each(|b| self.many.relays.set(a, b, way)));
+            .for_each(|a| all.clone().for_each(|b| self.fleet.relays.set(a, b, way)));
     }
 
     fn fault(&mut self, fault: Fault, seeds: usize) -> Result<(), String> {
-        let all: Vec<usize> = (0..self.many.len()).collect();
+        let all: Vec<usize> = (0..self.fleet.len()).collect();
         // Longer than any suspicion lasts in a fleet of this size.
         let long = 30.0 * ((all.len() + 1) as f64).log10().max(1.0) + 20.0;
         let what = format!("{fault:?}");
@@ -308,13 +308,13 @@
             Fault::Late => {
                 // What it said in its earlier life comes once more when it has a new one.
                 let who = self.some(&all, 1);
-                let said = self.many.relays.kept(who[0]);
+                let said = self.fleet.relays.kept(who[0]);
                 self.kill(&who);
                 self.restart(&who)?;
                 self.settle(&format!("{what}, started anew"));
                 eprintln!("{what}: {} datagrams of {:?}", said.len(), who);
                 for _ in 0..5 {
-                    self.many.relays.say(said.clone());
+                    self.fleet.relays.say(said.clone());
                     for _ in 0..10 {
                         self.look();
                         thread::sleep(Duration::from_millis(5));
@@ -324,13 +324,13 @@
             Fault::StopShort | Fault::StopLong => {
                 let who = self.some(&all, 1);
                 eprintln!("{what}: {who:?}");
-                self.many.stop(who[0], true);
+                self.fleet.stop(who[0], true);
                 self.sleep(if matches!(fault, Fault::StopShort) {
                     5.0
                 } else {
                     long
                 });
-                self.many.stop(who[0], false);
+                self.fleet.stop(who[0], false);
             }
             Fault::HalvesShort | Fault::HalvesLong | Fault::ThirdsLong => {
                 let parts = if matches!(fault, Fault::ThirdsLong) {
@@ -351,49 +351,49 @@
                 } else {
                     long
                 });
-                self.many.relays.heal();
+                self.fleet.relays.heal();
             }
             Fault::OneWay => {
                 for _ in 0..all.len() / 3 {
                     let two = self.some(&all, 2);
                     eprintln!("{what}: {two:?}");
-                    self.many.relays.set(
+                    self.fleet.relays.set(
                         two[0],
                         two[1],
-                        Way {
+                        LinkConditions {
                             cut: true,
-                            ..Way::default()
+                            ..LinkConditions::default()
                         },
                     );
                 }
                 self.sleep(long);
                 self.settle(&what);
-                self.many.relays.heal();
+                self.fleet.relays.heal();
                 return Ok(());
             }
             Fault::Loss => {
-                self.everywhere(Way {
+                self.everywhere(LinkConditions {
                     loss: 0.2,
                     doubled: 0.1,
                     spread_ms: 20.0,
-                    ..Way::default()
+                    ..LinkConditions::default()
                 });
                 self.sleep(long);
-                self.many.relays.heal();
+                self.fleet.relays.heal();
             }
             Fault::Slow => {
                 let who = self.some(&all, 1)[0];
                 eprintln!("{what}: {who}");
-                let way = Way {
+                let way = LinkConditions {
                     delay_ms: 0.8 * self.interval_ms,
-                    ..Way::default()
+                    ..LinkConditions::default()
                 };
                 for &n in &all {
-                    self.many.relays.set(who, n, way);
-                    self.many.relays.set(n, who, way);
+                    self.fleet.relays.set(who, n, way);
+                    self.fleet.relays.set(n, who, way);
                 }
                 self.sleep(long);
-                self.many.relays.heal();
+                self.fleet.relays.heal();
             }
             Fault::RestartAll => {
                 self.kill(&all);
@@ -417,7 +417,7 @@
         program()
     };
     let seeds = 3.min(told.members);
-    let many = Many::new(&many::Order {
+    let fleet = DaemonFleet::new(&daemon_fleet::FleetConfig {
         members: told.members,
         seeds,
         interval_ms: told.interval_ms,
@@ -431,7 +431,7 @@
         runs: (2, 8),
     })?;
     let mut play = Play {
-        many,
+        fleet,
         random: Pcg64Mcg::seed_from_u64(order.seed),
         interval_ms: told.interval_ms,
         held: BTreeMap::new(),
@@ -465,9 +465,9 @@
             .filter_map(|shown| shown["counts"][field].as_u64())
             .sum::<u64>()
     };
-    let ended = play.many.ended();
+    let ended = play.fleet.ended();
     for &n in &ended {
-        eprintln!("{}:\n{}", name(n), play.many.log(n).join("\n"));
+        eprintln!("{}:\n{}", name(n), play.fleet.log(n).join("\n"));
     }
     let round = |x: f64| (x * 100.0).round() / 100.0;
     let held = play.unsettled.is_empty() && play.back == 0 && play.low == 0 && ended.is_empty();
@@ -475,7 +475,7 @@
         json!({"held": held, "members": told.members, "interval_ms": told.interval_ms, "seconds": round(seconds),
         "settled_ms": quantiles(&play.settled), "bound_ms": play.bound().as_millis() as u64,
         "unsettled": play.unsettled, "went_back": play.back, "not_above": play.low, "ended": ended,
-        "faults": play.kinds, "datagrams_a_second_a_member": round(play.many.relays.passed() as f64 / seconds / told.members as f64),
+        "faults": play.kinds, "datagrams_a_second_a_member": round(play.fleet.relays.passed() as f64 / seconds / told.members as f64),
         "since_the_last_start": {"suspected": sum("suspected"), "refuted": sum("refuted"), "died": sum("died"),
             "exchanges": sum("exchanges"), "fallen": sum("fallen")}}),
     )
--- a/crates/asterdale-testkit/src/proofs/mod.rs
+++ b/crates/asterdale-testkit/src/proofs/mod.rs
@@ -13,7 +13,7 @@
 
 /// What a proof is told.
 #[derive(Clone)]
-pub struct Order {
+pub struct ProofConfig {
     /// Load and faults are drawn from it.
     pub seed: u64,
     /// How long the load lasts.
--- a/crates/asterdale-testkit/src/proofs/restarts.rs
+++ b/crates/asterdale-testkit/src/proofs/restarts.rs
@@ -16,10 +16,10 @@
 use serde_json::{json, Value};
 
 use super::bids::{Load, Seen};
-use super::{histogram, quantiles, Order};
-use crate::many::{self, Many, WINDOW_MS};
-use crate::relays::Way;
-use crate::services::Keyed;
+use super::{histogram, quantiles, ProofConfig};
+use crate::daemon_fleet::{self, DaemonFleet, WINDOW_MS};
+use crate::relays::LinkConditions;
+use crate::services::IdempotentRecords;
 use crate::unix_ms;
 
 /// Threads that bring the load: of a process that is quiet each caller waits for as long as he has.
@@ -61,7 +61,7 @@
 /// What is proven.
 pub struct Told {
     /// Seed and failpoint.
-    pub order: Order,
+    pub order: ProofConfig,
     /// How many processes.
     pub members: usize,
     /// Tasks a second in all.
@@ -71,7 +71,7 @@
 }
 
 struct Play {
-    many: Many,
+    fleet: DaemonFleet,
     random: Pcg64Mcg,
     kills: u64,
     /// By process: since when there is a copy of its folder.
@@ -98,7 +98,7 @@
 
 impl Play {
     fn some(&mut self, many: usize) -> Vec<usize> {
-        let mut all: Vec<usize> = (0..self.many.len()).collect();
+        let mut all: Vec<usize> = (0..self.fleet.len()).collect();
         for n in (1..all.len()).rev() {
             all.swap(n, (self.random.next_u64() % (n as u64 + 1)) as usize);
         }
@@ -108,14 +108,14 @@
 
     fn kill(&mut self, who: &[usize]) -> Result<(), String> {
         for &n in who {
-            self.many.kill(n);
+            self.fleet.kill(n);
             self.kills += 1;
             self.deaths.push(unix_ms());
             // What a dead one left stands still: its copy is whole.
             if !self.copies.contains_key(&n) {
                 copy(
-                    &self.many.state(n),
-                    &self.many.state(n).with_extension("copy"),
+                    &self.fleet.state(n),
+                    &self.fleet.state(n).with_extension("copy"),
                 )?;
                 self.copies.insert(n, Instant::now());
             }
@@ -124,12 +124,12 @@
     }
 
     fn start(&mut self, who: &[usize]) -> Result<(), String> {
-        who.iter().try_for_each(|&n| self.many.start(n))?;
-        who.iter().try_for_each(|&n| self.many.listens(n))
+        who.iter().try_for_each(|&n| self.fleet.start(n))?;
+        who.iter().try_for_each(|&n| self.fleet.listens(n))
     }
 
     fn empty(&self, n: usize) -> Result<(), String> {
-        std::fs::remove_dir_all(self.many.state(n)).map_err(|e| e.to_string())
+        std::fs::remove_dir_all(self.fleet.state(n)).map_err(|e| e.to_string())
     }
 
     /// Puts an older copy in the place of what this one left, once there is one that is old enough.
@@ -139,13 +139,13 @@
         };
         thread::sleep(OLD.saturating_sub(taken.elapsed()));
         copy(
-            &self.many.state(n).with_extension("copy"),
-            &self.many.state(n),
+            &self.fleet.state(n).with_extension("copy"),
+            &self.fleet.state(n),
         )
     }
 
     fn fault(&mut self, fault: Fault) -> Result<(), String> {
-        let all: Vec<usize> = (0..self.many.len()).collect();
+        let all: Vec<usize> = (0..self.fleet.len()).collect();
         match fault {
             Fault::One => {
                 let who = self.some(1);
@@ -164,7 +164,7 @@
             Fault::Twice => {
                 let who = self.some(1);
                 self.kill(&who)?;
-                self.many.start(who[0])?;
+                self.fleet.start(who[0])?;
                 let ms = self.random.next_u64() % 60;
                 wait(ms);
                 self.kill(&who)?;
@@ -190,7 +190,7 @@
                 self.kill(&who)?;
                 self.start(&who)?;
                 wait(OLD.as_millis() as u64);
-                self.many.kill(who[0]);
+                self.fleet.kill(who[0]);
                 self.put_back(who[0])?;
                 self.start(&who)?;
                 wait(CALLERS);
@@ -211,20 +211,20 @@
                 let who = self.some(all.len() / 2);
                 for &a in &who {
                     for b in all.iter().copied().filter(|b| !who.contains(b)) {
-                        self.many.relays.set(
+                        self.fleet.relays.set(
                             a,
                             b,
-                            Way {
+                            LinkConditions {
                                 cut: true,
-                                ..Way::default()
+                                ..LinkConditions::default()
                             },
                         );
-                        self.many.relays.set(
+                        self.fleet.relays.set(
                             b,
                             a,
-                            Way {
+                            LinkConditions {
                                 cut: true,
-                                ..Way::default()
+                                ..LinkConditions::default()
                             },
                         );
                     }
@@ -233,7 +233,7 @@
                 self.kill(&who[..1])?;
                 self.start(&who[..1])?;
                 wait(1000);
-                self.many.relays.heal();
+                self.fleet.relays.heal();
             }
             Fault::Damaged => {
                 let who = self.some(1);
@@ -244,36 +244,36 @@
             }
             Fault::Second => {
                 let who = self.some(2);
-                self.many.stop(who[1], true);
+                self.fleet.stop(who[1], true);
                 for &n in &who {
-                    if !self.many.second_refuses(n)? {
+                    if !self.fleet.second_refuses(n)? {
                         self.wrong.push(format!(
                             "a second process began over the folder of {}",
-                            many::name(n)
+                            daemon_fleet::name(n)
                         ));
                     }
                 }
-                self.many.stop(who[1], false);
+                self.fleet.stop(who[1], false);
             }
             Fault::Swapped => {
                 let who = self.some(2);
                 self.kill(&who)?;
-                let (one, other) = (self.many.state(who[0]), self.many.state(who[1]));
+                let (one, other) = (self.fleet.state(who[0]), self.fleet.state(who[1]));
                 let aside = one.with_extension("aside");
                 let moved =
                     |from: &Path, to: &Path| std::fs::rename(from, to).map_err(|e| e.to_string());
                 moved(&one, &aside)?;
                 copy(&other, &one)?;
-                self.many.start(who[0])?;
+                self.fleet.start(who[0])?;
                 let until = Instant::now() + Duration::from_secs(20);
-                while !self.many.ended().contains(&who[0]) && Instant::now() < until {
+                while !self.fleet.ended().contains(&who[0]) && Instant::now() < until {
                     wait(5);
                 }
-                if !self.many.ended().contains(&who[0]) {
+                if !self.fleet.ended().contains(&who[0]) {
                     self.wrong
                         .push("one started over another's folder".to_owned());
                 }
-                self.many.kill(who[0]);
+                self.fleet.kill(who[0]);
                 std::fs::remove_dir_all(&one).map_err(|e| e.to_string())?;
                 moved(&aside, &one)?;
                 self.start(&who)?;
@@ -283,7 +283,7 @@
     }
 
     fn damage(&mut self, n: usize) -> Result<(), String> {
-        let file = self.many.state(n).join("state.redb");
+        let file = self.fleet.state(n).join("state.redb");
         let mut bytes = std::fs::read(&file).map_err(|e| format!("{}: {e}", file.display()))?;
         for _ in 0..400 {
             let at = self.random.next_u64() as usize % bytes.len().max(1);
@@ -294,14 +294,14 @@
 }
 
 /// Judges everything that happened: what was wrong, and figures.
-fn judge(play: &Play, seen: &Seen, keyed: &Keyed) -> (Vec<String>, Value) {
+fn judge(play: &Play, seen: &Seen, keyed: &IdempotentRecords) -> (Vec<String>, Value) {
     let mut wrong = play.wrong.clone();
     let (mut by_key, mut by_id) = (
         HashMap::<String, Vec<Instant>>::new(),
         HashMap::<String, bool>::new(),
     );
-    for n in 0..play.many.len() {
-        for start in play.many.worker(n).starts() {
+    for n in 0..play.fleet.len() {
+        for start in play.fleet.worker(n).starts() {
             if !start.body.is_empty() {
                 by_key
                     .entry(String::from_utf8_lossy(&start.body).into_owned())
@@ -418,17 +418,17 @@
 /// Runs the proof. How long it takes follows from the faults.
 pub fn prove(told: &Told) -> Result<Value, String> {
     let order = &told.order;
-    let keyed = Keyed::default();
+    let keyed = IdempotentRecords::default();
     let records = keyed.serve(20).map_err(|e| e.to_string())?;
-    let fleet = many::Order::bids(order, told.members, records)?;
-    let many = Many::new(&many::Order {
+    let config = daemon_fleet::FleetConfig::bids(order, told.members, records)?;
+    let fleet = DaemonFleet::new(&daemon_fleet::FleetConfig {
         lasts: true,
-        ..fleet
+        ..config
     })?;
     let random = Pcg64Mcg::seed_from_u64(order.seed);
     let (copies, deaths, wrong) = (HashMap::new(), Vec::new(), Vec::new());
     let mut play = Play {
-        many,
+        fleet,
         random,
         kills: 0,
         copies,
@@ -439,7 +439,7 @@
     play.start(&all)?;
     // Empty folders: quiet for a window, and for as long as a task may lie unread.
     wait(WINDOW_MS + 5500);
-    let places = all.iter().map(|&n| play.many.at(n)).collect();
+    let places = all.iter().map(|&n| play.fleet.at(n)).collect();
     let load = Arc::new(Load::new(places, (told.rate, LANES), true));
     let lanes: Vec<_> = (0..LANES)
         .map(|lane| {
@@ -472,12 +472,12 @@
     }
     load.stop.store(true, Ordering::Relaxed);
     lanes.into_iter().for_each(|lane| drop(lane.join()));
-    let ended = play.many.ended();
+    let ended = play.fleet.ended();
     for &n in &ended {
         eprintln!(
             "{} ended by itself:\n{}",
-            many::name(n),
-            play.many.log(n).join("\n")
+            daemon_fleet::name(n),
+            play.fleet.log(n).join("\n")
         );
     }
     let seen = load.seen();
--- a/crates/asterdale-testkit/src/proofs/rotation.rs
+++ b/crates/asterdale-testkit/src/proofs/rotation.rs
@@ -16,11 +16,11 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
 
-use super::{histogram, quantiles, Order};
-use crate::caller::{Caller, Fate};
-use crate::issuer::{Issuer, Mood};
-use crate::process::{failpoint_program, program, Daemon, Recipe};
-use crate::worker::{result, Worker};
+use super::{histogram, quantiles, ProofConfig};
+use crate::edge_client::{EdgeClient, RequestOutcome};
+use crate::issuer::{Behavior, Issuer};
+use crate::process::{failpoint_program, program, Daemon, LaunchConfig};
+use crate::simulated_runtime::{result, SimulatedRuntime};
 use crate::{scripted, services, unix_ms};
 
 /// Edge nodes, and connections of each.
@@ -334,7 +334,7 @@
     /// One lane of an edge node: task after task, at its share of the rate.
     fn lane(&self, at: std::net::SocketAddr, edge: u32, seed: u64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let mut caller = Caller::new(at);
+        let mut caller = EdgeClient::new(at);
         let every = Duration::from_secs_f64(f64::from(EDGES * LANES) / RATE);
         let mut next =
             Instant::now() + every.mul_f64(f64::from(chance(&mut random, 1000)) / 1000.0);
@@ -387,12 +387,12 @@
             let body = mark.clone().unwrap_or_else(|| "page".to_owned());
             let began = Instant::now();
             match caller.ask(&format!("/v1/{stage}"), &fields, body.as_bytes()) {
-                Fate::Refused => self.count("unreachable"),
-                Fate::Lost => {
+                RequestOutcome::Refused => self.count("unreachable"),
+                RequestOutcome::Lost => {
                     self.count("lost");
                     eprintln!("lost: {kind} {stage} {id}, sent {sent:.0}");
                 }
-                Fate::Answered(answer) => {
+                RequestOutcome::Answered(answer) => {
                     if let Ok(mut times) = self.times.lock() {
                         let _ = times.record((began.elapsed().as_micros() as u64).max(1));
                     }
@@ -443,11 +443,11 @@
             until: f64::INFINITY,
         };
         let moods = [
-            Mood::Slow(700),
-            Mood::Down,
-            Mood::RolledBack,
-            Mood::Rubbish,
-            Mood::Forged,
+            Behavior::Slow(700),
+            Behavior::Down,
+            Behavior::RolledBack,
+            Behavior::Malformed,
+            Behavior::Forged,
         ];
         while Instant::now() < self.end {
             let now = unix_ms();
@@ -499,7 +499,7 @@
             }
             let left = (now + period * 0.75 - unix_ms()).max(0.0);
             thread::sleep(Duration::from_secs_f64(left / 1e3));
-            self.issuer.mood(Mood::Good);
+            self.issuer.mood(Behavior::Good);
             let left = (now + period - unix_ms()).max(0.0);
             thread::sleep(Duration::from_secs_f64(left / 1e3));
         }
@@ -708,7 +708,7 @@
 }
 
 fn start_file(
-    worker: &Worker,
+    worker: &SimulatedRuntime,
     issuer: &Issuer,
     root: &[u8; 32],
     most_age: f64,
@@ -737,7 +737,7 @@
 }
 
 /// Runs the proof; its figures, `held` among them.
-pub fn prove(order: &Order) -> Result<Value, String> {
+pub fn prove(order: &ProofConfig) -> Result<Value, String> {
     let told = |e: std::io::Error| e.to_string();
     let mut random = Pcg64Mcg::seed_from_u64(order.seed);
     let program = if order.failpoint.is_some() {
@@ -746,7 +746,7 @@
         program()
     };
     let (worker, issuer) = (
-        Worker::start(8, (1, 6)).map_err(told)?,
+        SimulatedRuntime::start(8, (1, 6)).map_err(told)?,
         Issuer::start().map_err(told)?,
     );
     let root = bytes(&mut random);
@@ -756,7 +756,7 @@
         .as_str()
         .and_then(|at| at.parse().ok())
         .ok_or("no address")?;
-    let recipe = Recipe {
+    let recipe = LaunchConfig {
         program,
         start,
         failpoint: order.failpoint.clone(),
--- a/crates/asterdale-testkit/src/proofs/takeover.rs
+++ b/crates/asterdale-testkit/src/proofs/takeover.rs
@@ -15,10 +15,10 @@
 use serde_json::{json, Value};
 
 use super::bids::{Load, Seen, LANES};
-use super::{histogram, quantiles, Order};
-use crate::many::{self, Many, LEASE_MS, WINDOW_MS};
-use crate::relays::Way;
-use crate::services::Keyed;
+use super::{histogram, quantiles, ProofConfig};
+use crate::daemon_fleet::{self, DaemonFleet, LEASE_MS, WINDOW_MS};
+use crate::relays::LinkConditions;
+use crate::services::IdempotentRecords;
 use crate::unix_ms;
 
 /// What happens to a process counts against what it ran from so long before on, and up to so long after: a run of the
@@ -79,7 +79,7 @@
 /// What is proven.
 pub struct Told {
     /// Seed and failpoint.
-    pub order: Order,
+    pub order: ProofConfig,
     /// How many processes.
     pub members: usize,
     /// How many of them keep.
@@ -93,7 +93,7 @@
 }
 
 struct Play {
-    many: Many,
+    fleet: DaemonFleet,
     random: Pcg64Mcg,
     keepers: usize,
     /// What happened to which process, from when to when.
@@ -116,7 +116,7 @@
         let mut all: Vec<usize> = if keeps {
             (0..self.keepers).collect()
         } else {
-            (self.keepers..self.many.len()).collect()
+            (self.keepers..self.fleet.len()).collect()
         };
         for n in (1..all.len()).rev() {
             all.swap(n, (self.random.next_u64() % (n as u64 + 1)) as usize);
@@ -127,7 +127,7 @@
 
     /// Whether a keeper leads, by what it said last.
     fn leads(&self, n: usize) -> bool {
-        let log = self.many.log(n);
+        let log = self.fleet.log(n);
         log.iter()
             .rev()
             .find(|line| line.contains("this replica leads"))
@@ -143,34 +143,34 @@
     fn kill(&mut self, who: &[usize]) {
         self.taken += who
             .iter()
-            .map(|&n| self.many.counter(n, "tasks_taken_over"))
+            .map(|&n| self.fleet.counter(n, "tasks_taken_over"))
             .sum::<u64>();
-        who.iter().for_each(|&n| self.many.kill(n));
+        who.iter().for_each(|&n| self.fleet.kill(n));
         self.deaths.push(unix_ms());
     }
 
     fn start(&mut self, who: &[usize]) -> Result<(), String> {
-        who.iter().try_for_each(|&n| self.many.start(n))
+        who.iter().try_for_each(|&n| self.fleet.start(n))
     }
 
     fn cut(&self, who: &[usize], cut: bool) {
         for &n in who {
-            for other in 0..self.many.len() {
+            for other in 0..self.fleet.len() {
                 if other != n {
-                    self.many.relays.set(
+                    self.fleet.relays.set(
                         n,
                         other,
-                        Way {
+                        LinkConditions {
                             cut,
-                            ..Way::default()
+                            ..LinkConditions::default()
                         },
                     );
-                    self.many.relays.set(
+                    self.fleet.relays.set(
                         other,
                         n,
-                        Way {
+                        LinkConditions {
                             cut,
-                            ..Way::default()
+                            ..LinkConditions::default()
                         },
                     );
                 }
@@ -190,15 +190,15 @@
             }
             Fault::StopOwner => {
                 who = self.some(false, 1);
-                self.many.stop(who[0], true);
+                self.fleet.stop(who[0], true);
                 wait(3 * LEASE_MS);
-                self.many.stop(who[0], false);
+                self.fleet.stop(who[0], false);
             }
             Fault::CutOwner => {
                 who = self.some(false, 1);
                 self.cut(&who, true);
                 wait(5 * LEASE_MS);
-                self.many.relays.heal();
+                self.fleet.relays.heal();
             }
             Fault::KillKeeper => {
                 who = self.some(true, 1);
@@ -221,35 +221,35 @@
                 who = self.some(true, 1);
                 self.cut(&who, true);
                 wait(4 * LEASE_MS);
-                self.many.relays.heal();
+                self.fleet.relays.heal();
                 wait(2 * LEASE_MS);
             }
             Fault::SlowPeers => {
                 let slow = self.some(false, 2);
                 for &n in &slow {
-                    for other in 0..self.many.len() {
-                        let way = Way {
+                    for other in 0..self.fleet.len() {
+                        let way = LinkConditions {
                             delay_ms: 40.0,
                             spread_ms: 60.0,
-                            ..Way::default()
+                            ..LinkConditions::default()
                         };
-                        self.many.relays.set(n, other, way);
-                        self.many.relays.set(other, n, way);
+                        self.fleet.relays.set(n, other, way);
+                        self.fleet.relays.set(other, n, way);
                     }
                 }
                 wait(4 * LEASE_MS);
-                self.many.relays.heal();
+                self.fleet.relays.heal();
             }
             Fault::Third => {
-                who = self.some(false, self.many.len() / 3);
+                who = self.some(false, self.fleet.len() / 3);
                 self.kill(&who);
                 wait(4 * LEASE_MS);
                 self.start(&who)?;
             }
             Fault::Leave => {
                 who = self.some(false, 1);
-                self.taken += self.many.counter(who[0], "tasks_taken_over");
-                self.many.leave(who[0]);
+                self.taken += self.fleet.counter(who[0], "tasks_taken_over");
+                self.fleet.leave(who[0]);
                 self.start(&who)?;
             }
             Fault::EmptyKeeper => {
@@ -263,10 +263,10 @@
                 self.start(&keepers[1..2])?;
                 wait(500);
                 self.kill(&keepers[2..3]);
-                self.many.relays.heal();
+                self.fleet.relays.heal();
                 wait(4 * LEASE_MS);
                 self.start(&keepers[2..3])?;
-                who = (0..self.many.len()).collect();
+                who = (0..self.fleet.len()).collect();
                 wait(WINDOW_MS + 10 * LEASE_MS);
             }
             Fault::MostKeepers => {
@@ -275,7 +275,7 @@
                 wait(LEASE_MS);
                 self.start(&most)?;
                 // Without keepers nobody's lease goes on.
-                who = (0..self.many.len()).collect();
+                who = (0..self.fleet.len()).collect();
                 // What keepers have on disk they know; without it nothing is claimed for a window.
                 wait(if self.lasts {
                     4 * LEASE_MS
@@ -284,7 +284,7 @@
                 });
             }
             Fault::Everybody => {
-                who = (0..self.many.len()).collect();
+                who = (0..self.fleet.len()).collect();
                 self.kill(&who);
                 self.start(&who)?;
                 wait(4 * LEASE_MS);
@@ -292,17 +292,17 @@
             Fault::LostKeeper => {
                 who = self.some(true, 1);
                 self.kill(&who);
-                std::fs::remove_dir_all(self.many.state(who[0])).map_err(|e| e.to_string())?;
+                std::fs::remove_dir_all(self.fleet.state(who[0])).map_err(|e| e.to_string())?;
                 wait(2 * LEASE_MS);
                 self.start(&who)?;
                 // It learns, and takes the place of the one that it was.
                 wait(8 * LEASE_MS);
-                who = (0..self.many.len()).collect();
+                who = (0..self.fleet.len()).collect();
             }
         }
         if matches!(fault, Fault::KillKeeper | Fault::CutKeeper) {
             // Until another leads, leases may lapse.
-            who = (0..self.many.len()).collect();
+            who = (0..self.fleet.len()).collect();
         }
         self.hurts(&who, from);
         Ok(())
@@ -336,15 +336,15 @@
 fn judge(
     play: &Play,
     seen: &Seen,
-    keyed: &Keyed,
+    keyed: &IdempotentRecords,
     cuts: &[(usize, Instant, Instant)],
 ) -> (Vec<String>, Value) {
     let mut wrong = Vec::new();
     // By key: what was started, where and when; by try: how often.
     let mut by_key: HashMap<String, Vec<(Instant, usize)>> = HashMap::new();
     let mut by_id: HashMap<String, (u32, usize, bool)> = HashMap::new();
-    for n in 0..play.many.len() {
-        for start in play.many.worker(n).starts() {
+    for n in 0..play.fleet.len() {
+        for start in play.fleet.worker(n).starts() {
             by_id
                 .entry(start.id)
                 .or_insert((0, n, !start.body.is_empty()))
@@ -365,8 +365,8 @@
             ));
         }
     }
-    let lapses: Vec<Vec<f64>> = (0..play.many.len())
-        .map(|n| lapses(&play.many.log(n)))
+    let lapses: Vec<Vec<f64>> = (0..play.fleet.len())
+        .map(|n| lapses(&play.fleet.log(n)))
         .collect();
     let (now, unix) = (Instant::now(), unix_ms());
     let of_day = |at: Instant| (unix - now.duration_since(at).as_secs_f64() * 1e3) % DAY;
@@ -385,7 +385,10 @@
                 .iter()
                 .any(|ms| (of_day(at) - 1e3..of_day(two[1].0) + 6e3).contains(ms));
             if !hurt && !lapsed {
-                wrong.push(format!("{key} ran again though {} was well", many::name(n)));
+                wrong.push(format!(
+                    "{key} ran again though {} was well",
+                    daemon_fleet::name(n)
+                ));
             }
         }
     }
@@ -485,18 +488,18 @@
 /// Runs the proof. How long it takes follows from the faults.
 pub fn prove(told: &Told) -> Result<Value, String> {
     let order = &told.order;
-    let keyed = Keyed::default();
+    let keyed = IdempotentRecords::default();
     let records = keyed.serve(20).map_err(|e| e.to_string())?;
-    let fleet = many::Order::bids(order, told.members, records)?;
-    let many = Many::new(&many::Order {
+    let config = daemon_fleet::FleetConfig::bids(order, told.members, records)?;
+    let fleet = DaemonFleet::new(&daemon_fleet::FleetConfig {
         interval_ms: 200.0,
         keepers: told.keepers,
         lasts: told.lasts,
-        ..fleet
+        ..config
     })?;
     let (random, keepers) = (Pcg64Mcg::seed_from_u64(order.seed), told.keepers);
     let mut play = Play {
-        many,
+        fleet,
         random,
         keepers,
         hurt: Vec::new(),
@@ -506,14 +509,14 @@
         lasts: told.lasts,
     };
     for n in 0..told.members {
-        play.many.start(n)?;
+        play.fleet.start(n)?;
     }
     for n in 0..told.members {
-        play.many.listens(n)?;
+        play.fleet.listens(n)?;
     }
     // A group is formed, and the window of one that may have been before has passed.
     wait(WINDOW_MS + 4 * LEASE_MS);
-    let places = (0..told.members).map(|n| play.many.at(n)).collect();
+    let places = (0..told.members).map(|n| play.fleet.at(n)).collect();
     let load = Arc::new(Load::new(places, (told.rate, LANES), false));
     let lanes: Vec<_> = (0..LANES)
         .map(|lane| {
@@ -542,27 +545,27 @@
     }
     load.stop.store(true, Ordering::Relaxed);
     lanes.into_iter().for_each(|lane| drop(lane.join()));
-    let ended = play.many.ended();
+    let ended = play.fleet.ended();
     for &n in &ended {
         eprintln!(
             "{} ended by itself:\n{}",
-            many::name(n),
-            play.many.log(n).join("\n")
+            daemon_fleet::name(n),
+            play.fleet.log(n).join("\n")
         );
     }
     if order.failpoint.is_some() {
         // What keepers said, for a look at why a fault was found, or not.
         for n in 0..told.keepers {
-            let said = play.many.log(n);
+            let said = play.fleet.log(n);
             said.iter()
                 .filter(|line| line.contains("takeover: "))
-                .for_each(|line| eprintln!("{}: {line}", many::name(n)));
+                .for_each(|line| eprintln!("{}: {line}", daemon_fleet::name(n)));
         }
     }
-    let live = play.many.live();
+    let live = play.fleet.live();
     play.taken += live
         .iter()
-        .map(|&n| play.many.counter(n, "tasks_taken_over"))
+        .map(|&n| play.fleet.counter(n, "tasks_taken_over"))
         .sum::<u64>();
     let seen = load.seen();
     let (mut wrong, mut figures) = judge(&play, &seen, &keyed, &cuts);
--- a/crates/asterdale-testkit/src/proofs/upgrade.rs
+++ b/crates/asterdale-testkit/src/proofs/upgrade.rs
@@ -16,10 +16,10 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
 
-use super::{histogram, quantiles, Order};
-use crate::caller::{Caller, Fate};
-use crate::process::{failpoint_program, program, Daemon, Recipe};
-use crate::worker::Worker;
+use super::{histogram, quantiles, ProofConfig};
+use crate::edge_client::{EdgeClient, RequestOutcome};
+use crate::process::{failpoint_program, program, Daemon, LaunchConfig};
+use crate::simulated_runtime::SimulatedRuntime;
 use crate::{scripted, services, unix_ms};
 
 /// Tasks a second in all, and the connections that bring them.
@@ -69,7 +69,7 @@
     /// One lane: a third of its tasks are bids, half of those repeat a recent one.
     fn lane(&self, edge: u32, seed: u64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let mut caller = Caller::new(self.at);
+        let mut caller = EdgeClient::new(self.at);
         let every = Duration::from_secs_f64(f64::from(LANES) / RATE);
         let mut next = Instant::now() + every.mul_f64(f64::from(random.next_u32() % 1000) / 1000.0);
         let number = (edge % 4).to_string();
@@ -110,9 +110,9 @@
             };
             let body = mark.clone().unwrap_or_default();
             match caller.ask(path, &fields, body.as_bytes()) {
-                Fate::Refused => note(&self.refused, sent),
-                Fate::Lost => note(&self.lost, unix_ms()),
-                Fate::Answered(answer) => {
+                RequestOutcome::Refused => note(&self.refused, sent),
+                RequestOutcome::Lost => note(&self.lost, unix_ms()),
+                RequestOutcome::Answered(answer) => {
                     let status = answer.status().to_owned();
                     let asked = Asked {
                         mark,
@@ -350,11 +350,11 @@
 
 /// A daemon that can hand over, on a site of its own; where it listens, and how it was started.
 pub fn begin(
-    worker: &Worker,
+    worker: &SimulatedRuntime,
     records: SocketAddr,
     registry: SocketAddr,
     failpoint: Option<String>,
-) -> Result<(Site, SocketAddr, Recipe, Daemon), String> {
+) -> Result<(Site, SocketAddr, LaunchConfig, Daemon), String> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let told = |e: std::io::Error| e.to_string();
     let program = if failpoint.is_some() {
@@ -376,7 +376,7 @@
         .and_then(|at| at.parse().ok())
         .ok_or("no address")?;
     let text = start.to_string();
-    let recipe = Recipe {
+    let recipe = LaunchConfig {
         program: program.clone(),
         start,
         failpoint,
@@ -394,10 +394,10 @@
 }
 
 /// Runs the proof, with so many upgrades, of which so many are made to fail. How long it takes follows from that.
-pub fn prove(order: &Order, upgrades: u32, fails: u32) -> Result<Value, String> {
+pub fn prove(order: &ProofConfig, upgrades: u32, fails: u32) -> Result<Value, String> {
     let told = |e: std::io::Error| e.to_string();
     let mut random = Pcg64Mcg::seed_from_u64(order.seed);
-    let worker = Worker::start(8, (5, 40)).map_err(told)?;
+    let worker = SimulatedRuntime::start(8, (5, 40)).map_err(told)?;
     let (records, registry) = (
         services::records().map_err(told)?,
         services::registry().map_err(told)?,
--- a/crates/asterdale-testkit/src/relays.rs
+++ b/crates/asterdale-testkit/src/relays.rs
@@ -23,7 +23,7 @@
 
 /// What holds on the way from one process to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct LinkConditions {
     /// Nothing passes.
     pub cut: bool,
     /// A datagram is lost with this chance.
@@ -37,7 +37,7 @@
 }
 
 struct State {
-    ways: HashMap<(usize, usize), Way>,
+    ways: HashMap<(usize, usize), LinkConditions>,
     random: Pcg64Mcg,
     /// The last datagrams of each process, and to whom.
     kept: HashMap<usize, VecDeque<(usize, Vec<u8>)>>,
@@ -128,7 +128,7 @@
     }
 
     /// From now on this holds from one to the other.
-    pub fn set(&self, from: usize, to: usize, way: Way) {
+    pub fn set(&self, from: usize, to: usize, way: LinkConditions) {
         lock(&self.state).ways.insert((from, to), way);
     }
 
@@ -259,7 +259,7 @@
     from: &TcpStream,
     mut held: Vec<u8>,
     at: SocketAddr,
-    ways: impl Fn() -> (Way, Way),
+    ways: impl Fn() -> (LinkConditions, LinkConditions),
 ) -> io::Result<()> {
     const STALLED: Duration = Duration::from_secs(8);
     const LOOK: Duration = Duration::from_millis(5);
--- a/crates/asterdale-testkit/src/replace.rs
+++ b/crates/asterdale-testkit/src/replace.rs
@@ -10,7 +10,7 @@
 use crate::process::{program, Daemon};
 use crate::proofs::upgrade::{begin, signal, upgrade};
 use crate::services;
-use crate::worker::Worker;
+use crate::simulated_runtime::SimulatedRuntime;
 
 /// Seconds of load before it is replaced, and after.
 const BEFORE: u64 = 3;
@@ -19,7 +19,7 @@
 /// One way of replacing it; what was finished and what not, of all that came from before until after.
 fn once(rate: f64, handed: bool) -> Result<Value, String> {
     let told = |e: std::io::Error| e.to_string();
-    let worker = Worker::start(8, (20, 40)).map_err(told)?;
+    let worker = SimulatedRuntime::start(8, (20, 40)).map_err(told)?;
     let (records, registry) = (
         services::records().map_err(told)?,
         services::registry().map_err(told)?,
--- a/crates/asterdale-testkit/src/scripted.rs
+++ b/crates/asterdale-testkit/src/scripted.rs
@@ -166,12 +166,12 @@
     }
 
     /// A connection as an edge node opens it.
-    pub fn connect(&self) -> Edge {
+    pub fn connect(&self) -> EdgeConnection {
         let end = Instant::now() + PATIENCE;
         loop {
             if let Ok(stream) = TcpStream::connect(self.listen) {
                 stream.set_read_timeout(Some(PATIENCE)).unwrap();
-                return Edge::on(stream);
+                return EdgeConnection::on(stream);
             }
             assert!(
                 Instant::now() < end,
@@ -557,14 +557,14 @@
 }
 
 /// An edge node's side of one connection.
-pub struct Edge<S = TcpStream> {
+pub struct EdgeConnection<S = TcpStream> {
     pub stream: S,
     incoming: RecordReader,
 }
 
 /// A whole answer.
 #[derive(Debug, PartialEq)]
-pub struct Answered {
+pub struct Response {
     pub request: u16,
     pub head: String,
     pub body: Vec<u8>,
@@ -572,7 +572,7 @@
     pub state: u8,
 }
 
-impl Answered {
+impl Response {
     pub fn status(&self) -> &str {
         self.head
             .lines()
@@ -652,10 +652,10 @@
         .to_string()
 }
 
-impl<S: Read + Write> Edge<S> {
+impl<S: Read + Write> EdgeConnection<S> {
     /// A connection that is open already.
-    pub fn on(stream: S) -> Edge<S> {
-        Edge {
+    pub fn on(stream: S) -> EdgeConnection<S> {
+        EdgeConnection {
             stream,
             incoming: RecordReader::default(),
         }
@@ -682,13 +682,13 @@
     }
 
     /// The next whole answer; `None` at the end of the connection.
-    pub fn answer(&mut self) -> Option<Answered> {
+    pub fn answer(&mut self) -> Option<Response> {
         self.try_answer()
             .unwrap_or_else(|e| panic!("no answer came: {e}"))
     }
 
     /// The same; an answer that can't be read is an error, as is none in the time that the stream is given.
-    pub fn try_answer(&mut self) -> std::io::Result<Option<Answered>> {
+    pub fn try_answer(&mut self) -> std::io::Result<Option<Response>> {
         let bad = |what: String| std::io::Error::new(std::io::ErrorKind::InvalidData, what);
         let mut stdout = Vec::new();
         loop {
@@ -702,7 +702,7 @@
                     record_type::END_REQUEST => {
                         let at = stdout.windows(4).position(|four| four == b"\r\n\r\n");
                         let at = at.map_or(stdout.len(), |at| at + 4);
-                        return Ok(Some(Answered {
+                        return Ok(Some(Response {
                             request: record.request_id,
                             head: String::from_utf8(stdout[..at].to_vec())
                                 .map_err(|e| bad(e.to_string()))?,
--- a/crates/asterdale-testkit/src/services.rs
+++ b/crates/asterdale-testkit/src/services.rs
@@ -74,14 +74,14 @@
 /// to the first, and refuses a fence below the highest that it has seen of the key. A call without a fence has its effect
 /// whenever it comes.
 #[derive(Clone, Default)]
-pub struct Keyed {
+pub struct IdempotentRecords {
     /// By what the call carries.
     effects: Arc<Mutex<HashMap<Vec<u8>, Effect>>>,
     /// Calls that were refused for an older fence, by the id of the run that made them.
     older: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
-impl Keyed {
+impl IdempotentRecords {
     /// What was had of each key.
     pub fn effects(&self) -> HashMap<Vec<u8>, Effect> {
         self.effects
--- a/crates/asterdale-testkit/src/worker.rs
+++ b/crates/asterdale-testkit/src/simulated_runtime.rs
@@ -51,7 +51,7 @@
 
 /// The worker.
 #[derive(Clone)]
-pub struct Worker {
+pub struct SimulatedRuntime {
     /// Where it listens.
     pub at: SocketAddr,
     cores: usize,
@@ -74,10 +74,10 @@
     format!("result of {id}").into_bytes()
 }
 
-impl Worker {
+impl SimulatedRuntime {
     /// One with so many cores, whose runs last this long.
-    pub fn start(cores: usize, lasts: (u64, u64)) -> std::io::Result<Worker> {
-        Worker::start_calling(cores, lasts, None)
+    pub fn start(cores: usize, lasts: (u64, u64)) -> std::io::Result<SimulatedRuntime> {
+        SimulatedRuntime::start_calling(cores, lasts, None)
     }
 
     /// The same; tasks of this stage make a call below, with their body, when half of their run is over.
@@ -85,9 +85,9 @@
         cores: usize,
         lasts: (u64, u64),
         calls: Option<&'static str>,
-    ) -> std::io::Result<Worker> {
+    ) -> std::io::Result<SimulatedRuntime> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let worker = Worker {
+        let worker = SimulatedRuntime {
             at: listener.local_addr()?,
             cores,
             lasts,
--- a/crates/asterdale-testkit/src/soak.rs
+++ b/crates/asterdale-testkit/src/soak.rs
@@ -6,10 +6,10 @@
 
 use serde_json::{json, Value};
 
-use crate::crowd::{Crowd, Order};
-use crate::process::{program, Daemon, Recipe};
+use crate::connection_load::{ConnectionLoad, LoadConfig};
+use crate::process::{program, Daemon, LaunchConfig};
 use crate::proofs::quantiles;
-use crate::worker::Worker;
+use crate::simulated_runtime::SimulatedRuntime;
 use crate::{scripted, services};
 
 /// Threads that a daemon may have, whatever the number of its connections.
@@ -23,7 +23,7 @@
 const MOST_DESCRIPTORS: f64 = 60.0;
 
 /// What is asked of a soak.
-pub struct Soak {
+pub struct SoakConfig {
     /// Connections that are held open.
     pub connections: usize,
     /// Requests a second.
@@ -38,7 +38,10 @@
 
 /// A daemon that takes this many connections, its runs by the worker, its calls by stand-ins. Its address comes
 /// back with it.
-pub fn daemon(worker: &Worker, sockets: usize) -> Result<(Daemon, std::net::SocketAddr), String> {
+pub fn daemon(
+    worker: &SimulatedRuntime,
+    sockets: usize,
+) -> Result<(Daemon, std::net::SocketAddr), String> {
     let told = |e: std::io::Error| e.to_string();
     let (records, registry) = (
         services::records().map_err(told)?,
@@ -52,7 +55,7 @@
         .as_str()
         .and_then(|at| at.parse().ok())
         .ok_or("no address")?;
-    let daemon = Daemon::start(&Recipe {
+    let daemon = Daemon::start(&LaunchConfig {
         program: program(),
         start,
         failpoint: None,
@@ -88,10 +91,10 @@
 }
 
 /// Plays it; the figures.
-pub fn soak(order: &Soak) -> Result<Value, String> {
-    let worker = Worker::start(4, (2, 6)).map_err(|e| e.to_string())?;
+pub fn soak(order: &SoakConfig) -> Result<Value, String> {
+    let worker = SimulatedRuntime::start(4, (2, 6)).map_err(|e| e.to_string())?;
     let (mut daemon, at) = daemon(&worker, 16 * 1024)?;
-    let mut crowd = Crowd::new(Order {
+    let mut crowd = ConnectionLoad::new(LoadConfig {
         at,
         connections: order.connections,
         edges: 150,
