--- a/crates/asterdale-daemon/tests/certificates.rs
+++ b/crates/asterdale-daemon/tests/certificates.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime};
 
 use asterdale_identity::mint::{sign_jws, SecretKey};
-use asterdale_testkit::scripted::{address, until, Backend, EdgeConnection, PATIENCE};
+use asterdale_testkit::scripted::{unused_address, wait_until, Backend, EdgeConnection, PATIENCE};
 use asterdale_testkit::unix_ms;
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair, SanType};
 use rustls::pki_types::pem::PemObject;
@@ -81,7 +81,7 @@
 
     /// A backend with a listener for the clients of this authority.
     fn new(clients: &Authority) -> Site {
-        let (server, at) = (Authority::new(), address());
+        let (server, at) = (Authority::new(), unused_address());
         let folder =
             std::env::temp_dir().join(format!("asterdale-tls-{}-{}", std::process::id(), at.ip()));
         std::fs::create_dir_all(&folder).unwrap();
@@ -111,7 +111,7 @@
                     {"name": "uri:urn:desk:3", "tenant": "north", "subject": "bad", "roles": ["phone"]}]});
         });
         drop(backend.connect()); // it listens: from here on signals are heard
-        backend.runtime.up();
+        backend.runtime.set_ready();
         backend.counters_until(|count| count("links") == 1 && count("keys_adopted") == 1);
         Site {
             server,
@@ -148,7 +148,7 @@
                 .unwrap();
         let stream = TcpStream::connect(self.at).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        EdgeConnection::on(StreamOwned::new(session, stream))
+        EdgeConnection::new(StreamOwned::new(session, stream))
     }
 }
 
@@ -161,7 +161,7 @@
 /// Whether a task on this connection gets any answer at all.
 fn turned_away(edge: &mut EdgeConnection<Tls>) -> bool {
     let bytes = asterdale_testkit::scripted::request(1, "/healthz", &[], b"");
-    edge.try_send(&bytes).is_err() || !matches!(edge.try_answer(), Ok(Some(_)))
+    edge.try_send(&bytes).is_err() || !matches!(edge.try_read_response(), Ok(Some(_)))
 }
 
 #[test]
@@ -169,26 +169,26 @@
     let clients = Authority::new();
     let site = Site::new(&clients);
     let mut desk = site.connect(Some(&clients.client("urn:desk:1")));
-    desk.task(1, "bid", ID_A, &[KEY]);
-    assert_eq!(site.backend.runtime.command("start")["rid"], ID_A);
+    desk.send_task(1, "bid", ID_A, &[KEY]);
+    assert_eq!(site.backend.runtime.expect_command("start")["rid"], ID_A);
     let result: Vec<u8> = (0..4096u32).map(|n| n as u8).collect();
-    site.backend.runtime.end(ID_A, "PASS", &result);
-    assert_eq!(desk.answer().unwrap().body, result);
+    site.backend.runtime.send_run_end(ID_A, "PASS", &result);
+    assert_eq!(desk.read_response().unwrap().body, result);
     // The other desk's tenant has no part in it; the first one's repeat has.
     let mut other = site.connect(Some(&clients.client("urn:desk:2")));
-    other.task(1, "bid", ID_B, &[KEY]);
-    assert_eq!(site.backend.runtime.command("start")["rid"], ID_B);
-    site.backend.runtime.end(ID_B, "PASS", b"other");
-    assert_eq!(other.answer().unwrap().body, b"other");
+    other.send_task(1, "bid", ID_B, &[KEY]);
+    assert_eq!(site.backend.runtime.expect_command("start")["rid"], ID_B);
+    site.backend.runtime.send_run_end(ID_B, "PASS", b"other");
+    assert_eq!(other.read_response().unwrap().body, b"other");
     for number in 2..200 {
-        desk.task(number, "bid", ID_C, &[KEY]);
-        assert_eq!(desk.answer().unwrap().body, result);
+        desk.send_task(number, "bid", ID_C, &[KEY]);
+        assert_eq!(desk.read_response().unwrap().body, result);
     }
     // The plain listener asks for a token, as before.
     let mut plain = site.backend.connect();
-    plain.task(1, "bid", ID_C, &[KEY]);
-    assert_eq!(plain.status(1), "401");
-    assert_eq!(site.backend.runtime.commanded(), None);
+    plain.send_task(1, "bid", ID_C, &[KEY]);
+    assert_eq!(plain.expect_status(1), "401");
+    assert_eq!(site.backend.runtime.try_next_command(), None);
 }
 
 #[test]
@@ -196,8 +196,8 @@
     let (clients, others) = (Authority::new(), Authority::new());
     let site = Site::new(&clients);
     let mut desk = site.connect(Some(&clients.client("urn:desk:1")));
-    desk.task(1, "page", ID_A, &[]);
-    site.backend.runtime.command("start");
+    desk.send_task(1, "page", ID_A, &[]);
+    site.backend.runtime.expect_command("start");
     let expired = clients.signs(
         SanType::URI("urn:desk:1".try_into().unwrap()),
         Duration::ZERO,
@@ -209,7 +209,7 @@
     ));
     assert!(turned_away(&mut site.connect(Some(&expired))));
     // Plain bytes, and a handshake that never goes on.
-    let mut plain = EdgeConnection::on(TcpStream::connect(site.at).unwrap());
+    let mut plain = EdgeConnection::new(TcpStream::connect(site.at).unwrap());
     plain.stream.set_read_timeout(Some(PATIENCE)).unwrap();
     plain.send(&asterdale_testkit::scripted::request(
         1,
@@ -217,19 +217,19 @@
         &[],
         b"",
     ));
-    assert!(!matches!(plain.try_answer(), Ok(Some(_))));
-    let mut silent = EdgeConnection::on(TcpStream::connect(site.at).unwrap());
+    assert!(!matches!(plain.try_read_response(), Ok(Some(_))));
+    let mut silent = EdgeConnection::new(TcpStream::connect(site.at).unwrap());
     silent.stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    assert!(matches!(silent.try_answer(), Ok(None)));
+    assert!(matches!(silent.try_read_response(), Ok(None)));
     // A good one whose name nobody knows, and one whose subject is revoked.
     for (name, status) in [("urn:desk:9", "401"), ("urn:desk:3", "401")] {
         let mut edge = site.connect(Some(&clients.client(name)));
-        edge.task(1, "page", ID_B, &[]);
-        assert_eq!(edge.status(1), status);
+        edge.send_task(1, "page", ID_B, &[]);
+        assert_eq!(edge.expect_status(1), status);
     }
-    site.backend.runtime.end(ID_A, "PASS", b"done");
-    assert_eq!(desk.answer().unwrap().body, b"done");
-    assert_eq!(site.backend.runtime.commanded(), None);
+    site.backend.runtime.send_run_end(ID_A, "PASS", b"done");
+    assert_eq!(desk.read_response().unwrap().body, b"done");
+    assert_eq!(site.backend.runtime.try_next_command(), None);
 }
 
 #[test]
@@ -238,9 +238,9 @@
     let mut site = Site::new(&clients);
     let (old, new) = (clients.client("urn:desk:1"), next.client("urn:desk:1"));
     let mut desk = site.connect(Some(&old));
-    desk.task(1, "page", ID_A, &[]);
-    site.backend.runtime.command("start");
-    let text = site.backend.changed(|_| ());
+    desk.send_task(1, "page", ID_A, &[]);
+    site.backend.runtime.expect_command("start");
+    let text = site.backend.edit_start_file(|_| ());
     // A file that is no certificate changes nothing.
     std::fs::write(site.folder.join("clients"), "rubbish").unwrap();
     site.backend.reload(&text);
@@ -252,12 +252,12 @@
     site.backend.counters_until(|count| count("reloads") == 1);
     assert!(turned_away(&mut site.connect(Some(&old))));
     assert!(!turned_away(&mut site.connect(Some(&new))));
-    site.backend.runtime.end(ID_A, "PASS", b"done");
-    assert_eq!(desk.answer().unwrap().body, b"done");
-    desk.task(2, "page", ID_B, &[]);
-    site.backend.runtime.command("start");
-    site.backend.runtime.end(ID_B, "PASS", b"again");
-    assert_eq!(desk.answer().unwrap().body, b"again");
+    site.backend.runtime.send_run_end(ID_A, "PASS", b"done");
+    assert_eq!(desk.read_response().unwrap().body, b"done");
+    desk.send_task(2, "page", ID_B, &[]);
+    site.backend.runtime.expect_command("start");
+    site.backend.runtime.send_run_end(ID_B, "PASS", b"again");
+    assert_eq!(desk.read_response().unwrap().body, b"again");
 }
 
 #[test]
@@ -269,13 +269,13 @@
         Duration::from_secs(3),
     );
     let mut desk = site.connect(Some(&short));
-    desk.task(1, "page", ID_A, &[]);
-    site.backend.runtime.command("start");
+    desk.send_task(1, "page", ID_A, &[]);
+    site.backend.runtime.expect_command("start");
     site.backend
         .counters_until(|count| count("connections_lapsed") == 1);
-    site.backend.runtime.end(ID_A, "PASS", b"done");
-    assert_eq!(desk.answer().unwrap().body, b"done");
-    assert!(matches!(desk.try_answer(), Ok(None)));
+    site.backend.runtime.send_run_end(ID_A, "PASS", b"done");
+    assert_eq!(desk.read_response().unwrap().body, b"done");
+    assert!(matches!(desk.try_read_response(), Ok(None)));
 }
 
 #[test]
@@ -283,14 +283,14 @@
     let clients = Authority::new();
     let mut site = Site::new(&clients);
     let mut desk = site.connect(Some(&clients.client("urn:desk:1")));
-    desk.task(1, "page", ID_A, &[]);
-    site.backend.runtime.command("start");
+    desk.send_task(1, "page", ID_A, &[]);
+    site.backend.runtime.expect_command("start");
     site.backend.signal("-TERM");
-    until("the notice", || {
+    wait_until("the notice", || {
         site.backend.log().contains("engine: draining")
     });
-    site.backend.runtime.end(ID_A, "PASS", b"in time");
-    assert_eq!(desk.answer().unwrap().body, b"in time");
-    assert!(matches!(desk.try_answer(), Ok(None)));
-    assert!(site.backend.ended().0.success());
+    site.backend.runtime.send_run_end(ID_A, "PASS", b"in time");
+    assert_eq!(desk.read_response().unwrap().body, b"in time");
+    assert!(matches!(desk.try_read_response(), Ok(None)));
+    assert!(site.backend.wait_for_exit().0.success());
 }
--- a/crates/asterdale-daemon/tests/crowd.rs
+++ b/crates/asterdale-daemon/tests/crowd.rs
@@ -6,28 +6,28 @@
 use asterdale_testkit::connection_load::{ConnectionLoad, LoadConfig};
 use asterdale_testkit::process::Daemon;
 use asterdale_testkit::simulated_runtime::SimulatedRuntime;
-use asterdale_testkit::soak::{daemon, MOST_THREADS};
+use asterdale_testkit::soak::{start_daemon, MAX_THREADS};
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 
 const CONNECTIONS: usize = 600;
 
-fn order(at: std::net::SocketAddr, connections: usize, seed: u32) -> LoadConfig {
+fn order(address: std::net::SocketAddr, connections: usize, seed: u32) -> LoadConfig {
     LoadConfig {
-        at,
+        address,
         connections,
-        edges: 150,
+        edge_nodes: 150,
         rate: 400.0,
-        lasts: Duration::from_secs(3),
-        once: false,
-        stages: vec!["page", "bid"],
+        duration: Duration::from_secs(3),
+        one_request_per_connection: false,
+        request_classes: vec!["page", "bid"],
         timeout_ms: 20_000,
-        crosses: Duration::from_secs(20),
+        resend_window: Duration::from_secs(20),
         seed,
     }
 }
 
 fn hold(daemon: &Daemon, resource: Resource, most: u64) {
-    let process = Pid::from_raw(daemon.id() as i32);
+    let process = Pid::from_raw(daemon.process_id() as i32);
     prlimit(
         process,
         resource,
@@ -40,7 +40,7 @@
 }
 
 fn size_kib(daemon: &Daemon) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", daemon.id())).unwrap();
+    let status = std::fs::read_to_string(format!("/proc/{}/status", daemon.process_id())).unwrap();
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmSize:"))
@@ -50,29 +50,29 @@
 
 /// Every request has its one answer, and nothing ran twice.
 fn all_well(crowd: &ConnectionLoad, runs: &HashMap<String, u32>) {
-    let seen = &crowd.seen;
+    let seen = &crowd.stats;
     assert_eq!(
-        (seen.lost, seen.twice, seen.refused),
+        (seen.lost, seen.unexpected_answers, seen.failed_connects),
         (0, 0, 0),
         "{:?}",
-        seen.answered
+        seen.answers_by_status
     );
-    assert_eq!(seen.all_answers(), seen.sent);
-    assert!(seen.with("200") > 0);
+    assert_eq!(seen.answer_count(), seen.sent);
+    assert!(seen.count_with_status("200") > 0);
     assert!(runs.values().all(|&runs| runs == 1));
 }
 
 #[test]
 fn hundreds_of_connections_need_no_thread_and_every_request_gets_its_one_answer() {
     let worker = SimulatedRuntime::start(4, (1, 4)).unwrap();
-    let (daemon, at) = daemon(&worker, 16 * 1024).unwrap();
+    let (daemon, at) = start_daemon(&worker, 16 * 1024).unwrap();
     // Every thread has run, and reserved what its allocator wants.
     let mut first = ConnectionLoad::new(LoadConfig {
-        lasts: Duration::from_millis(500),
+        duration: Duration::from_millis(500),
         ..order(at, 10, 9)
     })
     .unwrap();
-    first.play(Duration::from_secs(1), |_| true);
+    first.run(Duration::from_secs(1), |_| true);
     drop(first);
     // The process may map several times what 600 connections' buffers take, and less than the stacks of as many
     // threads: as a limit of threads that holds for this process alone.
@@ -83,24 +83,29 @@
     );
     let mut crowd = ConnectionLoad::new(order(at, CONNECTIONS, 1)).unwrap();
     let mut most = 0;
-    crowd.play(Duration::from_millis(100), |_| {
-        most = most.max(daemon.holds().0);
+    crowd.run(Duration::from_millis(100), |_| {
+        most = most.max(daemon.thread_and_descriptor_counts().0);
         true
     });
-    assert!((1..=MOST_THREADS).contains(&most), "{most} threads");
-    assert_eq!(crowd.open(), CONNECTIONS, "{}", daemon.log().join("\n"));
+    assert!((1..=MAX_THREADS).contains(&most), "{most} threads");
+    assert_eq!(
+        crowd.open_connections(),
+        CONNECTIONS,
+        "{}",
+        daemon.log().join("\n")
+    );
     all_well(&crowd, &worker.runs());
 }
 
 #[test]
 fn a_refused_descriptor_lets_connections_wait_and_costs_no_request() {
     let worker = SimulatedRuntime::start(4, (1, 4)).unwrap();
-    let (daemon, at) = daemon(&worker, 16 * 1024).unwrap();
+    let (daemon, at) = start_daemon(&worker, 16 * 1024).unwrap();
     // Room for twenty connections beside what the process has open; forty come.
-    let open = daemon.holds().1 as u64;
+    let open = daemon.thread_and_descriptor_counts().1 as u64;
     hold(&daemon, Resource::Nofile, open + 20);
     let mut crowd = ConnectionLoad::new(order(at, 40, 2)).unwrap();
-    crowd.play(Duration::from_secs(1), |_| true);
+    crowd.run(Duration::from_secs(1), |_| true);
     let refused = daemon
         .counter("accepts_refused")
         .unwrap_or_else(|| panic!("no counters in {}", daemon.log().join("\n")));
@@ -114,6 +119,6 @@
     // Where there are enough again, none gives way.
     drop(crowd);
     let mut after = ConnectionLoad::new(order(at, 10, 3)).unwrap();
-    after.play(Duration::from_secs(1), |_| true);
+    after.run(Duration::from_secs(1), |_| true);
     all_well(&after, &worker.runs());
 }
--- a/crates/asterdale-daemon/tests/identity.rs
+++ b/crates/asterdale-daemon/tests/identity.rs
@@ -2,7 +2,7 @@
 
 use asterdale_identity::mint::{sign_jws, SecretKey};
 use asterdale_testkit::issuer::{Behavior, Issuer};
-use asterdale_testkit::scripted::{until, Backend, EdgeConnection, Response};
+use asterdale_testkit::scripted::{wait_until, Backend, EdgeConnection, Response};
 use asterdale_testkit::unix_ms;
 use serde_json::{json, Value};
 
@@ -71,7 +71,7 @@
         config["settings"]["tenants"] = json!([{}, {}]);
         config["identity"] = json!({
             "issuer": "office", "audience": "asterdale", "roots": [root().public_key_text()],
-            "keys": {"fetch": {"at": issuer.at, "path": "/keys", "every_ms": 50}}, "skew_ms": 100,
+            "keys": {"fetch": {"at": issuer.address, "path": "/keys", "every_ms": 50}}, "skew_ms": 100,
             "roles": [{"name": "phone", "stages": ["bid", "page"]},
                 {"name": "clerk", "stages": ["page"], "max_cost_ms": 20, "open": 1, "per_s": 0.001, "burst": 2}],
             "tenants": [{"name": "north", "customer": 0, "roles": ["phone", "clerk"]},
@@ -86,7 +86,7 @@
     let issuer = Issuer::start().unwrap();
     issuer.publish(1, set(1, json!({"tokens": ["gone"]})));
     let backend = backend(&issuer, |_| ());
-    backend.runtime.up();
+    backend.runtime.set_ready();
     backend.counters_until(|count| count("keys_adopted") == 1 && count("links") == 1);
     (issuer, backend)
 }
@@ -98,8 +98,8 @@
     id: &str,
     other: &[(&str, &str)],
 ) -> Response {
-    edge.task(number, class, id, other);
-    edge.answer().expect("the connection ended")
+    edge.send_task(number, class, id, other);
+    edge.read_response().expect("the connection ended")
 }
 
 /// Checks that a page is run for this caller, who gets the result.
@@ -110,10 +110,10 @@
     id: &str,
     token: &str,
 ) {
-    edge.task(number, "page", id, &[authorization(token)]);
-    assert_eq!(backend.runtime.command("start")["rid"], id);
-    backend.runtime.end(id, "PASS", b"");
-    assert_eq!(edge.status(number), "200");
+    edge.send_task(number, "page", id, &[authorization(token)]);
+    assert_eq!(backend.runtime.expect_command("start")["rid"], id);
+    backend.runtime.send_run_end(id, "PASS", b"");
+    assert_eq!(edge.expect_status(number), "200");
 }
 
 fn authorization(token: &str) -> (&str, &str) {
@@ -138,15 +138,15 @@
     let mut edge = backend.connect();
     for (n, id) in [(1, ID_A), (2, ID_B)] {
         let token = default_token(n, "north");
-        edge.task(
+        edge.send_task(
             n.into(),
             "bid",
             id,
             &[authorization(&token), ("HTTP_IDEMPOTENCY_KEY", id)],
         );
-        assert_eq!(backend.runtime.command("start")["rid"], id);
-        backend.runtime.end(id, "PASS", b"sold");
-        assert_eq!(edge.status(n.into()), "200");
+        assert_eq!(backend.runtime.expect_command("start")["rid"], id);
+        backend.runtime.send_run_end(id, "PASS", b"sold");
+        assert_eq!(edge.expect_status(n.into()), "200");
     }
     let forged = format!("{}x", default_token(2, "north"));
     let expired = token(2, "north", |claims| claims["exp"] = json!(1000));
@@ -190,7 +190,7 @@
         )),
         ("403", "forbidden")
     );
-    assert_eq!(backend.runtime.commanded(), None);
+    assert_eq!(backend.runtime.try_next_command(), None);
     // None of them became a task: the decisions have seen two.
     backend.counters_until(|count| {
         count("tasks_taken") == 2
@@ -230,8 +230,8 @@
         denied(&request(&mut edge, 3, "page", ID_A, &dear)),
         ("403", "forbidden")
     );
-    edge.task(4, "page", ID_A, &[authorization(&clerk)]);
-    backend.runtime.command("start");
+    edge.send_task(4, "page", ID_A, &[authorization(&clerk)]);
+    backend.runtime.expect_command("start");
     // One concurrency permit, which is released when the run ends; then the rate.
     assert_eq!(
         denied(&request(
@@ -243,13 +243,13 @@
         )),
         ("429", "over")
     );
-    backend.runtime.end(ID_A, "PASS", b"");
-    assert_eq!(edge.status(4), "200");
+    backend.runtime.send_run_end(ID_A, "PASS", b"");
+    assert_eq!(edge.expect_status(4), "200");
     assert_page_is_served(&backend, &mut edge, 6, ID_B, &clerk);
     let answer = request(&mut edge, 7, "page", ID_C, &[authorization(&clerk)]);
     assert_eq!(denied(&answer), ("429", "over"));
     assert!(answer.head.contains("Retry-After-Ms: "), "{}", answer.head);
-    assert_eq!(backend.runtime.commanded(), None);
+    assert_eq!(backend.runtime.try_next_command(), None);
 }
 
 #[test]
@@ -257,10 +257,10 @@
     let (issuer, backend) = serving();
     let mut edge = backend.connect();
     let old = default_token(1, "north");
-    edge.task(1, "bid", ID_A, &[authorization(&old), KEY]);
-    backend.runtime.command("start");
-    backend.runtime.end(ID_A, "PASS", b"sold");
-    assert_eq!(edge.answer().unwrap().body, b"sold");
+    edge.send_task(1, "bid", ID_A, &[authorization(&old), KEY]);
+    backend.runtime.expect_command("start");
+    backend.runtime.send_run_end(ID_A, "PASS", b"sold");
+    assert_eq!(edge.read_response().unwrap().body, b"sold");
     // The signing key is retired; a new token of the next key gets the result.
     let mut next: Value =
         json!({"seq": 2, "issued_ms": unix_ms(), "revoked": {"tokens": ["gone"]}});
@@ -298,10 +298,10 @@
     );
     // The other tenant's request with the same idempotency key is a separate request.
     let south = default_token(2, "south");
-    edge.task(5, "bid", ID_C, &[authorization(&south), KEY]);
-    assert_eq!(backend.runtime.command("start")["rid"], ID_C);
-    backend.runtime.end(ID_C, "PASS", b"other");
-    assert_eq!(edge.answer().unwrap().body, b"other");
+    edge.send_task(5, "bid", ID_C, &[authorization(&south), KEY]);
+    assert_eq!(backend.runtime.expect_command("start")["rid"], ID_C);
+    backend.runtime.send_run_end(ID_C, "PASS", b"other");
+    assert_eq!(edge.read_response().unwrap().body, b"other");
     assert_eq!(
         request(&mut edge, 6, "bid", ID_D, &[authorization(&new), KEY]).body,
         b"sold"
@@ -319,38 +319,38 @@
     let backend = backend(&issuer, |config| {
         config["settings"]["extra"]["cores"] = json!(1)
     });
-    backend.runtime.up();
+    backend.runtime.set_ready();
     backend.counters_until(|count| count("links") == 1 && count("keys_adopted") == 1);
     let (mut edge, mut other) = (backend.connect(), backend.connect());
     let (ann, bob) = (
         default_token(2, "north"),
         token(2, "south", |claims| claims["sub"] = json!("bob")),
     );
-    edge.task(1, "bid", ID_A, &[authorization(&ann), KEY]);
-    backend.runtime.command("start");
+    edge.send_task(1, "bid", ID_A, &[authorization(&ann), KEY]);
+    backend.runtime.expect_command("start");
     // These are queued: the limit is at its minimum, one core.
     let held = [(2, ID_B), (3, ID_C)];
     for (number, id) in held {
-        edge.task(
+        edge.send_task(
             number,
             "bid",
             id,
             &[authorization(&ann), ("HTTP_IDEMPOTENCY_KEY", id)],
         );
     }
-    other.task(1, "bid", ID_D, &[authorization(&bob), KEY]);
+    other.send_task(1, "bid", ID_D, &[authorization(&bob), KEY]);
     backend.counters_until(|count| count("tasks_taken") == 4);
     issuer.publish(2, set(2, json!({"subjects": ["north/ann"]})));
-    let mut ended = [edge.answer().unwrap(), edge.answer().unwrap()];
+    let mut ended = [edge.read_response().unwrap(), edge.read_response().unwrap()];
     ended.sort_by_key(|answer| answer.request);
     assert_eq!(ended.each_ref().map(denied), [("401", "unknown"); 2]);
     assert_eq!(ended.map(|answer| answer.request), [2, 3]);
     // The running request continues; its permit goes to the other tenant, and to no revoked caller.
-    backend.runtime.end(ID_A, "PASS", b"sold");
-    assert_eq!(edge.answer().unwrap().body, b"sold");
-    assert_eq!(backend.runtime.command("start")["rid"], ID_D);
-    backend.runtime.end(ID_D, "PASS", b"his");
-    assert_eq!(other.answer().unwrap().body, b"his");
+    backend.runtime.send_run_end(ID_A, "PASS", b"sold");
+    assert_eq!(edge.read_response().unwrap().body, b"sold");
+    assert_eq!(backend.runtime.expect_command("start")["rid"], ID_D);
+    backend.runtime.send_run_end(ID_D, "PASS", b"his");
+    assert_eq!(other.read_response().unwrap().body, b"his");
     for number in 4..7 {
         assert_eq!(
             denied(&request(
@@ -369,7 +369,7 @@
         request(&mut edge, 7, "bid", ID_B, &[authorization(&colleague), KEY]).body,
         b"sold"
     );
-    assert_eq!(backend.runtime.commanded(), None);
+    assert_eq!(backend.runtime.try_next_command(), None);
     backend.counters_until(|count| count("tasks_revoked") == 2 && count("tasks_open") == 0);
 }
 
@@ -379,7 +379,7 @@
     let backend = backend(&issuer, |config| {
         config["identity"]["max_age_ms"] = json!(1500)
     });
-    backend.runtime.up();
+    backend.runtime.set_ready();
     let mut edge = backend.connect();
     let good = default_token(2, "north");
     let answer = request(&mut edge, 1, "bid", ID_A, &[authorization(&good), KEY]);
@@ -391,14 +391,14 @@
     );
     issuer.publish(1, set(1, json!({})));
     backend.counters_until(|count| count("keys_adopted") == 1);
-    edge.task(2, "bid", ID_A, &[authorization(&good), KEY]);
-    backend.runtime.command("start");
-    backend.runtime.end(ID_A, "PASS", b"sold");
-    assert_eq!(edge.status(2), "200");
-    issuer.mood(Behavior::Down);
+    edge.send_task(2, "bid", ID_A, &[authorization(&good), KEY]);
+    backend.runtime.expect_command("start");
+    backend.runtime.send_run_end(ID_A, "PASS", b"sold");
+    assert_eq!(edge.expect_status(2), "200");
+    issuer.set_behavior(Behavior::Down);
     let other = [authorization(&good), ("HTTP_IDEMPOTENCY_KEY", "other")];
     let mut number = 2;
-    until("the set to grow old", || {
+    wait_until("the set to grow old", || {
         number += 1;
         let answer = request(&mut edge, number, "bid", ID_B, &[authorization(&good), KEY]);
         assert!(answer.status() == "500" || answer.body == b"sold");
@@ -420,7 +420,7 @@
         ("503", "unable")
     );
     issuer.publish(2, set(2, json!({})));
-    issuer.mood(Behavior::Good);
+    issuer.set_behavior(Behavior::Good);
     backend.counters_until(|count| count("keys_adopted") == 2 && count("issuer_failed") >= 1);
     assert_eq!(
         request(&mut edge, 903, "bid", ID_B, &[authorization(&good), KEY]).body,
@@ -437,7 +437,7 @@
     let other_root = SecretKey::from_seed([66; 32], "root");
     let head =
         json!({"alg": "EdDSA", "kid": "root", "typ": asterdale_identity::keyring::KEY_SET_TYPE});
-    issuer.forged(sign_jws(
+    issuer.set_forged_key_set(sign_jws(
         &other_root,
         &head,
         &json!({"seq": 9, "issued_ms": unix_ms(), "keys": []}),
@@ -462,7 +462,7 @@
             refused.set(count("keys_refused"));
             true
         });
-        issuer.mood(mood);
+        issuer.set_behavior(mood);
         backend.counters_until(|count| {
             count("issuer_failed") > failed.get() || count("keys_refused") > refused.get()
         });
@@ -487,8 +487,8 @@
     let mut edge = backend.connect();
     let good = default_token(2, "north");
     assert_page_is_served(&backend, &mut edge, 1, ID_A, &good);
-    let without =
-        backend.changed(|config| config["identity"]["tenants"][0]["roles"] = json!(["clerk"]));
+    let without = backend
+        .edit_start_file(|config| config["identity"]["tenants"][0]["roles"] = json!(["clerk"]));
     backend.reload(&without);
     backend.counters_until(|count| count("reloads") == 1);
     assert_eq!(
@@ -501,7 +501,8 @@
         )),
         ("403", "forbidden")
     );
-    let open = backend.changed(|config| drop(config.as_object_mut().unwrap().remove("identity")));
+    let open =
+        backend.edit_start_file(|config| drop(config.as_object_mut().unwrap().remove("identity")));
     backend.reload(&open);
     backend.counters_until(|count| count("reloads_failed") == 1);
     assert_eq!(
@@ -519,13 +520,13 @@
     let mut backend = backend(&issuer, |config| {
         config["identity"]["keys"] = json!({"file": file})
     });
-    backend.runtime.up();
+    backend.runtime.set_ready();
     backend.counters_until(|count| count("links") == 1);
     let mut edge = backend.connect();
     let good = default_token(2, "north");
     assert_page_is_served(&backend, &mut edge, 1, ID_A, &good);
     std::fs::write(&file, set(2, json!({"keys": ["k2"]}))).unwrap();
-    let same = backend.changed(|_| ());
+    let same = backend.edit_start_file(|_| ());
     backend.reload(&same);
     backend.counters_until(|count| count("keys_adopted") == 2);
     assert_eq!(
@@ -565,13 +566,13 @@
         &[],
         b"",
     ));
-    assert_eq!(edge.status(1), "200");
+    assert_eq!(edge.expect_status(1), "200");
     let open = Backend::start();
     let mut edge = open.connect();
-    edge.task(1, "page", ID_A, &[authorization("Bearer rubbish")]);
-    open.runtime.command("start");
-    open.runtime.end(ID_A, "PASS", b"");
-    assert_eq!(edge.status(1), "200");
+    edge.send_task(1, "page", ID_A, &[authorization("Bearer rubbish")]);
+    open.runtime.expect_command("start");
+    open.runtime.send_run_end(ID_A, "PASS", b"");
+    assert_eq!(edge.expect_status(1), "200");
 }
 
 #[cfg(feature = "upgrade")]
@@ -589,21 +590,21 @@
     let backend = backend(&issuer, |config| {
         config["upgrade"] = json!({"control": folder.join("control")})
     });
-    backend.runtime.up();
+    backend.runtime.set_ready();
     backend.counters_until(|count| count("keys_adopted") == 1 && count("links") == 1);
     let mut edge = backend.connect();
     let (north, south) = (default_token(2, "north"), default_token(2, "south"));
-    edge.task(1, "bid", ID_A, &[authorization(&north), KEY]);
-    backend.runtime.command("start");
-    backend.runtime.end(ID_A, "PASS", b"sold");
-    assert_eq!(edge.status(1), "200");
+    edge.send_task(1, "bid", ID_A, &[authorization(&north), KEY]);
+    backend.runtime.expect_command("start");
+    backend.runtime.send_run_end(ID_A, "PASS", b"sold");
+    assert_eq!(edge.expect_status(1), "200");
     let clerk = token(2, "north", |claims| claims["roles"] = json!(["clerk"]));
-    edge.task(2, "page", ID_B, &[authorization(&clerk)]);
-    backend.runtime.command("start");
+    edge.send_task(2, "page", ID_B, &[authorization(&clerk)]);
+    backend.runtime.expect_command("start");
     // From here on the issuer does not respond: what the new process knows came with the state.
-    issuer.mood(Behavior::Down);
+    issuer.set_behavior(Behavior::Down);
     backend.signal("-USR2");
-    until("the new process", || {
+    wait_until("the new process", || {
         backend.log().contains("hot restart: state restored")
     });
     let mut edge = backend.connect();
@@ -632,16 +633,16 @@
         request(&mut edge, 3, "bid", ID_C, &[authorization(&north), KEY]).body,
         b"sold"
     );
-    edge.task(4, "bid", ID_D, &[authorization(&south), KEY]);
-    until("the start", || {
+    edge.send_task(4, "bid", ID_D, &[authorization(&south), KEY]);
+    wait_until("the start", || {
         backend
             .runtime
-            .commanded()
+            .try_next_command()
             .is_some_and(|command| command["rid"] == ID_D)
     });
-    backend.runtime.end(ID_D, "PASS", b"other");
-    assert_eq!(edge.answer().unwrap().body, b"other");
-    for process in asterdale_testkit::proofs::upgrade::processes(backend.file()) {
+    backend.runtime.send_run_end(ID_D, "PASS", b"other");
+    assert_eq!(edge.read_response().unwrap().body, b"other");
+    for process in asterdale_testkit::proofs::upgrade::processes(backend.start_file()) {
         asterdale_testkit::proofs::upgrade::signal(process, "KILL");
     }
     std::fs::remove_dir_all(folder).unwrap();
--- a/crates/asterdale-daemon/tests/journal.rs
+++ b/crates/asterdale-daemon/tests/journal.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use asterdale_testkit::scripted::{until, Backend};
+use asterdale_testkit::scripted::{wait_until, Backend};
 use serde_json::{json, Value};
 
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
@@ -33,7 +33,7 @@
         }
         config["settings"]["lanes"][1]["memorySpanNs"] = json!(WINDOW_MS * 1_000_000);
     });
-    backend.runtime.up();
+    backend.runtime.set_ready();
     backend
 }
 
@@ -75,56 +75,70 @@
     let mut backend = backend(&folder);
     let mut edge = backend.connect();
     // An empty folder may be one that was lost: nobody hears that it never ran, and nothing with a key runs.
-    edge.task(1, "bid", "00000000000000a0", &[KEY]);
-    let answer = edge.answer().unwrap();
+    edge.send_task(1, "bid", "00000000000000a0", &[KEY]);
+    let answer = edge.read_response().unwrap();
     assert_eq!(answer.status(), "500");
     assert!(
         answer.head.contains("X-Outcome: unknown") && answer.head.contains("Retry-After-Ms: "),
         "{}",
         answer.head
     );
-    edge.task(2, "page", "00000000000000a1", &[]);
-    assert_eq!(backend.runtime.command("start")["rid"], "00000000000000a1");
-    backend.runtime.end("00000000000000a1", "PASS", b"page");
-    assert_eq!(edge.answer().unwrap().body, b"page");
+    edge.send_task(2, "page", "00000000000000a1", &[]);
+    assert_eq!(
+        backend.runtime.expect_command("start")["rid"],
+        "00000000000000a1"
+    );
+    backend
+        .runtime
+        .send_run_end("00000000000000a1", "PASS", b"page");
+    assert_eq!(edge.read_response().unwrap().body, b"page");
     thread::sleep(Duration::from_millis(WINDOW_MS + LIMIT_MS + 300));
 
-    edge.task(3, "bid", "00000000000000a2", &[KEY]);
-    assert_eq!(backend.runtime.command("start")["rid"], "00000000000000a2");
+    edge.send_task(3, "bid", "00000000000000a2", &[KEY]);
+    assert_eq!(
+        backend.runtime.expect_command("start")["rid"],
+        "00000000000000a2"
+    );
     assert_eq!(
         stage_of("00000000000000a2", &folder),
         Some(json!("intent")),
         "before its start goes out"
     );
     assert_eq!(asked("check", &folder).0, 0, "while the process serves");
-    backend.runtime.end("00000000000000a2", "PASS", b"sold");
-    assert_eq!(edge.answer().unwrap().body, b"sold");
+    backend
+        .runtime
+        .send_run_end("00000000000000a2", "PASS", b"sold");
+    assert_eq!(edge.read_response().unwrap().body, b"sold");
     assert_eq!(
         stage_of("00000000000000a2", &folder),
         Some(json!("passed")),
         "before its answer"
     );
 
-    edge.task(4, "bid", "00000000000000a3", &[OTHER]);
-    backend.runtime.command("start");
-    backend.killed_and_started();
+    edge.send_task(4, "bid", "00000000000000a3", &[OTHER]);
+    backend.runtime.expect_command("start");
+    backend.kill_and_restart();
     let mut edge = backend.connect();
-    until("its word on the folder", || {
+    wait_until("its word on the folder", || {
         backend
             .log()
             .contains("the folder is what the last run left")
     });
-    edge.task(1, "bid", "00000000000000a4", &[KEY]);
-    let answer = edge.answer().unwrap();
+    edge.send_task(1, "bid", "00000000000000a4", &[KEY]);
+    let answer = edge.read_response().unwrap();
     assert_eq!((answer.status(), &answer.body[..]), ("200", &b"sold"[..]));
-    edge.task(2, "bid", "00000000000000a5", &[OTHER]);
-    let answer = edge.answer().unwrap();
+    edge.send_task(2, "bid", "00000000000000a5", &[OTHER]);
+    let answer = edge.read_response().unwrap();
     assert!(
         answer.head.contains("X-Outcome: unknown"),
         "{}",
         answer.head
     );
-    assert_eq!(backend.runtime.commanded(), None, "neither runs again");
+    assert_eq!(
+        backend.runtime.try_next_command(),
+        None,
+        "neither runs again"
+    );
     let (code, stats) = asked("stats", &folder);
     assert_eq!(
         (
@@ -138,12 +152,17 @@
 
     // Once the window is over the key is anybody's.
     thread::sleep(Duration::from_millis(WINDOW_MS + LIMIT_MS + 300));
-    edge.task(3, "bid", "00000000000000a6", &[OTHER]);
-    assert_eq!(backend.runtime.command("start")["rid"], "00000000000000a6");
-    backend.runtime.end("00000000000000a6", "PASS", b"again");
-    assert_eq!(edge.answer().unwrap().body, b"again");
+    edge.send_task(3, "bid", "00000000000000a6", &[OTHER]);
+    assert_eq!(
+        backend.runtime.expect_command("start")["rid"],
+        "00000000000000a6"
+    );
+    backend
+        .runtime
+        .send_run_end("00000000000000a6", "PASS", b"again");
+    assert_eq!(edge.read_response().unwrap().body, b"again");
     backend.signal("-TERM");
-    assert!(backend.ended().0.success());
+    assert!(backend.wait_for_exit().0.success());
     std::fs::remove_dir_all(folder).unwrap();
 }
 
--- a/crates/asterdale-daemon/tests/registry.rs
+++ b/crates/asterdale-daemon/tests/registry.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
 
-use asterdale_testkit::scripted::{until, Backend, PATIENCE};
+use asterdale_testkit::scripted::{wait_until, Backend, PATIENCE};
 use serde_json::json;
 
 /// A report that was read whole and is not answered yet.
@@ -21,7 +21,7 @@
     let (sender, reports) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let request = asterdale_testkit::services::request(&mut BufReader::new(&stream));
+            let request = asterdale_testkit::services::read_request(&mut BufReader::new(&stream));
             let Some((_, body)) = request else { continue };
             let _ = sender.send(Report {
                 stream,
@@ -55,7 +55,7 @@
         .write_all(b"HTTP/1.1 204 No Content\r\n\r\n")
         .unwrap();
     backend.counters_until(|count| count("reports") == 1 && count("reports_failed") == 0);
-    until("the end of the first", || silent.is_closed());
+    wait_until("the end of the first", || silent.is_closed());
 }
 
 #[test]
@@ -66,12 +66,12 @@
     // More moves than any mailbox of a few places takes while a report stands.
     for n in 1..=40 {
         let at = if n % 2 == 1 { here.0 } else { there.0 };
-        let text = backend.changed(|config| config["registry"] = json!(at));
+        let text = backend.edit_start_file(|config| config["registry"] = json!(at));
         backend.reload(&text);
         backend.counters_until(|count| count("reloads") == n);
     }
     backend.signal("-TERM");
-    let (status, log) = backend.ended();
+    let (status, log) = backend.wait_for_exit();
     assert!(status.success(), "{log}");
     let bodies: Vec<String> = [there.1, here.1]
         .iter()
--- a/crates/asterdale-daemon/tests/runtime.rs
+++ b/crates/asterdale-daemon/tests/runtime.rs
@@ -1,6 +1,6 @@
 //! The link to the runtime where it says what it should not, or is another one than before.
 
-use asterdale_testkit::scripted::{until, Backend};
+use asterdale_testkit::scripted::{wait_until, Backend};
 use serde_json::json;
 
 const ID_A: &str = "00000000000000aa";
@@ -11,12 +11,12 @@
 fn a_notice_far_out_of_range_hides_no_later_one() {
     let backend = Backend::start();
     let mut edge = backend.connect();
-    edge.task(1, "page", ID_A, &[]);
-    backend.runtime.command("start");
+    edge.send_task(1, "page", ID_A, &[]);
+    backend.runtime.expect_command("start");
     let far = json!({"t": "info", "no": 9_000_000_000_000_000_000u64, "status": "far"});
-    backend.runtime.say(&far.to_string());
-    backend.runtime.end(ID_A, "PASS", b"heard");
-    assert_eq!(edge.answer().unwrap().body, b"heard");
+    backend.runtime.send_line(&far.to_string());
+    backend.runtime.send_run_end(ID_A, "PASS", b"heard");
+    assert_eq!(edge.read_response().unwrap().body, b"heard");
     backend.counters_until(|count| count("runtime_lines_malformed") == 1);
 }
 
@@ -24,27 +24,27 @@
 fn runs_of_a_runtime_that_was_replaced_fail_at_once_and_the_new_one_is_heard() {
     let backend = Backend::start();
     let mut edge = backend.connect();
-    edge.task(1, "page", ID_A, &[]);
-    backend.runtime.command("start");
-    backend.runtime.end(ID_A, "PASS", b"first");
-    assert_eq!(edge.answer().unwrap().body, b"first");
-    edge.task(2, "page", ID_B, &[]);
-    backend.runtime.command("start");
+    edge.send_task(1, "page", ID_A, &[]);
+    backend.runtime.expect_command("start");
+    backend.runtime.send_run_end(ID_A, "PASS", b"first");
+    assert_eq!(edge.read_response().unwrap().body, b"first");
+    edge.send_task(2, "page", ID_B, &[]);
+    backend.runtime.expect_command("start");
     // Up for less long than the one before had been, with nothing of its work; its notices are numbered from 1.
-    backend.runtime.replaced();
-    assert_eq!(edge.status(2), "500");
-    edge.task(3, "page", ID_C, &[]);
-    assert_eq!(backend.runtime.command("start")["rid"], ID_C);
-    backend.runtime.end(ID_C, "PASS", b"new");
-    assert_eq!(edge.answer().unwrap().body, b"new");
+    backend.runtime.replace_runtime();
+    assert_eq!(edge.expect_status(2), "500");
+    edge.send_task(3, "page", ID_C, &[]);
+    assert_eq!(backend.runtime.expect_command("start")["rid"], ID_C);
+    backend.runtime.send_run_end(ID_C, "PASS", b"new");
+    assert_eq!(edge.read_response().unwrap().body, b"new");
 }
 
 #[test]
 fn a_server_that_is_asked_before_its_runtime_is_up_counts_as_cold_until_that_says_otherwise() {
     let backend = Backend::start_before_runtime(|_| ());
     let mut edge = backend.connect();
-    edge.task(1, "page", ID_A, &[]);
-    until("the start", || {
+    edge.send_task(1, "page", ID_A, &[]);
+    wait_until("the start", || {
         backend.log().contains("engine: server started")
     });
     assert!(
@@ -52,8 +52,8 @@
         "{}",
         backend.log()
     );
-    backend.runtime.up();
-    until("the runtime's word", || {
+    backend.runtime.set_ready();
+    wait_until("the runtime's word", || {
         backend.log().contains("engine: runtime started")
     });
     assert!(
@@ -61,7 +61,7 @@
         "{}",
         backend.log()
     );
-    backend.runtime.command("start");
-    backend.runtime.end(ID_A, "PASS", b"");
-    assert_eq!(edge.status(1), "200");
+    backend.runtime.expect_command("start");
+    backend.runtime.send_run_end(ID_A, "PASS", b"");
+    assert_eq!(edge.expect_status(1), "200");
 }
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -5,8 +5,8 @@
 
 use asterdale_fastcgi::record_type;
 use asterdale_testkit::scripted::{
-    self, address, config, counter, launch, now, record, request, until, Backend, EdgeConnection,
-    PATIENCE,
+    self, counter, launch, record, request, start_file_json, unix_ms_text, unused_address,
+    wait_until, Backend, EdgeConnection, PATIENCE,
 };
 use serde_json::json;
 
@@ -19,8 +19,8 @@
 fn running(stage: &str) -> (Backend, EdgeConnection) {
     let backend = Backend::start();
     let mut edge = backend.connect();
-    edge.task(1, stage, ID_A, if stage == "bid" { &[KEY] } else { &[] });
-    backend.runtime.command("start");
+    edge.send_task(1, stage, ID_A, if stage == "bid" { &[KEY] } else { &[] });
+    backend.runtime.expect_command("start");
     (backend, edge)
 }
 
@@ -28,24 +28,24 @@
 fn a_task_is_run_and_its_result_comes_back_unchanged_in_any_order() {
     let backend = Backend::start();
     let mut edge = backend.connect();
-    edge.task(1, "page", ID_A, &[]);
-    edge.task(7, "page", ID_B, &[]);
-    let start = backend.runtime.command("start");
+    edge.send_task(1, "page", ID_A, &[]);
+    edge.send_task(7, "page", ID_B, &[]);
+    let start = backend.runtime.expect_command("start");
     assert_eq!(
         start,
         json!({"t": "start", "rid": ID_A, "route": "page", "b64": "YXNrAP8="})
     );
-    assert_eq!(backend.runtime.command("start")["rid"], ID_B);
+    assert_eq!(backend.runtime.expect_command("start")["rid"], ID_B);
     let result: Vec<u8> = (0..4096u32).map(|n| n as u8).collect();
-    backend.runtime.end(ID_B, "PASS", &result);
-    let answer = edge.answer().unwrap();
+    backend.runtime.send_run_end(ID_B, "PASS", &result);
+    let answer = edge.read_response().unwrap();
     assert_eq!(
         (answer.request, answer.status(), answer.state),
         (7, "200", 0)
     );
     assert_eq!(answer.body, result);
-    backend.runtime.end(ID_A, "FAIL", b"");
-    assert_eq!(edge.status(1), "500");
+    backend.runtime.send_run_end(ID_A, "FAIL", b"");
+    assert_eq!(edge.expect_status(1), "500");
 }
 
 #[test]
@@ -53,63 +53,68 @@
     let backend = Backend::start();
     let mut edge = backend.connect();
     edge.stream.set_nodelay(true).unwrap();
-    let start = now();
-    for byte in request(3, "/v1/page", &scripted::fields(ID_A, &start, &[]), b"x") {
+    let start = unix_ms_text();
+    for byte in request(
+        3,
+        "/v1/page",
+        &scripted::task_fields(ID_A, &start, &[]),
+        b"x",
+    ) {
         edge.send(&[byte]);
     }
-    backend.runtime.command("start");
-    backend.runtime.end(ID_A, "PASS", b"done");
-    assert_eq!(edge.answer().unwrap().body, b"done");
+    backend.runtime.expect_command("start");
+    backend.runtime.send_run_end(ID_A, "PASS", b"done");
+    assert_eq!(edge.read_response().unwrap().body, b"done");
 }
 
 #[test]
 fn what_comes_too_late_is_rejected_at_once_with_advice() {
     let backend = Backend::start();
     let mut edge = backend.connect();
-    edge.task(1, "page", ID_A, &[("HTTP_X_TIMEOUT_MS", "0")]);
-    let answer = edge.answer().unwrap();
+    edge.send_task(1, "page", ID_A, &[("HTTP_X_TIMEOUT_MS", "0")]);
+    let answer = edge.read_response().unwrap();
     assert_eq!(answer.status(), "503");
     assert!(answer.head.contains("Retry-After-Ms: "), "{}", answer.head);
-    assert_eq!(backend.runtime.commanded(), None);
+    assert_eq!(backend.runtime.try_next_command(), None);
 }
 
 #[test]
 fn a_repeat_of_a_fingerprinted_task_gets_the_result_and_never_runs() {
     let backend = Backend::start();
     let (mut edge, mut other) = (backend.connect(), backend.connect());
-    edge.task(1, "bid", ID_A, &[KEY]);
-    backend.runtime.command("start");
+    edge.send_task(1, "bid", ID_A, &[KEY]);
+    backend.runtime.expect_command("start");
     // One that comes while it runs, and one after it ended.
-    other.task(1, "bid", ID_B, &[KEY]);
+    other.send_task(1, "bid", ID_B, &[KEY]);
     backend.counters_until(|count| count("tasks_taken") == 2);
-    backend.runtime.end(ID_A, "PASS", b"sold");
-    assert_eq!(edge.answer().unwrap().body, b"sold");
-    assert_eq!(other.answer().unwrap().body, b"sold");
-    other.task(2, "bid", ID_C, &[KEY]);
-    let answer = other.answer().unwrap();
+    backend.runtime.send_run_end(ID_A, "PASS", b"sold");
+    assert_eq!(edge.read_response().unwrap().body, b"sold");
+    assert_eq!(other.read_response().unwrap().body, b"sold");
+    other.send_task(2, "bid", ID_C, &[KEY]);
+    let answer = other.read_response().unwrap();
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
         ("200", &b"sold"[..])
     );
-    assert_eq!(backend.runtime.commanded(), None);
+    assert_eq!(backend.runtime.try_next_command(), None);
 }
 
 #[test]
 fn a_repeat_of_one_that_failed_fails_and_never_runs() {
     let (backend, mut edge) = running("bid");
-    backend.runtime.end(ID_A, "FAIL", b"");
-    assert_eq!(edge.status(1), "500");
-    edge.task(2, "bid", ID_B, &[KEY]);
-    assert_eq!(edge.status(2), "500");
-    assert_eq!(backend.runtime.commanded(), None);
+    backend.runtime.send_run_end(ID_A, "FAIL", b"");
+    assert_eq!(edge.expect_status(1), "500");
+    edge.send_task(2, "bid", ID_B, &[KEY]);
+    assert_eq!(edge.expect_status(2), "500");
+    assert_eq!(backend.runtime.try_next_command(), None);
 }
 
 #[test]
 fn a_call_goes_below_and_its_reply_to_the_run() {
     let (backend, mut edge) = running("bid");
     for reply in [&b"one"[..], b"\0\xfe"] {
-        backend.runtime.wants(ID_A, b"need");
-        let call = backend.records.call();
+        backend.runtime.send_call_request(ID_A, b"need");
+        let call = backend.records.next_call();
         assert!(
             call.head.starts_with("POST /records/op HTTP/1.1\r\n"),
             "{}",
@@ -122,12 +127,12 @@
         call.reply("200 OK", reply);
         let encoded = if reply == b"one" { "b25l" } else { "AP4=" };
         assert_eq!(
-            backend.runtime.command("give"),
+            backend.runtime.expect_command("give"),
             json!({"t": "give", "rid": ID_A, "b64": encoded})
         );
     }
-    backend.runtime.end(ID_A, "PASS", b"sold");
-    assert_eq!(edge.status(1), "200");
+    backend.runtime.send_run_end(ID_A, "PASS", b"sold");
+    assert_eq!(edge.expect_status(1), "200");
 }
 
 #[test]
@@ -135,11 +140,11 @@
     let (backend, _edge) = running("bid");
     let mut from = Vec::new();
     for _ in 0..2 {
-        backend.runtime.wants(ID_A, b"need");
-        let call = backend.records.call();
-        from.push(call.from());
+        backend.runtime.send_call_request(ID_A, b"need");
+        let call = backend.records.next_call();
+        from.push(call.peer_address());
         call.reply("200 OK", b"one");
-        assert_eq!(backend.runtime.command("give")["b64"], "b25l");
+        assert_eq!(backend.runtime.expect_command("give")["b64"], "b25l");
     }
     assert_ne!(from[0], from[1]);
 }
@@ -147,36 +152,36 @@
 #[test]
 fn a_start_file_that_is_read_again_moves_all_peers_and_loses_no_command() {
     let (mut backend, mut edge) = running("bid");
-    let (before, ..) = backend.moved();
+    let (before, ..) = backend.move_services();
     backend.counters_until(|count| count("links") == 2 && count("reloads") == 1);
-    backend.runtime.wants(ID_A, b"need");
-    backend.records.call().reply("200 OK", b"one");
+    backend.runtime.send_call_request(ID_A, b"need");
+    backend.records.next_call().reply("200 OK", b"one");
     // Had the start gone out again it would have come first.
-    assert_eq!(backend.runtime.command("give")["rid"], ID_A);
-    backend.runtime.end(ID_A, "PASS", b"sold");
-    assert_eq!(edge.answer().unwrap().body, b"sold");
+    assert_eq!(backend.runtime.expect_command("give")["rid"], ID_A);
+    backend.runtime.send_run_end(ID_A, "PASS", b"sold");
+    assert_eq!(edge.read_response().unwrap().body, b"sold");
     backend.reports.recv_timeout(PATIENCE).unwrap();
-    assert_eq!(before.commanded(), None);
+    assert_eq!(before.try_next_command(), None);
     // One that makes no sense changes nothing.
     backend.reload("{\"runtime\": 5}");
     backend.counters_until(|count| count("reloads_failed") == 1);
-    edge.task(2, "page", ID_B, &[]);
-    assert_eq!(backend.runtime.command("start")["rid"], ID_B);
+    edge.send_task(2, "page", ID_B, &[]);
+    assert_eq!(backend.runtime.expect_command("start")["rid"], ID_B);
 }
 
 #[test]
 fn a_call_that_may_have_run_is_not_made_again() {
     for bad in ["500 Error", "504 Late", "503 Busy", "nonsense", ""] {
         let (backend, mut edge) = running("bid");
-        backend.runtime.wants(ID_A, b"need");
-        let call = backend.records.call();
+        backend.runtime.send_call_request(ID_A, b"need");
+        let call = backend.records.next_call();
         match bad {
             "" => drop(call),
             "nonsense" => call.reply("xyz", b""),
             status => call.reply(status, b""),
         }
-        assert_eq!(edge.status(1), "500", "{bad}");
-        backend.runtime.end(ID_A, "KILLED", b"");
+        assert_eq!(edge.expect_status(1), "500", "{bad}");
+        backend.runtime.send_run_end(ID_A, "KILLED", b"");
         backend.counters_until(|count| count("runs_killed") == 1);
         backend.counters_until(|count| count("calls_sent") == 1);
     }
@@ -189,38 +194,38 @@
         "409 Conflict\r\nOp-Not-Begun: 1",
     ] {
         let (backend, mut edge) = running("bid");
-        backend.runtime.wants(ID_A, b"need");
-        backend.records.call().reply(never, b"");
-        backend.records.call().reply("200 OK", b"now");
-        backend.runtime.command("give");
-        backend.runtime.end(ID_A, "PASS", b"sold");
-        assert_eq!(edge.status(1), "200");
+        backend.runtime.send_call_request(ID_A, b"need");
+        backend.records.next_call().reply(never, b"");
+        backend.records.next_call().reply("200 OK", b"now");
+        backend.runtime.expect_command("give");
+        backend.runtime.send_run_end(ID_A, "PASS", b"sold");
+        assert_eq!(edge.expect_status(1), "200");
     }
 }
 
 #[test]
 fn a_run_goes_on_without_a_call_that_can_be_left_out_and_fails() {
     let (backend, mut edge) = running("page");
-    backend.runtime.wants(ID_A, b"need");
-    backend.records.call().reply("500 Error", b"");
-    backend.records.call().reply("500 Error", b"");
+    backend.runtime.send_call_request(ID_A, b"need");
+    backend.records.next_call().reply("500 Error", b"");
+    backend.records.next_call().reply("500 Error", b"");
     assert_eq!(
-        backend.runtime.command("omit"),
+        backend.runtime.expect_command("omit"),
         json!({"t": "omit", "rid": ID_A, "no": 1})
     );
-    backend.runtime.end(ID_A, "PASS", b"poor");
-    assert_eq!(edge.answer().unwrap().body, b"poor");
+    backend.runtime.send_run_end(ID_A, "PASS", b"poor");
+    assert_eq!(edge.read_response().unwrap().body, b"poor");
 }
 
 #[test]
 fn a_records_service_that_refuses_connections_has_run_nothing() {
-    let at = address();
+    let at = unused_address();
     let backend = Backend::start_before_runtime(|config| config["records"] = json!(at));
-    backend.runtime.up();
+    backend.runtime.set_ready();
     let mut edge = backend.connect();
-    edge.task(1, "bid", ID_A, &[KEY]);
-    backend.runtime.command("start");
-    backend.runtime.wants(ID_A, b"need");
+    edge.send_task(1, "bid", ID_A, &[KEY]);
+    backend.runtime.expect_command("start");
+    backend.runtime.send_call_request(ID_A, b"need");
     backend.counters_until(|count| count("calls_failed") >= 2);
     let listener = TcpListener::bind(at).unwrap();
     listener.accept().unwrap(); // it is there again, and the call is made
@@ -230,19 +235,19 @@
 fn an_abort_ends_a_held_task_and_frees_its_number() {
     let backend = Backend::start_before_runtime(|_| ());
     let mut edge = backend.connect();
-    edge.task(1, "page", ID_A, &[]);
+    edge.send_task(1, "page", ID_A, &[]);
     edge.send(&record(record_type::ABORT_REQUEST, 1, &[]));
-    edge.status(1);
-    backend.runtime.up();
-    edge.task(1, "page", ID_B, &[]);
-    until("the start", || {
+    edge.expect_status(1);
+    backend.runtime.set_ready();
+    edge.send_task(1, "page", ID_B, &[]);
+    wait_until("the start", || {
         backend
             .runtime
-            .commanded()
+            .try_next_command()
             .is_some_and(|command| command["rid"] == ID_B)
     });
-    backend.runtime.end(ID_B, "PASS", b"");
-    assert_eq!(edge.status(1), "200");
+    backend.runtime.send_run_end(ID_B, "PASS", b"");
+    assert_eq!(edge.expect_status(1), "200");
     backend.counters_until(|count| count("tasks_aborted") == 1 && count("tasks_open") == 0);
 }
 
@@ -250,12 +255,12 @@
 fn a_peer_that_only_stops_sending_gets_its_answer() {
     let backend = Backend::start();
     let mut edge = backend.connect();
-    edge.task(1, "page", ID_A, &[]);
+    edge.send_task(1, "page", ID_A, &[]);
     edge.stream.shutdown(Shutdown::Write).unwrap();
-    backend.runtime.command("start");
-    backend.runtime.end(ID_A, "PASS", b"late");
-    assert_eq!(edge.answer().unwrap().body, b"late");
-    assert_eq!(edge.answer(), None);
+    backend.runtime.expect_command("start");
+    backend.runtime.send_run_end(ID_A, "PASS", b"late");
+    assert_eq!(edge.read_response().unwrap().body, b"late");
+    assert_eq!(edge.read_response(), None);
     backend.counters_until(|count| count("connections_open") == 0);
 }
 
@@ -263,18 +268,18 @@
 fn malformed_bytes_end_their_connection_alone_and_what_is_open_on_it_is_answered() {
     let backend = Backend::start();
     let (mut edge, mut other) = (backend.connect(), backend.connect());
-    edge.task(1, "page", ID_A, &[]);
+    edge.send_task(1, "page", ID_A, &[]);
     edge.send(b"GET / HTTP/1.1\r\n\r\n");
-    other.task(1, "page", ID_B, &[]);
-    backend.runtime.command("start");
-    backend.runtime.command("start");
-    backend.runtime.end(ID_A, "PASS", b"a");
-    backend.runtime.end(ID_B, "PASS", b"b");
-    assert_eq!(edge.answer().unwrap().body, b"a");
-    assert_eq!(edge.answer(), None);
-    assert_eq!(other.answer().unwrap().body, b"b");
-    other.task(2, "page", ID_C, &[]);
-    backend.runtime.command("start");
+    other.send_task(1, "page", ID_B, &[]);
+    backend.runtime.expect_command("start");
+    backend.runtime.expect_command("start");
+    backend.runtime.send_run_end(ID_A, "PASS", b"a");
+    backend.runtime.send_run_end(ID_B, "PASS", b"b");
+    assert_eq!(edge.read_response().unwrap().body, b"a");
+    assert_eq!(edge.read_response(), None);
+    assert_eq!(other.read_response().unwrap().body, b"b");
+    other.send_task(2, "page", ID_C, &[]);
+    backend.runtime.expect_command("start");
     backend.counters_until(|count| count("connections_malformed") == 1);
 }
 
@@ -294,22 +299,22 @@
         ("HTTP_IDEMPOTENCY_KEY", ""),
     ] {
         let mut edge = backend.connect();
-        edge.task(5, "bid", ID_A, &[KEY, (name, value)]);
-        assert_eq!(edge.status(5), "400", "{name} {value:?}");
+        edge.send_task(5, "bid", ID_A, &[KEY, (name, value)]);
+        assert_eq!(edge.expect_status(5), "400", "{name} {value:?}");
     }
     let mut edge = backend.connect();
-    edge.task(6, "unheard", ID_A, &[KEY]);
-    assert_eq!(edge.status(6), "400");
-    let start = now();
+    edge.send_task(6, "unheard", ID_A, &[KEY]);
+    assert_eq!(edge.expect_status(6), "400");
+    let start = unix_ms_text();
     let long = request(
         7,
         "/v1/page",
-        &scripted::fields(ID_A, &start, &[]),
+        &scripted::task_fields(ID_A, &start, &[]),
         &[0; 2049],
     );
     edge.send(&long);
-    assert_eq!(edge.status(7), "400");
-    assert_eq!(backend.runtime.commanded(), None);
+    assert_eq!(edge.expect_status(7), "400");
+    assert_eq!(backend.runtime.try_next_command(), None);
     backend.counters_until(|count| count("tasks_malformed") == 12 && count("tasks_taken") == 0);
 }
 
@@ -324,10 +329,10 @@
         &[0, 1, 1, 0, 0, 0, 0, 0],
     ));
     // A key that is known, with another body: its result is not for this one.
-    let start = now();
-    let other = scripted::fields(ID_B, &start, &[KEY]);
+    let start = unix_ms_text();
+    let other = scripted::task_fields(ID_B, &start, &[KEY]);
     again.send(&request(1, "/v1/bid", &other, b"other"));
-    assert_eq!(again.status(1), "400");
+    assert_eq!(again.expect_status(1), "400");
     // The same again the moment it is turned away.
     let mut endless = backend.connect();
     let mut asked = 0;
@@ -336,7 +341,7 @@
             .stream
             .write_all(&request(1, "/v1/unheard", &other, b"x"));
         asked += 1;
-        if endless.answer().is_none() {
+        if endless.read_response().is_none() {
             break;
         }
     }
@@ -346,30 +351,30 @@
     let bytes = request(
         1,
         "/v1/page",
-        &scripted::fields(ID_C, &start, &[]),
+        &scripted::task_fields(ID_C, &start, &[]),
         &[0; 2049],
     );
     long.send(&bytes[..bytes.len() - 11]);
-    assert_eq!(long.status(1), "400");
-    assert_eq!((silent.answer(), half.answer()), (None, None));
-    backend.runtime.end(ID_A, "PASS", b"sold");
-    assert_eq!(edge.answer().unwrap().body, b"sold");
+    assert_eq!(long.expect_status(1), "400");
+    assert_eq!((silent.read_response(), half.read_response()), (None, None));
+    backend.runtime.send_run_end(ID_A, "PASS", b"sold");
+    assert_eq!(edge.read_response().unwrap().body, b"sold");
     backend.counters_until(|count| count("connections_silent") == 2);
 }
 
 #[test]
 fn connections_that_say_nothing_do_not_shut_others_out() {
     let backend = Backend::start_before_runtime(|config| config["limits"]["sockets"] = json!(128));
-    backend.runtime.up();
+    backend.runtime.set_ready();
     let mut edge = backend.connect();
-    edge.task(1, "page", ID_A, &[]);
-    backend.runtime.command("start");
+    edge.send_task(1, "page", ID_A, &[]);
+    backend.runtime.expect_command("start");
     let all: Vec<EdgeConnection> = (0..200).map(|_| backend.connect()).collect();
     let mut last = backend.connect();
-    last.task(1, "page", ID_B, &[]);
-    assert_eq!(backend.runtime.command("start")["rid"], ID_B);
-    backend.runtime.end(ID_A, "PASS", b"");
-    assert_eq!(edge.status(1), "200");
+    last.send_task(1, "page", ID_B, &[]);
+    assert_eq!(backend.runtime.expect_command("start")["rid"], ID_B);
+    backend.runtime.send_run_end(ID_A, "PASS", b"");
+    assert_eq!(edge.expect_status(1), "200");
     backend.counters_until(|count| count("connections_given_up") >= 100);
     drop(all);
 }
@@ -377,21 +382,21 @@
 #[test]
 fn connections_that_asked_once_and_stay_give_way_to_a_few() {
     let backend = Backend::start_before_runtime(|config| config["limits"]["sockets"] = json!(256));
-    backend.runtime.up();
+    backend.runtime.set_ready();
     let mut edge = backend.connect();
-    edge.task(1, "page", ID_A, &[]);
-    backend.runtime.command("start");
+    edge.send_task(1, "page", ID_A, &[]);
+    backend.runtime.expect_command("start");
     let mut all: Vec<EdgeConnection> = (0..80).map(|_| backend.connect()).collect();
     for once in &mut all {
         once.send(&request(1, "/healthz", &[], b""));
-        assert_eq!(once.status(1), "200");
+        assert_eq!(once.expect_status(1), "200");
     }
     // 32 of 256 descriptors; the one with something open is none of them.
     backend.counters_until(|count| {
         count("connections_given_up") >= 48 && count("connections_open") <= 33
     });
-    backend.runtime.end(ID_A, "PASS", b"");
-    assert_eq!(edge.status(1), "200");
+    backend.runtime.send_run_end(ID_A, "PASS", b"");
+    assert_eq!(edge.expect_status(1), "200");
 }
 
 #[test]
@@ -399,14 +404,14 @@
     let backend = Backend::start_before_runtime(|config| {
         config["settings"]["guarantees"]["drainGraceNs"] = json!(1_000_000_000);
     });
-    backend.runtime.up();
+    backend.runtime.set_ready();
     let mut edge = backend.connect();
     backend.signal("-TERM");
-    until("the notice", || backend.log().contains("engine: draining"));
+    wait_until("the notice", || backend.log().contains("engine: draining"));
     std::thread::sleep(std::time::Duration::from_millis(750)); // the way out is 300 ms of the second
-    edge.task(1, "page", ID_A, &[]);
-    assert_eq!(edge.status(1), "503");
-    assert_eq!(backend.runtime.commanded(), None);
+    edge.send_task(1, "page", ID_A, &[]);
+    assert_eq!(edge.expect_status(1), "503");
+    assert_eq!(backend.runtime.try_next_command(), None);
 }
 
 #[test]
@@ -418,13 +423,13 @@
         9,
         &[0, 2, 1, 0, 0, 0, 0, 0],
     ));
-    let answer = edge.answer().unwrap();
+    let answer = edge.read_response().unwrap();
     assert_eq!((answer.request, answer.state), (9, 3));
     edge.send(&record(77, 4, b"of no request")); // passed over
-    edge.task(1, "page", ID_A, &[]);
-    backend.runtime.command("start");
-    backend.runtime.end(ID_A, "PASS", b"");
-    assert_eq!(edge.status(1), "200");
+    edge.send_task(1, "page", ID_A, &[]);
+    backend.runtime.expect_command("start");
+    backend.runtime.send_run_end(ID_A, "PASS", b"");
+    assert_eq!(edge.expect_status(1), "200");
 }
 
 #[test]
@@ -432,20 +437,20 @@
     let backend = Backend::start_before_runtime(|config| {
         config["settings"]["extra"]["cores"] = json!(40);
     });
-    backend.runtime.up();
+    backend.runtime.set_ready();
     let mut edge = backend.connect();
     for n in 1..=33u16 {
-        edge.task(n, "page", &format!("{n:016x}"), &[]);
+        edge.send_task(n, "page", &format!("{n:016x}"), &[]);
     }
-    let answer = edge.answer().unwrap();
+    let answer = edge.read_response().unwrap();
     assert_eq!((answer.request, answer.state), (33, 2));
     // Whoever opens the next one as soon as it has an answer is never one too many.
     for n in 1..=2000u16 {
-        let command = backend.runtime.command("start");
+        let command = backend.runtime.expect_command("start");
         let id = command["rid"].as_str().unwrap();
-        backend.runtime.end(id, "PASS", b"");
-        assert_eq!(edge.answer().unwrap().status(), "200");
-        edge.task(100 + n, "page", &format!("{:016x}", 100 + n), &[]);
+        backend.runtime.send_run_end(id, "PASS", b"");
+        assert_eq!(edge.read_response().unwrap().status(), "200");
+        edge.send_task(100 + n, "page", &format!("{:016x}", 100 + n), &[]);
     }
 }
 
@@ -455,12 +460,12 @@
     let mut edge = backend.connect();
     for query in ["", "deep=1"] {
         edge.send(&request(1, "/healthz", &[("QUERY_STRING", query)], b""));
-        assert_eq!(edge.status(1), "200");
+        assert_eq!(edge.expect_status(1), "200");
     }
     backend.signal("-TERM");
-    until("bad health", || {
+    wait_until("bad health", || {
         edge.send(&request(2, "/healthz", &[], b""));
-        edge.status(2) == "503"
+        edge.expect_status(2) == "503"
     });
 }
 
@@ -474,7 +479,7 @@
         );
     }
     backend.signal("-TERM");
-    until("draining", || {
+    wait_until("draining", || {
         backend.reports.recv_timeout(PATIENCE).unwrap() == r#"{"state":"draining"}"#
     });
 }
@@ -483,22 +488,22 @@
 fn a_broken_link_is_made_again_and_no_run_that_has_ended_is_started_anew() {
     let backend = Backend::start();
     let mut edge = backend.connect();
-    edge.task(1, "page", ID_A, &[]);
-    edge.task(2, "page", ID_B, &[]);
-    backend.runtime.command("start");
-    backend.runtime.command("start");
+    edge.send_task(1, "page", ID_A, &[]);
+    edge.send_task(2, "page", ID_B, &[]);
+    backend.runtime.expect_command("start");
+    backend.runtime.expect_command("start");
     backend
         .runtime
-        .broken(|runtime| runtime.end(ID_A, "PASS", b"meanwhile"));
-    let answer = edge.answer().unwrap();
+        .break_link(|runtime| runtime.send_run_end(ID_A, "PASS", b"meanwhile"));
+    let answer = edge.read_response().unwrap();
     assert_eq!(
         (answer.request, answer.body.as_slice()),
         (1, &b"meanwhile"[..])
     );
     // B's start may be sent again, as it may not have arrived; A's may not.
-    backend.runtime.end(ID_B, "PASS", b"b");
-    assert_eq!(edge.answer().unwrap().body, b"b");
-    while let Some(command) = backend.runtime.commanded() {
+    backend.runtime.send_run_end(ID_B, "PASS", b"b");
+    assert_eq!(edge.read_response().unwrap().body, b"b");
+    while let Some(command) = backend.runtime.try_next_command() {
         assert_eq!(command["rid"], ID_B, "{command}");
     }
 }
@@ -507,31 +512,31 @@
 fn a_task_taken_while_there_is_no_link_is_started_when_there_is_one() {
     let backend = Backend::start();
     let mut edge = backend.connect();
-    backend.runtime.broken(|_| {
-        until("the break", || {
+    backend.runtime.break_link(|_| {
+        wait_until("the break", || {
             backend.log().contains("runtime: link failed")
         });
-        edge.task(1, "bid", ID_A, &[KEY]);
+        edge.send_task(1, "bid", ID_A, &[KEY]);
         backend.counters_until(|count| count("runs_started") == 1);
     });
-    assert_eq!(backend.runtime.command("start")["rid"], ID_A);
-    backend.runtime.end(ID_A, "PASS", b"");
-    assert_eq!(edge.status(1), "200");
-    assert_eq!(backend.runtime.commanded(), None);
+    assert_eq!(backend.runtime.expect_command("start")["rid"], ID_A);
+    backend.runtime.send_run_end(ID_A, "PASS", b"");
+    assert_eq!(edge.expect_status(1), "200");
+    assert_eq!(backend.runtime.try_next_command(), None);
 }
 
 #[test]
 fn a_start_that_may_have_arrived_is_not_repeated_before_its_task_is_answered() {
     let backend = Backend::start();
     let mut edge = backend.connect();
-    backend.runtime.deaf(true);
-    edge.task(1, "bid", ID_A, &[KEY, ("HTTP_X_TIMEOUT_MS", "3000")]);
+    backend.runtime.set_discard_input(true);
+    edge.send_task(1, "bid", ID_A, &[KEY, ("HTTP_X_TIMEOUT_MS", "3000")]);
     backend.counters_until(|count| count("runs_started") == 1);
-    backend.runtime.deaf(false);
+    backend.runtime.set_discard_input(false);
     // The run could end while a second start is under way, and then run twice.
-    assert_eq!(edge.status(1), "500");
-    assert_eq!(backend.runtime.command("start")["rid"], ID_A);
-    backend.runtime.end(ID_A, "NOOP", b"");
+    assert_eq!(edge.expect_status(1), "500");
+    assert_eq!(backend.runtime.expect_command("start")["rid"], ID_A);
+    backend.runtime.send_run_end(ID_A, "NOOP", b"");
     backend.counters_until(|count| count("runs_killed") == 1);
 }
 
@@ -540,32 +545,32 @@
     let backend = Backend::start();
     let bad = "{\"t\":\"end\",\"no\":\"many\"}";
     // On a young link it would come again with each new one: it is passed over.
-    backend.runtime.say(bad);
+    backend.runtime.send_line(bad);
     backend.counters_until(|count| count("links") == 1 && count("runtime_lines_malformed") == 1);
     std::thread::sleep(std::time::Duration::from_millis(1100)); // until the link is not young any more
-    backend.runtime.say(bad);
+    backend.runtime.send_line(bad);
     backend.counters_until(|count| count("links") == 2 && count("runtime_lines_malformed") == 2);
     let mut edge = backend.connect();
-    edge.task(1, "page", ID_A, &[]);
-    backend.runtime.command("start");
+    edge.send_task(1, "page", ID_A, &[]);
+    backend.runtime.expect_command("start");
 }
 
 #[test]
 fn a_runtime_that_falls_silent_is_linked_anew_and_loses_no_command() {
     let backend = Backend::start();
     let mut edge = backend.connect();
-    backend.runtime.deaf(true);
-    edge.task(1, "page", ID_A, &[]);
+    backend.runtime.set_discard_input(true);
+    edge.send_task(1, "page", ID_A, &[]);
     backend.counters_until(|count| count("links") >= 2);
-    backend.runtime.deaf(false);
-    until("the start", || {
+    backend.runtime.set_discard_input(false);
+    wait_until("the start", || {
         backend
             .runtime
-            .commanded()
+            .try_next_command()
             .is_some_and(|command| command["rid"] == ID_A)
     });
-    backend.runtime.end(ID_A, "PASS", b"heard");
-    assert_eq!(edge.answer().unwrap().body, b"heard");
+    backend.runtime.send_run_end(ID_A, "PASS", b"heard");
+    assert_eq!(edge.read_response().unwrap().body, b"heard");
 }
 
 #[test]
@@ -573,8 +578,8 @@
     let (backend, mut edge) = running("page");
     backend
         .runtime
-        .say(&json!({"t": "nack", "status": "start", "rid": ID_A}).to_string());
-    assert_eq!(edge.status(1), "500");
+        .send_line(&json!({"t": "nack", "status": "start", "rid": ID_A}).to_string());
+    assert_eq!(edge.expect_status(1), "500");
 }
 
 #[test]
@@ -582,32 +587,32 @@
     let (backend, mut edge) = running("bid");
     backend
         .runtime
-        .say(&json!({"t": "nack", "status": "start", "rid": ID_A}).to_string());
-    assert_eq!(edge.status(1), "500");
-    edge.task(2, "bid", ID_B, &[KEY]);
-    assert_eq!(backend.runtime.command("start")["rid"], ID_B);
+        .send_line(&json!({"t": "nack", "status": "start", "rid": ID_A}).to_string());
+    assert_eq!(edge.expect_status(1), "500");
+    edge.send_task(2, "bid", ID_B, &[KEY]);
+    assert_eq!(backend.runtime.expect_command("start")["rid"], ID_B);
 }
 
 #[test]
 fn leaving_answers_all_that_was_read_and_ends_well() {
     let mut backend = Backend::start();
     let (mut edge, mut idle) = (backend.connect(), backend.connect());
-    edge.task(1, "page", ID_A, &[]);
-    edge.task(2, "bid", ID_B, &[KEY]);
-    backend.runtime.command("start");
-    backend.runtime.command("start");
+    edge.send_task(1, "page", ID_A, &[]);
+    edge.send_task(2, "bid", ID_B, &[KEY]);
+    backend.runtime.expect_command("start");
+    backend.runtime.expect_command("start");
     backend.signal("-TERM");
-    until("the notice", || backend.log().contains("engine: draining"));
+    wait_until("the notice", || backend.log().contains("engine: draining"));
     // What comes after the grace is rejected; what runs may end; what never ends is abandoned in time.
     std::thread::sleep(std::time::Duration::from_millis(5)); // stamps are whole milliseconds
-    edge.task(3, "page", ID_C, &[]);
-    assert_eq!(edge.status(3), "503");
-    backend.runtime.end(ID_A, "PASS", b"in time");
-    assert_eq!(edge.answer().unwrap().body, b"in time");
-    assert_eq!(edge.status(2), "500");
-    assert_eq!(edge.answer(), None);
-    assert_eq!(idle.answer(), None);
-    let (status, log) = backend.ended();
+    edge.send_task(3, "page", ID_C, &[]);
+    assert_eq!(edge.expect_status(3), "503");
+    backend.runtime.send_run_end(ID_A, "PASS", b"in time");
+    assert_eq!(edge.read_response().unwrap().body, b"in time");
+    assert_eq!(edge.expect_status(2), "500");
+    assert_eq!(edge.read_response(), None);
+    assert_eq!(idle.read_response(), None);
+    let (status, log) = backend.wait_for_exit();
     assert!(status.success(), "{log}");
     let count = |name: &str| counter(&log, name);
     assert_eq!((count("tasks_taken"), count("tasks_open")), (3, 0));
@@ -622,12 +627,12 @@
 fn counts_add_up_taken_in_is_answered_given_up_or_open() {
     let backend = Backend::start();
     let mut edge = backend.connect();
-    edge.task(1, "page", ID_A, &[]);
-    edge.task(2, "page", ID_B, &[("HTTP_X_TIMEOUT_MS", "0")]);
-    edge.task(3, "bid", ID_C, &[KEY]);
+    edge.send_task(1, "page", ID_A, &[]);
+    edge.send_task(2, "page", ID_B, &[("HTTP_X_TIMEOUT_MS", "0")]);
+    edge.send_task(3, "bid", ID_C, &[KEY]);
     edge.send(&record(record_type::ABORT_REQUEST, 3, &[]));
-    backend.runtime.command("start");
-    backend.runtime.end(ID_A, "PASS", b"");
+    backend.runtime.expect_command("start");
+    backend.runtime.send_run_end(ID_A, "PASS", b"");
     backend.counters_until(|count| {
         let ends = ["served", "joined", "rejected", "failed", "aborted", "open"];
         let ends = ends.map(|how| count(&format!("tasks_{how}")));
@@ -641,21 +646,21 @@
     let backend = Backend::start_before_runtime(|config| {
         config["settings"]["extra"]["idleNs"] = json!(1_500_000_000u64);
     });
-    backend.runtime.up();
+    backend.runtime.set_ready();
     let (mut idle, mut busy) = (backend.connect(), backend.connect());
-    busy.task(1, "page", ID_A, &[]);
-    backend.runtime.command("start");
-    assert_eq!(idle.answer(), None);
-    backend.runtime.end(ID_A, "PASS", b"");
-    assert_eq!(busy.status(1), "200");
-    assert_eq!(busy.answer(), None);
+    busy.send_task(1, "page", ID_A, &[]);
+    backend.runtime.expect_command("start");
+    assert_eq!(idle.read_response(), None);
+    backend.runtime.send_run_end(ID_A, "PASS", b"");
+    assert_eq!(busy.expect_status(1), "200");
+    assert_eq!(busy.read_response(), None);
     backend.counters_until(|count| count("connections_idle") == 2);
 }
 
 #[test]
 fn a_bad_start_file_is_named_in_one_line() {
     let at = "127.0.0.1:1".parse().unwrap();
-    let mut config = config(at, at, at, at);
+    let mut config = start_file_json(at, at, at, at);
     config["runtime"] = json!("nowhere");
     let (child, file) = launch(&config);
     let output = child.wait_with_output().unwrap();
@@ -675,15 +680,15 @@
         let at: std::net::SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
         holder = Some(TcpListener::bind(at).unwrap());
     });
-    until("the word of it", || {
+    wait_until("the word of it", || {
         backend
             .log()
             .contains("frontend: the address is still in use")
     });
     drop(holder);
-    until("serving", || backend.log().contains("daemon: serving"));
-    backend.runtime.up();
+    wait_until("serving", || backend.log().contains("daemon: serving"));
+    backend.runtime.set_ready();
     let mut edge = backend.connect();
-    edge.task(1, "page", ID_A, &[]);
-    assert_eq!(backend.runtime.command("start")["rid"], ID_A);
+    edge.send_task(1, "page", ID_A, &[]);
+    assert_eq!(backend.runtime.expect_command("start")["rid"], ID_A);
 }
--- a/crates/asterdale-daemon/tests/tenants.rs
+++ b/crates/asterdale-daemon/tests/tenants.rs
@@ -14,7 +14,7 @@
         config["settings"]["tenants"] = json!(tenants);
         config["settings"]["extra"]["cores"] = json!(40);
     });
-    backend.runtime.up();
+    backend.runtime.set_ready();
     backend
 }
 
@@ -24,12 +24,16 @@
     let mut edge = backend.connect();
     for (number, tenant) in (1u16..).zip(TENANTS) {
         let id = format!("{number:016x}");
-        edge.task(number, "bid", &id, &[KEY, ("HTTP_X_TENANT", tenant)]);
-        assert_eq!(backend.runtime.command("start")["rid"], id, "{tenant}");
+        edge.send_task(number, "bid", &id, &[KEY, ("HTTP_X_TENANT", tenant)]);
+        assert_eq!(
+            backend.runtime.expect_command("start")["rid"],
+            id,
+            "{tenant}"
+        );
     }
     // Repeats of each, while all run: each gets its own tenant's result.
     for (number, tenant) in (11u16..).zip(TENANTS) {
-        edge.task(
+        edge.send_task(
             number,
             "bid",
             &format!("{number:016x}"),
@@ -40,21 +44,21 @@
     for (number, tenant) in (1u16..).zip(TENANTS) {
         backend
             .runtime
-            .end(&format!("{number:016x}"), "PASS", tenant.as_bytes());
+            .send_run_end(&format!("{number:016x}"), "PASS", tenant.as_bytes());
     }
     for _ in 0..6 {
-        let answer = edge.answer().unwrap();
+        let answer = edge.read_response().unwrap();
         let tenant = TENANTS[usize::from((answer.request - 1) % 10)];
         assert_eq!(answer.body, tenant.as_bytes(), "{}", answer.request);
     }
-    edge.task(
+    edge.send_task(
         20,
         "bid",
         "00000000000000aa",
         &[KEY, ("HTTP_X_TENANT", "nobody")],
     );
-    assert_eq!(edge.status(20), "400");
-    assert_eq!(backend.runtime.commanded(), None);
+    assert_eq!(edge.expect_status(20), "400");
+    assert_eq!(backend.runtime.try_next_command(), None);
 }
 
 /// Interleaved requests of several tenants on several connections, with numbers used again: each gets the result
@@ -82,12 +86,12 @@
                     ("HTTP_X_TENANT", tenant),
                     ("HTTP_IDEMPOTENCY_KEY", key.as_str()),
                 ];
-                edge.task(number, stage, &id, &fields);
+                edge.send_task(number, stage, &id, &fields);
                 open.push((at, number, id, tenant));
             }
         }
         for _ in 0..open.len() {
-            let command = backend.runtime.command("start");
+            let command = backend.runtime.expect_command("start");
             let id = command["rid"].as_str().unwrap();
             let (.., tenant) = open
                 .iter()
@@ -95,11 +99,11 @@
                 .expect("of this round");
             backend
                 .runtime
-                .end(id, "PASS", format!("{id} {tenant}").as_bytes());
+                .send_run_end(id, "PASS", format!("{id} {tenant}").as_bytes());
         }
         for (at, edge) in edges.iter_mut().enumerate() {
             for _ in 0..4 {
-                let answer = edge.answer().unwrap();
+                let answer = edge.read_response().unwrap();
                 let (.., id, tenant) = open
                     .iter()
                     .find(|(on, number, ..)| (*on, *number) == (at, answer.request))
@@ -119,18 +123,18 @@
         // FCGI_GET_VALUES, of no variable.
         edge.send(&record(record_type::GET_VALUES, 0, &[]));
         let id = format!("{number:016x}");
-        edge.task(number, "page", &id, &[]);
-        backend.runtime.command("start");
-        backend.runtime.end(&id, "PASS", b"whole");
+        edge.send_task(number, "page", &id, &[]);
+        backend.runtime.expect_command("start");
+        backend.runtime.send_run_end(&id, "PASS", b"whole");
         let answer = next_answer(&mut edge);
-        assert_eq!((answer, backend.runtime.commanded()), (number, None));
+        assert_eq!((answer, backend.runtime.try_next_command()), (number, None));
     }
 }
 
 /// The number of the next answer to a request; replies to management records are read over.
 fn next_answer(edge: &mut EdgeConnection) -> u16 {
     loop {
-        match edge.try_answer() {
+        match edge.try_read_response() {
             Ok(Some(answer)) => return answer.request,
             Ok(None) => panic!("the connection ended"),
             Err(e) if e.kind() == std::io::ErrorKind::InvalidData => {} // GET_VALUES_RESULT
--- a/crates/asterdale-daemon/tests/upgrade.rs
+++ b/crates/asterdale-daemon/tests/upgrade.rs
@@ -13,7 +13,7 @@
 use asterdale_hot_restart::message::{
     Hello, ListenersAdopted, Refuse, StateLoaded, TrialStateLoaded,
 };
-use asterdale_testkit::scripted::{until, Backend, PATIENCE};
+use asterdale_testkit::scripted::{wait_until, Backend, PATIENCE};
 use serde_json::json;
 use std::io::{Read, Write};
 
@@ -28,7 +28,7 @@
 
 impl Drop for TestSite {
     fn drop(&mut self) {
-        for process in asterdale_testkit::proofs::upgrade::processes(self.backend.file()) {
+        for process in asterdale_testkit::proofs::upgrade::processes(self.backend.start_file()) {
             asterdale_testkit::proofs::upgrade::signal(process, "KILL");
         }
         let _ = std::fs::remove_dir_all(&self.folder);
@@ -52,7 +52,7 @@
         let backend =
             Backend::start_before_runtime(|config| config["upgrade"] = json!({"control": control}));
         drop(backend.connect());
-        backend.runtime.up();
+        backend.runtime.set_ready();
         backend.counters_until(|count| count("links") == 1);
         TestSite { folder, backend }
     }
@@ -90,7 +90,7 @@
     fn start_upgrade(&self) -> (Child, ScriptedProcess, Vec<u8>) {
         let asked = self.request_upgrade(&self.scripted_program());
         let nonce = self.folder.join("nonce");
-        until("the nonce", || nonce.exists());
+        wait_until("the nonce", || nonce.exists());
         let stream = UnixStream::connect(self.control()).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         (
@@ -106,10 +106,12 @@
     /// Checks that the old process serves while it waits for the new one.
     fn assert_serves_meanwhile(&self) {
         let mut edge = self.backend.connect();
-        edge.task(1, "page", ID_A, &[]);
-        self.backend.runtime.command("start");
-        self.backend.runtime.end(ID_A, "PASS", b"meanwhile");
-        assert_eq!(edge.answer().unwrap().body, b"meanwhile");
+        edge.send_task(1, "page", ID_A, &[]);
+        self.backend.runtime.expect_command("start");
+        self.backend
+            .runtime
+            .send_run_end(ID_A, "PASS", b"meanwhile");
+        assert_eq!(edge.read_response().unwrap().body, b"meanwhile");
     }
 
     /// Checks that the old process serves as if nothing had happened: a request runs, and its retry does not.
@@ -122,17 +124,17 @@
             "{text}"
         );
         let mut edge = self.backend.connect();
-        edge.task(1, "bid", ID_B, &[KEY]);
-        until("the start", || {
+        edge.send_task(1, "bid", ID_B, &[KEY]);
+        wait_until("the start", || {
             self.backend
                 .runtime
-                .commanded()
+                .try_next_command()
                 .is_some_and(|command| command["rid"] == ID_B)
         });
-        self.backend.runtime.end(ID_B, "PASS", b"sold");
-        assert_eq!(edge.answer().unwrap().body, b"sold");
-        edge.task(2, "bid", ID_A, &[KEY]);
-        assert_eq!(edge.answer().unwrap().body, b"sold");
+        self.backend.runtime.send_run_end(ID_B, "PASS", b"sold");
+        assert_eq!(edge.read_response().unwrap().body, b"sold");
+        edge.send_task(2, "bid", ID_A, &[KEY]);
+        assert_eq!(edge.read_response().unwrap().body, b"sold");
     }
 }
 
@@ -227,28 +229,30 @@
 fn a_new_process_that_hangs_with_the_state_is_killed_and_queued_requests_are_served() {
     let site = TestSite::new();
     let mut edge = site.backend.connect();
-    edge.task(1, "page", ID_A, &[]);
-    site.backend.runtime.command("start");
+    edge.send_task(1, "page", ID_A, &[]);
+    site.backend.runtime.expect_command("start");
     let (asked, mut scripted, nonce) = site.start_upgrade();
     assert_eq!(scripted.receive_state(&nonce), 2);
     // Nothing is started now; new requests are queued.
     let mut other = site.backend.connect();
-    other.task(1, "page", "00000000000000cc", &[]);
+    other.send_task(1, "page", "00000000000000cc", &[]);
     std::thread::sleep(Duration::from_millis(100));
-    assert_eq!(site.backend.runtime.commanded(), None);
-    site.backend.runtime.end(ID_A, "PASS", b"meanwhile");
+    assert_eq!(site.backend.runtime.try_next_command(), None);
+    site.backend
+        .runtime
+        .send_run_end(ID_A, "PASS", b"meanwhile");
     // After a second the old process continues.
-    assert_eq!(edge.answer().unwrap().body, b"meanwhile");
-    until("the start", || {
+    assert_eq!(edge.read_response().unwrap().body, b"meanwhile");
+    wait_until("the start", || {
         site.backend
             .runtime
-            .commanded()
+            .try_next_command()
             .is_some_and(|command| command["rid"] == "00000000000000cc")
     });
     site.backend
         .runtime
-        .end("00000000000000cc", "PASS", b"late");
-    assert_eq!(other.answer().unwrap().body, b"late");
+        .send_run_end("00000000000000cc", "PASS", b"late");
+    assert_eq!(other.read_response().unwrap().body, b"late");
     site.assert_old_process_serves(asked, "too long");
     // Its confirmation would come too late: the connection is closed.
     assert_eq!(scripted.receive(), None);
@@ -277,11 +281,11 @@
 fn the_control_socket_needs_a_private_folder_and_no_other_process() {
     let site = TestSite::new();
     let start_error = |control: PathBuf| {
-        let mut config = asterdale_testkit::scripted::config(
-            asterdale_testkit::scripted::address(),
-            asterdale_testkit::scripted::address(),
-            asterdale_testkit::scripted::address(),
-            asterdale_testkit::scripted::address(),
+        let mut config = asterdale_testkit::scripted::start_file_json(
+            asterdale_testkit::scripted::unused_address(),
+            asterdale_testkit::scripted::unused_address(),
+            asterdale_testkit::scripted::unused_address(),
+            asterdale_testkit::scripted::unused_address(),
         );
         config["upgrade"] = json!({"control": control});
         let (child, file) = asterdale_testkit::scripted::launch(&config);
@@ -343,19 +347,19 @@
 fn draining_during_the_attempt_ends_both_processes_in_order() {
     let mut site = TestSite::new();
     let mut edge = site.backend.connect();
-    edge.task(1, "page", ID_A, &[]);
-    site.backend.runtime.command("start");
+    edge.send_task(1, "page", ID_A, &[]);
+    site.backend.runtime.expect_command("start");
     let (asked, mut scripted, nonce) = site.start_upgrade();
     scripted.send_hello(&nonce, asterdale_hot_restart::VERSION);
     assert!(matches!(scripted.receive(), Some(Payload::Listeners(_))));
     site.backend.signal("-HUP");
     site.backend.signal("-TERM");
-    until("the notice", || {
+    wait_until("the notice", || {
         site.backend.log().contains("engine: draining")
     });
-    site.backend.runtime.end(ID_A, "PASS", b"in time");
-    assert_eq!(edge.answer().unwrap().body, b"in time");
-    assert!(site.backend.ended().0.success());
+    site.backend.runtime.send_run_end(ID_A, "PASS", b"in time");
+    assert_eq!(edge.read_response().unwrap().body, b"in time");
+    assert!(site.backend.wait_for_exit().0.success());
     assert_eq!(scripted.receive(), None);
     drop(asked.wait_with_output());
 }
@@ -364,18 +368,18 @@
 fn the_new_process_serves_alone_if_the_old_one_is_killed() {
     let site = TestSite::new();
     let mut edge = site.backend.connect();
-    edge.task(1, "bid", ID_A, &[KEY]);
-    site.backend.runtime.command("start");
-    site.backend.runtime.end(ID_A, "PASS", b"sold");
-    assert_eq!(edge.status(1), "200");
+    edge.send_task(1, "bid", ID_A, &[KEY]);
+    site.backend.runtime.expect_command("start");
+    site.backend.runtime.send_run_end(ID_A, "PASS", b"sold");
+    assert_eq!(edge.expect_status(1), "200");
     site.backend.signal("-USR2");
-    until("the new process", || {
+    wait_until("the new process", || {
         site.backend.log().contains("hot restart: state restored")
     });
     let new = new_process_id(&site.backend.log());
     site.backend.signal("-KILL");
     // The first connections may still be accepted by the process that is killed.
-    until("an answer", || {
+    wait_until("an answer", || {
         let mut edge = site.backend.connect();
         edge.try_send(&asterdale_testkit::scripted::request(
             1,
@@ -384,12 +388,12 @@
             b"",
         ))
         .is_ok()
-            && matches!(edge.try_answer(), Ok(Some(answer)) if answer.status() == "200")
+            && matches!(edge.try_read_response(), Ok(Some(answer)) if answer.status() == "200")
     });
     let mut edge = site.backend.connect();
-    edge.task(1, "bid", ID_B, &[KEY]);
-    assert_eq!(edge.answer().unwrap().body, b"sold");
-    assert_eq!(site.backend.runtime.commanded(), None);
+    edge.send_task(1, "bid", ID_B, &[KEY]);
+    assert_eq!(edge.read_response().unwrap().body, b"sold");
+    assert_eq!(site.backend.runtime.try_next_command(), None);
     asterdale_testkit::proofs::upgrade::signal(new, "KILL");
 }
 
@@ -423,16 +427,16 @@
     let mut edge = site.backend.connect();
     for n in 0..40u16 {
         let id = format!("{n:016x}");
-        edge.task(n + 1, "page", &id, &[]);
-        site.backend.runtime.command("start");
-        site.backend.runtime.end(&id, "PASS", b"warm");
-        assert_eq!(edge.status(n + 1), "200");
+        edge.send_task(n + 1, "page", &id, &[]);
+        site.backend.runtime.expect_command("start");
+        site.backend.runtime.send_run_end(&id, "PASS", b"warm");
+        assert_eq!(edge.expect_status(n + 1), "200");
     }
-    edge.task(50, "bid", ID_A, &[KEY]);
-    site.backend.runtime.command("start");
+    edge.send_task(50, "bid", ID_A, &[KEY]);
+    site.backend.runtime.expect_command("start");
     // The signal upgrades to the program that runs.
     site.backend.signal("-USR2");
-    until("the new process", || {
+    wait_until("the new process", || {
         let log = site.backend.log();
         log.contains("hot restart: state restored")
             && log.contains("hot restart: committed to the new process")
@@ -444,44 +448,48 @@
         summary(&log, "hot restart: state restored")
     );
     // A request that the old process had started ends in the new one, and its response goes over the old one's connection.
-    until("the link", || {
+    wait_until("the link", || {
         site.backend
             .log()
             .matches("runtime: link established")
             .count()
             == 2
     });
-    site.backend.runtime.end(ID_A, "PASS", b"sold");
-    let answer = edge.answer().unwrap();
+    site.backend.runtime.send_run_end(ID_A, "PASS", b"sold");
+    let answer = edge.read_response().unwrap();
     assert_eq!((answer.request, answer.body.as_slice()), (50, &b"sold"[..]));
-    assert_eq!(edge.answer(), None, "a connection of the old process stays");
+    assert_eq!(
+        edge.read_response(),
+        None,
+        "a connection of the old process stays"
+    );
     let mut other = site.backend.connect();
-    other.task(1, "bid", ID_B, &[KEY]);
-    assert_eq!(other.answer().unwrap().body, b"sold");
-    assert_eq!(site.backend.runtime.commanded(), None);
+    other.send_task(1, "bid", ID_B, &[KEY]);
+    assert_eq!(other.read_response().unwrap().body, b"sold");
+    assert_eq!(site.backend.runtime.try_next_command(), None);
     // When the new process is killed the old one takes over again, and knows what had run.
     let late = ("HTTP_IDEMPOTENCY_KEY", "late");
-    other.task(2, "bid", "00000000000000cc", &[late]);
-    site.backend.runtime.command("start");
+    other.send_task(2, "bid", "00000000000000cc", &[late]);
+    site.backend.runtime.expect_command("start");
     asterdale_testkit::proofs::upgrade::signal(new, "KILL");
     // Its connections break. Over the old process's, one of which this may be, the response promises nothing.
-    let end = other.answer();
+    let end = other.read_response();
     assert!(
         end.as_ref().is_none_or(|answer| answer.status() == "500"),
         "{end:?}"
     );
-    until("the way back", || {
+    wait_until("the way back", || {
         site.backend
             .log()
             .contains("hot restart: new process ended, work taken back")
     });
     site.backend
         .runtime
-        .end("00000000000000cc", "PASS", b"by the dead one");
+        .send_run_end("00000000000000cc", "PASS", b"by the dead one");
     let mut again = site.backend.connect();
-    again.task(1, "bid", "00000000000000dd", &[late]);
-    assert_eq!(again.answer().unwrap().body, b"by the dead one");
-    assert_eq!(site.backend.runtime.commanded(), None);
+    again.send_task(1, "bid", "00000000000000dd", &[late]);
+    assert_eq!(again.read_response().unwrap().body, b"by the dead one");
+    assert_eq!(site.backend.runtime.try_next_command(), None);
     site.backend.signal("-TERM");
-    assert!(site.backend.ended().0.success());
+    assert!(site.backend.wait_for_exit().0.success());
 }
--- a/crates/asterdale-testkit/src/connection_load.rs
+++ b/crates/asterdale-testkit/src/connection_load.rs
@@ -20,25 +20,25 @@
 #[derive(Clone)]
 pub struct LoadConfig {
     /// Where the backend listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Connections that are held open.
     pub connections: usize,
     /// Of so many edge nodes.
-    pub edges: usize,
+    pub edge_nodes: usize,
     /// Requests a second in all.
     pub rate: f64,
     /// For so long.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Each request comes on a connection of its own, which stays open until the backend ends it.
-    pub once: bool,
+    pub one_request_per_connection: bool,
     /// What requests ask for, in turn.
-    pub stages: Vec<&'static str>,
+    pub request_classes: Vec<&'static str>,
     /// How long an edge node waits, in milliseconds.
     pub timeout_ms: u64,
     /// A request whose connection ends within so long without an answer has crossed that end, and is sent once
     /// more: 50 ms by the platform's protocol, longer where this side may be slow to see it. One that had been taken
     /// before would then run twice, which the runtime's stand-in counts.
-    pub crosses: Duration,
+    pub resend_window: Duration,
     /// No two crowds may have the same.
     pub seed: u32,
 }
@@ -48,28 +48,28 @@
     /// Requests sent.
     pub sent: u64,
     /// Answers by their status.
-    pub answered: BTreeMap<String, u64>,
+    pub answers_by_status: BTreeMap<String, u64>,
     /// Requests whose connection ended without a whole answer, or that had none within their time and a second.
     pub lost: u64,
     /// Answers to what was not open.
-    pub twice: u64,
+    pub unexpected_answers: u64,
     /// Connections that were refused or not made.
-    pub refused: u64,
+    pub failed_connects: u64,
     /// Connections that the backend ended.
-    pub ended: u64,
+    pub closed_connections: u64,
     /// From a request to its answer with status 200.
-    pub times: Histogram<u64>,
+    pub latency: Histogram<u64>,
 }
 
 impl LoadStats {
     /// Answers with this status.
-    pub fn with(&self, status: &str) -> u64 {
-        self.answered.get(status).copied().unwrap_or(0)
+    pub fn count_with_status(&self, status: &str) -> u64 {
+        self.answers_by_status.get(status).copied().unwrap_or(0)
     }
 
     /// All answers.
-    pub fn all_answers(&self) -> u64 {
-        self.answered.values().sum()
+    pub fn answer_count(&self) -> u64 {
+        self.answers_by_status.values().sum()
     }
 }
 
@@ -96,20 +96,20 @@
     made: usize,
     turn: usize,
     /// What became of it so far.
-    pub seen: LoadStats,
+    pub stats: LoadStats,
 }
 
 impl ConnectionLoad {
     /// Nothing is connected yet.
     pub fn new(order: LoadConfig) -> io::Result<ConnectionLoad> {
-        let seen = LoadStats {
+        let stats = LoadStats {
             sent: 0,
-            answered: BTreeMap::new(),
+            answers_by_status: BTreeMap::new(),
             lost: 0,
-            twice: 0,
-            refused: 0,
-            ended: 0,
-            times: histogram(),
+            unexpected_answers: 0,
+            failed_connects: 0,
+            closed_connections: 0,
+            latency: histogram(),
         };
         Ok(ConnectionLoad {
             order,
@@ -117,13 +117,13 @@
             lines: HashMap::new(),
             made: 0,
             turn: 0,
-            seen,
+            stats,
         })
     }
 
     /// Opens a connection; its number.
     fn connect(&mut self) -> Option<usize> {
-        let stream = TcpStream::connect_timeout(&self.order.at, Duration::from_secs(10));
+        let stream = TcpStream::connect_timeout(&self.order.address, Duration::from_secs(10));
         let made = stream.and_then(|stream| {
             stream.set_nodelay(true)?;
             stream.set_nonblocking(true)?;
@@ -135,7 +135,7 @@
             Ok(stream)
         });
         let Ok(stream) = made else {
-            self.seen.refused += 1;
+            self.stats.failed_connects += 1;
             return None;
         };
         let line = Line {
@@ -152,7 +152,7 @@
 
     /// Opens connections until so many are there, or none more can be had, each with a request: edge nodes connect
     /// when they have one.
-    pub fn fill(&mut self, connections: usize) {
+    pub fn open_up_to(&mut self, connections: usize) {
         while self.lines.len() < connections {
             let Some(number) = self.connect() else { return };
             self.ask_on(number);
@@ -161,17 +161,17 @@
     }
 
     /// How many are open.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.lines.len()
     }
 
     /// Sends the next request.
     fn ask(&mut self) {
-        if self.order.once {
+        if self.order.one_request_per_connection {
             let Some(number) = self.connect() else { return };
             return self.ask_on(number);
         }
-        self.fill(self.order.connections);
+        self.open_up_to(self.order.connections);
         // In the order of their numbers, each in its turn.
         let mut numbers: Vec<usize> = self.lines.keys().copied().collect();
         if numbers.is_empty() {
@@ -183,16 +183,16 @@
     }
 
     fn ask_on(&mut self, number: usize) {
-        let n = self.seen.sent;
-        self.seen.sent += 1;
+        let n = self.stats.sent;
+        self.stats.sent += 1;
         let id = format!("{:08x}{:08x}", self.order.seed, n as u32);
         let mark = format!("{:016x}{n:016x}", self.order.seed);
         let (start, caller) = (
             (unix_ms() as u64).to_string(),
-            (number % self.order.edges).to_string(),
+            (number % self.order.edge_nodes).to_string(),
         );
         let timeout = self.order.timeout_ms.to_string();
-        let stage = self.order.stages[n as usize % self.order.stages.len()];
+        let stage = self.order.request_classes[n as usize % self.order.request_classes.len()];
         let other = [
             ("HTTP_X_CALLER", caller.as_str()),
             ("HTTP_X_TIMEOUT_MS", &timeout),
@@ -200,7 +200,7 @@
             ("HTTP_X_MEMORY_KB", "8"),
             ("HTTP_IDEMPOTENCY_KEY", &mark),
         ];
-        let fields = scripted::fields(&id, &start, &other);
+        let fields = scripted::task_fields(&id, &start, &other);
         let Some(line) = self.lines.get_mut(&number) else {
             return;
         };
@@ -239,9 +239,9 @@
             .registry()
             .deregister(&mut SourceFd(&line.stream.as_raw_fd()));
         drop(line.stream);
-        self.seen.ended += 1;
+        self.stats.closed_connections += 1;
         for (request, asked) in line.open {
-            let crossed = asked.sent.elapsed() < self.order.crosses && !asked.again;
+            let crossed = asked.sent.elapsed() < self.order.resend_window && !asked.again;
             match crossed.then(|| self.connect()).flatten() {
                 Some(number) => {
                     if let Some(line) = self.lines.get_mut(&number) {
@@ -249,7 +249,7 @@
                     }
                     self.send(number, asked.bytes, true);
                 }
-                None => self.seen.lost += 1,
+                None => self.stats.lost += 1,
             }
         }
     }
@@ -278,7 +278,7 @@
                     Ok(Some(record)) if record.record_type == record_type::END_REQUEST => {
                         let head = line.stdout.remove(&record.request_id).unwrap_or_default();
                         let Some(asked) = line.open.remove(&record.request_id) else {
-                            self.seen.twice += 1;
+                            self.stats.unexpected_answers += 1;
                             continue;
                         };
                         let head = String::from_utf8_lossy(&head);
@@ -286,11 +286,11 @@
                         let status = status.unwrap_or("none").to_owned();
                         if status == "200" {
                             let _ = self
-                                .seen
-                                .times
+                                .stats
+                                .latency
                                 .record((asked.sent.elapsed().as_micros() as u64).max(1));
                         }
-                        *self.seen.answered.entry(status).or_default() += 1;
+                        *self.stats.answers_by_status.entry(status).or_default() += 1;
                     }
                     Ok(Some(_)) => {}
                     Ok(None) => break,
@@ -309,14 +309,14 @@
     }
 
     /// Plays; `each` is called about once in so long, and ends it by `false`.
-    pub fn play(&mut self, every: Duration, mut each: impl FnMut(&LoadStats) -> bool) {
+    pub fn run(&mut self, every: Duration, mut each: impl FnMut(&LoadStats) -> bool) {
         let between = Duration::from_secs_f64(1.0 / self.order.rate);
-        if !self.order.once {
-            self.fill(self.order.connections);
+        if !self.order.one_request_per_connection {
+            self.open_up_to(self.order.connections);
         }
         let now = Instant::now();
         let (mut next, mut look) = (now, now + every);
-        let end = now + self.order.lasts;
+        let end = now + self.order.duration;
         while next < end {
             while Instant::now() < next {
                 self.wait(next);
@@ -325,7 +325,7 @@
             next += between;
             if Instant::now() >= look {
                 look += every;
-                if !each(&self.seen) {
+                if !each(&self.stats) {
                     break;
                 }
             }
@@ -335,7 +335,7 @@
         while self.lines.values().any(|line| !line.open.is_empty()) && Instant::now() < last {
             self.wait(last.min(Instant::now() + Duration::from_millis(100)));
         }
-        self.seen.lost += self
+        self.stats.lost += self
             .lines
             .values()
             .map(|line| line.open.len() as u64)
--- a/crates/asterdale-testkit/src/daemon_fleet.rs
+++ b/crates/asterdale-testkit/src/daemon_fleet.rs
@@ -51,21 +51,21 @@
     /// Chance of the relays.
     pub seed: u64,
     /// They talk with each other.
-    pub talks: bool,
+    pub gossip_enabled: bool,
     /// How long runs last, from and to, in milliseconds.
-    pub runs: (u64, u64),
+    pub run_duration_ms: (u64, u64),
     /// Work in hand is kept by the first so many; 0 for none. Its windows are short, so that a group that begins anew
     /// is soon of use.
-    pub keepers: usize,
+    pub ownership_replicas: usize,
     /// Each has a folder in which what it begins lasts.
-    pub lasts: bool,
+    pub has_journal: bool,
     /// What has the effects of calls, where it is not the one of calm days.
     pub records: Option<SocketAddr>,
 }
 
 impl FleetConfig {
     /// A fleet whose bids have their effect at this records service, with failpoints where that is asked for.
-    pub fn bids(
+    pub fn for_proof(
         order: &crate::proofs::ProofConfig,
         members: usize,
         records: SocketAddr,
@@ -83,10 +83,10 @@
             program,
             failpoint: order.failpoint.clone(),
             seed: order.seed,
-            talks: true,
-            runs: (20, 120),
-            keepers: 0,
-            lasts: false,
+            gossip_enabled: true,
+            run_duration_ms: (20, 120),
+            ownership_replicas: 0,
+            has_journal: false,
             records: Some(records),
         })
     }
@@ -98,7 +98,7 @@
 pub const WINDOW_MS: u64 = 8000;
 
 /// The name of a member.
-pub fn name(n: usize) -> String {
+pub fn member_name(n: usize) -> String {
     format!("n{n}")
 }
 
@@ -111,13 +111,15 @@
         let key = folder.join("key");
         std::fs::write(&key, KEY).map_err(told)?;
         // Each has a loopback address of its own; of its ports one is for edge nodes, one for talk.
-        let places: Vec<SocketAddr> = (0..order.members).map(|_| scripted::address()).collect();
+        let places: Vec<SocketAddr> = (0..order.members)
+            .map(|_| scripted::unused_address())
+            .collect();
         let listens: Vec<SocketAddr> = places
             .iter()
             .map(|at| SocketAddr::new(at.ip(), at.port() + 100))
             .collect();
-        let names = (0..order.members).map(name).collect();
-        let relays = Relays::begin(listens.clone(), names, order.seed).map_err(told)?;
+        let names = (0..order.members).map(member_name).collect();
+        let relays = Relays::start(listens.clone(), names, order.seed).map_err(told)?;
         let records = order
             .records
             .map_or_else(services::records, Ok)
@@ -131,25 +133,26 @@
             } else {
                 (2, None)
             };
-            let worker = SimulatedRuntime::start_calling(cores, order.runs, calls).map_err(told)?;
+            let worker = SimulatedRuntime::start_with_calls(cores, order.run_duration_ms, calls)
+                .map_err(told)?;
             let control = folder.join(format!("{n}.control"));
-            let mut start = scripted::config(at, worker.at, records, registry);
-            start["name"] = json!(name(n));
+            let mut start = scripted::start_file_json(at, worker.address, records, registry);
+            start["name"] = json!(member_name(n));
             start["seed"] = json!(format!("{:x}", order.seed ^ (n as u64 + 1)));
             start["settings"]["servers"] = json!(order.members);
-            if order.talks {
+            if order.gossip_enabled {
                 start["fleet"] = json!({"listen": listens[n], "advertise": relays.advertised[n], "key": key,
                 "seeds": relays.advertised[..order.seeds], "interval_ms": order.interval_ms,
                 "control": control});
             }
-            if order.keepers > 0 {
-                let keepers: Vec<Value> = (0..order.keepers)
-                    .map(|n| json!({"name": name(n), "at": relays.advertised[n]}))
+            if order.ownership_replicas > 0 {
+                let keepers: Vec<Value> = (0..order.ownership_replicas)
+                    .map(|n| json!({"name": member_name(n), "at": relays.advertised[n]}))
                     .collect();
                 start["takeover"] = json!({"keepers": keepers, "lease_ms": LEASE_MS,
                     "stages": [{"name": "bid", "fenced": true}]});
             }
-            if order.lasts {
+            if order.has_journal {
                 start["journal"] = json!({"folder": folder.join(format!("{n}.state"))});
             }
             if order.records.is_some() {
@@ -192,17 +195,17 @@
     }
 
     /// The folder in which what it begins lasts.
-    pub fn state(&self, n: usize) -> PathBuf {
+    pub fn journal_directory(&self, n: usize) -> PathBuf {
         self.folder.join(format!("{n}.state"))
     }
 
     /// Where edge nodes reach this one.
-    pub fn at(&self, n: usize) -> SocketAddr {
+    pub fn address(&self, n: usize) -> SocketAddr {
         self.members[n].at
     }
 
     /// Its runtime.
-    pub fn worker(&self, n: usize) -> &SimulatedRuntime {
+    pub fn runtime(&self, n: usize) -> &SimulatedRuntime {
         &self.members[n].worker
     }
 
@@ -215,18 +218,18 @@
 
     /// Starts a second process over its folder, that listens elsewhere and talks with nobody; whether that one refused, and
     /// ended by itself.
-    pub fn second_refuses(&self, n: usize) -> Result<bool, String> {
+    pub fn second_process_is_rejected(&self, n: usize) -> Result<bool, String> {
         let mut recipe = self.members[n].recipe.clone();
-        recipe.start["listen"] = json!(scripted::address());
+        recipe.start["listen"] = json!(scripted::unused_address());
         if let Some(start) = recipe.start.as_object_mut() {
             start.remove("fleet");
         }
         let mut second = Daemon::start(&recipe)?;
         let until = std::time::Instant::now() + Duration::from_secs(20);
-        while !second.ended() && std::time::Instant::now() < until {
+        while !second.has_exited() && std::time::Instant::now() < until {
             std::thread::sleep(Duration::from_millis(5));
         }
-        Ok(second.ended()
+        Ok(second.has_exited()
             && second
                 .log()
                 .iter()
@@ -234,11 +237,10 @@
     }
 
     /// Waits until it takes edge nodes' connections.
-    pub fn listens(&self, n: usize) -> Result<(), String> {
-        self.members[n]
-            .daemon
-            .as_ref()
-            .map_or(Ok(()), |daemon| daemon.listens(self.members[n].at))
+    pub fn wait_until_listening(&self, n: usize) -> Result<(), String> {
+        self.members[n].daemon.as_ref().map_or(Ok(()), |daemon| {
+            daemon.wait_until_listening(self.members[n].at)
+        })
     }
 
     /// Kills it.
@@ -247,17 +249,17 @@
     }
 
     /// Has it leave, and waits for its end.
-    pub fn leave(&mut self, n: usize) -> bool {
+    pub fn shut_down(&mut self, n: usize) -> bool {
         let left = self.members[n]
             .daemon
             .as_mut()
-            .is_some_and(|daemon| daemon.leave(Duration::from_secs(8)));
+            .is_some_and(|daemon| daemon.shut_down(Duration::from_secs(8)));
         self.kill(n);
         left
     }
 
     /// Has it stand still, or go on.
-    pub fn stop(&mut self, n: usize, stopped: bool) {
+    pub fn set_paused(&mut self, n: usize, stopped: bool) {
         let member = &mut self.members[n];
         if let Some(daemon) = &member.daemon {
             daemon.signal(if stopped { "STOP" } else { "CONT" });
@@ -266,16 +268,16 @@
     }
 
     /// Those that run, standing still or not.
-    pub fn live(&self) -> Vec<usize> {
+    pub fn running(&self) -> Vec<usize> {
         (0..self.len())
             .filter(|&n| self.members[n].daemon.is_some())
             .collect()
     }
 
     /// Those that ended by themselves.
-    pub fn ended(&mut self) -> Vec<usize> {
+    pub fn exited(&mut self) -> Vec<usize> {
         let all = self.members.iter_mut().enumerate();
-        all.filter_map(|(n, member)| member.daemon.as_mut()?.ended().then_some(n))
+        all.filter_map(|(n, member)| member.daemon.as_mut()?.has_exited().then_some(n))
             .collect()
     }
 
@@ -283,7 +285,7 @@
     pub fn cpu_ms(&self) -> f64 {
         self.members
             .iter()
-            .filter_map(|member| Some(member.daemon.as_ref()?.usage().0))
+            .filter_map(|member| Some(member.daemon.as_ref()?.cpu_ms_and_memory_kib().0))
             .sum()
     }
 
@@ -310,7 +312,7 @@
     }
 
     /// What it holds of the fleet, by its control socket; `None` if it does not answer.
-    pub fn shown(&self, n: usize) -> Option<Value> {
+    pub fn membership_view(&self, n: usize) -> Option<Value> {
         let member = &self.members[n];
         if member.daemon.is_none() || member.stopped {
             return None;
@@ -334,7 +336,7 @@
 }
 
 /// Those who count as there in what was shown, the one that tells among them: their generations by name.
-pub fn there(shown: &Value) -> BTreeMap<String, u64> {
+pub fn live_generations(shown: &Value) -> BTreeMap<String, u64> {
     let of = |member: &Value| {
         Some((
             member["name"].as_str()?.to_owned(),
--- a/crates/asterdale-testkit/src/demo.rs
+++ b/crates/asterdale-testkit/src/demo.rs
@@ -38,7 +38,12 @@
         services::records().map_err(told)?,
         services::registry().map_err(told)?,
     );
-    let mut start = scripted::config(scripted::address(), worker.at, records, registry);
+    let mut start = scripted::start_file_json(
+        scripted::unused_address(),
+        worker.address,
+        records,
+        registry,
+    );
     start["settings"]["extra"]["cores"] = json!(4);
     for lane in 0..2 {
         start["settings"]["lanes"][lane]["objectiveNs"] = json!(500_000_000);
@@ -53,7 +58,7 @@
         start,
         failpoint: None,
     })?;
-    daemon.listens(at)?;
+    daemon.wait_until_listening(at)?;
     let end = Instant::now() + Duration::from_secs(order.seconds);
     let (seen, times) = (
         Arc::new(OutcomeCounters::default()),
@@ -89,7 +94,7 @@
                     ];
                     let began = Instant::now();
                     let fate =
-                        caller.ask(if bid { "/v1/bid" } else { "/v1/page" }, &fields, b"ask");
+                        caller.request(if bid { "/v1/bid" } else { "/v1/page" }, &fields, b"ask");
                     let status = match &fate {
                         RequestOutcome::Answered(answer) => answer.status(),
                         RequestOutcome::Refused | RequestOutcome::Lost => "",
@@ -121,7 +126,7 @@
             seen.finished.load(Relaxed),
             seen.rejected.load(Relaxed)
         ));
-        if daemon.ended() {
+        if daemon.has_exited() {
             stop.store(true, Relaxed);
             return Err(format!(
                 "the daemon ended by itself:\n{}",
@@ -133,8 +138,8 @@
     for thread in threads {
         let _ = thread.join();
     }
-    let (cpu_ms, kib) = daemon.usage();
-    if !daemon.leave(Duration::from_secs(10)) {
+    let (cpu_ms, kib) = daemon.cpu_ms_and_memory_kib();
+    if !daemon.shut_down(Duration::from_secs(10)) {
         return Err(format!(
             "the daemon did not leave well:\n{}",
             daemon.log().join("\n")
--- a/crates/asterdale-testkit/src/edge_client.rs
+++ b/crates/asterdale-testkit/src/edge_client.rs
@@ -67,7 +67,7 @@
     }
 
     /// Waits no longer than this for an answer.
-    pub fn waits(&mut self, patience: Duration) {
+    pub fn set_timeout(&mut self, patience: Duration) {
         self.patience = patience.min(PATIENCE);
         if let Some(edge) = &self.edge {
             let _ = edge.stream.set_read_timeout(Some(self.patience));
@@ -78,11 +78,11 @@
         let stream = TcpStream::connect_timeout(&self.at, Duration::from_secs(5))?;
         stream.set_read_timeout(Some(self.patience))?;
         stream.set_nodelay(true)?;
-        Ok(EdgeConnection::on(stream))
+        Ok(EdgeConnection::new(stream))
     }
 
     /// Sends a request and waits for its end.
-    pub fn ask(&mut self, path: &str, fields: &[(&str, &str)], body: &[u8]) -> RequestOutcome {
+    pub fn request(&mut self, path: &str, fields: &[(&str, &str)], body: &[u8]) -> RequestOutcome {
         for fresh in [false, true] {
             if fresh || self.edge.is_none() {
                 match self.connect() {
@@ -96,7 +96,7 @@
             self.number = self.number % 30_000 + 1;
             let began = Instant::now();
             let sent = edge.try_send(&request(self.number, path, fields, body));
-            let got = sent.and_then(|()| edge.try_answer());
+            let got = sent.and_then(|()| edge.try_read_response());
             match got {
                 Ok(Some(answer)) if answer.request == self.number => {
                     return RequestOutcome::Answered(answer)
--- a/crates/asterdale-testkit/src/flood.rs
+++ b/crates/asterdale-testkit/src/flood.rs
@@ -39,11 +39,11 @@
 fn hold(daemon: &Daemon, share: f64, end: &AtomicBool) {
     const TENTH: f64 = 100.0;
     while !end.load(Relaxed) {
-        let (began, used) = (Instant::now(), daemon.usage().0);
+        let (began, used) = (Instant::now(), daemon.cpu_ms_and_memory_kib().0);
         let mut stopped = false;
         while began.elapsed().as_secs_f64() * 1e3 < TENTH {
             thread::sleep(Duration::from_millis(2));
-            if !stopped && daemon.usage().0 - used >= share * TENTH {
+            if !stopped && daemon.cpu_ms_and_memory_kib().0 - used >= share * TENTH {
                 daemon.signal("STOP");
                 stopped = true;
             }
@@ -55,7 +55,7 @@
 }
 
 /// Asks at a rate over so many connections until the end; what was answered with this status, and what not.
-pub fn drive(
+pub fn drive_load(
     at: SocketAddr,
     token: &str,
     (rate, lanes): (f64, u64),
@@ -89,7 +89,7 @@
                         ("HTTP_AUTHORIZATION", &bearer),
                     ];
                     let began = Instant::now();
-                    match caller.ask("/v1/page", &fields, b"ask") {
+                    match caller.request("/v1/page", &fields, b"ask") {
                         RequestOutcome::Answered(answer) if answer.status() == wanted => {
                             good.fetch_add(1, Relaxed);
                             if let Ok(mut times) = times.lock() {
@@ -133,7 +133,12 @@
         services::records().map_err(told)?,
         services::registry().map_err(told)?,
     );
-    let mut start = scripted::config(scripted::address(), worker.at, records, registry);
+    let mut start = scripted::start_file_json(
+        scripted::unused_address(),
+        worker.address,
+        records,
+        registry,
+    );
     start["settings"]["extra"]["cores"] = json!(4);
     start["identity"] = json!({"issuer": "i", "audience": "asterdale", "roots": [root.public_key_text()],
         "keys": {"file": file}, "roles": [{"name": "r", "stages": ["page"]}],
@@ -151,17 +156,18 @@
     let stop = Arc::new(AtomicBool::new(false));
     let (held, ended, share) = (daemon.clone(), stop.clone(), order.share);
     let holder = thread::spawn(move || hold(&held, share, &ended));
-    daemon.listens(at)?;
+    daemon.wait_until_listening(at)?;
     let mut turns = Vec::new();
     for flooded in [false, true, false, true] {
         let (rate, seconds) = (order.rate, order.seconds);
         let (bad, flood) = (bad.clone(), order.flood);
-        let used = daemon.usage().0;
-        let other =
-            thread::spawn(move || flooded.then(|| drive(at, &bad, (flood, 64), "401", seconds)));
-        let (finished, not, times) = drive(at, &good, (rate, 16), "200", seconds);
+        let used = daemon.cpu_ms_and_memory_kib().0;
+        let other = thread::spawn(move || {
+            flooded.then(|| drive_load(at, &bad, (flood, 64), "401", seconds))
+        });
+        let (finished, not, times) = drive_load(at, &good, (rate, 16), "200", seconds);
         let refused = other.join().map_err(|_| "the flood panicked".to_owned())?;
-        let cpu = (daemon.usage().0 - used) / (seconds as f64 * 1e3);
+        let cpu = (daemon.cpu_ms_and_memory_kib().0 - used) / (seconds as f64 * 1e3);
         turns.push(json!({"flood": flooded, "finished": finished, "not": not, "milliseconds": times,
             "cores": (cpu * 1e3).round() / 1e3, "refused": refused.as_ref().map(|refused| refused.0),
             "flood_unanswered": refused.as_ref().map(|refused| refused.1)}));
--- a/crates/asterdale-testkit/src/issuer.rs
+++ b/crates/asterdale-testkit/src/issuer.rs
@@ -42,7 +42,7 @@
 #[derive(Clone)]
 pub struct Issuer {
     /// Where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
@@ -51,8 +51,8 @@
     pub fn start() -> std::io::Result<Issuer> {
         let state: Arc<Mutex<State>> = Arc::default();
         let shared = state.clone();
-        let at = services::serve(move |stream| answer(&stream, &shared))?;
-        Ok(Issuer { at, state })
+        let address = services::serve(move |stream| answer(&stream, &shared))?;
+        Ok(Issuer { address, state })
     }
 
     /// It hands out this set from now on.
@@ -63,21 +63,21 @@
     }
 
     /// What a forger would hand out.
-    pub fn forged(&self, set: String) {
+    pub fn set_forged_key_set(&self, set: String) {
         if let Ok(mut state) = self.state.lock() {
             state.forged = set;
         }
     }
 
     /// It behaves like this from now on.
-    pub fn mood(&self, mood: Behavior) {
+    pub fn set_behavior(&self, mood: Behavior) {
         if let Ok(mut state) = self.state.lock() {
             state.mood = Some(mood);
         }
     }
 
     /// When it handed out which set whole, as the last one: the time is after the last byte.
-    pub fn handed(&self) -> Vec<(f64, u64)> {
+    pub fn deliveries(&self) -> Vec<(f64, u64)> {
         self.state
             .lock()
             .map(|state| state.handed.clone())
@@ -85,7 +85,7 @@
     }
 
     /// How often it was asked, and how often the set had not changed.
-    pub fn asked(&self) -> (u64, u64) {
+    pub fn request_counts(&self) -> (u64, u64) {
         self.state
             .lock()
             .map_or((0, 0), |state| (state.asked, state.unchanged))
@@ -94,7 +94,7 @@
 
 fn answer(stream: &TcpStream, state: &Mutex<State>) {
     let mut reader = BufReader::new(stream);
-    let Some((head, _)) = services::request(&mut reader) else {
+    let Some((head, _)) = services::read_request(&mut reader) else {
         return;
     };
     let (mood, last, old, forged) = {
--- a/crates/asterdale-testkit/src/main.rs
+++ b/crates/asterdale-testkit/src/main.rs
@@ -133,8 +133,8 @@
         #[arg(long, default_value_t = 240)]
         seconds: u64,
         /// Each request comes on a connection of its own, which then stays
-        #[arg(long)]
-        once: bool,
+        #[arg(long = "once")]
+        one_request_per_connection: bool,
         /// Ids are drawn from it
         #[arg(long, default_value_t = 1)]
         seed: u32,
@@ -313,16 +313,16 @@
             connections,
             rate,
             seconds,
-            once,
+            one_request_per_connection,
             seed,
         } => {
-            let (rate, lasts) = (rate.clamp(0.1, 5000.0), Duration::from_secs(seconds));
+            let (rate, duration) = (rate.clamp(0.1, 5000.0), Duration::from_secs(seconds));
             let connections = connections.clamp(1, 8000);
-            soak::soak(&soak::SoakConfig {
+            soak::run(&soak::SoakConfig {
                 connections,
                 rate,
-                lasts,
-                once,
+                duration,
+                one_request_per_connection,
                 seed,
             })
             .map(|figures| {
--- a/crates/asterdale-testkit/src/ownership_cost.rs
+++ b/crates/asterdale-testkit/src/ownership_cost.rs
@@ -68,7 +68,7 @@
             ];
             let to = random.next_u32() as usize % callers.len();
             let began = Instant::now();
-            let fate = callers[to].ask("/v1/bid", &fields, key.as_bytes());
+            let fate = callers[to].request("/v1/bid", &fields, key.as_bytes());
             if let Ok(mut times) = self.times.lock() {
                 times.1 += 1;
                 if matches!(fate, RequestOutcome::Answered(answer) if answer.status() == "200") {
@@ -79,7 +79,11 @@
     }
 }
 
-fn once(order: &Config, (keepers, lasts): (usize, bool), rate: f64) -> Result<Value, String> {
+fn once(
+    order: &Config,
+    (ownership_replicas, has_journal): (usize, bool),
+    rate: f64,
+) -> Result<Value, String> {
     let records = IdempotentRecords::default()
         .serve(0)
         .map_err(|e| e.to_string())?;
@@ -90,26 +94,28 @@
         program: program(),
         failpoint: None,
         seed: order.seed,
-        talks: true,
-        runs: (6, 10),
-        keepers,
-        lasts,
+        gossip_enabled: true,
+        run_duration_ms: (6, 10),
+        ownership_replicas,
+        has_journal,
         records: Some(records),
     })?;
     for n in 0..fleet.len() {
         fleet.start(n)?;
     }
     for n in 0..fleet.len() {
-        fleet.listens(n)?;
+        fleet.wait_until_listening(n)?;
     }
-    thread::sleep(Duration::from_millis(match (keepers, lasts) {
-        (0, false) => 2000,
-        // An empty folder is quiet for a window and for as long as a task may lie unread.
-        (0, true) => WINDOW_MS + 7000,
-        _ => WINDOW_MS + 4 * LEASE_MS,
-    }));
+    thread::sleep(Duration::from_millis(
+        match (ownership_replicas, has_journal) {
+            (0, false) => 2000,
+            // An empty folder is quiet for a window and for as long as a task may lie unread.
+            (0, true) => WINDOW_MS + 7000,
+            _ => WINDOW_MS + 4 * LEASE_MS,
+        },
+    ));
     let load = Arc::new(Load {
-        places: (0..fleet.len()).map(|n| fleet.at(n)).collect(),
+        places: (0..fleet.len()).map(|n| fleet.address(n)).collect(),
         rate,
         stop: AtomicBool::new(false),
         times: Mutex::new((histogram(), 0)),
@@ -135,7 +141,7 @@
     lanes.into_iter().for_each(|lane| drop(lane.join()));
     let round = |x: f64| (x * 100.0).round() / 100.0;
     Ok(
-        json!({"keepers": keepers, "journal": lasts, "rate": rate, "asked_a_second": round(asked as f64 / seconds),
+        json!({"keepers": ownership_replicas, "journal": has_journal, "rate": rate, "asked_a_second": round(asked as f64 / seconds),
         "finished": round(finished as f64 / asked.max(1) as f64), "milliseconds": times,
         "cpu_ms_a_second": round(cpu / seconds), "cpu_us_a_bid": round(cpu * 1e3 / finished.max(1) as f64)}),
     )
--- a/crates/asterdale-testkit/src/partial_outage.rs
+++ b/crates/asterdale-testkit/src/partial_outage.rs
@@ -111,7 +111,7 @@
                     ("HTTP_X_COST_MS", "60"),
                     ("HTTP_X_MEMORY_KB", "8"),
                 ];
-                match callers[to].ask("/v1/page", &fields, b"ask") {
+                match callers[to].request("/v1/page", &fields, b"ask") {
                     RequestOutcome::Refused => drop(self.seen.refused.fetch_add(1, Relaxed)),
                     RequestOutcome::Lost => drop(self.seen.lost.fetch_add(1, Relaxed)),
                     RequestOutcome::Answered(answer) if answer.status() == "200" => {
@@ -141,7 +141,7 @@
 }
 
 /// Plays it once; the figures of each part.
-fn once(order: &Config, talks: bool) -> Result<Value, String> {
+fn once(order: &Config, gossip_enabled: bool) -> Result<Value, String> {
     let mut fleet = DaemonFleet::new(&daemon_fleet::FleetConfig {
         members: order.members,
         seeds: 3.min(order.members),
@@ -149,22 +149,22 @@
         program: program(),
         failpoint: None,
         seed: order.seed,
-        talks,
+        gossip_enabled,
         // 33 a second on two cores: with a third of the fleet gone the default rate is more than the rest can do.
-        runs: (40, 80),
-        keepers: 0,
-        lasts: false,
+        run_duration_ms: (40, 80),
+        ownership_replicas: 0,
+        has_journal: false,
         records: None,
     })?;
     for n in 0..fleet.len() {
         fleet.start(n)?;
     }
     for n in 0..fleet.len() {
-        fleet.listens(n)?;
+        fleet.wait_until_listening(n)?;
     }
     thread::sleep(Duration::from_secs(4));
     let load = Arc::new(Load {
-        places: (0..fleet.len()).map(|n| fleet.at(n)).collect(),
+        places: (0..fleet.len()).map(|n| fleet.address(n)).collect(),
         seen: OutcomeCounters::default(),
         times: Mutex::new(histogram()),
         stop: AtomicBool::new(false),
@@ -202,7 +202,7 @@
     load.stop.store(true, Relaxed);
     lanes.into_iter().for_each(|lane| drop(lane.join()));
     let twice: u32 = (0..fleet.len())
-        .flat_map(|n| fleet.worker(n).runs().into_values())
+        .flat_map(|n| fleet.runtime(n).runs().into_values())
         .map(|runs| runs - 1)
         .sum();
     let times = load
@@ -210,19 +210,19 @@
         .lock()
         .map(|times| quantiles(&times))
         .unwrap_or_default();
-    Ok(json!({"view": talks, "parts": parts, "runs_twice": twice, "milliseconds": times}))
+    Ok(json!({"view": gossip_enabled, "parts": parts, "runs_twice": twice, "milliseconds": times}))
 }
 
 /// Both, in turn, with so many seeds.
 pub fn measure(order: &Config, repeats: u64) -> Result<Value, String> {
     let mut plays = Vec::new();
     for repeat in 0..repeats {
-        for talks in [true, false] {
+        for gossip_enabled in [true, false] {
             let order = Config {
                 seed: order.seed + repeat,
                 ..*order
             };
-            let play = once(&order, talks)?;
+            let play = once(&order, gossip_enabled)?;
             eprintln!("{play}");
             plays.push(play);
         }
--- a/crates/asterdale-testkit/src/process.rs
+++ b/crates/asterdale-testkit/src/process.rs
@@ -130,7 +130,7 @@
     }
 
     /// Waits until it takes connections here.
-    pub fn listens(&self, at: SocketAddr) -> Result<(), String> {
+    pub fn wait_until_listening(&self, at: SocketAddr) -> Result<(), String> {
         let end = Instant::now() + Duration::from_secs(20);
         while TcpStream::connect_timeout(&at, Duration::from_secs(1)).is_err() {
             if Instant::now() >= end {
@@ -145,12 +145,12 @@
     }
 
     /// Its start file.
-    pub fn file(&self) -> &Path {
+    pub fn start_file(&self) -> &Path {
         &self.file
     }
 
     /// Its process's number.
-    pub fn id(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
@@ -161,7 +161,7 @@
     }
 
     /// Tells it to leave, and waits for its end; `false` if that took too long or went wrong.
-    pub fn leave(&mut self, patience: Duration) -> bool {
+    pub fn shut_down(&mut self, patience: Duration) -> bool {
         self.signal("TERM");
         let end = Instant::now() + patience;
         while Instant::now() < end {
@@ -174,7 +174,7 @@
     }
 
     /// Whether it has ended by itself.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
@@ -209,17 +209,19 @@
     }
 
     /// Its threads and its descriptors.
-    pub fn holds(&self) -> (usize, usize) {
+    pub fn thread_and_descriptor_counts(&self) -> (usize, usize) {
         let count = |what: &str| {
-            std::fs::read_dir(format!("/proc/{}/{what}", self.id())).map_or(0, Iterator::count)
+            std::fs::read_dir(format!("/proc/{}/{what}", self.process_id()))
+                .map_or(0, Iterator::count)
         };
         (count("task"), count("fd"))
     }
 
     /// CPU time that it has used, in milliseconds, and its memory, in KiB; as Linux tells them.
-    pub fn usage(&self) -> (f64, u64) {
+    pub fn cpu_ms_and_memory_kib(&self) -> (f64, u64) {
         let read = |what: &str| {
-            std::fs::read_to_string(format!("/proc/{}/{what}", self.id())).unwrap_or_default()
+            std::fs::read_to_string(format!("/proc/{}/{what}", self.process_id()))
+                .unwrap_or_default()
         };
         // The fields after the name in brackets: user and system time are the 12th and 13th, in hundredths.
         let stat = read("stat");
--- a/crates/asterdale-testkit/src/proofs/bids.rs
+++ b/crates/asterdale-testkit/src/proofs/bids.rs
@@ -192,10 +192,10 @@
                     bid.key.as_deref().unwrap_or_default(),
                 ),
             ];
-            callers[to].waits(Duration::from_secs_f64((waits + 100.0) / 1e3));
+            callers[to].set_timeout(Duration::from_secs_f64((waits + 100.0) / 1e3));
             let body = bid.key.clone().unwrap_or_default();
             let mut pause = 20.0;
-            match callers[to].ask(path, &fields, body.as_bytes()) {
+            match callers[to].request(path, &fields, body.as_bytes()) {
                 RequestOutcome::Refused | RequestOutcome::Lost => {}
                 RequestOutcome::Answered(answer) => {
                     let field =
--- a/crates/asterdale-testkit/src/proofs/fleet.rs
+++ b/crates/asterdale-testkit/src/proofs/fleet.rs
@@ -12,7 +12,7 @@
 use serde_json::{json, Value};
 
 use super::{histogram, quantiles, ProofConfig};
-use crate::daemon_fleet::{self, name, DaemonFleet};
+use crate::daemon_fleet::{self, member_name, DaemonFleet};
 use crate::process::{failpoint_program, program};
 use crate::relays::LinkConditions;
 
@@ -105,8 +105,8 @@
     /// Looks at all views: what they hold, and whether that ever went back.
     fn look(&mut self) -> BTreeMap<usize, Value> {
         let mut all = BTreeMap::new();
-        for n in self.fleet.live() {
-            let Some(shown) = self.fleet.shown(n) else {
+        for n in self.fleet.running() {
+            let Some(shown) = self.fleet.membership_view(n) else {
                 continue;
             };
             let members = shown["members"]
@@ -124,7 +124,7 @@
                 if generation < *held {
                     eprintln!(
                         "{} goes back from {held} to {generation} of {name}",
-                        daemon_fleet::name(n)
+                        daemon_fleet::member_name(n)
                     );
                     self.back += 1;
                 }
@@ -139,37 +139,37 @@
 
     /// Why not all who live hold the same.
     fn unsettled(&mut self) -> Option<String> {
-        let (live, all) = (self.fleet.live(), self.look());
+        let (live, all) = (self.fleet.running(), self.look());
         let mut first: Option<(BTreeMap<String, u64>, Value)> = None;
         for &n in &live {
             let Some(shown) = all.get(&n) else {
-                return Some(format!("{} does not answer", name(n)));
+                return Some(format!("{} does not answer", member_name(n)));
             };
             if shown["standing"] != "in" || shown["certain"] != true {
                 return Some(format!(
                     "{} is {}, certain {}",
-                    name(n),
+                    member_name(n),
                     shown["standing"],
                     shown["certain"]
                 ));
             }
-            let there = daemon_fleet::there(shown);
+            let there = daemon_fleet::live_generations(shown);
             let expected: Vec<String> = {
-                let mut names: Vec<String> = live.iter().map(|&n| name(n)).collect();
+                let mut names: Vec<String> = live.iter().map(|&n| member_name(n)).collect();
                 names.sort_unstable();
                 names
             };
             if there.keys().ne(expected.iter()) {
                 return Some(format!(
                     "{} holds {:?}",
-                    name(n),
+                    member_name(n),
                     there.keys().collect::<Vec<_>>()
                 ));
             }
             match &first {
                 None => first = Some((there, shown["hash"].clone())),
                 Some((held, hash)) if *held != there || *hash != shown["hash"] => {
-                    return Some(format!("{} holds other generations", name(n)));
+                    return Some(format!("{} holds other generations", member_name(n)));
                 }
                 Some(_) => {}
             }
@@ -202,7 +202,7 @@
             thread::sleep(LOOK);
         }
         let ms = began.elapsed().as_millis() as u64;
-        let ended = self.fleet.ended();
+        let ended = self.fleet.exited();
         if let Some(why) = &why {
             eprintln!("{what}: not settled in {ms} ms: {why}; ended: {ended:?}");
             self.unsettled.push(format!("{what}: {why}"));
@@ -242,8 +242,8 @@
     /// Starts them anew, and notes what their generations have to be above.
     fn restart(&mut self, who: &[usize]) -> Result<(), String> {
         for &n in who {
-            let was = self.highest.get(&name(n)).copied().unwrap_or(0);
-            self.above.insert(name(n), was);
+            let was = self.highest.get(&member_name(n)).copied().unwrap_or(0);
+            self.above.insert(member_name(n), was);
         }
         self.start(who)
     }
@@ -251,19 +251,19 @@
     fn part(&self, one: &[usize], other: &[usize]) {
         for &a in one {
             for &b in other {
-                self.fleet.relays.set(
+                self.fleet.relays.set_conditions(
                     a,
                     b,
                     LinkConditions {
-                        cut: true,
+                        blocked: true,
                         ..LinkConditions::default()
                     },
                 );
-                self.fleet.relays.set(
+                self.fleet.relays.set_conditions(
                     b,
                     a,
                     LinkConditions {
-                        cut: true,
+                        blocked: true,
                         ..LinkConditions::default()
                     },
                 );
@@ -273,8 +273,10 @@
 
     fn everywhere(&self, way: LinkConditions) {
         let all = 0..self.fleet.len();
-        all.clone()
-            .for_each(|a| all.clone().for_each(|b| self.fleet.relays.set(a, b, way)));
+        all.clone().for_each(|a| {
+            all.clone()
+                .for_each(|b| self.fleet.relays.set_conditions(a, b, way))
+        });
     }
 
     fn fault(&mut self, fault: Fault, seeds: usize) -> Result<(), String> {
@@ -308,13 +310,13 @@
             Fault::Late => {
                 // What it said in its earlier life comes once more when it has a new one.
                 let who = self.some(&all, 1);
-                let said = self.fleet.relays.kept(who[0]);
+                let said = self.fleet.relays.take_recorded(who[0]);
                 self.kill(&who);
                 self.restart(&who)?;
                 self.settle(&format!("{what}, started anew"));
                 eprintln!("{what}: {} datagrams of {:?}", said.len(), who);
                 for _ in 0..5 {
-                    self.fleet.relays.say(said.clone());
+                    self.fleet.relays.send(said.clone());
                     for _ in 0..10 {
                         self.look();
                         thread::sleep(Duration::from_millis(5));
@@ -324,13 +326,13 @@
             Fault::StopShort | Fault::StopLong => {
                 let who = self.some(&all, 1);
                 eprintln!("{what}: {who:?}");
-                self.fleet.stop(who[0], true);
+                self.fleet.set_paused(who[0], true);
                 self.sleep(if matches!(fault, Fault::StopShort) {
                     5.0
                 } else {
                     long
                 });
-                self.fleet.stop(who[0], false);
+                self.fleet.set_paused(who[0], false);
             }
             Fault::HalvesShort | Fault::HalvesLong | Fault::ThirdsLong => {
                 let parts = if matches!(fault, Fault::ThirdsLong) {
@@ -351,35 +353,35 @@
                 } else {
                     long
                 });
-                self.fleet.relays.heal();
+                self.fleet.relays.clear_conditions();
             }
             Fault::OneWay => {
                 for _ in 0..all.len() / 3 {
                     let two = self.some(&all, 2);
                     eprintln!("{what}: {two:?}");
-                    self.fleet.relays.set(
+                    self.fleet.relays.set_conditions(
                         two[0],
                         two[1],
                         LinkConditions {
-                            cut: true,
+                            blocked: true,
                             ..LinkConditions::default()
                         },
                     );
                 }
                 self.sleep(long);
                 self.settle(&what);
-                self.fleet.relays.heal();
+                self.fleet.relays.clear_conditions();
                 return Ok(());
             }
             Fault::Loss => {
                 self.everywhere(LinkConditions {
                     loss: 0.2,
-                    doubled: 0.1,
-                    spread_ms: 20.0,
+                    duplication: 0.1,
+                    jitter_ms: 20.0,
                     ..LinkConditions::default()
                 });
                 self.sleep(long);
-                self.fleet.relays.heal();
+                self.fleet.relays.clear_conditions();
             }
             Fault::Slow => {
                 let who = self.some(&all, 1)[0];
@@ -389,11 +391,11 @@
                     ..LinkConditions::default()
                 };
                 for &n in &all {
-                    self.fleet.relays.set(who, n, way);
-                    self.fleet.relays.set(n, who, way);
+                    self.fleet.relays.set_conditions(who, n, way);
+                    self.fleet.relays.set_conditions(n, who, way);
                 }
                 self.sleep(long);
-                self.fleet.relays.heal();
+                self.fleet.relays.clear_conditions();
             }
             Fault::RestartAll => {
                 self.kill(&all);
@@ -424,11 +426,11 @@
         program,
         failpoint: order.failpoint.clone(),
         seed: order.seed,
-        talks: true,
-        keepers: 0,
-        lasts: false,
+        gossip_enabled: true,
+        ownership_replicas: 0,
+        has_journal: false,
         records: None,
-        runs: (2, 8),
+        run_duration_ms: (2, 8),
     })?;
     let mut play = Play {
         fleet,
@@ -465,9 +467,9 @@
             .filter_map(|shown| shown["counts"][field].as_u64())
             .sum::<u64>()
     };
-    let ended = play.fleet.ended();
+    let ended = play.fleet.exited();
     for &n in &ended {
-        eprintln!("{}:\n{}", name(n), play.fleet.log(n).join("\n"));
+        eprintln!("{}:\n{}", member_name(n), play.fleet.log(n).join("\n"));
     }
     let round = |x: f64| (x * 100.0).round() / 100.0;
     let held = play.unsettled.is_empty() && play.back == 0 && play.low == 0 && ended.is_empty();
@@ -475,7 +477,7 @@
         json!({"held": held, "members": told.members, "interval_ms": told.interval_ms, "seconds": round(seconds),
         "settled_ms": quantiles(&play.settled), "bound_ms": play.bound().as_millis() as u64,
         "unsettled": play.unsettled, "went_back": play.back, "not_above": play.low, "ended": ended,
-        "faults": play.kinds, "datagrams_a_second_a_member": round(play.fleet.relays.passed() as f64 / seconds / told.members as f64),
+        "faults": play.kinds, "datagrams_a_second_a_member": round(play.fleet.relays.forwarded_datagrams() as f64 / seconds / told.members as f64),
         "since_the_last_start": {"suspected": sum("suspected"), "refuted": sum("refuted"), "died": sum("died"),
             "exchanges": sum("exchanges"), "fallen": sum("fallen")}}),
     )
--- a/crates/asterdale-testkit/src/proofs/restarts.rs
+++ b/crates/asterdale-testkit/src/proofs/restarts.rs
@@ -114,8 +114,8 @@
             // What a dead one left stands still: its copy is whole.
             if !self.copies.contains_key(&n) {
                 copy(
-                    &self.fleet.state(n),
-                    &self.fleet.state(n).with_extension("copy"),
+                    &self.fleet.journal_directory(n),
+                    &self.fleet.journal_directory(n).with_extension("copy"),
                 )?;
                 self.copies.insert(n, Instant::now());
             }
@@ -125,11 +125,12 @@
 
     fn start(&mut self, who: &[usize]) -> Result<(), String> {
         who.iter().try_for_each(|&n| self.fleet.start(n))?;
-        who.iter().try_for_each(|&n| self.fleet.listens(n))
+        who.iter()
+            .try_for_each(|&n| self.fleet.wait_until_listening(n))
     }
 
     fn empty(&self, n: usize) -> Result<(), String> {
-        std::fs::remove_dir_all(self.fleet.state(n)).map_err(|e| e.to_string())
+        std::fs::remove_dir_all(self.fleet.journal_directory(n)).map_err(|e| e.to_string())
     }
 
     /// Puts an older copy in the place of what this one left, once there is one that is old enough.
@@ -139,8 +140,8 @@
         };
         thread::sleep(OLD.saturating_sub(taken.elapsed()));
         copy(
-            &self.fleet.state(n).with_extension("copy"),
-            &self.fleet.state(n),
+            &self.fleet.journal_directory(n).with_extension("copy"),
+            &self.fleet.journal_directory(n),
         )
     }
 
@@ -211,19 +212,19 @@
                 let who = self.some(all.len() / 2);
                 for &a in &who {
                     for b in all.iter().copied().filter(|b| !who.contains(b)) {
-                        self.fleet.relays.set(
+                        self.fleet.relays.set_conditions(
                             a,
                             b,
                             LinkConditions {
-                                cut: true,
+                                blocked: true,
                                 ..LinkConditions::default()
                             },
                         );
-                        self.fleet.relays.set(
+                        self.fleet.relays.set_conditions(
                             b,
                             a,
                             LinkConditions {
-                                cut: true,
+                                blocked: true,
                                 ..LinkConditions::default()
                             },
                         );
@@ -233,7 +234,7 @@
                 self.kill(&who[..1])?;
                 self.start(&who[..1])?;
                 wait(1000);
-                self.fleet.relays.heal();
+                self.fleet.relays.clear_conditions();
             }
             Fault::Damaged => {
                 let who = self.some(1);
@@ -244,21 +245,24 @@
             }
             Fault::Second => {
                 let who = self.some(2);
-                self.fleet.stop(who[1], true);
+                self.fleet.set_paused(who[1], true);
                 for &n in &who {
-                    if !self.fleet.second_refuses(n)? {
+                    if !self.fleet.second_process_is_rejected(n)? {
                         self.wrong.push(format!(
                             "a second process began over the folder of {}",
-                            daemon_fleet::name(n)
+                            daemon_fleet::member_name(n)
                         ));
                     }
                 }
-                self.fleet.stop(who[1], false);
+                self.fleet.set_paused(who[1], false);
             }
             Fault::Swapped => {
                 let who = self.some(2);
                 self.kill(&who)?;
-                let (one, other) = (self.fleet.state(who[0]), self.fleet.state(who[1]));
+                let (one, other) = (
+                    self.fleet.journal_directory(who[0]),
+                    self.fleet.journal_directory(who[1]),
+                );
                 let aside = one.with_extension("aside");
                 let moved =
                     |from: &Path, to: &Path| std::fs::rename(from, to).map_err(|e| e.to_string());
@@ -266,10 +270,10 @@
                 copy(&other, &one)?;
                 self.fleet.start(who[0])?;
                 let until = Instant::now() + Duration::from_secs(20);
-                while !self.fleet.ended().contains(&who[0]) && Instant::now() < until {
+                while !self.fleet.exited().contains(&who[0]) && Instant::now() < until {
                     wait(5);
                 }
-                if !self.fleet.ended().contains(&who[0]) {
+                if !self.fleet.exited().contains(&who[0]) {
                     self.wrong
                         .push("one started over another's folder".to_owned());
                 }
@@ -283,7 +287,7 @@
     }
 
     fn damage(&mut self, n: usize) -> Result<(), String> {
-        let file = self.fleet.state(n).join("state.redb");
+        let file = self.fleet.journal_directory(n).join("state.redb");
         let mut bytes = std::fs::read(&file).map_err(|e| format!("{}: {e}", file.display()))?;
         for _ in 0..400 {
             let at = self.random.next_u64() as usize % bytes.len().max(1);
@@ -301,12 +305,12 @@
         HashMap::<String, bool>::new(),
     );
     for n in 0..play.fleet.len() {
-        for start in play.fleet.worker(n).starts() {
+        for start in play.fleet.runtime(n).starts() {
             if !start.body.is_empty() {
                 by_key
                     .entry(String::from_utf8_lossy(&start.body).into_owned())
                     .or_default()
-                    .push(start.at);
+                    .push(start.received_at);
             }
             by_id.insert(start.id, !start.body.is_empty());
         }
@@ -315,11 +319,11 @@
         wrong.push(format!("{key} was started {} times", starts.len()));
     }
     let effects = keyed.effects();
-    for (key, effect) in effects.iter().filter(|(_, effect)| effect.times > 1) {
+    for (key, effect) in effects.iter().filter(|(_, effect)| effect.executions > 1) {
         wrong.push(format!(
             "{} had its effect {} times",
             String::from_utf8_lossy(key),
-            effect.times
+            effect.executions
         ));
     }
     let (mut results, mut counts) = (
@@ -344,7 +348,7 @@
             }
             if effects
                 .get(key.as_bytes())
-                .is_none_or(|effect| effect.times != 1)
+                .is_none_or(|effect| effect.executions != 1)
             {
                 wrong.push(format!("{key} was finished without its effect"));
             }
@@ -420,9 +424,9 @@
     let order = &told.order;
     let keyed = IdempotentRecords::default();
     let records = keyed.serve(20).map_err(|e| e.to_string())?;
-    let config = daemon_fleet::FleetConfig::bids(order, told.members, records)?;
+    let config = daemon_fleet::FleetConfig::for_proof(order, told.members, records)?;
     let fleet = DaemonFleet::new(&daemon_fleet::FleetConfig {
-        lasts: true,
+        has_journal: true,
         ..config
     })?;
     let random = Pcg64Mcg::seed_from_u64(order.seed);
@@ -439,7 +443,7 @@
     play.start(&all)?;
     // Empty folders: quiet for a window, and for as long as a task may lie unread.
     wait(WINDOW_MS + 5500);
-    let places = all.iter().map(|&n| play.fleet.at(n)).collect();
+    let places = all.iter().map(|&n| play.fleet.address(n)).collect();
     let load = Arc::new(Load::new(places, (told.rate, LANES), true));
     let lanes: Vec<_> = (0..LANES)
         .map(|lane| {
@@ -472,11 +476,11 @@
     }
     load.stop.store(true, Ordering::Relaxed);
     lanes.into_iter().for_each(|lane| drop(lane.join()));
-    let ended = play.fleet.ended();
+    let ended = play.fleet.exited();
     for &n in &ended {
         eprintln!(
             "{} ended by itself:\n{}",
-            daemon_fleet::name(n),
+            daemon_fleet::member_name(n),
             play.fleet.log(n).join("\n")
         );
     }
--- a/crates/asterdale-testkit/src/proofs/rotation.rs
+++ b/crates/asterdale-testkit/src/proofs/rotation.rs
@@ -20,7 +20,7 @@
 use crate::edge_client::{EdgeClient, RequestOutcome};
 use crate::issuer::{Behavior, Issuer};
 use crate::process::{failpoint_program, program, Daemon, LaunchConfig};
-use crate::simulated_runtime::{result, SimulatedRuntime};
+use crate::simulated_runtime::{run_result, SimulatedRuntime};
 use crate::{scripted, services, unix_ms};
 
 /// Edge nodes, and connections of each.
@@ -386,7 +386,7 @@
             ];
             let body = mark.clone().unwrap_or_else(|| "page".to_owned());
             let began = Instant::now();
-            match caller.ask(&format!("/v1/{stage}"), &fields, body.as_bytes()) {
+            match caller.request(&format!("/v1/{stage}"), &fields, body.as_bytes()) {
                 RequestOutcome::Refused => self.count("unreachable"),
                 RequestOutcome::Lost => {
                     self.count("lost");
@@ -486,7 +486,7 @@
                 issued.publish(&self.root, &self.issuer, now);
                 let mut forged = issued.views[0].clone();
                 forged.seq = 1_000_000;
-                self.issuer.forged(
+                self.issuer.set_forged_key_set(
                     SecretKey::from_seed([66; 32], "root").sign_key_set(&published(&forged)),
                 );
             }
@@ -495,11 +495,11 @@
             if round % 2 == 0 {
                 thread::sleep(Duration::from_secs_f64(period / 4e3));
                 eprintln!("{:.0} the issuer is {mood:?}", unix_ms());
-                self.issuer.mood(mood);
+                self.issuer.set_behavior(mood);
             }
             let left = (now + period * 0.75 - unix_ms()).max(0.0);
             thread::sleep(Duration::from_secs_f64(left / 1e3));
-            self.issuer.mood(Behavior::Good);
+            self.issuer.set_behavior(Behavior::Good);
             let left = (now + period - unix_ms()).max(0.0);
             thread::sleep(Duration::from_secs_f64(left / 1e3));
         }
@@ -623,7 +623,7 @@
     else {
         return verdicts;
     };
-    let handed = play.issuer.handed();
+    let handed = play.issuer.deliveries();
     let mut few = 0;
     let mut by_mark: HashMap<(&str, &str), Vec<&Asked>> = HashMap::new();
     for asked in all.iter() {
@@ -674,7 +674,7 @@
                     .entry((&asked.made.tenant, mark))
                     .or_default()
                     .push(asked);
-            } else if text != String::from_utf8_lossy(&result(&asked.id)) {
+            } else if text != String::from_utf8_lossy(&run_result(&asked.id)) {
                 verdicts.wrong("another task's result", asked);
             }
         }
@@ -714,7 +714,12 @@
     most_age: f64,
 ) -> std::io::Result<Value> {
     let (records, registry) = (services::records()?, services::registry()?);
-    let mut start = scripted::config(scripted::address(), worker.at, records, registry);
+    let mut start = scripted::start_file_json(
+        scripted::unused_address(),
+        worker.address,
+        records,
+        registry,
+    );
     start["settings"]["extra"]["cores"] = json!(8);
     // A drain that is short: what comes in it is rejected, and shows little.
     start["stop_ms"] = json!(1000);
@@ -722,7 +727,7 @@
     start["identity"] = json!({
         "issuer": "stand-in", "audience": "asterdale",
         "roots": [SecretKey::from_seed(*root, "root").public_key_text()],
-        "keys": {"fetch": {"at": issuer.at, "path": "/keys", "every_ms": EVERY}},
+        "keys": {"fetch": {"at": issuer.address, "path": "/keys", "every_ms": EVERY}},
         "max_age_ms": most_age, "skew_ms": SKEW,
         // Chance has most tokens be new: far more signatures than anybody brings in service.
         "signatures_per_edge": 400, "signatures": 3200,
@@ -798,7 +803,7 @@
     let mut steps = 0u32;
     while Instant::now() < play.end {
         thread::sleep(Duration::from_millis(20));
-        if daemon.ended() {
+        if daemon.has_exited() {
             let log = daemon.log().join("\n");
             return Err(format!("the daemon ended by itself:\n{log}"));
         }
@@ -814,7 +819,7 @@
             if let Ok(mut gaps) = play.gaps.lock() {
                 gaps.0.push((gone, f64::INFINITY));
             }
-            if !daemon.leave(Duration::from_secs(20)) {
+            if !daemon.shut_down(Duration::from_secs(20)) {
                 return Err(format!(
                     "the daemon did not leave well:\n{}",
                     daemon.log().join("\n")
@@ -847,7 +852,7 @@
     .into_iter()
     .filter_map(|name| Some((name, daemon.counter(name)?)))
     .collect();
-    let left = daemon.leave(Duration::from_secs(20));
+    let left = daemon.shut_down(Duration::from_secs(20));
     let verdicts = judge_all(&play, &worker.runs(), order.seconds);
     verdicts
         .wrong
@@ -873,7 +878,7 @@
     Ok(json!({
         "held": verdicts.wrong.is_empty() && lost == 0 && left && spoke,
         "sent": sent, "finished": finished, "lost": lost, "wrong": verdicts.wrong.len(),
-        "unreachable": counts.get("unreachable"), "rotations": rotations, "issuer_asked": play.issuer.asked(),
+        "unreachable": counts.get("unreachable"), "rotations": rotations, "issuer_asked": play.issuer.request_counts(),
         "milliseconds": times, "counts": verdicts.counts, "last_daemon": counters,
     }))
 }
--- a/crates/asterdale-testkit/src/proofs/takeover.rs
+++ b/crates/asterdale-testkit/src/proofs/takeover.rs
@@ -153,23 +153,23 @@
         who.iter().try_for_each(|&n| self.fleet.start(n))
     }
 
-    fn cut(&self, who: &[usize], cut: bool) {
+    fn set_blocked(&self, who: &[usize], blocked: bool) {
         for &n in who {
             for other in 0..self.fleet.len() {
                 if other != n {
-                    self.fleet.relays.set(
+                    self.fleet.relays.set_conditions(
                         n,
                         other,
                         LinkConditions {
-                            cut,
+                            blocked,
                             ..LinkConditions::default()
                         },
                     );
-                    self.fleet.relays.set(
+                    self.fleet.relays.set_conditions(
                         other,
                         n,
                         LinkConditions {
-                            cut,
+                            blocked,
                             ..LinkConditions::default()
                         },
                     );
@@ -190,15 +190,15 @@
             }
             Fault::StopOwner => {
                 who = self.some(false, 1);
-                self.fleet.stop(who[0], true);
+                self.fleet.set_paused(who[0], true);
                 wait(3 * LEASE_MS);
-                self.fleet.stop(who[0], false);
+                self.fleet.set_paused(who[0], false);
             }
             Fault::CutOwner => {
                 who = self.some(false, 1);
-                self.cut(&who, true);
+                self.set_blocked(&who, true);
                 wait(5 * LEASE_MS);
-                self.fleet.relays.heal();
+                self.fleet.relays.clear_conditions();
             }
             Fault::KillKeeper => {
                 who = self.some(true, 1);
@@ -219,9 +219,9 @@
             }
             Fault::CutKeeper => {
                 who = self.some(true, 1);
-                self.cut(&who, true);
+                self.set_blocked(&who, true);
                 wait(4 * LEASE_MS);
-                self.fleet.relays.heal();
+                self.fleet.relays.clear_conditions();
                 wait(2 * LEASE_MS);
             }
             Fault::SlowPeers => {
@@ -230,15 +230,15 @@
                     for other in 0..self.fleet.len() {
                         let way = LinkConditions {
                             delay_ms: 40.0,
-                            spread_ms: 60.0,
+                            jitter_ms: 60.0,
                             ..LinkConditions::default()
                         };
-                        self.fleet.relays.set(n, other, way);
-                        self.fleet.relays.set(other, n, way);
+                        self.fleet.relays.set_conditions(n, other, way);
+                        self.fleet.relays.set_conditions(other, n, way);
                     }
                 }
                 wait(4 * LEASE_MS);
-                self.fleet.relays.heal();
+                self.fleet.relays.clear_conditions();
             }
             Fault::Third => {
                 who = self.some(false, self.fleet.len() / 3);
@@ -249,7 +249,7 @@
             Fault::Leave => {
                 who = self.some(false, 1);
                 self.taken += self.fleet.counter(who[0], "tasks_taken_over");
-                self.fleet.leave(who[0]);
+                self.fleet.shut_down(who[0]);
                 self.start(&who)?;
             }
             Fault::EmptyKeeper => {
@@ -257,13 +257,13 @@
                 // The one that leads goes last, so that all three seconds are agreed on without the first.
                 let mut keepers = self.some(true, 3);
                 keepers.sort_by_key(|&n| self.leads(n));
-                self.cut(&keepers[..1], true);
+                self.set_blocked(&keepers[..1], true);
                 wait(3 * LEASE_MS);
                 self.kill(&keepers[1..2]);
                 self.start(&keepers[1..2])?;
                 wait(500);
                 self.kill(&keepers[2..3]);
-                self.fleet.relays.heal();
+                self.fleet.relays.clear_conditions();
                 wait(4 * LEASE_MS);
                 self.start(&keepers[2..3])?;
                 who = (0..self.fleet.len()).collect();
@@ -292,7 +292,8 @@
             Fault::LostKeeper => {
                 who = self.some(true, 1);
                 self.kill(&who);
-                std::fs::remove_dir_all(self.fleet.state(who[0])).map_err(|e| e.to_string())?;
+                std::fs::remove_dir_all(self.fleet.journal_directory(who[0]))
+                    .map_err(|e| e.to_string())?;
                 wait(2 * LEASE_MS);
                 self.start(&who)?;
                 // It learns, and takes the place of the one that it was.
@@ -344,24 +345,24 @@
     let mut by_key: HashMap<String, Vec<(Instant, usize)>> = HashMap::new();
     let mut by_id: HashMap<String, (u32, usize, bool)> = HashMap::new();
     for n in 0..play.fleet.len() {
-        for start in play.fleet.worker(n).starts() {
+        for start in play.fleet.runtime(n).starts() {
             by_id
                 .entry(start.id)
                 .or_insert((0, n, !start.body.is_empty()))
                 .0 += 1;
             if !start.body.is_empty() {
                 let key = String::from_utf8_lossy(&start.body).into_owned();
-                by_key.entry(key).or_default().push((start.at, n));
+                by_key.entry(key).or_default().push((start.received_at, n));
             }
         }
     }
     let effects = keyed.effects();
     for (key, effect) in &effects {
-        if effect.times > 1 {
+        if effect.executions > 1 {
             wrong.push(format!(
                 "{} had its effect {} times",
                 String::from_utf8_lossy(key),
-                effect.times
+                effect.executions
             ));
         }
     }
@@ -387,7 +388,7 @@
             if !hurt && !lapsed {
                 wrong.push(format!(
                     "{key} ran again though {} was well",
-                    daemon_fleet::name(n)
+                    daemon_fleet::member_name(n)
                 ));
             }
         }
@@ -414,7 +415,7 @@
             }
             if effects
                 .get(key.as_bytes())
-                .is_none_or(|effect| effect.times != 1)
+                .is_none_or(|effect| effect.executions != 1)
             {
                 wrong.push(format!("{key} was finished without its effect"));
             }
@@ -455,7 +456,7 @@
         }
     }
     // Of owners that were cut off, and did nothing but that.
-    let older = keyed.older();
+    let older = keyed.stale_fence_rejections();
     let overtaken = older.iter().filter(|(at, id)| {
         let n = by_id.get(id).map(|(_, n, _)| *n);
         cuts.iter()
@@ -468,7 +469,7 @@
         ));
     }
     let figures = json!({"answers": counts, "unanswered": unanswered, "ran_again": again, "keys": by_key.len(),
-        "refused_older": keyed.older().len(), "pages_rejected_running": pages, "phases": phases, "milliseconds": quantiles(&times),
+        "refused_older": keyed.stale_fence_rejections().len(), "pages_rejected_running": pages, "phases": phases, "milliseconds": quantiles(&times),
         "open_at_a_death_ms": quantiles(&worst)});
     (wrong, figures)
 }
@@ -490,11 +491,11 @@
     let order = &told.order;
     let keyed = IdempotentRecords::default();
     let records = keyed.serve(20).map_err(|e| e.to_string())?;
-    let config = daemon_fleet::FleetConfig::bids(order, told.members, records)?;
+    let config = daemon_fleet::FleetConfig::for_proof(order, told.members, records)?;
     let fleet = DaemonFleet::new(&daemon_fleet::FleetConfig {
         interval_ms: 200.0,
-        keepers: told.keepers,
-        lasts: told.lasts,
+        ownership_replicas: told.keepers,
+        has_journal: told.lasts,
         ..config
     })?;
     let (random, keepers) = (Pcg64Mcg::seed_from_u64(order.seed), told.keepers);
@@ -512,11 +513,11 @@
         play.fleet.start(n)?;
     }
     for n in 0..told.members {
-        play.fleet.listens(n)?;
+        play.fleet.wait_until_listening(n)?;
     }
     // A group is formed, and the window of one that may have been before has passed.
     wait(WINDOW_MS + 4 * LEASE_MS);
-    let places = (0..told.members).map(|n| play.fleet.at(n)).collect();
+    let places = (0..told.members).map(|n| play.fleet.address(n)).collect();
     let load = Arc::new(Load::new(places, (told.rate, LANES), false));
     let lanes: Vec<_> = (0..LANES)
         .map(|lane| {
@@ -545,11 +546,11 @@
     }
     load.stop.store(true, Ordering::Relaxed);
     lanes.into_iter().for_each(|lane| drop(lane.join()));
-    let ended = play.fleet.ended();
+    let ended = play.fleet.exited();
     for &n in &ended {
         eprintln!(
             "{} ended by itself:\n{}",
-            daemon_fleet::name(n),
+            daemon_fleet::member_name(n),
             play.fleet.log(n).join("\n")
         );
     }
@@ -559,10 +560,10 @@
             let said = play.fleet.log(n);
             said.iter()
                 .filter(|line| line.contains("takeover: "))
-                .for_each(|line| eprintln!("{}: {line}", daemon_fleet::name(n)));
+                .for_each(|line| eprintln!("{}: {line}", daemon_fleet::member_name(n)));
         }
     }
-    let live = play.fleet.live();
+    let live = play.fleet.running();
     play.taken += live
         .iter()
         .map(|&n| play.fleet.counter(n, "tasks_taken_over"))
--- a/crates/asterdale-testkit/src/proofs/upgrade.rs
+++ b/crates/asterdale-testkit/src/proofs/upgrade.rs
@@ -109,7 +109,7 @@
                 "/v1/page"
             };
             let body = mark.clone().unwrap_or_default();
-            match caller.ask(path, &fields, body.as_bytes()) {
+            match caller.request(path, &fields, body.as_bytes()) {
                 RequestOutcome::Refused => note(&self.refused, sent),
                 RequestOutcome::Lost => note(&self.lost, unix_ms()),
                 RequestOutcome::Answered(answer) => {
@@ -368,7 +368,12 @@
     std::fs::create_dir_all(&folder).map_err(told)?;
     std::fs::set_permissions(&folder, std::fs::Permissions::from_mode(0o700)).map_err(told)?;
     let control = folder.join("control");
-    let mut start = scripted::config(scripted::address(), worker.at, records, registry);
+    let mut start = scripted::start_file_json(
+        scripted::unused_address(),
+        worker.address,
+        records,
+        registry,
+    );
     start["settings"]["extra"]["cores"] = json!(8);
     start["upgrade"] = json!({"control": control});
     let at = start["listen"]
@@ -384,12 +389,12 @@
     let daemon = Daemon::start(&recipe)?;
     let site = Site {
         folder,
-        file: daemon.file().to_owned(),
+        file: daemon.start_file().to_owned(),
         control,
         program,
         text,
     };
-    daemon.listens(at)?;
+    daemon.wait_until_listening(at)?;
     Ok((site, at, recipe, daemon))
 }
 
@@ -440,7 +445,7 @@
     for n in (1..failing.len()).rev() {
         failing.swap(n, random.next_u32() as usize % (n + 1));
     }
-    let (kills, mut serving) = (Mutex::default(), daemon.id());
+    let (kills, mut serving) = (Mutex::default(), daemon.process_id());
     let (mut done, mut memory, mut windows, mut lost_sight) = (0, 0, Vec::new(), Vec::new());
     for (n, failure) in failing.iter().enumerate() {
         let began = unix_ms();
@@ -472,7 +477,7 @@
     signal(serving, "TERM");
     let end = Instant::now() + Duration::from_secs(20);
     while alive(serving) && Instant::now() < end {
-        let _ = daemon.ended();
+        let _ = daemon.has_exited();
         thread::sleep(Duration::from_millis(10));
     }
     let left = !alive(serving);
@@ -485,7 +490,7 @@
     let (mut wrong, counts) = judge(&play, &worker.runs(), &kills);
     wrong.append(&mut lost_sight);
     // An upgrade makes a link, and a way back another. Two that serve take it from each other for ever.
-    let links = worker.links();
+    let links = worker.link_count();
     if links > 1 + 2 * upgrades {
         wrong.push(format!(
             "the link was made {links} times in {upgrades} upgrades: two processes serve"
--- a/crates/asterdale-testkit/src/relays.rs
+++ b/crates/asterdale-testkit/src/relays.rs
@@ -25,15 +25,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkConditions {
     /// Nothing passes.
-    pub cut: bool,
+    pub blocked: bool,
     /// A datagram is lost with this chance.
     pub loss: f64,
     /// And doubled with this one.
-    pub doubled: f64,
+    pub duplication: f64,
     /// All take so many milliseconds,
     pub delay_ms: f64,
     /// and up to so many more, each its own: they pass each other.
-    pub spread_ms: f64,
+    pub jitter_ms: f64,
 }
 
 struct State {
@@ -49,7 +49,7 @@
     state: Arc<Mutex<State>>,
     /// Where each process is reached.
     pub advertised: Vec<SocketAddr>,
-    passed: Arc<AtomicU64>,
+    forwarded_datagrams: Arc<AtomicU64>,
     end: Arc<AtomicBool>,
 }
 
@@ -78,7 +78,7 @@
 
 impl Relays {
     /// Relays to processes that listen at these addresses, under these names.
-    pub fn begin(listens: Vec<SocketAddr>, names: Vec<String>, seed: u64) -> io::Result<Relays> {
+    pub fn start(listens: Vec<SocketAddr>, names: Vec<String>, seed: u64) -> io::Result<Relays> {
         let (mut sockets, mut listeners) = (Vec::new(), Vec::new());
         for listen in &listens {
             // The same port for both, on the process's own loopback address.
@@ -107,7 +107,7 @@
             Arc::new(Mutex::new(state)),
             Arc::new(AtomicBool::new(false)),
         );
-        let passed = Arc::new(AtomicU64::new(0));
+        let forwarded_datagrams = Arc::new(AtomicU64::new(0));
         for (to, listener) in listeners.into_iter().enumerate() {
             let (state, at, names) = (state.clone(), listens[to], names.clone());
             thread::spawn(move || {
@@ -117,28 +117,28 @@
                 }
             });
         }
-        let (carried, ended, counted) = (state.clone(), end.clone(), passed.clone());
+        let (carried, ended, counted) = (state.clone(), end.clone(), forwarded_datagrams.clone());
         thread::spawn(move || drop(datagrams(&sockets, &listens, &carried, &ended, &counted)));
         Ok(Relays {
             state,
             advertised,
-            passed,
+            forwarded_datagrams,
             end,
         })
     }
 
     /// From now on this holds from one to the other.
-    pub fn set(&self, from: usize, to: usize, way: LinkConditions) {
+    pub fn set_conditions(&self, from: usize, to: usize, way: LinkConditions) {
         lock(&self.state).ways.insert((from, to), way);
     }
 
     /// Nothing but the best holds anywhere.
-    pub fn heal(&self) {
+    pub fn clear_conditions(&self) {
         lock(&self.state).ways.clear();
     }
 
     /// What this process said last is said once more, to whom it was said.
-    pub fn again(&self, from: usize) -> usize {
+    pub fn replay_recent(&self, from: usize) -> usize {
         let mut state = lock(&self.state);
         let kept: Vec<_> = state.kept.get(&from).cloned().unwrap_or_default().into();
         let count = kept.len();
@@ -147,7 +147,7 @@
     }
 
     /// What is kept of this process, taken away: of its earlier life, say.
-    pub fn kept(&self, from: usize) -> Vec<(usize, Vec<u8>)> {
+    pub fn take_recorded(&self, from: usize) -> Vec<(usize, Vec<u8>)> {
         lock(&self.state)
             .kept
             .remove(&from)
@@ -156,13 +156,13 @@
     }
 
     /// These are said once more.
-    pub fn say(&self, all: Vec<(usize, Vec<u8>)>) {
+    pub fn send(&self, all: Vec<(usize, Vec<u8>)>) {
         lock(&self.state).again.extend(all);
     }
 
     /// Datagrams that were passed on.
-    pub fn passed(&self) -> u64 {
-        self.passed.load(Ordering::Relaxed)
+    pub fn forwarded_datagrams(&self) -> u64 {
+        self.forwarded_datagrams.load(Ordering::Relaxed)
     }
 }
 
@@ -213,11 +213,11 @@
                 }
                 let way = state.ways.get(&(from, to)).copied().unwrap_or_default();
                 let mut share = || (state.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-                if way.cut || share() < way.loss {
+                if way.blocked || share() < way.loss {
                     continue;
                 }
-                for _ in 0..1 + usize::from(share() < way.doubled) {
-                    let ms = way.delay_ms + way.spread_ms * share();
+                for _ in 0..1 + usize::from(share() < way.duplication) {
+                    let ms = way.delay_ms + way.jitter_ms * share();
                     came += 1;
                     let at = Instant::now() + Duration::from_secs_f64(ms / 1e3);
                     queue.push(Reverse(Due(at, came, to, bytes[..count].to_vec())));
@@ -268,7 +268,7 @@
     let mut chunk = vec![0; 64 * 1024];
     loop {
         let began = Instant::now();
-        while ways().0.cut || ways().1.cut {
+        while ways().0.blocked || ways().1.blocked {
             if began.elapsed() > STALLED {
                 return Err(io::ErrorKind::TimedOut.into());
             }
@@ -321,7 +321,7 @@
         return carry_link(from, first, at, || (ways(who, to), ways(to, who)));
     }
     let (there, back) = (ways(who, to), ways(to, who));
-    if there.cut || back.cut {
+    if there.blocked || back.blocked {
         thread::sleep(LONGEST);
         return Ok(());
     }
--- a/crates/asterdale-testkit/src/replace.rs
+++ b/crates/asterdale-testkit/src/replace.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{json, Value};
 
-use crate::flood::drive;
+use crate::flood::drive_load;
 use crate::process::{program, Daemon};
 use crate::proofs::upgrade::{begin, signal, upgrade};
 use crate::services;
@@ -25,7 +25,7 @@
         services::registry().map_err(told)?,
     );
     let (site, at, recipe, mut daemon) = begin(&worker, records, registry, None)?;
-    let load = thread::spawn(move || drive(at, "", (rate, 64), "200", BEFORE + AFTER));
+    let load = thread::spawn(move || drive_load(at, "", (rate, 64), "200", BEFORE + AFTER));
     thread::sleep(Duration::from_secs(BEFORE));
     let mut after = None;
     if handed {
@@ -34,14 +34,14 @@
             return Err(format!("the upgrade failed:\n{}", daemon.log().join("\n")));
         }
     } else {
-        daemon.leave(Duration::from_secs(10));
+        daemon.shut_down(Duration::from_secs(10));
         daemon = Daemon::start(&recipe)?;
     }
     let (finished, not, times) = load.join().map_err(|_| "the load panicked".to_owned())?;
     if let Some(after) = after {
         signal(after, "TERM");
     }
-    daemon.leave(Duration::from_secs(10));
+    daemon.shut_down(Duration::from_secs(10));
     drop(site);
     Ok(json!({"handed_over": handed, "finished": finished, "not": not, "milliseconds": times}))
 }
--- a/crates/asterdale-testkit/src/scripted.rs
+++ b/crates/asterdale-testkit/src/scripted.rs
@@ -22,7 +22,7 @@
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
 /// Waits until this is true.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
         assert!(Instant::now() < end, "waited in vain for {what}");
@@ -37,7 +37,7 @@
 }
 
 /// An address where nobody listens, on a loopback address of its own: no other listener gets its port.
-pub fn address() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (n, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
     SocketAddr::from((
@@ -52,7 +52,7 @@
 }
 
 /// A start file that works; the addresses are given.
-pub fn config(
+pub fn start_file_json(
     listen: SocketAddr,
     runtime: SocketAddr,
     records: SocketAddr,
@@ -116,17 +116,17 @@
     /// One whose runtime is up.
     pub fn start() -> Backend {
         let backend = Backend::start_before_runtime(|_| ());
-        backend.runtime.up();
-        until("the link", || backend.runtime.shared.lock().unwrap().ready);
+        backend.runtime.set_ready();
+        wait_until("the link", || backend.runtime.shared.lock().unwrap().ready);
         backend
     }
 
     /// One whose runtime takes the link and is not up yet; the start file can be changed.
     pub fn start_before_runtime(change: impl FnOnce(&mut Value)) -> Backend {
-        let listen = address();
+        let listen = unused_address();
         let (runtime, records) = (Runtime::new(), Records::new());
         let (reports, registry) = registry();
-        let mut config = config(listen, runtime.at, records.at, registry);
+        let mut config = start_file_json(listen, runtime.at, records.at, registry);
         change(&mut config);
         let (child, file) = launch(&config);
         let log = Arc::default();
@@ -156,13 +156,13 @@
     }
 
     /// Kills it, and starts it anew among the same stand-ins, by the same start file.
-    pub fn killed_and_started(&mut self) {
+    pub fn kill_and_restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         self.runtime.shared.lock().unwrap().ready = false;
         (self.child, self.file) = launch(&self.config);
         self.listen_to_log();
-        until("the link", || self.runtime.shared.lock().unwrap().ready);
+        wait_until("the link", || self.runtime.shared.lock().unwrap().ready);
     }
 
     /// A connection as an edge node opens it.
@@ -171,7 +171,7 @@
         loop {
             if let Ok(stream) = TcpStream::connect(self.listen) {
                 stream.set_read_timeout(Some(PATIENCE)).unwrap();
-                return EdgeConnection::on(stream);
+                return EdgeConnection::new(stream);
             }
             assert!(
                 Instant::now() < end,
@@ -183,12 +183,12 @@
     }
 
     /// Its start file, which its successors read, too.
-    pub fn file(&self) -> &std::path::Path {
+    pub fn start_file(&self) -> &std::path::Path {
         &self.file
     }
 
     /// Its process's number.
-    pub fn id(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
@@ -203,14 +203,14 @@
     }
 
     /// The start file with a change, as text; later changes build on it.
-    pub fn changed(&mut self, change: impl FnOnce(&mut Value)) -> String {
+    pub fn edit_start_file(&mut self, change: impl FnOnce(&mut Value)) -> String {
         change(&mut self.config);
         self.config.to_string()
     }
 
     /// Moves all that the backend talks to to new addresses, where the runtime's notices go on; what was there
     /// before comes back.
-    pub fn moved(&mut self) -> (Runtime, Records, Receiver<String>) {
+    pub fn move_services(&mut self) -> (Runtime, Records, Receiver<String>) {
         let (runtime, records, (reports, registry)) = (Runtime::new(), Records::new(), registry());
         for (field, at) in [
             ("runtime", runtime.at),
@@ -242,22 +242,22 @@
     }
 
     /// Waits for its end; how it ended, and its log.
-    pub fn ended(&mut self) -> (ExitStatus, String) {
+    pub fn wait_for_exit(&mut self) -> (ExitStatus, String) {
         let mut status = None;
-        until("the end", || {
+        wait_until("the end", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
-        until("the last line", || self.log().contains("counters: "));
+        wait_until("the last line", || self.log().contains("counters: "));
         (status.unwrap(), self.log())
     }
 
     /// The counters, printed on request: asked for until `holds`.
     pub fn counters_until(&self, holds: impl Fn(&dyn Fn(&str) -> u64) -> bool) {
-        until("the counters", || {
+        wait_until("the counters", || {
             let before = self.log().matches("counters: ").count();
             self.signal("-USR1");
-            until("a report", || {
+            wait_until("a report", || {
                 self.log().matches("counters: ").count() > before
             });
             let log = self.log();
@@ -293,7 +293,7 @@
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let mut reader = BufReader::new(&stream);
-            let Some((head, body)) = crate::services::request(&mut reader) else {
+            let Some((head, body)) = crate::services::read_request(&mut reader) else {
                 continue;
             };
             assert!(
@@ -331,7 +331,7 @@
         let serve = move |stream: TcpStream, sender: Sender<Call>, again: Sender<TcpStream>| {
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream);
-                if let Some((head, body)) = crate::services::request(&mut reader) {
+                if let Some((head, body)) = crate::services::read_request(&mut reader) {
                     let _ = sender.send(Call {
                         head,
                         body,
@@ -355,14 +355,14 @@
         Records { at, calls }
     }
 
-    pub fn call(&self) -> Call {
+    pub fn next_call(&self) -> Call {
         self.calls.recv_timeout(PATIENCE).expect("no call came")
     }
 }
 
 impl Call {
     /// The other end of its connection.
-    pub fn from(&self) -> SocketAddr {
+    pub fn peer_address(&self) -> SocketAddr {
         self.stream.peer_addr().unwrap()
     }
 
@@ -476,14 +476,14 @@
     }
 
     /// It comes up.
-    pub fn up(&self) {
+    pub fn set_ready(&self) {
         let mut shared = self.shared.lock().unwrap();
         shared.up = true;
         shared.ready();
     }
 
     /// From now on whatever comes is lost, or not; a link that is made meanwhile breaks at the end of it.
-    pub fn deaf(&self, deaf: bool) {
+    pub fn set_discard_input(&self, deaf: bool) {
         let mut shared = self.shared.lock().unwrap();
         shared.deaf = deaf;
         if let (false, Some(link)) = (deaf, &shared.link) {
@@ -492,7 +492,7 @@
     }
 
     /// The next command that is not about gauges.
-    pub fn command(&self, name: &str) -> Value {
+    pub fn expect_command(&self, name: &str) -> Value {
         let command = self
             .commands
             .recv_timeout(PATIENCE)
@@ -502,12 +502,12 @@
     }
 
     /// Whether a command has come that the test has not seen.
-    pub fn commanded(&self) -> Option<Value> {
+    pub fn try_next_command(&self) -> Option<Value> {
         self.commands.try_recv().ok()
     }
 
     /// Says a line that is no notice.
-    pub fn say(&self, line: &str) {
+    pub fn send_line(&self, line: &str) {
         let shared = self.shared.lock().unwrap();
         shared
             .link
@@ -526,25 +526,25 @@
         shared.notices.push(notice);
     }
 
-    pub fn end(&self, id: &str, status: &str, body: &[u8]) {
+    pub fn send_run_end(&self, id: &str, status: &str, body: &[u8]) {
         let body = STANDARD.encode(body);
         self.notice(json!({"t": "end", "rid": id, "status": status, "time_ms": 3.5, "b64": body}));
     }
 
-    pub fn wants(&self, id: &str, body: &[u8]) {
+    pub fn send_call_request(&self, id: &str, body: &[u8]) {
         self.notice(json!({"t": "wants", "rid": id, "b64": STANDARD.encode(body)}));
     }
 
     /// Another runtime takes its place: up for a moment, with no work, and notices numbered anew.
-    pub fn replaced(&self) {
-        self.broken(|runtime| {
+    pub fn replace_runtime(&self) {
+        self.break_link(|runtime| {
             let mut shared = runtime.shared.lock().unwrap();
             (shared.up_ms, shared.notices) = (1.0, Vec::new());
         });
     }
 
     /// Breaks the link. What is noticed meanwhile comes only with the next one.
-    pub fn broken(&self, meanwhile: impl FnOnce(&Runtime)) {
+    pub fn break_link(&self, meanwhile: impl FnOnce(&Runtime)) {
         {
             let mut shared = self.shared.lock().unwrap();
             (shared.up, shared.ready) = (false, false);
@@ -552,7 +552,7 @@
             link.shutdown(std::net::Shutdown::Both).unwrap();
         }
         meanwhile(self);
-        self.up();
+        self.set_ready();
     }
 }
 
@@ -622,7 +622,7 @@
 }
 
 /// The fields of a task; those given replace the usual ones.
-pub fn fields<'a>(
+pub fn task_fields<'a>(
     id: &'a str,
     start: &'a str,
     other: &[(&'a str, &'a str)],
@@ -644,7 +644,7 @@
     fields
 }
 
-pub fn now() -> String {
+pub fn unix_ms_text() -> String {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
@@ -654,7 +654,7 @@
 
 impl<S: Read + Write> EdgeConnection<S> {
     /// A connection that is open already.
-    pub fn on(stream: S) -> EdgeConnection<S> {
+    pub fn new(stream: S) -> EdgeConnection<S> {
         EdgeConnection {
             stream,
             incoming: RecordReader::default(),
@@ -670,25 +670,25 @@
     }
 
     /// Sends a task of this stage.
-    pub fn task(&mut self, number: u16, stage: &str, id: &str, other: &[(&str, &str)]) {
-        let start = now();
+    pub fn send_task(&mut self, number: u16, stage: &str, id: &str, other: &[(&str, &str)]) {
+        let start = unix_ms_text();
         let path = format!("/v1/{stage}");
         self.send(&request(
             number,
             &path,
-            &fields(id, &start, other),
+            &task_fields(id, &start, other),
             b"ask\0\xff",
         ));
     }
 
     /// The next whole answer; `None` at the end of the connection.
-    pub fn answer(&mut self) -> Option<Response> {
-        self.try_answer()
+    pub fn read_response(&mut self) -> Option<Response> {
+        self.try_read_response()
             .unwrap_or_else(|e| panic!("no answer came: {e}"))
     }
 
     /// The same; an answer that can't be read is an error, as is none in the time that the stream is given.
-    pub fn try_answer(&mut self) -> std::io::Result<Option<Response>> {
+    pub fn try_read_response(&mut self) -> std::io::Result<Option<Response>> {
         let bad = |what: String| std::io::Error::new(std::io::ErrorKind::InvalidData, what);
         let mut stdout = Vec::new();
         loop {
@@ -724,8 +724,8 @@
     }
 
     /// The status of the next answer, which is for this request.
-    pub fn status(&mut self, number: u16) -> String {
-        let answer = self.answer().expect("the connection ended");
+    pub fn expect_status(&mut self, number: u16) -> String {
+        let answer = self.read_response().expect("the connection ended");
         assert_eq!(answer.request, number, "{answer:?}");
         answer.status().to_owned()
     }
--- a/crates/asterdale-testkit/src/services.rs
+++ b/crates/asterdale-testkit/src/services.rs
@@ -11,7 +11,7 @@
 const MOST: u64 = 64 * 1024;
 
 /// Reads one HTTP request: its head and its body.
-pub fn request(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
+pub fn read_request(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
     let mut head = String::new();
     let mut limited = reader.take(MOST);
     while !head.ends_with("\r\n\r\n") {
@@ -48,7 +48,7 @@
 fn reply_always(reply: &'static [u8]) -> std::io::Result<SocketAddr> {
     serve(move |stream| {
         let mut reader = BufReader::new(&stream);
-        if request(&mut reader).is_some() {
+        if read_request(&mut reader).is_some() {
             let _ = (&stream).write_all(reply);
         }
     })
@@ -63,9 +63,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Effect {
     /// How often it had its effect.
-    pub times: u32,
+    pub executions: u32,
     /// The highest fence that a call of it has brought.
-    pub fence: u64,
+    pub highest_fence: u64,
     /// The first reply.
     reply: Vec<u8>,
 }
@@ -91,7 +91,7 @@
     }
 
     /// Calls that were refused for an older fence.
-    pub fn older(&self) -> Vec<(Instant, String)> {
+    pub fn stale_fence_rejections(&self) -> Vec<(Instant, String)> {
         self.older
             .lock()
             .map(|older| older.clone())
@@ -108,18 +108,18 @@
         let mut effects = self.effects.lock().ok()?;
         let effect = effects.entry(body.to_vec()).or_default();
         if let Some(fence) = fence {
-            if fence < effect.fence {
+            if fence < effect.highest_fence {
                 let id = field("Op-Of: ").unwrap_or_default().to_owned();
                 self.older.lock().ok()?.push((Instant::now(), id));
                 return None;
             }
-            effect.fence = fence;
+            effect.highest_fence = fence;
         }
-        if effect.times == 0 || fence.is_none() {
-            effect.times += 1;
+        if effect.executions == 0 || fence.is_none() {
+            effect.executions += 1;
             effect.reply = format!(
                 "effect {} of {}",
-                effect.times,
+                effect.executions,
                 String::from_utf8_lossy(body)
             )
             .into_bytes();
@@ -132,7 +132,7 @@
         let keyed = self.clone();
         serve(move |stream| {
             let mut reader = BufReader::new(&stream);
-            let Some((head, body)) = request(&mut reader) else {
+            let Some((head, body)) = read_request(&mut reader) else {
                 return;
             };
             let reply = match keyed.call(&head, &body) {
--- a/crates/asterdale-testkit/src/simulated_runtime.rs
+++ b/crates/asterdale-testkit/src/simulated_runtime.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 pub struct Start {
     /// When.
-    pub at: Instant,
+    pub received_at: Instant,
     /// The try's id.
     pub id: String,
     /// The task's body.
@@ -53,7 +53,7 @@
 #[derive(Clone)]
 pub struct SimulatedRuntime {
     /// Where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     cores: usize,
     /// Runs last from the first to the second, in milliseconds.
     lasts: (u64, u64),
@@ -70,25 +70,25 @@
 }
 
 /// What the run of this task results in: everybody can tell whose it is.
-pub fn result(id: &str) -> Vec<u8> {
+pub fn run_result(id: &str) -> Vec<u8> {
     format!("result of {id}").into_bytes()
 }
 
 impl SimulatedRuntime {
     /// One with so many cores, whose runs last this long.
     pub fn start(cores: usize, lasts: (u64, u64)) -> std::io::Result<SimulatedRuntime> {
-        SimulatedRuntime::start_calling(cores, lasts, None)
+        SimulatedRuntime::start_with_calls(cores, lasts, None)
     }
 
     /// The same; tasks of this stage make a call below, with their body, when half of their run is over.
-    pub fn start_calling(
+    pub fn start_with_calls(
         cores: usize,
         lasts: (u64, u64),
         calls: Option<&'static str>,
     ) -> std::io::Result<SimulatedRuntime> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let worker = SimulatedRuntime {
-            at: listener.local_addr()?,
+            address: listener.local_addr()?,
             cores,
             lasts,
             calls,
@@ -124,7 +124,7 @@
     }
 
     /// How often a link was made: one takes the place of the one before.
-    pub fn links(&self) -> u32 {
+    pub fn link_count(&self) -> u32 {
         self.shared.0.lock().map_or(0, |state| state.links)
     }
 
@@ -188,7 +188,7 @@
                     .decode(line["b64"].as_str().unwrap_or_default())
                     .unwrap_or_default();
                 state.starts.push(Start {
-                    at: Instant::now(),
+                    received_at: Instant::now(),
                     id: id.to_owned(),
                     body: body.clone(),
                 });
@@ -241,7 +241,7 @@
                         continue;
                     }
                     if state.running.remove(&id).is_some() {
-                        let body = STANDARD.encode(result(&id));
+                        let body = STANDARD.encode(run_result(&id));
                         let no = state.before + state.notices.len() + 1;
                         let end = json!({"t": "end", "no": no, "rid": id, "status": "PASS", "time_ms": 1, "b64": body});
                         state.notice(end);
