--- a/crates/asterdale-testkit/src/soak.rs
+++ b/crates/asterdale-testkit/src/soak.rs
@@ -13,7 +13,7 @@
 use crate::{scripted, services};
 
 /// Threads that a daemon may have, whatever the number of its connections.
-pub const MOST_THREADS: usize = 12;
+pub const MAX_THREADS: usize = 12;
 /// Samples count from then on, in seconds: fingerprints and results are kept for 60 s, and grow until then.
 const FULL: f64 = 70.0;
 /// KiB that the memory may grow in an hour by the slope. A leak of 16 bytes a task shows at 200 tasks a second;
@@ -29,16 +29,16 @@
     /// Requests a second.
     pub rate: f64,
     /// How long.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Each request comes on a connection of its own, which stays until the backend ends it.
-    pub once: bool,
+    pub one_request_per_connection: bool,
     /// Of the schedule and the ids.
     pub seed: u32,
 }
 
 /// A daemon that takes this many connections, its runs by the worker, its calls by stand-ins. Its address comes
 /// back with it.
-pub fn daemon(
+pub fn start_daemon(
     worker: &SimulatedRuntime,
     sockets: usize,
 ) -> Result<(Daemon, std::net::SocketAddr), String> {
@@ -47,7 +47,12 @@
         services::records().map_err(told)?,
         services::registry().map_err(told)?,
     );
-    let mut start = scripted::config(scripted::address(), worker.at, records, registry);
+    let mut start = scripted::start_file_json(
+        scripted::unused_address(),
+        worker.address,
+        records,
+        registry,
+    );
     start["limits"]["sockets"] = json!(sockets);
     start["limits"]["memory_mb"] = json!(512);
     start["settings"]["extra"]["cores"] = json!(4);
@@ -60,7 +65,7 @@
         start,
         failpoint: None,
     })?;
-    daemon.listens(at)?;
+    daemon.wait_until_listening(at)?;
     Ok((daemon, at))
 }
 
@@ -91,38 +96,41 @@
 }
 
 /// Plays it; the figures.
-pub fn soak(order: &SoakConfig) -> Result<Value, String> {
+pub fn run(order: &SoakConfig) -> Result<Value, String> {
     let worker = SimulatedRuntime::start(4, (2, 6)).map_err(|e| e.to_string())?;
-    let (mut daemon, at) = daemon(&worker, 16 * 1024)?;
+    let (mut daemon, address) = start_daemon(&worker, 16 * 1024)?;
     let mut crowd = ConnectionLoad::new(LoadConfig {
-        at,
+        address,
         connections: order.connections,
-        edges: 150,
+        edge_nodes: 150,
         rate: order.rate,
-        lasts: order.lasts,
-        once: order.once,
-        stages: vec!["page", "bid"],
+        duration: order.duration,
+        one_request_per_connection: order.one_request_per_connection,
+        request_classes: vec!["page", "bid"],
         timeout_ms: 5000,
         // This side may be held up on a machine that others use.
-        crosses: Duration::from_millis(500),
+        resend_window: Duration::from_millis(500),
         seed: order.seed,
     })
     .map_err(|e| e.to_string())?;
     let (began, mut samples, mut died) = (Instant::now(), Vec::new(), false);
-    let cpu_before = daemon.usage().0;
-    crowd.play(Duration::from_secs(1), |_| {
-        let ((_, kib), (threads, descriptors)) = (daemon.usage(), daemon.holds());
+    let cpu_before = daemon.cpu_ms_and_memory_kib().0;
+    crowd.run(Duration::from_secs(1), |_| {
+        let ((_, kib), (threads, descriptors)) = (
+            daemon.cpu_ms_and_memory_kib(),
+            daemon.thread_and_descriptor_counts(),
+        );
         samples.push((
             began.elapsed().as_secs_f64(),
             kib as f64,
             threads as f64,
             descriptors as f64,
         ));
-        died = daemon.ended();
+        died = daemon.has_exited();
         !died
     });
     let seconds = began.elapsed().as_secs_f64();
-    let cpu_ms = daemon.usage().0 - cpu_before;
+    let cpu_ms = daemon.cpu_ms_and_memory_kib().0 - cpu_before;
     let most = |of: &dyn Fn(&Sample) -> f64| samples.iter().map(of).fold(0.0, f64::max);
     let (threads, descriptors, kib) = (most(&|s| s.2), most(&|s| s.3), most(&|s| s.1));
     let grows = (
@@ -130,25 +138,26 @@
         slope(&samples, |s| s.2),
         slope(&samples, |s| s.3),
     );
-    let (open, seen) = (crowd.open(), &crowd.seen);
+    let (open, seen) = (crowd.open_connections(), &crowd.stats);
     let twice: u32 = worker
         .runs()
         .values()
         .map(|&runs| runs.saturating_sub(1))
         .sum();
-    let answered = seen.lost == 0 && seen.twice == 0 && seen.refused == 0 && twice == 0;
+    let answered =
+        seen.lost == 0 && seen.unexpected_answers == 0 && seen.failed_connects == 0 && twice == 0;
     // Connections that come and stay make memory and descriptors grow until the backend's bounds: no leak.
-    let flat = order.once || grows.0 < MOST_KIB && grows.2 < MOST_DESCRIPTORS;
+    let flat = order.one_request_per_connection || grows.0 < MOST_KIB && grows.2 < MOST_DESCRIPTORS;
     let held = answered
         && !died
         && flat
-        && threads <= MOST_THREADS as f64
-        && seen.all_answers() == seen.sent;
+        && threads <= MAX_THREADS as f64
+        && seen.answer_count() == seen.sent;
     let round = |x: f64| (x * 100.0).round() / 100.0;
-    let figures = json!({"held": held, "connections": order.connections, "rate": order.rate, "once": order.once,
-        "seconds": round(seconds), "sent": seen.sent, "answered": seen.answered, "lost": seen.lost,
-        "answers_twice": seen.twice, "runs_twice": twice, "refused": seen.refused, "ended": seen.ended,
-        "open_at_the_end": open, "milliseconds": quantiles(&seen.times),
+    let figures = json!({"held": held, "connections": order.connections, "rate": order.rate, "once": order.one_request_per_connection,
+        "seconds": round(seconds), "sent": seen.sent, "answered": seen.answers_by_status, "lost": seen.lost,
+        "answers_twice": seen.unexpected_answers, "runs_twice": twice, "refused": seen.failed_connects, "ended": seen.closed_connections,
+        "open_at_the_end": open, "milliseconds": quantiles(&seen.latency),
         "cpu_ms_a_second": round(cpu_ms / seconds), "cpu_us_a_task": round(cpu_ms * 1e3 / seen.sent.max(1) as f64),
         "threads": threads, "descriptors": descriptors, "kib": kib,
         "slope_an_hour": {"kib": round(grows.0), "threads": round(grows.1), "descriptors": round(grows.2)}});
@@ -159,6 +168,6 @@
         ));
     }
     drop(crowd);
-    daemon.leave(Duration::from_secs(10));
+    daemon.shut_down(Duration::from_secs(10));
     Ok(figures)
 }
