--- a/crates/asterdale-testkit/src/connection_load.rs
+++ b/crates/asterdale-testkit/src/connection_load.rs
@@ -1,6 +1,6 @@
-//! A crowd of edge nodes' connections, hundreds or thousands, driven by one thread: a steady rate of requests over
-//! connections that stay, or each on one of its own that asks once and stays. It counts what became of each request
-//! by what came over the wire alone.
+//! Load over hundreds or thousands of edge nodes' connections, driven by one thread: a steady rate of requests over
+//! persistent connections, or each request on a new connection that then stays open. Outcomes are counted only from
+//! what is received on the connections.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Read, Write};
@@ -16,64 +16,64 @@
 use crate::proofs::histogram;
 use crate::{scripted, unix_ms};
 
-/// How a crowd behaves.
+/// The configuration of the load.
 #[derive(Clone)]
 pub struct LoadConfig {
-    /// Where the backend listens.
+    /// The address at which the backend listens.
     pub address: SocketAddr,
-    /// Connections that are held open.
+    /// The number of connections held open.
     pub connections: usize,
-    /// Of so many edge nodes.
+    /// The number of edge nodes to which the connections belong.
     pub edge_nodes: usize,
-    /// Requests a second in all.
+    /// Requests per second over all connections.
     pub rate: f64,
-    /// For so long.
+    /// The duration of the load.
     pub duration: Duration,
-    /// Each request comes on a connection of its own, which stays open until the backend ends it.
+    /// Whether each request is sent on a new connection, which stays open until the backend closes it.
     pub one_request_per_connection: bool,
-    /// What requests ask for, in turn.
+    /// The request classes of the requests, in turn.
     pub request_classes: Vec<&'static str>,
-    /// How long an edge node waits, in milliseconds.
+    /// The timeout of a request in milliseconds.
     pub timeout_ms: u64,
-    /// A request whose connection ends within so long without an answer has crossed that end, and is sent once
-    /// more: 50 ms by the platform's protocol, longer where this side may be slow to see it. One that had been taken
-    /// before would then run twice, which the runtime's stand-in counts.
+    /// If a connection ends without an answer within this time after a request was sent, the request is taken to have
+    /// crossed the close and is sent once more: 50 ms by the platform's protocol, longer if this process may notice the
+    /// close late. If the backend had accepted it before, it runs twice, which the simulated runtime records.
     pub resend_window: Duration,
-    /// No two crowds may have the same.
+    /// Seed of the request ids; loads on the same backend must have different seeds.
     pub seed: u32,
 }
 
-/// What became of it all.
+/// Counts of the requests by outcome.
 pub struct LoadStats {
     /// Requests sent.
     pub sent: u64,
-    /// Answers by their status.
+    /// Number of answers by status.
     pub answers_by_status: BTreeMap<String, u64>,
-    /// Requests whose connection ended without a whole answer, or that had none within their time and a second.
+    /// Requests whose connection ended without a complete answer, or that had none 1 s after their timeout.
     pub lost: u64,
-    /// Answers to what was not open.
+    /// Answers to requests that were not outstanding.
     pub unexpected_answers: u64,
-    /// Connections that were refused or not made.
+    /// Connections that were refused or could not be opened.
     pub failed_connects: u64,
-    /// Connections that the backend ended.
+    /// Connections that the backend closed.
     pub closed_connections: u64,
-    /// From a request to its answer with status 200.
+    /// Latency of the answers with status 200.
     pub latency: Histogram<u64>,
 }
 
 impl LoadStats {
-    /// Answers with this status.
+    /// The number of answers with this status.
     pub fn count_with_status(&self, status: &str) -> u64 {
         self.answers_by_status.get(status).copied().unwrap_or(0)
     }
 
-    /// All answers.
+    /// The number of all answers.
     pub fn answer_count(&self) -> u64 {
         self.answers_by_status.values().sum()
     }
 }
 
-/// A request that waits for its answer.
+/// A request without an answer yet.
 struct Asked {
     bytes: Vec<u8>,
     sent: Instant,
@@ -88,19 +88,19 @@
     next: u16,
 }
 
-/// The crowd while it plays.
+/// The load while it runs.
 pub struct ConnectionLoad {
     order: LoadConfig,
     poll: Poll,
     lines: HashMap<usize, Line>,
     made: usize,
     turn: usize,
-    /// What became of it so far.
+    /// The outcomes so far.
     pub stats: LoadStats,
 }
 
 impl ConnectionLoad {
-    /// Nothing is connected yet.
+    /// Prepares the load; nothing is connected yet.
     pub fn new(order: LoadConfig) -> io::Result<ConnectionLoad> {
         let stats = LoadStats {
             sent: 0,
@@ -121,7 +121,7 @@
         })
     }
 
-    /// Opens a connection; its number.
+    /// Opens a connection and returns its number.
     fn connect(&mut self) -> Option<usize> {
         let stream = TcpStream::connect_timeout(&self.order.address, Duration::from_secs(10));
         let made = stream.and_then(|stream| {
@@ -150,8 +150,8 @@
         Some(self.made - 1)
     }
 
-    /// Opens connections until so many are there, or none more can be had, each with a request: edge nodes connect
-    /// when they have one.
+    /// Opens connections up to this number, or until a connect fails. A request is sent on each, because edge nodes
+    /// connect only when they have a request.
     pub fn open_up_to(&mut self, connections: usize) {
         while self.lines.len() < connections {
             let Some(number) = self.connect() else { return };
@@ -160,19 +160,19 @@
         }
     }
 
-    /// How many are open.
+    /// The number of open connections.
     pub fn open_connections(&self) -> usize {
         self.lines.len()
     }
 
-    /// Sends the next request.
+    /// Sends the next request, on a new connection or on the next one in turn.
     fn ask(&mut self) {
         if self.order.one_request_per_connection {
             let Some(number) = self.connect() else { return };
             return self.ask_on(number);
         }
         self.open_up_to(self.order.connections);
-        // In the order of their numbers, each in its turn.
+        // Round robin in the order of the connections' numbers.
         let mut numbers: Vec<usize> = self.lines.keys().copied().collect();
         if numbers.is_empty() {
             return;
@@ -214,7 +214,7 @@
             return;
         };
         let request = line.next;
-        // A request is far smaller than any way out; where it does not fit nobody reads.
+        // A request is far smaller than a socket's send buffer; if it does not fit, the backend does not read.
         let sent = line.stream.write_all(&bytes);
         line.open.insert(
             request,
@@ -229,7 +229,8 @@
         }
     }
 
-    /// A connection ended: what was open on it is sent once more where it crossed the end, or is lost.
+    /// Handles the end of a connection: its outstanding requests are sent once more if they may have crossed the close,
+    /// and are counted as lost otherwise.
     fn over(&mut self, number: usize) {
         let Some(line) = self.lines.remove(&number) else {
             return;
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Reads what has come over this connection.
+    /// Reads and evaluates what this connection has received.
     fn read(&mut self, number: usize) {
         loop {
             let Some(line) = self.lines.get_mut(&number) else {
@@ -308,7 +309,7 @@
         numbers.into_iter().for_each(|number| self.read(number));
     }
 
-    /// Plays; `each` is called about once in so long, and ends it by `false`.
+    /// Runs the load. `inspect` is called about once per `interval`, and stops the load by returning `false`.
     pub fn run(&mut self, every: Duration, mut each: impl FnMut(&LoadStats) -> bool) {
         let between = Duration::from_secs_f64(1.0 / self.order.rate);
         if !self.order.one_request_per_connection {
@@ -330,7 +331,7 @@
                 }
             }
         }
-        // The rest has its time, and a second.
+        // Outstanding requests may still be answered until 1 s after their timeout.
         let last = Instant::now() + Duration::from_millis(self.order.timeout_ms + 1000);
         while self.lines.values().any(|line| !line.open.is_empty()) && Instant::now() < last {
             self.wait(last.min(Instant::now() + Duration::from_millis(100)));
--- a/crates/asterdale-testkit/src/daemon_fleet.rs
+++ b/crates/asterdale-testkit/src/daemon_fleet.rs
@@ -1,5 +1,5 @@
-//! Many daemons at once: each a child process with a start file, a folder and a runtime stand-in of its own, reached by
-//! the others through relays. Started, killed, stopped and let go on by their number.
+//! A fleet of daemons as child processes. Each has its own start file, journal directory and simulated runtime, and
+//! the others reach it through relays. Members are started, killed, paused and resumed by their index.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -15,10 +15,10 @@
 use crate::simulated_runtime::SimulatedRuntime;
 use crate::{scripted, services};
 
-/// The fleet's key, of no use anywhere else.
+/// The fleet's shared secret, used only on loopback.
 const KEY: &str = "a key for loopback alone";
 
-/// One place in the fleet.
+/// One member of the fleet, running or not.
 struct Member {
     recipe: LaunchConfig,
     at: SocketAddr,
@@ -31,40 +31,41 @@
 /// The fleet.
 pub struct DaemonFleet {
     members: Vec<Member>,
-    /// What passes between them.
+    /// The relays that carry gossip and replication traffic between the members.
     pub relays: Relays,
     folder: PathBuf,
 }
 
-/// How a fleet is made.
+/// The configuration of a fleet.
 pub struct FleetConfig {
-    /// How many.
+    /// The number of members.
     pub members: usize,
-    /// The first so many are seeds.
+    /// This many members, from the first, are seeds that others join through.
     pub seeds: usize,
-    /// From one probe to the next, in milliseconds.
+    /// The interval between membership probes in milliseconds.
     pub interval_ms: f64,
-    /// The program.
+    /// The daemon's program.
     pub program: PathBuf,
-    /// The failpoint that is active in it.
+    /// The failpoint that is active in the daemons.
     pub failpoint: Option<String>,
-    /// Chance of the relays.
+    /// Seed of the relays' random choices and of the daemons.
     pub seed: u64,
-    /// They talk with each other.
+    /// Whether the members exchange gossip.
     pub gossip_enabled: bool,
-    /// How long runs last, from and to, in milliseconds.
+    /// Shortest and longest duration of a run in milliseconds.
     pub run_duration_ms: (u64, u64),
-    /// Work in hand is kept by the first so many; 0 for none. Its windows are short, so that a group that begins anew
-    /// is soon of use.
+    /// This many members, from the first, are ownership replicas; 0 for none. The retry windows are short, because a
+    /// newly formed replica group accepts no claims before they have passed.
     pub ownership_replicas: usize,
-    /// Each has a folder in which what it begins lasts.
+    /// Whether each member has a journal directory.
     pub has_journal: bool,
-    /// What has the effects of calls, where it is not the one of calm days.
+    /// A records service in place of the default one, which answers every call with success.
     pub records: Option<SocketAddr>,
 }
 
 impl FleetConfig {
-    /// A fleet whose bids have their effect at this records service, with failpoints where that is asked for.
+    /// The configuration of a proof whose keyed requests call this records service; the program has failpoints
+    /// compiled in if the proof activates one.
     pub fn for_proof(
         order: &crate::proofs::ProofConfig,
         members: usize,
@@ -92,25 +93,25 @@
     }
 }
 
-/// How long a lease is where work is kept, and how long its windows are, in milliseconds.
+/// Duration of an ownership lease in milliseconds.
 pub const LEASE_MS: u64 = 1000;
-/// See [`LEASE_MS`].
+/// Duration of the retry window of keyed requests in milliseconds.
 pub const WINDOW_MS: u64 = 8000;
 
-/// The name of a member.
+/// The name of the member with this index.
 pub fn member_name(n: usize) -> String {
     format!("n{n}")
 }
 
 impl DaemonFleet {
-    /// Nobody runs yet.
+    /// Prepares the members; none is started.
     pub fn new(order: &FleetConfig) -> Result<DaemonFleet, String> {
         let told = |e: std::io::Error| e.to_string();
         let folder = std::env::temp_dir().join(format!("asterdale-many-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(told)?;
         let key = folder.join("key");
         std::fs::write(&key, KEY).map_err(told)?;
-        // Each has a loopback address of its own; of its ports one is for edge nodes, one for talk.
+        // Each member has its own loopback address, with one port for edge nodes and one for gossip.
         let places: Vec<SocketAddr> = (0..order.members)
             .map(|_| scripted::unused_address())
             .collect();
@@ -127,7 +128,7 @@
         let registry = services::registry().map_err(told)?;
         let mut members = Vec::new();
         for (n, &at) in places.iter().enumerate() {
-            // Where effects are counted, bids have one.
+            // With a records service given, runs of keyed requests make a call to it.
             let (cores, calls) = if order.records.is_some() {
                 (8, Some("bid"))
             } else {
@@ -184,40 +185,40 @@
         })
     }
 
-    /// How many places there are.
+    /// The number of members, running or not.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there are none.
+    /// Whether the fleet has no members.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// The folder in which what it begins lasts.
+    /// The journal directory of a member.
     pub fn journal_directory(&self, n: usize) -> PathBuf {
         self.folder.join(format!("{n}.state"))
     }
 
-    /// Where edge nodes reach this one.
+    /// The address at which a member accepts edge nodes' connections.
     pub fn address(&self, n: usize) -> SocketAddr {
         self.members[n].at
     }
 
-    /// Its runtime.
+    /// The simulated runtime of a member.
     pub fn runtime(&self, n: usize) -> &SimulatedRuntime {
         &self.members[n].worker
     }
 
-    /// Starts it.
+    /// Starts a member; it may not listen yet when this returns.
     pub fn start(&mut self, n: usize) -> Result<(), String> {
         let member = &mut self.members[n];
         member.daemon = Some(Daemon::start(&member.recipe)?);
         Ok(())
     }
 
-    /// Starts a second process over its folder, that listens elsewhere and talks with nobody; whether that one refused, and
-    /// ended by itself.
+    /// Starts a second process on a member's journal directory, with another listen address and without gossip. Returns
+    /// whether that process exited because the directory is in use.
     pub fn second_process_is_rejected(&self, n: usize) -> Result<bool, String> {
         let mut recipe = self.members[n].recipe.clone();
         recipe.start["listen"] = json!(scripted::unused_address());
@@ -236,19 +237,19 @@
                 .any(|line| line.contains("another process has this folder")))
     }
 
-    /// Waits until it takes edge nodes' connections.
+    /// Waits until a member accepts edge nodes' connections.
     pub fn wait_until_listening(&self, n: usize) -> Result<(), String> {
         self.members[n].daemon.as_ref().map_or(Ok(()), |daemon| {
             daemon.wait_until_listening(self.members[n].at)
         })
     }
 
-    /// Kills it.
+    /// Kills a member.
     pub fn kill(&mut self, n: usize) {
         (self.members[n].daemon, self.members[n].stopped) = (None, false);
     }
 
-    /// Has it leave, and waits for its end.
+    /// Asks a member to shut down and waits until it has exited; `false` if that took too long or it failed.
     pub fn shut_down(&mut self, n: usize) -> bool {
         let left = self.members[n]
             .daemon
@@ -258,7 +259,7 @@
         left
     }
 
-    /// Has it stand still, or go on.
+    /// Pauses a member with SIGSTOP, or resumes it with SIGCONT.
     pub fn set_paused(&mut self, n: usize, stopped: bool) {
         let member = &mut self.members[n];
         if let Some(daemon) = &member.daemon {
@@ -267,21 +268,21 @@
         member.stopped = stopped;
     }
 
-    /// Those that run, standing still or not.
+    /// The indices of the members that have a process, paused or not.
     pub fn running(&self) -> Vec<usize> {
         (0..self.len())
             .filter(|&n| self.members[n].daemon.is_some())
             .collect()
     }
 
-    /// Those that ended by themselves.
+    /// The indices of the members whose process has exited by itself.
     pub fn exited(&mut self) -> Vec<usize> {
         let all = self.members.iter_mut().enumerate();
         all.filter_map(|(n, member)| member.daemon.as_mut()?.has_exited().then_some(n))
             .collect()
     }
 
-    /// CPU time that all have used, in milliseconds.
+    /// CPU time that all running members have used, in milliseconds.
     pub fn cpu_ms(&self) -> f64 {
         self.members
             .iter()
@@ -289,7 +290,7 @@
             .sum()
     }
 
-    /// One of its counters, asked for now.
+    /// The current value of a member's counter; 0 if the member is paused or does not report it.
     pub fn counter(&self, n: usize, name: &str) -> u64 {
         let member = &self.members[n];
         if member.stopped {
@@ -302,7 +303,7 @@
             .unwrap_or(0)
     }
 
-    /// The last lines of its log.
+    /// The last lines of a member's log.
     pub fn log(&self, n: usize) -> Vec<String> {
         self.members[n]
             .daemon
@@ -311,7 +312,7 @@
             .unwrap_or_default()
     }
 
-    /// What it holds of the fleet, by its control socket; `None` if it does not answer.
+    /// A member's membership view, queried over its control socket; `None` if it does not answer.
     pub fn membership_view(&self, n: usize) -> Option<Value> {
         let member = &self.members[n];
         if member.daemon.is_none() || member.stopped {
@@ -335,7 +336,8 @@
     }
 }
 
-/// Those who count as there in what was shown, the one that tells among them: their generations by name.
+/// The generations of the members that a membership view counts as live, by name; includes the process that reported
+/// the view.
 pub fn live_generations(shown: &Value) -> BTreeMap<String, u64> {
     let of = |member: &Value| {
         Some((
--- a/crates/asterdale-testkit/src/demo.rs
+++ b/crates/asterdale-testkit/src/demo.rs
@@ -1,4 +1,4 @@
-//! A demonstration: everything on loopback, a steady load, and what became of it. For a first look.
+//! A demonstration: a daemon and its stand-ins on loopback, a steady load, and the outcome of the requests.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
@@ -14,11 +14,11 @@
 use crate::simulated_runtime::SimulatedRuntime;
 use crate::{scripted, services, unix_ms};
 
-/// What is asked of the demonstration.
+/// The configuration of the demonstration.
 pub struct Config {
-    /// Tasks a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long.
+    /// Duration of the load in seconds.
     pub seconds: u64,
 }
 
@@ -30,7 +30,7 @@
     lost: AtomicU64,
 }
 
-/// Runs it; what to print at the end.
+/// Runs the demonstration and returns the text to print at the end.
 pub fn run(order: &Config) -> Result<String, String> {
     let told = |e: std::io::Error| e.to_string();
     let worker = SimulatedRuntime::start(4, (5, 35)).map_err(told)?;
--- a/crates/asterdale-testkit/src/edge_client.rs
+++ b/crates/asterdale-testkit/src/edge_client.rs
@@ -1,5 +1,6 @@
-//! An edge node's connection, as the platform's protocol has it: opened when needed, made again when it ends; a
-//! request that crosses a close is sent once more; a refused connection proves that nothing ran.
+//! The client side of an edge node's connection, as the platform's protocol specifies it: opened when needed and again
+//! after it has ended. A request that crosses a close on the wire is sent once more; a refused connection proves that
+//! nothing ran.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -7,20 +8,20 @@
 
 use crate::scripted::{request, EdgeConnection, Response};
 
-/// A connection that ends this soon after a request was written to it, without an answer, may have been closed
-/// while nothing was open: the request goes out once more.
+/// If a connection ends without an answer this soon after a request was written, the backend may have closed it while
+/// it was idle, so the request is sent once more.
 const CROSSES: Duration = Duration::from_millis(50);
-/// Longer than any caller waits for a whole answer.
+/// The longest wait for an answer; longer than the timeout of any request.
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// The moments at which one lane of many brings its tasks.
+/// Paces the requests of one thread among several that together produce a given rate.
 pub struct Pacer {
     every: Duration,
     next: Instant,
 }
 
 impl Pacer {
-    /// Of this lane, where so many together bring so many tasks a second.
+    /// The pacer of one thread out of `threads`, which together send `rate` requests per second.
     pub fn new(lane: u64, lanes: u64, rate: f64) -> Pacer {
         let every = Duration::from_secs_f64(lanes as f64 / rate);
         Pacer {
@@ -29,25 +30,25 @@
         }
     }
 
-    /// Waits for the next one. A lane that is late goes on from now: it makes up for nothing.
+    /// Waits until the next request is due. A thread that is late continues from the current time and does not catch up.
     pub fn wait(&mut self) {
         std::thread::sleep(self.next.saturating_duration_since(Instant::now()));
         self.next = (self.next + self.every).max(Instant::now());
     }
 }
 
-/// How a try ended.
+/// The outcome of one attempt.
 #[derive(Debug)]
 pub enum RequestOutcome {
-    /// With a whole answer.
+    /// A complete answer was received.
     Answered(Response),
     /// The connection was refused: nothing ran.
     Refused,
-    /// The connection ended without a whole answer, or none came in all the time there is.
+    /// The connection ended without a complete answer, or none arrived within the timeout.
     Lost,
 }
 
-/// One connection, with one request open at a time.
+/// A client with one connection and one outstanding request at a time.
 pub struct EdgeClient {
     at: SocketAddr,
     edge: Option<EdgeConnection>,
@@ -56,7 +57,7 @@
 }
 
 impl EdgeClient {
-    /// Nothing is connected before the first request.
+    /// A client of the backend at this address; it connects with the first request.
     pub fn new(at: SocketAddr) -> EdgeClient {
         EdgeClient {
             at,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Waits no longer than this for an answer.
+    /// Limits the wait for each answer to this duration.
     pub fn set_timeout(&mut self, patience: Duration) {
         self.patience = patience.min(PATIENCE);
         if let Some(edge) = &self.edge {
@@ -81,7 +82,7 @@
         Ok(EdgeConnection::new(stream))
     }
 
-    /// Sends a request and waits for its end.
+    /// Sends a request and waits for its answer.
     pub fn request(&mut self, path: &str, fields: &[(&str, &str)], body: &[u8]) -> RequestOutcome {
         for fresh in [false, true] {
             if fresh || self.edge.is_none() {
--- a/crates/asterdale-testkit/src/flood.rs
+++ b/crates/asterdale-testkit/src/flood.rs
@@ -1,5 +1,6 @@
-//! A measurement: what an endless retry of a revoked token costs the others, while the daemon has a part of a
-//! core. Good tasks come at a steady rate with and without the flood, in turn. For the docs, not for CI.
+//! A measurement: how endless retries with a revoked token affect other requests while the daemon may use a fraction of a
+//! core. Requests with a valid token arrive at a steady rate, in turn with and without the flood. Its figures are for the
+//! documentation; CI does not run it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -16,15 +17,15 @@
 use crate::simulated_runtime::SimulatedRuntime;
 use crate::{scripted, services, unix_ms};
 
-/// What is measured.
+/// The configuration of the measurement.
 pub struct Config {
-    /// Revoked retries a second.
+    /// Retries with a revoked token per second.
     pub flood: f64,
-    /// Good tasks a second.
+    /// Requests with a valid token per second.
     pub rate: f64,
-    /// Seconds with and seconds without the flood.
+    /// Duration of each turn, with or without the flood, in seconds.
     pub seconds: u64,
-    /// The part of a core that the daemon has; it is stopped for the rest of each tenth of a second.
+    /// The fraction of a core that the daemon may use; it is paused for the rest of each tenth of a second.
     pub share: f64,
 }
 
@@ -34,8 +35,8 @@
     asterdale_identity::mint::sign_jws(key, &json!({"alg": "EdDSA", "kid": key.id()}), &claims)
 }
 
-/// Holds a process to a part of a core, as a limit of CPU time would: it runs until it has used its part of a
-/// tenth of a second, and is stopped until the next begins.
+/// Limits a process to a fraction of a core, like a CPU quota: in each period of a tenth of a second it runs until it has
+/// used its fraction, and is paused until the next period.
 fn hold(daemon: &Daemon, share: f64, end: &AtomicBool) {
     const TENTH: f64 = 100.0;
     while !end.load(Relaxed) {
@@ -54,7 +55,8 @@
     }
 }
 
-/// Asks at a rate over so many connections until the end; what was answered with this status, and what not.
+/// Sends requests at a rate over several connections for a time. Returns how many were answered with the expected
+/// status, how many were not, and the latency of the former.
 pub fn drive_load(
     at: SocketAddr,
     token: &str,
@@ -114,7 +116,7 @@
     SecretKey::generate(id).map_err(|error| error.to_string())
 }
 
-/// Measures; the figures.
+/// Runs the measurement and returns its figures.
 pub fn measure(order: &Config) -> Result<Value, String> {
     let told = |e: std::io::Error| e.to_string();
     let (worker, now) = (SimulatedRuntime::start(4, (1, 3)).map_err(told)?, unix_ms());
--- a/crates/asterdale-testkit/src/issuer.rs
+++ b/crates/asterdale-testkit/src/issuer.rs
@@ -1,5 +1,5 @@
-//! A stand-in issuer: hands out signed sets of keys over HTTP, with tags, and can be slow, down, rolled back, or
-//! speak rubbish. It remembers when it handed out which set whole, which is what an oracle needs.
+//! A stand-in issuer: serves signed key sets over HTTP with entity tags, and can be slow, unavailable or rolled back, or
+//! serve malformed or forged sets. It records when it delivered which set completely, for the oracle of a proof.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,27 +10,27 @@
 use crate::services;
 use crate::unix_ms;
 
-/// How it behaves.
+/// How the issuer answers requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behavior {
-    /// As it should.
+    /// Serves the last published set.
     Good,
-    /// Each reply takes this long, in milliseconds.
+    /// Delays each reply by this many milliseconds.
     Slow(u64),
-    /// Connections end without a reply.
+    /// Closes connections without a reply.
     Down,
-    /// It hands out a set from long ago.
+    /// Serves the first published set.
     RolledBack,
-    /// It says things that are no set.
+    /// Serves a truncated body that is not a key set.
     Malformed,
-    /// It hands out a set that another root has signed.
+    /// Serves a set that is signed with another root key.
     Forged,
 }
 
 #[derive(Default)]
 struct State {
     mood: Option<Behavior>,
-    /// All sets, in the order of their numbers.
+    /// All published sets with their sequence numbers, in the order of publication.
     sets: Vec<(u64, String)>,
     forged: String,
     handed: Vec<(f64, u64)>,
@@ -38,16 +38,16 @@
     unchanged: u64,
 }
 
-/// The issuer.
+/// The stand-in issuer.
 #[derive(Clone)]
 pub struct Issuer {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl Issuer {
-    /// One without a set yet.
+    /// Starts an issuer that has no key set yet.
     pub fn start() -> std::io::Result<Issuer> {
         let state: Arc<Mutex<State>> = Arc::default();
         let shared = state.clone();
@@ -55,28 +55,29 @@
         Ok(Issuer { address, state })
     }
 
-    /// It hands out this set from now on.
+    /// Publishes a set, which is served from now on.
     pub fn publish(&self, seq: u64, set: String) {
         if let Ok(mut state) = self.state.lock() {
             state.sets.push((seq, set));
         }
     }
 
-    /// What a forger would hand out.
+    /// Sets the body that is served with [`Behavior::Forged`].
     pub fn set_forged_key_set(&self, set: String) {
         if let Ok(mut state) = self.state.lock() {
             state.forged = set;
         }
     }
 
-    /// It behaves like this from now on.
+    /// Changes how requests are answered from now on.
     pub fn set_behavior(&self, mood: Behavior) {
         if let Ok(mut state) = self.state.lock() {
             state.mood = Some(mood);
         }
     }
 
-    /// When it handed out which set whole, as the last one: the time is after the last byte.
+    /// The complete deliveries of a current set: the Unix time in milliseconds after its last byte was written, and its
+    /// sequence number.
     pub fn deliveries(&self) -> Vec<(f64, u64)> {
         self.state
             .lock()
@@ -84,7 +85,7 @@
             .unwrap_or_default()
     }
 
-    /// How often it was asked, and how often the set had not changed.
+    /// The number of requests, and how many of them were answered with status 304.
     pub fn request_counts(&self) -> (u64, u64) {
         self.state
             .lock()
--- a/crates/asterdale-testkit/src/lib.rs
+++ b/crates/asterdale-testkit/src/lib.rs
@@ -1,6 +1,6 @@
-//! The project's own rig: stand-ins for edge nodes, runtime, records service, registry and issuer, written after
-//! their public protocols; a demonstration; and proofs that run real daemons under load and faults drawn from a
-//! seed. All of it stays on loopback.
+//! The project's test harness: stand-ins for edge nodes, runtime, records service, registry and issuer, written from
+//! their public protocols; a demonstration; measurements; and proofs, which run real daemons under load and injected
+//! faults that are drawn from a seed. All traffic stays on loopback.
 
 #![allow(
     clippy::cognitive_complexity,
@@ -29,7 +29,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Unix milliseconds.
+/// The current time in Unix milliseconds.
 pub fn unix_ms() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/asterdale-testkit/src/main.rs
+++ b/crates/asterdale-testkit/src/main.rs
@@ -1,4 +1,4 @@
-//! The rig's command line.
+//! The command line of the test harness.
 
 #![allow(
     clippy::cognitive_complexity,
@@ -26,7 +26,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Start everything, drive a steady load, and tell what became of it
+    /// Start a daemon with all its stand-ins, drive a steady load, and print the outcome of the requests
     Demo {
         /// Tasks a second
         #[arg(long, default_value_t = 150.0)]
@@ -35,122 +35,122 @@
         #[arg(long, default_value_t = 10)]
         seconds: u64,
     },
-    /// Run a proof: load and faults from the seed; the last line is its figures, exit code 0 only if it held
+    /// Run a proof under load and faults drawn from the seed; the last line has the figures, exit code 0 only if it held
     Prove {
-        /// Which
+        /// Which proof
         name: Proof,
-        /// Load and faults are drawn from it
+        /// Seed of the load and the faults
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How long the load lasts
+        /// Duration of the load in seconds
         #[arg(long, default_value_t = 20)]
         seconds: u64,
-        /// Of the proof upgrade: how many there are
+        /// Proof upgrade: number of hot restarts
         #[arg(long, default_value_t = 10)]
         upgrades: u32,
-        /// And how many of them are made to fail
+        /// Proof upgrade: how many of the hot restarts are made to fail
         #[arg(long, default_value_t = 3)]
         fails: u32,
-        /// Of the proofs fleet, takeover and restarts: how many processes; 12, 9 and 6 if absent
+        /// Proofs fleet, takeover and restarts: number of processes; 12, 9 and 6 if absent
         #[arg(long)]
         members: Option<usize>,
-        /// Of the proof takeover: how many of them keep work in hand
+        /// Proof takeover: how many of the processes are ownership replicas
         #[arg(long, default_value_t = 3)]
         keepers: usize,
-        /// Of the proofs takeover and restarts: tasks a second in all
+        /// Proofs takeover and restarts: requests per second over all processes
         #[arg(long, default_value_t = 120.0)]
         rate: f64,
-        /// From one probe to the next, in milliseconds
+        /// Proof fleet: interval between membership probes in milliseconds
         #[arg(long, default_value_t = 100.0)]
         interval_ms: f64,
-        /// How often all kinds of faults come
+        /// How many times the sequence of all kinds of faults is run
         #[arg(long, default_value_t = 1)]
         rounds: u32,
-        /// Of the proof takeover: each process has a folder on disk, and keepers their part of the log
+        /// Proof takeover: each process has a journal directory, and replicas persist the replicated log
         #[arg(long)]
         journal: bool,
-        /// A failpoint to activate in the daemon: the proof must not hold then
+        /// A failpoint to activate in the daemon; the proof must fail then
         #[arg(long, alias = "plant")]
         failpoint: Option<String>,
     },
-    /// Measure what replacing a serving process costs, by handing over and by stopping and starting it
+    /// Measure the cost of replacing a serving process, by hot restart and by stop and start
     Replace {
         /// Tasks a second
         #[arg(long, default_value_t = 200.0)]
         rate: f64,
     },
-    /// Measure what it costs a bid that others keep it
+    /// Measure what replicating its ownership adds to the latency and CPU time of a keyed request
     #[command(name = "price")]
     OwnershipCost {
-        /// Processes
+        /// Number of processes
         #[arg(long, default_value_t = 5)]
         members: usize,
-        /// Bids a second in all
+        /// Keyed requests per second over all processes; one measurement for each rate
         #[arg(long, value_delimiter = ',', default_value = "200,2000")]
         rates: Vec<f64>,
-        /// How many processes keep them
+        /// Numbers of ownership replicas; one measurement for each
         #[arg(long, value_delimiter = ',', default_value = "0,3,5")]
         keepers: Vec<usize>,
-        /// One more at each rate, with a folder on disk for each process and no keepers
+        /// Add a measurement at each rate with a journal directory for each process and no replicas
         #[arg(long)]
         journal: bool,
-        /// Seconds of each
+        /// Duration of each measurement in seconds
         #[arg(long, default_value_t = 10)]
         seconds: u64,
-        /// Chance of the load
+        /// Seed of the load
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Measure what a view of the fleet is worth while a third of it dies under load
+    /// Measure the effect of membership while a third of the processes is down under load
     #[command(name = "third")]
     PartialOutage {
-        /// Processes
+        /// Number of processes
         #[arg(long, default_value_t = 9)]
         members: usize,
         /// Tasks a second in all
         #[arg(long, default_value_t = 260.0)]
         rate: f64,
-        /// Seconds of each part
+        /// Duration of each phase in seconds
         #[arg(long, default_value_t = 8)]
         seconds: u64,
-        /// Seeds, each with a view and without
+        /// Number of seeds; each is run with and without membership
         #[arg(long, default_value_t = 2)]
         repeats: u64,
-        /// The first of them
+        /// The first seed
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Hold a crowd of connections open for long: memory, threads and descriptors by their slope, and what became of
-    /// each request; exit code 0 only if nothing was lost and nothing grows
+    /// Hold many connections open under load; report growth of memory, threads and descriptors, and the outcome of
+    /// each request; exit code 0 only if no request was lost and nothing grows
     Soak {
-        /// Connections held open
+        /// Number of connections held open
         #[arg(long, default_value_t = 600)]
         connections: usize,
-        /// Requests a second
+        /// Requests per second
         #[arg(long, default_value_t = 200.0)]
         rate: f64,
-        /// How long; an hour is 3600, under 100 the slopes are not told
+        /// Duration in seconds; an hour is 3600, below 100 no growth rates are computed
         #[arg(long, default_value_t = 240)]
         seconds: u64,
-        /// Each request comes on a connection of its own, which then stays
+        /// Send each request on a connection of its own, which then stays open
         #[arg(long = "once")]
         one_request_per_connection: bool,
-        /// Ids are drawn from it
+        /// Seed of the request ids
         #[arg(long, default_value_t = 1)]
         seed: u32,
     },
-    /// Measure what a flood of revoked retries costs the others
+    /// Measure how a flood of retries with a revoked token affects the other requests
     Flood {
-        /// Revoked retries a second
+        /// Retries with a revoked token per second
         #[arg(long, default_value_t = 2000.0)]
         flood: f64,
-        /// Good tasks a second
+        /// Requests with a valid token per second
         #[arg(long, default_value_t = 100.0)]
         rate: f64,
-        /// Seconds of each turn
+        /// Duration of each turn in seconds
         #[arg(long, default_value_t = 10)]
         seconds: u64,
-        /// The part of a core that the daemon has
+        /// The fraction of a core that the daemon may use
         #[arg(long, default_value_t = 0.2)]
         share: f64,
     },
@@ -160,13 +160,13 @@
 enum Proof {
     /// Keys rotate and are revoked under load
     Rotation,
-    /// The serving process is replaced under load
+    /// The serving process is replaced by hot restarts under load
     Upgrade,
-    /// Many processes keep a view of each other through crashes, pauses and partitions
+    /// Membership among many processes converges after crashes, pauses and partitions
     Fleet,
-    /// Work in hand survives its backend: crashes, pauses and partitions of owners and keepers under load
+    /// Requests survive the loss of their backend: crashes, pauses and partitions of owners and replicas under load
     Takeover,
-    /// What was begun is known after a crash: kills, lost folders, folders put back from older copies
+    /// Started requests are known after a crash: kills, lost journal directories, directories restored from older copies
     Restarts,
 }
 
--- a/crates/asterdale-testkit/src/ownership_cost.rs
+++ b/crates/asterdale-testkit/src/ownership_cost.rs
@@ -1,5 +1,5 @@
-//! A measurement: what it costs a bid that others keep it: time and CPU with no keepers, three and five, at several
-//! rates, side by side. For the docs, not for CI.
+//! A measurement: what replicated ownership adds to a keyed request in latency and CPU time, at several request rates and
+//! with several numbers of replicas. Its figures are for the documentation; CI does not run it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,22 +18,22 @@
 use crate::services::IdempotentRecords;
 use crate::unix_ms;
 
-/// Threads that bring the load.
+/// The number of threads that send requests.
 const LANES: u64 = 160;
 
-/// What is measured.
+/// The configuration of the measurement.
 pub struct Config {
-    /// Processes.
+    /// The number of processes.
     pub members: usize,
-    /// Bids a second in all, one measurement each.
+    /// Keyed requests per second over all processes, with one measurement for each rate.
     pub rates: Vec<f64>,
-    /// How many keep them, one measurement each.
+    /// Numbers of ownership replicas, with one measurement for each.
     pub keepers: Vec<usize>,
-    /// Each process has a folder on disk as well, where nobody keeps them: one more measurement a rate.
+    /// Whether to add a measurement at each rate with a journal directory for each process and no replicas.
     pub journal: bool,
-    /// How long each lasts.
+    /// Duration of each measurement in seconds.
     pub seconds: u64,
-    /// Chance of the load.
+    /// Seed of the load and the fleet.
     pub seed: u64,
 }
 
@@ -109,7 +109,8 @@
     thread::sleep(Duration::from_millis(
         match (ownership_replicas, has_journal) {
             (0, false) => 2000,
-            // An empty folder is quiet for a window and for as long as a task may lie unread.
+            // With an empty journal directory no keyed request starts for a retry window and the longest time that a request
+            // may wait unread in a socket.
             (0, true) => WINDOW_MS + 7000,
             _ => WINDOW_MS + 4 * LEASE_MS,
         },
@@ -147,7 +148,7 @@
     )
 }
 
-/// All of them, in turn.
+/// Runs all measurements in turn and returns their figures.
 pub fn measure(order: &Config) -> Result<Value, String> {
     let mut plays = Vec::new();
     for &rate in &order.rates {
--- a/crates/asterdale-testkit/src/partial_outage.rs
+++ b/crates/asterdale-testkit/src/partial_outage.rs
@@ -1,5 +1,6 @@
-//! A measurement: a third of a fleet dies under load and comes back, with a view of the fleet and without one, side by
-//! side, with the same load. Edge nodes keep their list as it was, as those do who learn late. For the docs, not for CI.
+//! A measurement: a third of a fleet is killed under load and started again, with and without membership, under the same
+//! load. The edge nodes' endpoint list stays unchanged, as on edge nodes that receive updates late. Its figures are for the
+//! documentation; CI does not run it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,23 +19,23 @@
 use crate::proofs::{histogram, quantiles};
 use crate::unix_ms;
 
-/// What is measured.
+/// The configuration of the measurement.
 pub struct Config {
-    /// Processes.
+    /// The number of processes.
     pub members: usize,
-    /// Tasks a second in all.
+    /// Requests per second over all processes.
     pub rate: f64,
-    /// Seconds with all, without a third, and with all again.
+    /// Duration in seconds of each phase: with all processes, without a third, and with all again.
     pub seconds: u64,
-    /// Chance of the load.
+    /// Seed of the load and the fleet.
     pub seed: u64,
 }
 
-/// A task is given up after so many milliseconds.
+/// A request is given up after this time.
 const PATIENCE: f64 = 2000.0;
-/// A task is tried at no more members.
+/// A request is sent to at most this many members.
 const TRIES: usize = 3;
-/// Threads that bring the load.
+/// The number of threads that send requests.
 const LANES: u64 = 64;
 
 #[derive(Default)]
@@ -42,7 +43,7 @@
     asked: AtomicU64,
     finished: AtomicU64,
     tries: AtomicU64,
-    /// Rejections that name no other member, and those that leave it open.
+    /// Rejections that tell the edge node not to retry, and those after which another member may be tried.
     last: AtomicU64,
     open: AtomicU64,
     refused: AtomicU64,
@@ -72,8 +73,8 @@
 }
 
 impl Load {
-    /// One lane: each task goes to some member; a rejection that leaves it open is taken elsewhere, and a member
-    /// that said so is kept away from.
+    /// Sends the requests of one client thread. Each goes to a random member; after a rejection that permits a retry it goes
+    /// to another one, and the member that rejected it is not used until its retry delay has passed.
     fn lane(&self, lane: u64, seed: u64, rate: f64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ lane << 32);
         let mut callers: Vec<EdgeClient> =
@@ -140,7 +141,7 @@
     }
 }
 
-/// Plays it once; the figures of each part.
+/// Runs the three phases once and returns the figures of each.
 fn once(order: &Config, gossip_enabled: bool) -> Result<Value, String> {
     let mut fleet = DaemonFleet::new(&daemon_fleet::FleetConfig {
         members: order.members,
@@ -150,7 +151,8 @@
         failpoint: None,
         seed: order.seed,
         gossip_enabled,
-        // 33 a second on two cores: with a third of the fleet gone the default rate is more than the rest can do.
+        // A member serves 33 requests per second on two cores: without a third of the fleet the default rate exceeds the
+        // capacity of the rest.
         run_duration_ms: (40, 80),
         ownership_replicas: 0,
         has_journal: false,
@@ -213,7 +215,7 @@
     Ok(json!({"view": gossip_enabled, "parts": parts, "runs_twice": twice, "milliseconds": times}))
 }
 
-/// Both, in turn, with so many seeds.
+/// Runs with and without membership in turn for each of `repeats` seeds, and returns all figures.
 pub fn measure(order: &Config, repeats: u64) -> Result<Value, String> {
     let mut plays = Vec::new();
     for repeat in 0..repeats {
--- a/crates/asterdale-testkit/src/process.rs
+++ b/crates/asterdale-testkit/src/process.rs
@@ -1,4 +1,5 @@
-//! Processes of the daemon: found, built with failpoints where one is asked for, started, told, ended.
+//! Daemon child processes: locating the program, building it with failpoints, starting it, signalling it and reading
+//! its log and resource use.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -10,10 +11,11 @@
 
 use serde_json::Value;
 
-/// Lines of a log that are kept: the last ones, for a look at why something failed.
+/// The last lines of a daemon's log are retained, up to this many, to diagnose failures.
 const MOST_LINES: usize = 2000;
 
-/// The daemon's program: `ASTERDALE_PROGRAM`, or the one beside this program or its folder.
+/// The path of the daemon's program: `ASTERDALE_PROGRAM` if set, else `asterdale` in the parent of this program's
+/// directory or in that directory, else `asterdale` from the search path.
 pub fn program() -> PathBuf {
     if let Some(path) = std::env::var_os("ASTERDALE_PROGRAM") {
         return path.into();
@@ -30,7 +32,8 @@
         .unwrap_or_else(|| "asterdale".into())
 }
 
-/// Builds the daemon with failpoints compiled in, in a folder of its own: no shipped build can have them.
+/// Builds the daemon with failpoints compiled in. It has a separate target directory, because no shipped build may
+/// contain failpoints.
 pub fn failpoint_program() -> Result<PathBuf, String> {
     let folder = Path::new("target/failpoints");
     let built = Command::new("cargo")
@@ -55,28 +58,29 @@
     Ok(folder.join("debug/asterdale"))
 }
 
-/// How the daemon is started.
+/// How a daemon is started.
 #[derive(Clone)]
 pub struct LaunchConfig {
-    /// The program.
+    /// The path of the program.
     pub program: PathBuf,
-    /// The start file.
+    /// The content of the start file.
     pub start: Value,
-    /// The failpoint that is active in it.
+    /// The failpoint that is active in the daemon.
     pub failpoint: Option<String>,
 }
 
-/// A daemon that runs.
+/// A daemon process; dropping it kills the process and removes its start file.
 pub struct Daemon {
     child: Child,
-    /// Ends it where this program ends without a word: it reads from a pipe that ends then.
+    /// A shell that kills the daemon if this program dies without dropping the value: it blocks on a read from a pipe
+    /// that is closed then.
     guard: Option<Child>,
     file: PathBuf,
     log: Arc<Mutex<Vec<String>>>,
 }
 
 impl Daemon {
-    /// Starts one. It may not listen yet.
+    /// Starts a daemon; it may not listen yet when this returns.
     pub fn start(recipe: &LaunchConfig) -> Result<Daemon, String> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -129,7 +133,7 @@
         })
     }
 
-    /// Waits until it takes connections here.
+    /// Waits until the daemon accepts connections at this address, for 20 s at most.
     pub fn wait_until_listening(&self, at: SocketAddr) -> Result<(), String> {
         let end = Instant::now() + Duration::from_secs(20);
         while TcpStream::connect_timeout(&at, Duration::from_secs(1)).is_err() {
@@ -144,23 +148,24 @@
         Ok(())
     }
 
-    /// Its start file.
+    /// The path of its start file.
     pub fn start_file(&self) -> &Path {
         &self.file
     }
 
-    /// Its process's number.
+    /// The process id.
     pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal, by name.
+    /// Sends the process a signal, given by name without `SIG`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         let _ = Command::new("sh").args(["-c", &kill]).status();
     }
 
-    /// Tells it to leave, and waits for its end; `false` if that took too long or went wrong.
+    /// Asks the daemon to drain and shut down, and waits until it has exited. Returns `false` if it has not exited
+    /// within the timeout or exited with an error.
     pub fn shut_down(&mut self, patience: Duration) -> bool {
         self.signal("TERM");
         let end = Instant::now() + patience;
@@ -173,12 +178,12 @@
         false
     }
 
-    /// Whether it has ended by itself.
+    /// Whether the process has exited.
     pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// The last lines of its log.
+    /// The last lines of the log.
     pub fn log(&self) -> Vec<String> {
         self.log
             .lock()
@@ -186,7 +191,8 @@
             .unwrap_or_default()
     }
 
-    /// The counters, asked for now: the number of one of them.
+    /// Requests a report of the counters with SIGUSR1 and returns the value of one; `None` if no report within 10 s has
+    /// it.
     pub fn counter(&self, name: &str) -> Option<u64> {
         let reports = || {
             self.log()
@@ -208,7 +214,7 @@
         found.trim_end_matches(',').parse().ok()
     }
 
-    /// Its threads and its descriptors.
+    /// The numbers of its threads and of its open file descriptors.
     pub fn thread_and_descriptor_counts(&self) -> (usize, usize) {
         let count = |what: &str| {
             std::fs::read_dir(format!("/proc/{}/{what}", self.process_id()))
@@ -217,13 +223,13 @@
         (count("task"), count("fd"))
     }
 
-    /// CPU time that it has used, in milliseconds, and its memory, in KiB; as Linux tells them.
+    /// CPU time used in milliseconds and resident memory in KiB, from `/proc`.
     pub fn cpu_ms_and_memory_kib(&self) -> (f64, u64) {
         let read = |what: &str| {
             std::fs::read_to_string(format!("/proc/{}/{what}", self.process_id()))
                 .unwrap_or_default()
         };
-        // The fields after the name in brackets: user and system time are the 12th and 13th, in hundredths.
+        // Of the fields after the name in parentheses the 12th and 13th are user and system time in 1/100 s.
         let stat = read("stat");
         let fields: Vec<&str> = stat
             .rsplit(") ")
@@ -248,7 +254,7 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // The guard first: once the daemon has ended its number may be another's.
+        // The guard is stopped first: once the daemon has exited, another process may get its process id.
         if let Some(mut guard) = self.guard.take() {
             let _ = guard.kill();
             let _ = guard.wait();
--- a/crates/asterdale-testkit/src/relays.rs
+++ b/crates/asterdale-testkit/src/relays.rs
@@ -1,7 +1,7 @@
-//! Relays between the processes of a fleet: each process is reached at a relay's address, and what passes from one to
-//! another is found by the sender's own socket (datagrams) or by the name that it says first (streams). Per ordered
-//! pair: loss, delay with spread, doubling, cut; what came earlier can be sent again. One thread carries all
-//! datagrams, and a short one each stream.
+//! Relays between the processes of a fleet. Each process advertises the address of its relay; the sender of traffic is
+//! identified by its socket address (datagrams) or by the name in its first message (streams). For each ordered pair of
+//! processes the relays can inject loss, delay with jitter, duplication and blocking, and earlier datagrams can be sent
+//! again. One thread carries all datagrams, and each stream has a thread of its own.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -18,28 +18,28 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Datagrams of each process that are kept, to be sent again.
+/// The last datagrams of each process are recorded for replay, up to this many.
 const KEPT: usize = 64;
 
-/// What holds on the way from one process to another.
+/// The conditions of traffic from one process to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkConditions {
     /// Nothing passes.
     pub blocked: bool,
-    /// A datagram is lost with this chance.
+    /// The probability that a datagram is lost.
     pub loss: f64,
-    /// And doubled with this one.
+    /// The probability that a datagram is duplicated.
     pub duplication: f64,
-    /// All take so many milliseconds,
+    /// The delay in milliseconds.
     pub delay_ms: f64,
-    /// and up to so many more, each its own: they pass each other.
+    /// The upper bound of a random extra delay of each datagram in milliseconds, by which datagrams are reordered.
     pub jitter_ms: f64,
 }
 
 struct State {
     ways: HashMap<(usize, usize), LinkConditions>,
     random: Pcg64Mcg,
-    /// The last datagrams of each process, and to whom.
+    /// The last datagrams of each process with the index of the receiver.
     kept: HashMap<usize, VecDeque<(usize, Vec<u8>)>>,
     again: Vec<(usize, Vec<u8>)>,
 }
@@ -47,7 +47,7 @@
 /// The relays of a fleet.
 pub struct Relays {
     state: Arc<Mutex<State>>,
-    /// Where each process is reached.
+    /// The address under which each process is reached through its relay.
     pub advertised: Vec<SocketAddr>,
     forwarded_datagrams: Arc<AtomicU64>,
     end: Arc<AtomicBool>,
@@ -77,11 +77,11 @@
 }
 
 impl Relays {
-    /// Relays to processes that listen at these addresses, under these names.
+    /// Starts relays to the processes that listen at these addresses and have these names.
     pub fn start(listens: Vec<SocketAddr>, names: Vec<String>, seed: u64) -> io::Result<Relays> {
         let (mut sockets, mut listeners) = (Vec::new(), Vec::new());
         for listen in &listens {
-            // The same port for both, on the process's own loopback address.
+            // UDP and TCP use the same port, on the process's own loopback address.
             let (udp, tcp) = (1..100)
                 .find_map(|n| {
                     let at = SocketAddr::new(listen.ip(), listen.port() + n);
@@ -127,17 +127,17 @@
         })
     }
 
-    /// From now on this holds from one to the other.
+    /// Sets the conditions from one process to another.
     pub fn set_conditions(&self, from: usize, to: usize, way: LinkConditions) {
         lock(&self.state).ways.insert((from, to), way);
     }
 
-    /// Nothing but the best holds anywhere.
+    /// Removes all injected conditions.
     pub fn clear_conditions(&self) {
         lock(&self.state).ways.clear();
     }
 
-    /// What this process said last is said once more, to whom it was said.
+    /// Sends the recorded datagrams of a process once more to their receivers, and returns their number.
     pub fn replay_recent(&self, from: usize) -> usize {
         let mut state = lock(&self.state);
         let kept: Vec<_> = state.kept.get(&from).cloned().unwrap_or_default().into();
@@ -146,7 +146,7 @@
         count
     }
 
-    /// What is kept of this process, taken away: of its earlier life, say.
+    /// Removes and returns the recorded datagrams of a process, such as those of its previous incarnation.
     pub fn take_recorded(&self, from: usize) -> Vec<(usize, Vec<u8>)> {
         lock(&self.state)
             .kept
@@ -155,12 +155,12 @@
             .into()
     }
 
-    /// These are said once more.
+    /// Sends these datagrams, given with the index of the receiver.
     pub fn send(&self, all: Vec<(usize, Vec<u8>)>) {
         lock(&self.state).again.extend(all);
     }
 
-    /// Datagrams that were passed on.
+    /// The number of datagrams forwarded so far.
     pub fn forwarded_datagrams(&self) -> u64 {
         self.forwarded_datagrams.load(Ordering::Relaxed)
     }
@@ -172,7 +172,7 @@
     }
 }
 
-/// Carries datagrams until the end.
+/// Forwards datagrams until the relays are dropped.
 fn datagrams(
     sockets: &[UdpSocket],
     listens: &[SocketAddr],
@@ -235,7 +235,7 @@
             let Some(Reverse(Due(_, _, to, bytes))) = queue.pop() else {
                 break;
             };
-            // From the relay's own socket: nobody answers to where a message came from.
+            // Sent from the relay's own socket, because receivers don't reply to a datagram's source address.
             let _ = sockets[to].send_to(&bytes, listens[to]);
             passed.fetch_add(1, Ordering::Relaxed);
         }
@@ -243,8 +243,8 @@
     Ok(())
 }
 
-/// The name that a stream's first message says: behind its length, version and check come the sender's record and in
-/// it the name, each behind a tag and a length.
+/// The sender's name in a stream's first message: length, version and MAC are followed by the sender's record, which
+/// begins with the name; record and name are each preceded by a tag and a length.
 fn sender(bytes: &[u8]) -> Option<&str> {
     let record = bytes.get(4 + 17..)?;
     let at = if *record.get(1)? < 0x80 { 2 } else { 3 };
@@ -253,8 +253,8 @@
     std::str::from_utf8(record.get(at + 2..at + 2 + length)?).ok()
 }
 
-/// Carries a stream that stays, one way. While either way is cut nothing passes, as nothing would be acknowledged; what
-/// was under way passes once that is over, or the stream ends.
+/// Carries a persistent stream in one direction. Nothing passes while either direction is blocked, since nothing could be
+/// acknowledged; pending bytes pass once neither is blocked, or the stream ends after `STALL_TIMEOUT`.
 fn carry_link(
     from: &TcpStream,
     mut held: Vec<u8>,
@@ -295,7 +295,7 @@
     }
 }
 
-/// Carries a stream both ways, where neither is cut; one that is says nothing until the other gives up.
+/// Carries a stream in both directions if neither is blocked. A blocked stream stays silent until the peer gives up.
 fn carry(
     from: &TcpStream,
     to: usize,
--- a/crates/asterdale-testkit/src/replace.rs
+++ b/crates/asterdale-testkit/src/replace.rs
@@ -1,5 +1,5 @@
-//! A measurement: a serving process is replaced while tasks come at a steady rate, by handing over and by stopping
-//! and starting it, side by side. For the docs, not for CI.
+//! A measurement: a serving process is replaced while requests arrive at a steady rate, in turn by hot restart and by stop
+//! and start. Its figures are for the documentation; CI does not run it.
 
 use std::thread;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use crate::services;
 use crate::simulated_runtime::SimulatedRuntime;
 
-/// Seconds of load before it is replaced, and after.
+/// Duration of the load before and after the replacement.
 const BEFORE: u64 = 3;
 const AFTER: u64 = 10;
 
-/// One way of replacing it; what was finished and what not, of all that came from before until after.
+/// Replaces the process once under load, and returns how many of the requests were served and how many were not.
 fn once(rate: f64, handed: bool) -> Result<Value, String> {
     let told = |e: std::io::Error| e.to_string();
     let worker = SimulatedRuntime::start(8, (20, 40)).map_err(told)?;
@@ -46,7 +46,7 @@
     Ok(json!({"handed_over": handed, "finished": finished, "not": not, "milliseconds": times}))
 }
 
-/// Both ways, in turn, twice.
+/// Runs the measurement for both ways of replacing, in turn, twice each.
 pub fn measure(rate: f64) -> Result<Value, String> {
     let turns: Result<Vec<Value>, String> = [true, false, true, false]
         .into_iter()
--- a/crates/asterdale-testkit/src/scripted.rs
+++ b/crates/asterdale-testkit/src/scripted.rs
@@ -1,6 +1,6 @@
-//! A backend under test, and small stand-ins for all that it talks to, which do what a test tells them, one
-//! step at a time. Every wait is for something observed, and ends with a panic after `PATIENCE`. Names say what
-//! things are; it is for tests alone.
+//! A backend under test with stand-ins for the services it is connected to. A test controls each step of the
+//! stand-ins. Every wait is for an observed event and panics after `WAIT_TIMEOUT`. Items that only tests use have no
+//! doc comment if their name is enough.
 #![allow(missing_docs)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -18,10 +18,10 @@
 use base64::Engine;
 use serde_json::{json, Value};
 
-/// Far longer than anything takes on a slow machine.
+/// The longest wait for an event, far longer than any event takes on a slow machine.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-/// Waits until this is true.
+/// Polls until the condition is true; `what` names it in the panic after `WAIT_TIMEOUT`.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
@@ -36,7 +36,7 @@
     (listener, at)
 }
 
-/// An address where nobody listens, on a loopback address of its own: no other listener gets its port.
+/// An address at which nothing listens. Its loopback IP address is used once only, so no other listener takes the port.
 pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (n, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
@@ -51,7 +51,7 @@
     ))
 }
 
-/// A start file that works; the addresses are given.
+/// The content of a valid start file with these addresses.
 pub fn start_file_json(
     listen: SocketAddr,
     runtime: SocketAddr,
@@ -78,20 +78,20 @@
             "overShareWorth": 0.1, "servers": 2, "tickNs": 5_000_000, "worthBy": "work"}})
 }
 
-/// A backend that runs, with its stand-ins.
+/// A running backend with its stand-ins.
 pub struct Backend {
     child: Child,
     listen: SocketAddr,
     pub runtime: Runtime,
     pub records: Records,
-    /// Bodies of the reports that came to the registry.
+    /// The bodies of the reports that the registry received.
     pub reports: Receiver<String>,
     log: Arc<Mutex<String>>,
     file: PathBuf,
     config: Value,
 }
 
-/// Starts the program with this start file.
+/// Starts the daemon with this start file; returns the process and the path of the file.
 pub fn launch(config: &Value) -> (Child, PathBuf) {
     let name = format!(
         "asterdale-test-{}-{:?}",
@@ -104,7 +104,7 @@
         .env_remove("ROUTER_NAME")
         .env_remove("ROUTER_LISTEN")
         .env("ROUTER_CONFIG", &file)
-        // A process that is left behind must not hold the output of the tests.
+        // A process that outlives the test run must not keep its standard output open.
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
@@ -113,7 +113,7 @@
 }
 
 impl Backend {
-    /// One whose runtime is up.
+    /// Starts a backend and waits until its runtime is ready.
     pub fn start() -> Backend {
         let backend = Backend::start_before_runtime(|_| ());
         backend.runtime.set_ready();
@@ -121,7 +121,7 @@
         backend
     }
 
-    /// One whose runtime takes the link and is not up yet; the start file can be changed.
+    /// Starts a backend whose runtime accepts the link and is not ready yet; `change` may edit the start file.
     pub fn start_before_runtime(change: impl FnOnce(&mut Value)) -> Backend {
         let listen = unused_address();
         let (runtime, records) = (Runtime::new(), Records::new());
@@ -155,7 +155,7 @@
         });
     }
 
-    /// Kills it, and starts it anew among the same stand-ins, by the same start file.
+    /// Kills the backend and starts it again with the same stand-ins and start file.
     pub fn kill_and_restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -165,7 +165,7 @@
         wait_until("the link", || self.runtime.shared.lock().unwrap().ready);
     }
 
-    /// A connection as an edge node opens it.
+    /// Opens a connection as an edge node does.
     pub fn connect(&self) -> EdgeConnection {
         let end = Instant::now() + PATIENCE;
         loop {
@@ -182,12 +182,12 @@
         }
     }
 
-    /// Its start file, which its successors read, too.
+    /// The path of its start file, which processes started by a hot restart read as well.
     pub fn start_file(&self) -> &std::path::Path {
         &self.file
     }
 
-    /// Its process's number.
+    /// The process id.
     pub fn process_id(&self) -> u32 {
         self.child.id()
     }
@@ -196,20 +196,20 @@
         self.log.lock().unwrap().clone()
     }
 
-    /// Puts this text in the place of the start file, and has it read.
+    /// Replaces the start file by this text and sends SIGHUP to reload it.
     pub fn reload(&self, text: &str) {
         std::fs::write(&self.file, text).unwrap();
         self.signal("-HUP");
     }
 
-    /// The start file with a change, as text; later changes build on it.
+    /// Edits the start file in memory and returns its text; later edits include this one.
     pub fn edit_start_file(&mut self, change: impl FnOnce(&mut Value)) -> String {
         change(&mut self.config);
         self.config.to_string()
     }
 
-    /// Moves all that the backend talks to to new addresses, where the runtime's notices go on; what was there
-    /// before comes back.
+    /// Reloads the backend with new addresses of runtime, records service and registry. The new runtime continues the
+    /// notices of the old one. Returns the old stand-ins.
     pub fn move_services(&mut self) -> (Runtime, Records, Receiver<String>) {
         let (runtime, records, (reports, registry)) = (Runtime::new(), Records::new(), registry());
         for (field, at) in [
@@ -241,7 +241,7 @@
             .success());
     }
 
-    /// Waits for its end; how it ended, and its log.
+    /// Waits until the process has exited; returns its exit status and its log.
     pub fn wait_for_exit(&mut self) -> (ExitStatus, String) {
         let mut status = None;
         wait_until("the end", || {
@@ -252,7 +252,7 @@
         (status.unwrap(), self.log())
     }
 
-    /// The counters, printed on request: asked for until `holds`.
+    /// Requests reports of the counters with SIGUSR1 until the condition is true for one.
     pub fn counters_until(&self, holds: impl Fn(&dyn Fn(&str) -> u64) -> bool) {
         wait_until("the counters", || {
             let before = self.log().matches("counters: ").count();
@@ -266,7 +266,7 @@
     }
 }
 
-/// A counter in the last report of this log.
+/// The value of a counter in the last report of this log.
 pub fn counter(log: &str, name: &str) -> u64 {
     let report = log.rsplit("counters: ").next().unwrap();
     let found = report
@@ -309,13 +309,13 @@
     (reports, at)
 }
 
-/// The records service: hands each call to the test.
+/// The records service; it passes each call to the test.
 pub struct Records {
     at: SocketAddr,
     calls: Receiver<Call>,
 }
 
-/// A call that waits for its reply; dropping it breaks the connection.
+/// A call without a reply yet; dropping it closes the connection.
 pub struct Call {
     pub head: String,
     pub body: Vec<u8>,
@@ -361,12 +361,12 @@
 }
 
 impl Call {
-    /// The other end of its connection.
+    /// The backend's address of its connection.
     pub fn peer_address(&self) -> SocketAddr {
         self.stream.peer_addr().unwrap()
     }
 
-    /// Replies, and keeps the connection for the next call.
+    /// Sends the reply and keeps the connection open for the next call.
     pub fn reply(mut self, status: &str, body: &[u8]) {
         let head = format!(
             "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n",
@@ -379,7 +379,7 @@
     }
 }
 
-/// The runtime: answers `sync` once it is up, and gauges; hands all other commands to the test.
+/// The runtime; it answers `sync` once it is up, and `gauges`, and passes all other commands to the test.
 pub struct Runtime {
     at: SocketAddr,
     commands: Receiver<Value>,
@@ -388,14 +388,14 @@
 
 struct Shared {
     up: bool,
-    /// How long it has been up, as it says.
+    /// The uptime that it reports.
     up_ms: f64,
-    /// Whatever comes is lost.
+    /// Whether received lines are discarded.
     deaf: bool,
     link: Option<TcpStream>,
-    /// All notices so far, numbered from 1.
+    /// All notices so far; the first has number 1.
     notices: Vec<Value>,
-    /// The number in the last `sync`.
+    /// The number of the last notice that the backend has, from its last `sync`.
     synced: Option<u64>,
     ready: bool,
 }
@@ -475,14 +475,14 @@
         }
     }
 
-    /// It comes up.
+    /// Makes the runtime ready; the link becomes ready when `sync` has arrived on it.
     pub fn set_ready(&self) {
         let mut shared = self.shared.lock().unwrap();
         shared.up = true;
         shared.ready();
     }
 
-    /// From now on whatever comes is lost, or not; a link that is made meanwhile breaks at the end of it.
+    /// Starts or stops discarding received lines. When it stops, the current link is closed, because it may have lost lines.
     pub fn set_discard_input(&self, deaf: bool) {
         let mut shared = self.shared.lock().unwrap();
         shared.deaf = deaf;
@@ -491,7 +491,7 @@
         }
     }
 
-    /// The next command that is not about gauges.
+    /// Waits for the next command other than `sync` and `gauges`, and checks its name.
     pub fn expect_command(&self, name: &str) -> Value {
         let command = self
             .commands
@@ -501,12 +501,12 @@
         command
     }
 
-    /// Whether a command has come that the test has not seen.
+    /// The next command, if one has arrived.
     pub fn try_next_command(&self) -> Option<Value> {
         self.commands.try_recv().ok()
     }
 
-    /// Says a line that is no notice.
+    /// Sends a line that is not a notice.
     pub fn send_line(&self, line: &str) {
         let shared = self.shared.lock().unwrap();
         shared
@@ -535,7 +535,7 @@
         self.notice(json!({"t": "wants", "rid": id, "b64": STANDARD.encode(body)}));
     }
 
-    /// Another runtime takes its place: up for a moment, with no work, and notices numbered anew.
+    /// Replaces the runtime by a new one: short uptime, no runs, and notices numbered from 1.
     pub fn replace_runtime(&self) {
         self.break_link(|runtime| {
             let mut shared = runtime.shared.lock().unwrap();
@@ -543,7 +543,8 @@
         });
     }
 
-    /// Breaks the link. What is noticed meanwhile comes only with the next one.
+    /// Closes the link, calls `meanwhile`, and makes the runtime ready again. Notices added meanwhile are sent only on the
+    /// next link.
     pub fn break_link(&self, meanwhile: impl FnOnce(&Runtime)) {
         {
             let mut shared = self.shared.lock().unwrap();
@@ -562,13 +563,13 @@
     incoming: RecordReader,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, PartialEq)]
 pub struct Response {
     pub request: u16,
     pub head: String,
     pub body: Vec<u8>,
-    /// The protocol state.
+    /// The FastCGI protocol status.
     pub state: u8,
 }
 
@@ -591,7 +592,7 @@
     bytes
 }
 
-/// A request as records. The fields are CGI names; one that is empty is left out.
+/// Encodes a request as FastCGI records. The fields have CGI names; fields with an empty value are omitted.
 pub fn request(request: u16, path: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut params = Vec::new();
     for (name, value) in [("REQUEST_METHOD", "POST"), ("SCRIPT_NAME", path)]
@@ -621,7 +622,7 @@
     bytes
 }
 
-/// The fields of a task; those given replace the usual ones.
+/// The fields of a request; those in `other` replace the default ones.
 pub fn task_fields<'a>(
     id: &'a str,
     start: &'a str,
@@ -653,7 +654,7 @@
 }
 
 impl<S: Read + Write> EdgeConnection<S> {
-    /// A connection that is open already.
+    /// Wraps an open connection.
     pub fn new(stream: S) -> EdgeConnection<S> {
         EdgeConnection {
             stream,
@@ -669,7 +670,7 @@
         self.stream.write_all(bytes)
     }
 
-    /// Sends a task of this stage.
+    /// Sends a request of this request class.
     pub fn send_task(&mut self, number: u16, stage: &str, id: &str, other: &[(&str, &str)]) {
         let start = unix_ms_text();
         let path = format!("/v1/{stage}");
@@ -681,13 +682,14 @@
         ));
     }
 
-    /// The next whole answer; `None` at the end of the connection.
+    /// Reads the next complete answer; `None` if the connection has ended.
     pub fn read_response(&mut self) -> Option<Response> {
         self.try_read_response()
             .unwrap_or_else(|e| panic!("no answer came: {e}"))
     }
 
-    /// The same; an answer that can't be read is an error, as is none in the time that the stream is given.
+    /// Like [`EdgeConnection::read_response`], but returns an error if the answer is malformed or the stream's read timeout
+    /// passes.
     pub fn try_read_response(&mut self) -> std::io::Result<Option<Response>> {
         let bad = |what: String| std::io::Error::new(std::io::ErrorKind::InvalidData, what);
         let mut stdout = Vec::new();
@@ -723,7 +725,7 @@
         }
     }
 
-    /// The status of the next answer, which is for this request.
+    /// Reads the next answer, checks that it is for this request, and returns its status.
     pub fn expect_status(&mut self, number: u16) -> String {
         let answer = self.read_response().expect("the connection ended");
         assert_eq!(answer.request, number, "{answer:?}");
--- a/crates/asterdale-testkit/src/services.rs
+++ b/crates/asterdale-testkit/src/services.rs
@@ -1,4 +1,4 @@
-//! The records service and the registry, as they are on a calm day: each reads a request and replies at once.
+//! Stand-ins for the records service and the registry that read a request and answer it with success.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,10 +7,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A head is no longer, and no body: no stand-in keeps what a broken peer sends.
+/// The longest head and the longest body that a stand-in reads, so that a broken peer can't make it buffer without bound.
 const MOST: u64 = 64 * 1024;
 
-/// Reads one HTTP request: its head and its body.
+/// Reads one HTTP request and returns its head and its body; `None` if it is malformed, too long or incomplete.
 pub fn read_request(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
     let mut head = String::new();
     let mut limited = reader.take(MOST);
@@ -30,7 +30,7 @@
     (body.len() as u64 == length).then_some((head, body))
 }
 
-/// Serves each connection on a thread of its own.
+/// Listens on a loopback port and serves each connection on a thread of its own. Returns the address.
 pub fn serve(work: impl Fn(TcpStream) + Send + Sync + 'static) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let at = listener.local_addr()?;
@@ -54,35 +54,35 @@
     })
 }
 
-/// A records service whose calls all go well.
+/// A records service that answers every call with success.
 pub fn records() -> std::io::Result<SocketAddr> {
     reply_always(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood")
 }
 
-/// What a records service has seen of a key.
+/// What a records service has recorded for an idempotency key.
 #[derive(Clone, Debug, Default)]
 pub struct Effect {
-    /// How often it had its effect.
+    /// How often the effect was executed.
     pub executions: u32,
-    /// The highest fence that a call of it has brought.
+    /// The highest fence among the calls with this key.
     pub highest_fence: u64,
-    /// The first reply.
+    /// The reply to the last executed call.
     reply: Vec<u8>,
 }
 
-/// A records service that knows the key of each call: it has the effect of a key once, replies to later calls of it as
-/// to the first, and refuses a fence below the highest that it has seen of the key. A call without a fence has its effect
-/// whenever it comes.
+/// A records service that deduplicates fenced calls by the key that they carry as their body: it executes the effect of a
+/// key once, repeats the reply for later calls, and rejects a call with a fence below the highest one seen for the key.
+/// A call without a fence is executed every time.
 #[derive(Clone, Default)]
 pub struct IdempotentRecords {
-    /// By what the call carries.
+    /// By the call's body.
     effects: Arc<Mutex<HashMap<Vec<u8>, Effect>>>,
-    /// Calls that were refused for an older fence, by the id of the run that made them.
+    /// Calls that were rejected for a stale fence: the time, and the id of the run that made the call.
     older: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
 impl IdempotentRecords {
-    /// What was had of each key.
+    /// The recorded effects by key.
     pub fn effects(&self) -> HashMap<Vec<u8>, Effect> {
         self.effects
             .lock()
@@ -90,7 +90,7 @@
             .unwrap_or_default()
     }
 
-    /// Calls that were refused for an older fence.
+    /// Calls that were rejected for a stale fence: the time, and the id of the run that made the call.
     pub fn stale_fence_rejections(&self) -> Vec<(Instant, String)> {
         self.older
             .lock()
@@ -127,7 +127,7 @@
         Some(effect.reply.clone())
     }
 
-    /// Serves it; replies come late by up to so many milliseconds.
+    /// Serves calls on a loopback port; replies are delayed by up to this many milliseconds, depending on the body.
     pub fn serve(&self, late: u64) -> std::io::Result<SocketAddr> {
         let keyed = self.clone();
         serve(move |stream| {
@@ -153,7 +153,7 @@
     }
 }
 
-/// A registry that takes every report.
+/// A registry that accepts every report.
 pub fn registry() -> std::io::Result<SocketAddr> {
     reply_always(b"HTTP/1.1 204 No Content\r\n\r\n")
 }
--- a/crates/asterdale-testkit/src/simulated_runtime.rs
+++ b/crates/asterdale-testkit/src/simulated_runtime.rs
@@ -1,5 +1,5 @@
-//! A runtime that works by itself: it runs what is started for as long as the task's id says, and counts every
-//! run, which is how proofs see what ran twice or should not have run.
+//! A simulated runtime that needs no instructions from a test: the duration of a run is derived from the task's id, and
+//! every start is recorded, so that proofs can detect duplicate runs and runs that should not have happened.
 
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::io::{BufRead, BufReader, Write};
@@ -12,13 +12,14 @@
 use base64::Engine;
 use serde_json::{json, Value};
 
-/// Notices that are kept, as the platform has it.
+/// Notices that are retained for replay, as many as the platform's runtime retains.
 const KEPT: usize = 4000;
-/// Of runs that make a call, one in so many makes it late, and as many go on for long after it: so many milliseconds.
-/// Longer than a lease in the proofs, so that runs of both kinds are met by whatever befalls their owner.
+/// Of the runs that make a call, one in `LONG_RUNS.0` makes it after `LONG_RUNS.1` milliseconds, and one in as many continues
+/// for that long after the call. This is longer than a lease in the proofs, so that faults of the owner hit runs before and
+/// after their call.
 const LONG: (u64, u64) = (10, 2200);
 
-/// A run that will be over.
+/// The end of a phase of a run: the time, and the id of the run. The earliest is on top of the heap.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Due(std::cmp::Reverse<Instant>, String);
 
@@ -30,57 +31,58 @@
     before: usize,
     due: BinaryHeap<Due>,
     running: HashMap<String, Instant>,
-    /// Runs that have a call to make, or wait for its reply: what it carries.
+    /// The runs that have not made their call yet, with its body.
     calling: HashMap<String, Vec<u8>>,
     runs: HashMap<String, u32>,
-    /// What was started, in order.
+    /// All starts, in order.
     starts: Vec<Start>,
     links: u32,
 }
 
-/// A start, as the worker heard it.
+/// A start command, as the runtime received it.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// When.
+    /// When it was received.
     pub received_at: Instant,
-    /// The try's id.
+    /// The request id of the attempt.
     pub id: String,
     /// The task's body.
     pub body: Vec<u8>,
 }
 
-/// The worker.
+/// The simulated runtime; clones share their state.
 #[derive(Clone)]
 pub struct SimulatedRuntime {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     cores: usize,
-    /// Runs last from the first to the second, in milliseconds.
+    /// Shortest and longest duration of a run in milliseconds.
     lasts: (u64, u64),
-    /// Tasks of this stage make a call with their body when half of their run is over.
+    /// Runs of this request class make a call with their body after half of their duration.
     calls: Option<&'static str>,
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
-/// How long a run lasts follows from its id.
+/// A hash of a run's id, from which its duration is derived.
 fn spread(id: &str) -> u64 {
     id.bytes().fold(0, |sum: u64, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
     })
 }
 
-/// What the run of this task results in: everybody can tell whose it is.
+/// The result of the run with this id. It contains the id, so that an answer can be checked against its request.
 pub fn run_result(id: &str) -> Vec<u8> {
     format!("result of {id}").into_bytes()
 }
 
 impl SimulatedRuntime {
-    /// One with so many cores, whose runs last this long.
+    /// Starts a runtime that reports this many cores; runs take between the two durations in milliseconds.
     pub fn start(cores: usize, lasts: (u64, u64)) -> std::io::Result<SimulatedRuntime> {
         SimulatedRuntime::start_with_calls(cores, lasts, None)
     }
 
-    /// The same; tasks of this stage make a call below, with their body, when half of their run is over.
+    /// Like [`SimulatedRuntime::start`]; in addition runs of this request class make a call to the records service, with
+    /// their body, after half of their duration.
     pub fn start_with_calls(
         cores: usize,
         lasts: (u64, u64),
@@ -105,7 +107,7 @@
         Ok(worker)
     }
 
-    /// How often each task was started, by its id.
+    /// How often each run was started, by its id.
     pub fn runs(&self) -> HashMap<String, u32> {
         self.shared
             .0
@@ -114,7 +116,7 @@
             .unwrap_or_default()
     }
 
-    /// All that was started, in order.
+    /// All starts, in order.
     pub fn starts(&self) -> Vec<Start> {
         self.shared
             .0
@@ -123,14 +125,14 @@
             .unwrap_or_default()
     }
 
-    /// How often a link was made: one takes the place of the one before.
+    /// How many links were established; a new link replaces the previous one.
     pub fn link_count(&self) -> u32 {
         self.shared.0.lock().map_or(0, |state| state.links)
     }
 
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        // Nothing is said on a link before it has said what it knows.
+        // Nothing is sent on a link before the backend's `sync` has arrived on it.
         let Ok(mut writer) = stream.try_clone().map(Some) else {
             return;
         };
@@ -155,7 +157,7 @@
             "sync" => {
                 let no = line["no"].as_u64().unwrap_or(0) as usize;
                 if no == 0 {
-                    // A backend that starts anew: notices are numbered from 1 again, and nothing runs for it.
+                    // A backend that has restarted: notices are numbered from 1 again, and none of its runs remain.
                     state.notices.clear();
                     state.before = 0;
                     state.running.clear();
@@ -194,7 +196,7 @@
                 });
                 if self.calls.is_some_and(|stage| line["route"] == stage) {
                     state.calling.insert(id.to_owned(), body);
-                    // A few take far longer than a lease, and make their call late in it.
+                    // A few runs make their call only after far more than a lease.
                     lasts = if spread % LONG.0 == 0 {
                         LONG.1
                     } else {
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Ends runs when they are due.
+    /// Makes the calls of runs and ends runs when their time has come; never returns in normal operation.
     fn end(&self) {
         let (lock, wake) = &*self.shared;
         let Ok(mut state) = lock.lock() else { return };
--- a/crates/asterdale-testkit/src/soak.rs
+++ b/crates/asterdale-testkit/src/soak.rs
@@ -1,6 +1,6 @@
-//! A soak: one daemon among stand-ins under a steady crowd, for minutes or hours. Memory, threads and descriptors are
-//! read every second, and told by their slope over the second half: what leaks shows there however small it is.
-//! Held if each request got its one answer and nothing grows.
+//! A soak test: one daemon with stand-ins under a steady load over many connections, for minutes or hours. Memory, threads
+//! and descriptors are sampled every second, and their growth rate over the second half is reported, which shows even
+//! small leaks. The test passes if each request got exactly one answer and nothing grows.
 
 use std::time::{Duration, Instant};
 
@@ -12,32 +12,34 @@
 use crate::simulated_runtime::SimulatedRuntime;
 use crate::{scripted, services};
 
-/// Threads that a daemon may have, whatever the number of its connections.
+/// The most threads that a daemon may have, whatever the number of its connections.
 pub const MAX_THREADS: usize = 12;
-/// Samples count from then on, in seconds: fingerprints and results are kept for 60 s, and grow until then.
+/// Samples before this time, in seconds, are not used: idempotency entries and their results are retained for 60 s, so
+/// memory grows until then.
 const FULL: f64 = 70.0;
-/// KiB that the memory may grow in an hour by the slope. A leak of 16 bytes a task shows at 200 tasks a second;
-/// what the allocator does by itself within minutes stays under it.
+/// The highest accepted growth of memory. It is exceeded by a leak of 16 bytes per task at 200 tasks per second, and not by
+/// the allocator's own variation within minutes.
 const MOST_KIB: f64 = 8192.0;
-/// Descriptors by which their number may grow in an hour: one is a measurement's edge, more is a leak.
+/// The highest accepted growth of the number of descriptors. One descriptor more may be an artifact of the time of
+/// sampling; more is a leak.
 const MOST_DESCRIPTORS: f64 = 60.0;
 
-/// What is asked of a soak.
+/// The configuration of a soak test.
 pub struct SoakConfig {
-    /// Connections that are held open.
+    /// The number of connections held open.
     pub connections: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long.
+    /// Duration of the load.
     pub duration: Duration,
-    /// Each request comes on a connection of its own, which stays until the backend ends it.
+    /// Whether each request is sent on a new connection, which stays open until the backend closes it.
     pub one_request_per_connection: bool,
-    /// Of the schedule and the ids.
+    /// Seed of the request ids.
     pub seed: u32,
 }
 
-/// A daemon that takes this many connections, its runs by the worker, its calls by stand-ins. Its address comes
-/// back with it.
+/// Starts a daemon that accepts this many connections, with the given simulated runtime and stand-ins for the records
+/// service and the registry. Returns it with its address.
 pub fn start_daemon(
     worker: &SimulatedRuntime,
     sockets: usize,
@@ -69,11 +71,11 @@
     Ok((daemon, at))
 }
 
-/// What a daemon holds at one moment: seconds since the start, KiB, threads, descriptors.
+/// A sample of a daemon's resources: seconds since the start, memory in KiB, threads, descriptors.
 type Sample = (f64, f64, f64, f64);
 
-/// The slope of a straight line through these, from when all is full and no earlier than their half, per hour; 0
-/// where the play was too short to tell.
+/// The growth of a value per hour, by linear regression over the second half of the samples without those before
+/// `STEADY_AFTER_S`; 0 if that leaves fewer than 30 samples.
 fn slope(samples: &[Sample], of: impl Fn(&Sample) -> f64) -> f64 {
     let full = samples
         .iter()
@@ -95,7 +97,7 @@
     }
 }
 
-/// Plays it; the figures.
+/// Runs the test and returns its figures.
 pub fn run(order: &SoakConfig) -> Result<Value, String> {
     let worker = SimulatedRuntime::start(4, (2, 6)).map_err(|e| e.to_string())?;
     let (mut daemon, address) = start_daemon(&worker, 16 * 1024)?;
@@ -108,7 +110,7 @@
         one_request_per_connection: order.one_request_per_connection,
         request_classes: vec!["page", "bid"],
         timeout_ms: 5000,
-        // This side may be held up on a machine that others use.
+        // Other load on the machine may delay this process.
         resend_window: Duration::from_millis(500),
         seed: order.seed,
     })
@@ -146,7 +148,7 @@
         .sum();
     let answered =
         seen.lost == 0 && seen.unexpected_answers == 0 && seen.failed_connects == 0 && twice == 0;
-    // Connections that come and stay make memory and descriptors grow until the backend's bounds: no leak.
+    // New connections that stay open make memory and descriptors grow up to the backend's limits, which is no leak.
     let flat = order.one_request_per_connection || grows.0 < MOST_KIB && grows.2 < MOST_DESCRIPTORS;
     let held = answered
         && !died
