--- a/crates/asterdale-testkit/src/demo.rs
+++ b/crates/asterdale-testkit/src/demo.rs
@@ -122,14 +122,14 @@
         thread::sleep(Duration::from_millis(100));
         bar.inc(1);
         bar.set_message(format!(
-            "{} finished, {} rejected",
+            "{} served, {} rejected",
             seen.finished.load(Relaxed),
             seen.rejected.load(Relaxed)
         ));
         if daemon.has_exited() {
             stop.store(true, Relaxed);
             return Err(format!(
-                "the daemon ended by itself:\n{}",
+                "the daemon exited during the load; its log:\n{}",
                 daemon.log().join("\n")
             ));
         }
@@ -141,7 +141,7 @@
     let (cpu_ms, kib) = daemon.cpu_ms_and_memory_kib();
     if !daemon.shut_down(Duration::from_secs(10)) {
         return Err(format!(
-            "the daemon did not leave well:\n{}",
+            "the daemon did not shut down cleanly within 10 s; its log:\n{}",
             daemon.log().join("\n")
         ));
     }
@@ -156,7 +156,7 @@
         lost,
     } = &*seen;
     Ok(format!(
-        "finished {finished:?}, rejected {rejected:?}, abandoned {abandoned:?}, lost {lost:?}\n\
-         milliseconds of the finished: {times}\nthe daemon used {cpu_ms:.0} ms of CPU and has {kib} KiB"
+        "served {finished:?}, rejected {rejected:?}, failed {abandoned:?}, lost {lost:?}\n\
+         latency of served requests in milliseconds: {times}\nthe daemon used {cpu_ms:.0} ms of CPU and has {kib} KiB"
     ))
 }
--- a/crates/asterdale-testkit/src/ownership_cost.rs
+++ b/crates/asterdale-testkit/src/ownership_cost.rs
@@ -136,7 +136,7 @@
     let (cpu, seconds) = (fleet.cpu_ms() - cpu, began.elapsed().as_secs_f64());
     load.stop.store(true, Ordering::Relaxed);
     let (asked, finished, times) = {
-        let times = load.times.lock().map_err(|_| "a lane failed")?;
+        let times = load.times.lock().map_err(|_| "a client thread panicked")?;
         (times.1, times.0.len(), quantiles(&times.0))
     };
     lanes.into_iter().for_each(|lane| drop(lane.join()));
--- a/crates/asterdale-testkit/src/process.rs
+++ b/crates/asterdale-testkit/src/process.rs
@@ -52,7 +52,7 @@
         .map_err(|e| format!("cargo: {e}"))?;
     if !built.success() {
         return Err(
-            "the daemon with failpoints can't be built: run this from the repository".to_owned(),
+            "building the daemon with failpoints failed; run this command from the root of the repository".to_owned(),
         );
     }
     Ok(folder.join("debug/asterdale"))
@@ -139,7 +139,7 @@
         while TcpStream::connect_timeout(&at, Duration::from_secs(1)).is_err() {
             if Instant::now() >= end {
                 return Err(format!(
-                    "the daemon does not listen:\n{}",
+                    "the daemon does not listen after 20 s; its log:\n{}",
                     self.log().join("\n")
                 ));
             }
--- a/crates/asterdale-testkit/src/replace.rs
+++ b/crates/asterdale-testkit/src/replace.rs
@@ -31,7 +31,10 @@
     if handed {
         after = upgrade(&program(), &site.control, None);
         if after.is_none() {
-            return Err(format!("the upgrade failed:\n{}", daemon.log().join("\n")));
+            return Err(format!(
+                "the hot restart failed; log of the old process:\n{}",
+                daemon.log().join("\n")
+            ));
         }
     } else {
         daemon.shut_down(Duration::from_secs(10));
--- a/crates/asterdale-testkit/src/scripted.rs
+++ b/crates/asterdale-testkit/src/scripted.rs
@@ -25,7 +25,7 @@
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
-        assert!(Instant::now() < end, "waited in vain for {what}");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -273,7 +273,7 @@
         .split_whitespace()
         .find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
     found
-        .unwrap_or_else(|| panic!("no {name} in {report}"))
+        .unwrap_or_else(|| panic!("no counter {name} in {report}"))
         .trim_end_matches(',')
         .parse()
         .unwrap()
--- a/crates/asterdale-testkit/src/soak.rs
+++ b/crates/asterdale-testkit/src/soak.rs
@@ -165,7 +165,7 @@
         "slope_an_hour": {"kib": round(grows.0), "threads": round(grows.1), "descriptors": round(grows.2)}});
     if died {
         return Err(format!(
-            "the daemon ended by itself: {figures}\n{}",
+            "the daemon exited during the test: {figures}\n{}",
             daemon.log().join("\n")
         ));
     }
