--- a/crates/asterdale-daemon/tests/certificates.rs
+++ b/crates/asterdale-daemon/tests/certificates.rs
@@ -7,7 +7,9 @@
 use std::time::{Duration, SystemTime};
 
 use asterdale_identity::mint::{sign_jws, SecretKey};
-use asterdale_testkit::scripted::{unused_address, wait_until, Backend, EdgeConnection, PATIENCE};
+use asterdale_testkit::scripted::{
+    unused_address, wait_until, Backend, EdgeConnection, WAIT_TIMEOUT,
+};
 use asterdale_testkit::unix_ms;
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair, SanType};
 use rustls::pki_types::pem::PemObject;
@@ -147,7 +149,7 @@
             ClientConnection::new(Arc::new(with), ServerName::IpAddress(self.at.ip().into()))
                 .unwrap();
         let stream = TcpStream::connect(self.at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         EdgeConnection::new(StreamOwned::new(session, stream))
     }
 }
@@ -210,7 +212,7 @@
     assert!(turned_away(&mut site.connect(Some(&expired))));
     // Plain bytes, and a handshake that never goes on.
     let mut plain = EdgeConnection::new(TcpStream::connect(site.at).unwrap());
-    plain.stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    plain.stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     plain.send(&asterdale_testkit::scripted::request(
         1,
         "/healthz",
@@ -219,7 +221,7 @@
     ));
     assert!(!matches!(plain.try_read_response(), Ok(Some(_))));
     let mut silent = EdgeConnection::new(TcpStream::connect(site.at).unwrap());
-    silent.stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    silent.stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     assert!(matches!(silent.try_read_response(), Ok(None)));
     // A good one whose name nobody knows, and one whose subject is revoked.
     for (name, status) in [("urn:desk:9", "401"), ("urn:desk:3", "401")] {
--- a/crates/asterdale-daemon/tests/journal.rs
+++ b/crates/asterdale-daemon/tests/journal.rs
@@ -13,7 +13,7 @@
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 const OTHER: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "77777777777777777777777777777777");
 /// Windows, and the longest that a task may lie unread; an empty folder is quiet for both together.
-const WINDOW_MS: u64 = 2000;
+const RETRY_WINDOW_MS: u64 = 2000;
 const LIMIT_MS: u64 = 1000;
 
 fn folder(name: &str) -> PathBuf {
@@ -31,7 +31,7 @@
             (lane["deadlineNs"], lane["objectiveNs"]) =
                 (json!(LIMIT_MS * 1_000_000), json!(LIMIT_MS * 900_000));
         }
-        config["settings"]["lanes"][1]["memorySpanNs"] = json!(WINDOW_MS * 1_000_000);
+        config["settings"]["lanes"][1]["memorySpanNs"] = json!(RETRY_WINDOW_MS * 1_000_000);
     });
     backend.runtime.set_ready();
     backend
@@ -92,7 +92,7 @@
         .runtime
         .send_run_end("00000000000000a1", "PASS", b"page");
     assert_eq!(edge.read_response().unwrap().body, b"page");
-    thread::sleep(Duration::from_millis(WINDOW_MS + LIMIT_MS + 300));
+    thread::sleep(Duration::from_millis(RETRY_WINDOW_MS + LIMIT_MS + 300));
 
     edge.send_task(3, "bid", "00000000000000a2", &[KEY]);
     assert_eq!(
@@ -151,7 +151,7 @@
     );
 
     // Once the window is over the key is anybody's.
-    thread::sleep(Duration::from_millis(WINDOW_MS + LIMIT_MS + 300));
+    thread::sleep(Duration::from_millis(RETRY_WINDOW_MS + LIMIT_MS + 300));
     edge.send_task(3, "bid", "00000000000000a6", &[OTHER]);
     assert_eq!(
         backend.runtime.expect_command("start")["rid"],
--- a/crates/asterdale-daemon/tests/registry.rs
+++ b/crates/asterdale-daemon/tests/registry.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
 
-use asterdale_testkit::scripted::{wait_until, Backend, PATIENCE};
+use asterdale_testkit::scripted::{wait_until, Backend, WAIT_TIMEOUT};
 use serde_json::json;
 
 /// A report that was read whole and is not answered yet.
@@ -45,7 +45,7 @@
 fn a_silent_report_gets_another_beside_it_which_counts() {
     let (at, reports) = registry();
     let backend = Backend::start_before_runtime(|config| config["registry"] = json!(at));
-    let next = || reports.recv_timeout(PATIENCE).expect("no report came");
+    let next = || reports.recv_timeout(WAIT_TIMEOUT).expect("no report came");
     let (silent, second) = (next(), next());
     assert!(
         !silent.is_closed(),
@@ -62,7 +62,7 @@
 fn the_word_to_drain_passes_whatever_was_told_before_while_reports_are_silent() {
     let (there, here) = (registry(), registry());
     let mut backend = Backend::start_before_runtime(|config| config["registry"] = json!(there.0));
-    there.1.recv_timeout(PATIENCE).expect("no report came");
+    there.1.recv_timeout(WAIT_TIMEOUT).expect("no report came");
     // More moves than any mailbox of a few places takes while a report stands.
     for n in 1..=40 {
         let at = if n % 2 == 1 { here.0 } else { there.0 };
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -6,7 +6,7 @@
 use asterdale_fastcgi::record_type;
 use asterdale_testkit::scripted::{
     self, counter, launch, record, request, start_file_json, unix_ms_text, unused_address,
-    wait_until, Backend, EdgeConnection, PATIENCE,
+    wait_until, Backend, EdgeConnection, WAIT_TIMEOUT,
 };
 use serde_json::json;
 
@@ -40,7 +40,7 @@
     backend.runtime.send_run_end(ID_B, "PASS", &result);
     let answer = edge.read_response().unwrap();
     assert_eq!(
-        (answer.request, answer.status(), answer.state),
+        (answer.request, answer.status(), answer.protocol_status),
         (7, "200", 0)
     );
     assert_eq!(answer.body, result);
@@ -160,7 +160,7 @@
     assert_eq!(backend.runtime.expect_command("give")["rid"], ID_A);
     backend.runtime.send_run_end(ID_A, "PASS", b"sold");
     assert_eq!(edge.read_response().unwrap().body, b"sold");
-    backend.reports.recv_timeout(PATIENCE).unwrap();
+    backend.reports.recv_timeout(WAIT_TIMEOUT).unwrap();
     assert_eq!(before.try_next_command(), None);
     // One that makes no sense changes nothing.
     backend.reload("{\"runtime\": 5}");
@@ -424,7 +424,7 @@
         &[0, 2, 1, 0, 0, 0, 0, 0],
     ));
     let answer = edge.read_response().unwrap();
-    assert_eq!((answer.request, answer.state), (9, 3));
+    assert_eq!((answer.request, answer.protocol_status), (9, 3));
     edge.send(&record(77, 4, b"of no request")); // passed over
     edge.send_task(1, "page", ID_A, &[]);
     backend.runtime.expect_command("start");
@@ -443,7 +443,7 @@
         edge.send_task(n, "page", &format!("{n:016x}"), &[]);
     }
     let answer = edge.read_response().unwrap();
-    assert_eq!((answer.request, answer.state), (33, 2));
+    assert_eq!((answer.request, answer.protocol_status), (33, 2));
     // Whoever opens the next one as soon as it has an answer is never one too many.
     for n in 1..=2000u16 {
         let command = backend.runtime.expect_command("start");
@@ -474,13 +474,13 @@
     let backend = Backend::start();
     for _ in 0..2 {
         assert_eq!(
-            backend.reports.recv_timeout(PATIENCE).unwrap(),
+            backend.reports.recv_timeout(WAIT_TIMEOUT).unwrap(),
             r#"{"state":"ready"}"#
         );
     }
     backend.signal("-TERM");
     wait_until("draining", || {
-        backend.reports.recv_timeout(PATIENCE).unwrap() == r#"{"state":"draining"}"#
+        backend.reports.recv_timeout(WAIT_TIMEOUT).unwrap() == r#"{"state":"draining"}"#
     });
 }
 
--- a/crates/asterdale-daemon/tests/tenants.rs
+++ b/crates/asterdale-daemon/tests/tenants.rs
@@ -1,7 +1,7 @@
 //! What one tenant sends never meets another's, and a connection that brings management records keeps its requests.
 
 use asterdale_fastcgi::record_type;
-use asterdale_testkit::scripted::{record, Backend, EdgeConnection, PATIENCE};
+use asterdale_testkit::scripted::{record, Backend, EdgeConnection, WAIT_TIMEOUT};
 use serde_json::json;
 
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
@@ -118,7 +118,7 @@
 fn management_records_between_requests_cost_a_connection_no_request() {
     let backend = Backend::start();
     let mut edge = backend.connect();
-    edge.stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    edge.stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     for number in 1..=20u16 {
         // FCGI_GET_VALUES, of no variable.
         edge.send(&record(record_type::GET_VALUES, 0, &[]));
--- a/crates/asterdale-daemon/tests/upgrade.rs
+++ b/crates/asterdale-daemon/tests/upgrade.rs
@@ -13,7 +13,7 @@
 use asterdale_hot_restart::message::{
     Hello, ListenersAdopted, Refuse, StateLoaded, TrialStateLoaded,
 };
-use asterdale_testkit::scripted::{wait_until, Backend, PATIENCE};
+use asterdale_testkit::scripted::{wait_until, Backend, WAIT_TIMEOUT};
 use serde_json::json;
 use std::io::{Read, Write};
 
@@ -92,7 +92,7 @@
         let nonce = self.folder.join("nonce");
         wait_until("the nonce", || nonce.exists());
         let stream = UnixStream::connect(self.control()).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         (
             asked,
             ScriptedProcess {
--- a/crates/asterdale-testkit/src/connection_load.rs
+++ b/crates/asterdale-testkit/src/connection_load.rs
@@ -74,34 +74,34 @@
 }
 
 /// A request without an answer yet.
-struct Asked {
+struct OutstandingRequest {
     bytes: Vec<u8>,
     sent: Instant,
-    again: bool,
+    is_resend: bool,
 }
 
-struct Line {
+struct Connection {
     stream: TcpStream,
     incoming: RecordReader,
     stdout: HashMap<u16, Vec<u8>>,
-    open: HashMap<u16, Asked>,
+    open: HashMap<u16, OutstandingRequest>,
     next: u16,
 }
 
 /// The load while it runs.
 pub struct ConnectionLoad {
-    order: LoadConfig,
+    config: LoadConfig,
     poll: Poll,
-    lines: HashMap<usize, Line>,
-    made: usize,
-    turn: usize,
+    connections: HashMap<usize, Connection>,
+    next_number: usize,
+    next_turn: usize,
     /// The outcomes so far.
     pub stats: LoadStats,
 }
 
 impl ConnectionLoad {
     /// Prepares the load; nothing is connected yet.
-    pub fn new(order: LoadConfig) -> io::Result<ConnectionLoad> {
+    pub fn new(config: LoadConfig) -> io::Result<ConnectionLoad> {
         let stats = LoadStats {
             sent: 0,
             answers_by_status: BTreeMap::new(),
@@ -112,143 +112,150 @@
             latency: histogram(),
         };
         Ok(ConnectionLoad {
-            order,
+            config,
             poll: Poll::new()?,
-            lines: HashMap::new(),
-            made: 0,
-            turn: 0,
+            connections: HashMap::new(),
+            next_number: 0,
+            next_turn: 0,
             stats,
         })
     }
 
     /// Opens a connection and returns its number.
     fn connect(&mut self) -> Option<usize> {
-        let stream = TcpStream::connect_timeout(&self.order.address, Duration::from_secs(10));
-        let made = stream.and_then(|stream| {
+        let stream = TcpStream::connect_timeout(&self.config.address, Duration::from_secs(10));
+        let result = stream.and_then(|stream| {
             stream.set_nodelay(true)?;
             stream.set_nonblocking(true)?;
             let fd = stream.as_raw_fd();
-            let token = Token(self.made);
+            let token = Token(self.next_number);
             self.poll
                 .registry()
                 .register(&mut SourceFd(&fd), token, Interest::READABLE)?;
             Ok(stream)
         });
-        let Ok(stream) = made else {
+        let Ok(stream) = result else {
             self.stats.failed_connects += 1;
             return None;
         };
-        let line = Line {
+        let connection = Connection {
             stream,
             incoming: RecordReader::default(),
             stdout: HashMap::new(),
             open: HashMap::new(),
             next: 0,
         };
-        self.lines.insert(self.made, line);
-        self.made += 1;
-        Some(self.made - 1)
+        self.connections.insert(self.next_number, connection);
+        self.next_number += 1;
+        Some(self.next_number - 1)
     }
 
     /// Opens connections up to this number, or until a connect fails. A request is sent on each, because edge nodes
     /// connect only when they have a request.
     pub fn open_up_to(&mut self, connections: usize) {
-        while self.lines.len() < connections {
+        while self.connections.len() < connections {
             let Some(number) = self.connect() else { return };
-            self.ask_on(number);
+            self.send_on(number);
             self.wait(Instant::now());
         }
     }
 
     /// The number of open connections.
     pub fn open_connections(&self) -> usize {
-        self.lines.len()
+        self.connections.len()
     }
 
     /// Sends the next request, on a new connection or on the next one in turn.
-    fn ask(&mut self) {
-        if self.order.one_request_per_connection {
+    fn send_next(&mut self) {
+        if self.config.one_request_per_connection {
             let Some(number) = self.connect() else { return };
-            return self.ask_on(number);
+            return self.send_on(number);
         }
-        self.open_up_to(self.order.connections);
+        self.open_up_to(self.config.connections);
         // Round robin in the order of the connections' numbers.
-        let mut numbers: Vec<usize> = self.lines.keys().copied().collect();
+        let mut numbers: Vec<usize> = self.connections.keys().copied().collect();
         if numbers.is_empty() {
             return;
         }
         numbers.sort_unstable();
-        self.turn += 1;
-        self.ask_on(numbers[self.turn % numbers.len()]);
+        self.next_turn += 1;
+        self.send_on(numbers[self.next_turn % numbers.len()]);
     }
 
-    fn ask_on(&mut self, number: usize) {
+    fn send_on(&mut self, number: usize) {
         let n = self.stats.sent;
         self.stats.sent += 1;
-        let id = format!("{:08x}{:08x}", self.order.seed, n as u32);
-        let mark = format!("{:016x}{n:016x}", self.order.seed);
-        let (start, caller) = (
+        let id = format!("{:08x}{:08x}", self.config.seed, n as u32);
+        let idempotency_key = format!("{:016x}{n:016x}", self.config.seed);
+        let (start, edge_node) = (
             (unix_ms() as u64).to_string(),
-            (number % self.order.edge_nodes).to_string(),
+            (number % self.config.edge_nodes).to_string(),
         );
-        let timeout = self.order.timeout_ms.to_string();
-        let stage = self.order.request_classes[n as usize % self.order.request_classes.len()];
+        let timeout = self.config.timeout_ms.to_string();
+        let request_class =
+            self.config.request_classes[n as usize % self.config.request_classes.len()];
         let other = [
-            ("HTTP_X_CALLER", caller.as_str()),
+            ("HTTP_X_CALLER", edge_node.as_str()),
             ("HTTP_X_TIMEOUT_MS", &timeout),
             ("HTTP_X_COST_MS", "4"),
             ("HTTP_X_MEMORY_KB", "8"),
-            ("HTTP_IDEMPOTENCY_KEY", &mark),
+            ("HTTP_IDEMPOTENCY_KEY", &idempotency_key),
         ];
         let fields = scripted::task_fields(&id, &start, &other);
-        let Some(line) = self.lines.get_mut(&number) else {
+        let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        line.next = line.next % 30_000 + 1;
-        let bytes = scripted::request(line.next, &format!("/v1/{stage}"), &fields, b"ask");
+        connection.next = connection.next % 30_000 + 1;
+        let bytes = scripted::request(
+            connection.next,
+            &format!("/v1/{request_class}"),
+            &fields,
+            b"ask",
+        );
         self.send(number, bytes, false);
     }
 
-    fn send(&mut self, number: usize, bytes: Vec<u8>, again: bool) {
-        let Some(line) = self.lines.get_mut(&number) else {
+    fn send(&mut self, number: usize, bytes: Vec<u8>, is_resend: bool) {
+        let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        let request = line.next;
+        let request = connection.next;
         // A request is far smaller than a socket's send buffer; if it does not fit, the backend does not read.
-        let sent = line.stream.write_all(&bytes);
-        line.open.insert(
+        let sent = connection.stream.write_all(&bytes);
+        connection.open.insert(
             request,
-            Asked {
+            OutstandingRequest {
                 bytes,
                 sent: Instant::now(),
-                again,
+                is_resend,
             },
         );
         if sent.is_err() {
-            self.over(number);
+            self.connection_ended(number);
         }
     }
 
     /// Handles the end of a connection: its outstanding requests are sent once more if they may have crossed the close,
     /// and are counted as lost otherwise.
-    fn over(&mut self, number: usize) {
-        let Some(line) = self.lines.remove(&number) else {
+    fn connection_ended(&mut self, number: usize) {
+        let Some(connection) = self.connections.remove(&number) else {
             return;
         };
         let _ = self
             .poll
             .registry()
-            .deregister(&mut SourceFd(&line.stream.as_raw_fd()));
-        drop(line.stream);
+            .deregister(&mut SourceFd(&connection.stream.as_raw_fd()));
+        drop(connection.stream);
         self.stats.closed_connections += 1;
-        for (request, asked) in line.open {
-            let crossed = asked.sent.elapsed() < self.order.resend_window && !asked.again;
-            match crossed.then(|| self.connect()).flatten() {
+        for (request, outstanding) in connection.open {
+            let may_resend =
+                outstanding.sent.elapsed() < self.config.resend_window && !outstanding.is_resend;
+            match may_resend.then(|| self.connect()).flatten() {
                 Some(number) => {
-                    if let Some(line) = self.lines.get_mut(&number) {
-                        line.next = request;
+                    if let Some(connection) = self.connections.get_mut(&number) {
+                        connection.next = request;
                     }
-                    self.send(number, asked.bytes, true);
+                    self.send(number, outstanding.bytes, true);
                 }
                 None => self.stats.lost += 1,
             }
@@ -258,27 +265,31 @@
     /// Reads and evaluates what this connection has received.
     fn read(&mut self, number: usize) {
         loop {
-            let Some(line) = self.lines.get_mut(&number) else {
+            let Some(connection) = self.connections.get_mut(&number) else {
                 return;
             };
-            match line.stream.read(line.incoming.free_space()) {
-                Ok(0) => return self.over(number),
-                Ok(count) => line.incoming.commit(count),
+            match connection.stream.read(connection.incoming.free_space()) {
+                Ok(0) => return self.connection_ended(number),
+                Ok(count) => connection.incoming.commit(count),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                Err(_) => return self.over(number),
+                Err(_) => return self.connection_ended(number),
             }
             loop {
-                match line.incoming.next_record() {
+                match connection.incoming.next_record() {
                     Ok(Some(record)) if record.record_type == record_type::STDOUT => {
-                        line.stdout
+                        connection
+                            .stdout
                             .entry(record.request_id)
                             .or_default()
                             .extend_from_slice(record.content);
                     }
                     Ok(Some(record)) if record.record_type == record_type::END_REQUEST => {
-                        let head = line.stdout.remove(&record.request_id).unwrap_or_default();
-                        let Some(asked) = line.open.remove(&record.request_id) else {
+                        let head = connection
+                            .stdout
+                            .remove(&record.request_id)
+                            .unwrap_or_default();
+                        let Some(outstanding) = connection.open.remove(&record.request_id) else {
                             self.stats.unexpected_answers += 1;
                             continue;
                         };
@@ -289,13 +300,13 @@
                             let _ = self
                                 .stats
                                 .latency
-                                .record((asked.sent.elapsed().as_micros() as u64).max(1));
+                                .record((outstanding.sent.elapsed().as_micros() as u64).max(1));
                         }
                         *self.stats.answers_by_status.entry(status).or_default() += 1;
                     }
                     Ok(Some(_)) => {}
                     Ok(None) => break,
-                    Err(_) => return self.over(number),
+                    Err(_) => return self.connection_ended(number),
                 }
             }
         }
@@ -303,43 +314,48 @@
 
     fn wait(&mut self, until: Instant) {
         let mut events = Events::with_capacity(1024);
-        let left = until.saturating_duration_since(Instant::now());
-        let _ = self.poll.poll(&mut events, Some(left));
+        let remaining = until.saturating_duration_since(Instant::now());
+        let _ = self.poll.poll(&mut events, Some(remaining));
         let numbers: Vec<usize> = events.iter().map(|event| event.token().0).collect();
         numbers.into_iter().for_each(|number| self.read(number));
     }
 
     /// Runs the load. `inspect` is called about once per `interval`, and stops the load by returning `false`.
-    pub fn run(&mut self, every: Duration, mut each: impl FnMut(&LoadStats) -> bool) {
-        let between = Duration::from_secs_f64(1.0 / self.order.rate);
-        if !self.order.one_request_per_connection {
-            self.open_up_to(self.order.connections);
+    pub fn run(&mut self, interval: Duration, mut inspect: impl FnMut(&LoadStats) -> bool) {
+        let request_interval = Duration::from_secs_f64(1.0 / self.config.rate);
+        if !self.config.one_request_per_connection {
+            self.open_up_to(self.config.connections);
         }
         let now = Instant::now();
-        let (mut next, mut look) = (now, now + every);
-        let end = now + self.order.duration;
+        let (mut next, mut next_inspection) = (now, now + interval);
+        let end = now + self.config.duration;
         while next < end {
             while Instant::now() < next {
                 self.wait(next);
             }
-            self.ask();
-            next += between;
-            if Instant::now() >= look {
-                look += every;
-                if !each(&self.stats) {
+            self.send_next();
+            next += request_interval;
+            if Instant::now() >= next_inspection {
+                next_inspection += interval;
+                if !inspect(&self.stats) {
                     break;
                 }
             }
         }
         // Outstanding requests may still be answered until 1 s after their timeout.
-        let last = Instant::now() + Duration::from_millis(self.order.timeout_ms + 1000);
-        while self.lines.values().any(|line| !line.open.is_empty()) && Instant::now() < last {
-            self.wait(last.min(Instant::now() + Duration::from_millis(100)));
+        let deadline = Instant::now() + Duration::from_millis(self.config.timeout_ms + 1000);
+        while self
+            .connections
+            .values()
+            .any(|connection| !connection.open.is_empty())
+            && Instant::now() < deadline
+        {
+            self.wait(deadline.min(Instant::now() + Duration::from_millis(100)));
         }
         self.stats.lost += self
-            .lines
+            .connections
             .values()
-            .map(|line| line.open.len() as u64)
+            .map(|connection| connection.open.len() as u64)
             .sum::<u64>();
     }
 }
--- a/crates/asterdale-testkit/src/daemon_fleet.rs
+++ b/crates/asterdale-testkit/src/daemon_fleet.rs
@@ -16,24 +16,24 @@
 use crate::{scripted, services};
 
 /// The fleet's shared secret, used only on loopback.
-const KEY: &str = "a key for loopback alone";
+const FLEET_KEY: &str = "a key for loopback alone";
 
 /// One member of the fleet, running or not.
 struct Member {
-    recipe: LaunchConfig,
-    at: SocketAddr,
-    control: PathBuf,
-    worker: SimulatedRuntime,
+    launch: LaunchConfig,
+    address: SocketAddr,
+    control_socket: PathBuf,
+    runtime: SimulatedRuntime,
     daemon: Option<Daemon>,
-    stopped: bool,
+    paused: bool,
 }
 
-/// The fleet.
+/// A fleet of daemons; dropping it kills them and removes their files.
 pub struct DaemonFleet {
     members: Vec<Member>,
     /// The relays that carry gossip and replication traffic between the members.
     pub relays: Relays,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 /// The configuration of a fleet.
@@ -96,7 +96,7 @@
 /// Duration of an ownership lease in milliseconds.
 pub const LEASE_MS: u64 = 1000;
 /// Duration of the retry window of keyed requests in milliseconds.
-pub const WINDOW_MS: u64 = 8000;
+pub const RETRY_WINDOW_MS: u64 = 8000;
 
 /// The name of the member with this index.
 pub fn member_name(n: usize) -> String {
@@ -105,83 +105,85 @@
 
 impl DaemonFleet {
     /// Prepares the members; none is started.
-    pub fn new(order: &FleetConfig) -> Result<DaemonFleet, String> {
-        let told = |e: std::io::Error| e.to_string();
-        let folder = std::env::temp_dir().join(format!("asterdale-many-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).map_err(told)?;
-        let key = folder.join("key");
-        std::fs::write(&key, KEY).map_err(told)?;
+    pub fn new(config: &FleetConfig) -> Result<DaemonFleet, String> {
+        let io_error_text = |e: std::io::Error| e.to_string();
+        let directory = std::env::temp_dir().join(format!("asterdale-many-{}", std::process::id()));
+        std::fs::create_dir_all(&directory).map_err(io_error_text)?;
+        let key = directory.join("key");
+        std::fs::write(&key, FLEET_KEY).map_err(io_error_text)?;
         // Each member has its own loopback address, with one port for edge nodes and one for gossip.
-        let places: Vec<SocketAddr> = (0..order.members)
+        let addresses: Vec<SocketAddr> = (0..config.members)
             .map(|_| scripted::unused_address())
             .collect();
-        let listens: Vec<SocketAddr> = places
+        let gossip_addresses: Vec<SocketAddr> = addresses
             .iter()
             .map(|at| SocketAddr::new(at.ip(), at.port() + 100))
             .collect();
-        let names = (0..order.members).map(member_name).collect();
-        let relays = Relays::start(listens.clone(), names, order.seed).map_err(told)?;
-        let records = order
+        let names = (0..config.members).map(member_name).collect();
+        let relays =
+            Relays::start(gossip_addresses.clone(), names, config.seed).map_err(io_error_text)?;
+        let records = config
             .records
             .map_or_else(services::records, Ok)
-            .map_err(told)?;
-        let registry = services::registry().map_err(told)?;
+            .map_err(io_error_text)?;
+        let registry = services::registry().map_err(io_error_text)?;
         let mut members = Vec::new();
-        for (n, &at) in places.iter().enumerate() {
+        for (n, &address) in addresses.iter().enumerate() {
             // With a records service given, runs of keyed requests make a call to it.
-            let (cores, calls) = if order.records.is_some() {
+            let (cores, calling_class) = if config.records.is_some() {
                 (8, Some("bid"))
             } else {
                 (2, None)
             };
-            let worker = SimulatedRuntime::start_with_calls(cores, order.run_duration_ms, calls)
-                .map_err(told)?;
-            let control = folder.join(format!("{n}.control"));
-            let mut start = scripted::start_file_json(at, worker.address, records, registry);
+            let runtime =
+                SimulatedRuntime::start_with_calls(cores, config.run_duration_ms, calling_class)
+                    .map_err(io_error_text)?;
+            let control_socket = directory.join(format!("{n}.control"));
+            let mut start = scripted::start_file_json(address, runtime.address, records, registry);
             start["name"] = json!(member_name(n));
-            start["seed"] = json!(format!("{:x}", order.seed ^ (n as u64 + 1)));
-            start["settings"]["servers"] = json!(order.members);
-            if order.gossip_enabled {
-                start["fleet"] = json!({"listen": listens[n], "advertise": relays.advertised[n], "key": key,
-                "seeds": relays.advertised[..order.seeds], "interval_ms": order.interval_ms,
-                "control": control});
+            start["seed"] = json!(format!("{:x}", config.seed ^ (n as u64 + 1)));
+            start["settings"]["servers"] = json!(config.members);
+            if config.gossip_enabled {
+                start["fleet"] = json!({"listen": gossip_addresses[n], "advertise": relays.advertised[n], "key": key,
+                "seeds": relays.advertised[..config.seeds], "interval_ms": config.interval_ms,
+                "control": control_socket});
             }
-            if order.ownership_replicas > 0 {
-                let keepers: Vec<Value> = (0..order.ownership_replicas)
+            if config.ownership_replicas > 0 {
+                let keepers: Vec<Value> = (0..config.ownership_replicas)
                     .map(|n| json!({"name": member_name(n), "at": relays.advertised[n]}))
                     .collect();
                 start["takeover"] = json!({"keepers": keepers, "lease_ms": LEASE_MS,
                     "stages": [{"name": "bid", "fenced": true}]});
             }
-            if order.has_journal {
-                start["journal"] = json!({"folder": folder.join(format!("{n}.state"))});
+            if config.has_journal {
+                start["journal"] = json!({"folder": directory.join(format!("{n}.state"))});
             }
-            if order.records.is_some() {
+            if config.records.is_some() {
                 start["settings"]["extra"]["cores"] = json!(cores);
                 start["settings"]["extra"]["callsOut"] = json!(2000.0);
                 let bid = &mut start["settings"]["lanes"][1];
-                bid["memorySpanNs"] = json!(WINDOW_MS * 1_000_000);
+                bid["memorySpanNs"] = json!(RETRY_WINDOW_MS * 1_000_000);
                 (bid["deadlineNs"], bid["objectiveNs"]) =
                     (json!(5_000_000_000u64), json!(4_000_000_000u64));
             }
-            let recipe = LaunchConfig {
-                program: order.program.clone(),
+            let launch = LaunchConfig {
+                program: config.program.clone(),
                 start,
-                failpoint: order.failpoint.clone(),
+                failpoint: config.failpoint.clone(),
             };
             members.push(Member {
-                recipe,
-                at,
-                control,
-                worker,
+                launch,
+                address,
+                control_socket,
+                runtime,
                 daemon: None,
-                stopped: false,
+                paused: false,
             });
         }
         Ok(DaemonFleet {
             members,
             relays,
-            folder,
+            directory,
         })
     }
 
@@ -197,35 +199,35 @@
 
     /// The journal directory of a member.
     pub fn journal_directory(&self, n: usize) -> PathBuf {
-        self.folder.join(format!("{n}.state"))
+        self.directory.join(format!("{n}.state"))
     }
 
     /// The address at which a member accepts edge nodes' connections.
     pub fn address(&self, n: usize) -> SocketAddr {
-        self.members[n].at
+        self.members[n].address
     }
 
     /// The simulated runtime of a member.
     pub fn runtime(&self, n: usize) -> &SimulatedRuntime {
-        &self.members[n].worker
+        &self.members[n].runtime
     }
 
     /// Starts a member; it may not listen yet when this returns.
     pub fn start(&mut self, n: usize) -> Result<(), String> {
         let member = &mut self.members[n];
-        member.daemon = Some(Daemon::start(&member.recipe)?);
+        member.daemon = Some(Daemon::start(&member.launch)?);
         Ok(())
     }
 
     /// Starts a second process on a member's journal directory, with another listen address and without gossip. Returns
     /// whether that process exited because the directory is in use.
     pub fn second_process_is_rejected(&self, n: usize) -> Result<bool, String> {
-        let mut recipe = self.members[n].recipe.clone();
-        recipe.start["listen"] = json!(scripted::unused_address());
-        if let Some(start) = recipe.start.as_object_mut() {
+        let mut launch = self.members[n].launch.clone();
+        launch.start["listen"] = json!(scripted::unused_address());
+        if let Some(start) = launch.start.as_object_mut() {
             start.remove("fleet");
         }
-        let mut second = Daemon::start(&recipe)?;
+        let mut second = Daemon::start(&launch)?;
         let until = std::time::Instant::now() + Duration::from_secs(20);
         while !second.has_exited() && std::time::Instant::now() < until {
             std::thread::sleep(Duration::from_millis(5));
@@ -240,32 +242,32 @@
     /// Waits until a member accepts edge nodes' connections.
     pub fn wait_until_listening(&self, n: usize) -> Result<(), String> {
         self.members[n].daemon.as_ref().map_or(Ok(()), |daemon| {
-            daemon.wait_until_listening(self.members[n].at)
+            daemon.wait_until_listening(self.members[n].address)
         })
     }
 
     /// Kills a member.
     pub fn kill(&mut self, n: usize) {
-        (self.members[n].daemon, self.members[n].stopped) = (None, false);
+        (self.members[n].daemon, self.members[n].paused) = (None, false);
     }
 
     /// Asks a member to shut down and waits until it has exited; `false` if that took too long or it failed.
     pub fn shut_down(&mut self, n: usize) -> bool {
-        let left = self.members[n]
+        let succeeded = self.members[n]
             .daemon
             .as_mut()
             .is_some_and(|daemon| daemon.shut_down(Duration::from_secs(8)));
         self.kill(n);
-        left
+        succeeded
     }
 
     /// Pauses a member with SIGSTOP, or resumes it with SIGCONT.
-    pub fn set_paused(&mut self, n: usize, stopped: bool) {
+    pub fn set_paused(&mut self, n: usize, paused: bool) {
         let member = &mut self.members[n];
         if let Some(daemon) = &member.daemon {
-            daemon.signal(if stopped { "STOP" } else { "CONT" });
+            daemon.signal(if paused { "STOP" } else { "CONT" });
         }
-        member.stopped = stopped;
+        member.paused = paused;
     }
 
     /// The indices of the members that have a process, paused or not.
@@ -293,7 +295,7 @@
     /// The current value of a member's counter; 0 if the member is paused or does not report it.
     pub fn counter(&self, n: usize, name: &str) -> u64 {
         let member = &self.members[n];
-        if member.stopped {
+        if member.paused {
             return 0;
         }
         member
@@ -315,10 +317,10 @@
     /// A member's membership view, queried over its control socket; `None` if it does not answer.
     pub fn membership_view(&self, n: usize) -> Option<Value> {
         let member = &self.members[n];
-        if member.daemon.is_none() || member.stopped {
+        if member.daemon.is_none() || member.paused {
             return None;
         }
-        let stream = UnixStream::connect(&member.control).ok()?;
+        let stream = UnixStream::connect(&member.control_socket).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
         (&stream).write_all(b"show\n").ok()?;
         let mut line = String::new();
@@ -332,24 +334,24 @@
         self.members
             .iter_mut()
             .for_each(|member| member.daemon = None);
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
 /// The generations of the members that a membership view counts as live, by name; includes the process that reported
 /// the view.
-pub fn live_generations(shown: &Value) -> BTreeMap<String, u64> {
-    let of = |member: &Value| {
+pub fn live_generations(view: &Value) -> BTreeMap<String, u64> {
+    let name_and_generation = |member: &Value| {
         Some((
             member["name"].as_str()?.to_owned(),
             member["generation"].as_u64()?,
         ))
     };
-    let members = shown["members"].as_array().into_iter().flatten();
-    let held =
+    let members = view["members"].as_array().into_iter().flatten();
+    let others =
         members.filter(|member| matches!(member["status"].as_str(), Some("alive" | "suspect")));
-    let own = (shown["standing"] == "in")
-        .then(|| of(&shown["me"]))
+    let own = (view["standing"] == "in")
+        .then(|| name_and_generation(&view["me"]))
         .flatten();
-    held.filter_map(of).chain(own).collect()
+    others.filter_map(name_and_generation).chain(own).collect()
 }
--- a/crates/asterdale-testkit/src/demo.rs
+++ b/crates/asterdale-testkit/src/demo.rs
@@ -24,107 +24,111 @@
 
 #[derive(Default)]
 struct OutcomeCounters {
-    finished: AtomicU64,
+    served: AtomicU64,
     rejected: AtomicU64,
-    abandoned: AtomicU64,
+    failed: AtomicU64,
     lost: AtomicU64,
 }
 
 /// Runs the demonstration and returns the text to print at the end.
-pub fn run(order: &Config) -> Result<String, String> {
-    let told = |e: std::io::Error| e.to_string();
-    let worker = SimulatedRuntime::start(4, (5, 35)).map_err(told)?;
+pub fn run(config: &Config) -> Result<String, String> {
+    let io_error_text = |e: std::io::Error| e.to_string();
+    let runtime = SimulatedRuntime::start(4, (5, 35)).map_err(io_error_text)?;
     let (records, registry) = (
-        services::records().map_err(told)?,
-        services::registry().map_err(told)?,
+        services::records().map_err(io_error_text)?,
+        services::registry().map_err(io_error_text)?,
     );
     let mut start = scripted::start_file_json(
         scripted::unused_address(),
-        worker.address,
+        runtime.address,
         records,
         registry,
     );
     start["settings"]["extra"]["cores"] = json!(4);
-    for lane in 0..2 {
-        start["settings"]["lanes"][lane]["objectiveNs"] = json!(500_000_000);
-        start["settings"]["lanes"][lane]["deadlineNs"] = json!(2_000_000_000);
+    for class in 0..2 {
+        start["settings"]["lanes"][class]["objectiveNs"] = json!(500_000_000);
+        start["settings"]["lanes"][class]["deadlineNs"] = json!(2_000_000_000);
     }
-    let at = start["listen"]
+    let address = start["listen"]
         .as_str()
-        .and_then(|at| at.parse().ok())
+        .and_then(|address| address.parse().ok())
         .ok_or("no address")?;
     let mut daemon = Daemon::start(&LaunchConfig {
         program: program(),
         start,
         failpoint: None,
     })?;
-    daemon.wait_until_listening(at)?;
-    let end = Instant::now() + Duration::from_secs(order.seconds);
-    let (seen, times) = (
+    daemon.wait_until_listening(address)?;
+    let end = Instant::now() + Duration::from_secs(config.seconds);
+    let (counters, latency) = (
         Arc::new(OutcomeCounters::default()),
         Arc::new(Mutex::new(histogram())),
     );
     let stop = Arc::new(AtomicBool::new(false));
-    let lanes = (order.rate / 8.0).ceil().clamp(4.0, 256.0) as u64;
-    let threads: Vec<_> = (0..lanes)
-        .map(|lane| {
-            let (seen, times, stop) = (seen.clone(), times.clone(), stop.clone());
-            let every = Duration::from_secs_f64(lanes as f64 / order.rate);
+    let clients = (config.rate / 8.0).ceil().clamp(4.0, 256.0) as u64;
+    let threads: Vec<_> = (0..clients)
+        .map(|client| {
+            let (counters, latency, stop) = (counters.clone(), latency.clone(), stop.clone());
+            let interval = Duration::from_secs_f64(clients as f64 / config.rate);
             thread::spawn(move || {
-                let mut caller = EdgeClient::new(at);
-                let mut next = Instant::now() + every.mul_f64(lane as f64 / lanes as f64);
+                let mut client_connection = EdgeClient::new(address);
+                let mut next = Instant::now() + interval.mul_f64(client as f64 / clients as f64);
                 let mut n = 0u64;
                 while next < end && !stop.load(Relaxed) {
                     thread::sleep(next.saturating_duration_since(Instant::now()));
-                    next += every;
+                    next += interval;
                     n += 1;
                     let (id, start) = (
-                        format!("{:016x}", lane << 32 | n),
+                        format!("{:016x}", client << 32 | n),
                         (unix_ms() as u64).to_string(),
                     );
-                    let (edge, bid) = ((lane % 4).to_string(), n % 4 == 0);
+                    let (edge_node, is_keyed) = ((client % 4).to_string(), n % 4 == 0);
                     let fields = [
                         ("HTTP_X_REQUEST_ID", id.as_str()),
                         ("HTTP_X_REQUEST_START", &start),
-                        ("HTTP_X_CALLER", &edge),
+                        ("HTTP_X_CALLER", &edge_node),
                         ("HTTP_X_TIMEOUT_MS", "2000"),
                         ("HTTP_X_COST_MS", "20"),
                         ("HTTP_X_MEMORY_KB", "8"),
-                        ("HTTP_IDEMPOTENCY_KEY", if bid { &id } else { "" }),
+                        ("HTTP_IDEMPOTENCY_KEY", if is_keyed { &id } else { "" }),
                     ];
-                    let began = Instant::now();
-                    let fate =
-                        caller.request(if bid { "/v1/bid" } else { "/v1/page" }, &fields, b"ask");
-                    let status = match &fate {
+                    let sent_at = Instant::now();
+                    let outcome = client_connection.request(
+                        if is_keyed { "/v1/bid" } else { "/v1/page" },
+                        &fields,
+                        b"ask",
+                    );
+                    let status = match &outcome {
                         RequestOutcome::Answered(answer) => answer.status(),
                         RequestOutcome::Refused | RequestOutcome::Lost => "",
                     };
                     match status {
                         "200" => {
-                            seen.finished.fetch_add(1, Relaxed);
-                            if let Ok(mut times) = times.lock() {
-                                let _ = times.record((began.elapsed().as_micros() as u64).max(1));
+                            counters.served.fetch_add(1, Relaxed);
+                            if let Ok(mut latency) = latency.lock() {
+                                let _ =
+                                    latency.record((sent_at.elapsed().as_micros() as u64).max(1));
                             }
                         }
-                        "503" | "429" | "none" => drop(seen.rejected.fetch_add(1, Relaxed)),
-                        "" => drop(seen.lost.fetch_add(1, Relaxed)),
-                        _ => drop(seen.abandoned.fetch_add(1, Relaxed)),
+                        "503" | "429" | "none" => drop(counters.rejected.fetch_add(1, Relaxed)),
+                        "" => drop(counters.lost.fetch_add(1, Relaxed)),
+                        _ => drop(counters.failed.fetch_add(1, Relaxed)),
                     }
                 }
             })
         })
         .collect();
-    let bar = ProgressBar::new(order.seconds * 10);
+    let progress = ProgressBar::new(config.seconds * 10);
     if let Ok(style) = ProgressStyle::with_template("{bar:30} {msg}") {
-        bar.set_style(style);
+        progress.set_style(style);
     }
     while Instant::now() < end {
         thread::sleep(Duration::from_millis(100));
-        bar.inc(1);
-        bar.set_message(format!(
+        progress.inc(1);
+        progress.set_message(format!(
             "{} served, {} rejected",
-            seen.finished.load(Relaxed),
-            seen.rejected.load(Relaxed)
+            counters.served.load(Relaxed),
+            counters.rejected.load(Relaxed)
         ));
         if daemon.has_exited() {
             stop.store(true, Relaxed);
@@ -134,7 +138,7 @@
             ));
         }
     }
-    bar.finish_and_clear();
+    progress.finish_and_clear();
     for thread in threads {
         let _ = thread.join();
     }
@@ -145,18 +149,18 @@
             daemon.log().join("\n")
         ));
     }
-    let times = times
+    let latency = latency
         .lock()
-        .map(|times| quantiles(&times))
+        .map(|latency| quantiles(&latency))
         .unwrap_or_default();
     let OutcomeCounters {
-        finished,
+        served,
         rejected,
-        abandoned,
+        failed,
         lost,
-    } = &*seen;
+    } = &*counters;
     Ok(format!(
-        "served {finished:?}, rejected {rejected:?}, failed {abandoned:?}, lost {lost:?}\n\
-         latency of served requests in milliseconds: {times}\nthe daemon used {cpu_ms:.0} ms of CPU and has {kib} KiB"
+        "served {served:?}, rejected {rejected:?}, failed {failed:?}, lost {lost:?}\n\
+         latency of served requests in milliseconds: {latency}\nthe daemon used {cpu_ms:.0} ms of CPU and has {kib} KiB"
     ))
 }
--- a/crates/asterdale-testkit/src/edge_client.rs
+++ b/crates/asterdale-testkit/src/edge_client.rs
@@ -10,30 +10,30 @@
 
 /// If a connection ends without an answer this soon after a request was written, the backend may have closed it while
 /// it was idle, so the request is sent once more.
-const CROSSES: Duration = Duration::from_millis(50);
+const RESEND_WINDOW: Duration = Duration::from_millis(50);
 /// The longest wait for an answer; longer than the timeout of any request.
-const PATIENCE: Duration = Duration::from_secs(30);
+const MAX_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Paces the requests of one thread among several that together produce a given rate.
 pub struct Pacer {
-    every: Duration,
+    interval: Duration,
     next: Instant,
 }
 
 impl Pacer {
     /// The pacer of one thread out of `threads`, which together send `rate` requests per second.
-    pub fn new(lane: u64, lanes: u64, rate: f64) -> Pacer {
-        let every = Duration::from_secs_f64(lanes as f64 / rate);
+    pub fn new(thread: u64, threads: u64, rate: f64) -> Pacer {
+        let interval = Duration::from_secs_f64(threads as f64 / rate);
         Pacer {
-            every,
-            next: Instant::now() + every.mul_f64(lane as f64 / lanes as f64),
+            interval,
+            next: Instant::now() + interval.mul_f64(thread as f64 / threads as f64),
         }
     }
 
     /// Waits until the next request is due. A thread that is late continues from the current time and does not catch up.
     pub fn wait(&mut self) {
         std::thread::sleep(self.next.saturating_duration_since(Instant::now()));
-        self.next = (self.next + self.every).max(Instant::now());
+        self.next = (self.next + self.interval).max(Instant::now());
     }
 }
 
@@ -50,59 +50,61 @@
 
 /// A client with one connection and one outstanding request at a time.
 pub struct EdgeClient {
-    at: SocketAddr,
-    edge: Option<EdgeConnection>,
-    number: u16,
-    patience: Duration,
+    address: SocketAddr,
+    connection: Option<EdgeConnection>,
+    request_id: u16,
+    timeout: Duration,
 }
 
 impl EdgeClient {
     /// A client of the backend at this address; it connects with the first request.
-    pub fn new(at: SocketAddr) -> EdgeClient {
+    pub fn new(address: SocketAddr) -> EdgeClient {
         EdgeClient {
-            at,
-            edge: None,
-            number: 0,
-            patience: PATIENCE,
+            address,
+            connection: None,
+            request_id: 0,
+            timeout: MAX_TIMEOUT,
         }
     }
 
     /// Limits the wait for each answer to this duration.
-    pub fn set_timeout(&mut self, patience: Duration) {
-        self.patience = patience.min(PATIENCE);
-        if let Some(edge) = &self.edge {
-            let _ = edge.stream.set_read_timeout(Some(self.patience));
+    pub fn set_timeout(&mut self, timeout: Duration) {
+        self.timeout = timeout.min(MAX_TIMEOUT);
+        if let Some(connection) = &self.connection {
+            let _ = connection.stream.set_read_timeout(Some(self.timeout));
         }
     }
 
     fn connect(&self) -> io::Result<EdgeConnection> {
-        let stream = TcpStream::connect_timeout(&self.at, Duration::from_secs(5))?;
-        stream.set_read_timeout(Some(self.patience))?;
+        let stream = TcpStream::connect_timeout(&self.address, Duration::from_secs(5))?;
+        stream.set_read_timeout(Some(self.timeout))?;
         stream.set_nodelay(true)?;
         Ok(EdgeConnection::new(stream))
     }
 
     /// Sends a request and waits for its answer.
     pub fn request(&mut self, path: &str, fields: &[(&str, &str)], body: &[u8]) -> RequestOutcome {
-        for fresh in [false, true] {
-            if fresh || self.edge.is_none() {
+        for is_resend in [false, true] {
+            if is_resend || self.connection.is_none() {
                 match self.connect() {
-                    Ok(edge) => self.edge = Some(edge),
+                    Ok(connection) => self.connection = Some(connection),
                     Err(_) => return RequestOutcome::Refused,
                 }
             }
-            let Some(edge) = &mut self.edge else {
+            let Some(connection) = &mut self.connection else {
                 return RequestOutcome::Lost;
             };
-            self.number = self.number % 30_000 + 1;
-            let began = Instant::now();
-            let sent = edge.try_send(&request(self.number, path, fields, body));
-            let got = sent.and_then(|()| edge.try_read_response());
-            match got {
-                Ok(Some(answer)) if answer.request == self.number => {
+            self.request_id = self.request_id % 30_000 + 1;
+            let sent_at = Instant::now();
+            let sent = connection.try_send(&request(self.request_id, path, fields, body));
+            let result = sent.and_then(|()| connection.try_read_response());
+            match result {
+                Ok(Some(answer)) if answer.request == self.request_id => {
                     return RequestOutcome::Answered(answer)
                 }
-                Ok(None) | Err(_) if began.elapsed() < CROSSES && !fresh => self.close(),
+                Ok(None) | Err(_) if sent_at.elapsed() < RESEND_WINDOW && !is_resend => {
+                    self.close()
+                }
                 _ => {
                     self.close();
                     return RequestOutcome::Lost;
@@ -113,8 +115,8 @@
     }
 
     fn close(&mut self) {
-        if let Some(edge) = self.edge.take() {
-            let _ = edge.stream.shutdown(Shutdown::Both);
+        if let Some(connection) = self.connection.take() {
+            let _ = connection.stream.shutdown(Shutdown::Both);
         }
     }
 }
--- a/crates/asterdale-testkit/src/flood.rs
+++ b/crates/asterdale-testkit/src/flood.rs
@@ -37,19 +37,19 @@
 
 /// Limits a process to a fraction of a core, like a CPU quota: in each period of a tenth of a second it runs until it has
 /// used its fraction, and is paused until the next period.
-fn hold(daemon: &Daemon, share: f64, end: &AtomicBool) {
-    const TENTH: f64 = 100.0;
+fn limit_cpu(daemon: &Daemon, share: f64, end: &AtomicBool) {
+    const PERIOD_MS: f64 = 100.0;
     while !end.load(Relaxed) {
-        let (began, used) = (Instant::now(), daemon.cpu_ms_and_memory_kib().0);
-        let mut stopped = false;
-        while began.elapsed().as_secs_f64() * 1e3 < TENTH {
+        let (period_start, used) = (Instant::now(), daemon.cpu_ms_and_memory_kib().0);
+        let mut paused = false;
+        while period_start.elapsed().as_secs_f64() * 1e3 < PERIOD_MS {
             thread::sleep(Duration::from_millis(2));
-            if !stopped && daemon.cpu_ms_and_memory_kib().0 - used >= share * TENTH {
+            if !paused && daemon.cpu_ms_and_memory_kib().0 - used >= share * PERIOD_MS {
                 daemon.signal("STOP");
-                stopped = true;
+                paused = true;
             }
         }
-        if stopped {
+        if paused {
             daemon.signal("CONT");
         }
     }
@@ -58,27 +58,27 @@
 /// Sends requests at a rate over several connections for a time. Returns how many were answered with the expected
 /// status, how many were not, and the latency of the former.
 pub fn drive_load(
-    at: SocketAddr,
+    address: SocketAddr,
     token: &str,
-    (rate, lanes): (f64, u64),
-    wanted: &'static str,
+    (rate, clients): (f64, u64),
+    expected_status: &'static str,
     seconds: u64,
 ) -> (u64, u64, Value) {
     let end = Instant::now() + Duration::from_secs(seconds);
     let (good, other) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-    let times = Arc::new(Mutex::new(histogram()));
-    let threads: Vec<_> = (0..lanes)
-        .map(|lane| {
-            let (good, other, times) = (good.clone(), other.clone(), times.clone());
+    let latency = Arc::new(Mutex::new(histogram()));
+    let threads: Vec<_> = (0..clients)
+        .map(|client| {
+            let (good, other, latency) = (good.clone(), other.clone(), latency.clone());
             let bearer = format!("Bearer {token}");
             thread::spawn(move || {
-                let mut caller = EdgeClient::new(at);
-                let every = Duration::from_secs_f64(lanes as f64 / rate);
-                let mut next = Instant::now() + every.mul_f64(lane as f64 / lanes as f64);
-                let mut n = (rate.to_bits() ^ unix_ms().to_bits()).rotate_left(24) ^ lane << 40;
+                let mut client_connection = EdgeClient::new(address);
+                let interval = Duration::from_secs_f64(clients as f64 / rate);
+                let mut next = Instant::now() + interval.mul_f64(client as f64 / clients as f64);
+                let mut n = (rate.to_bits() ^ unix_ms().to_bits()).rotate_left(24) ^ client << 40;
                 while next < end {
                     thread::sleep(next.saturating_duration_since(Instant::now()));
-                    next += every;
+                    next += interval;
                     n = n.wrapping_add(1);
                     let (id, start) = (format!("{n:016x}"), (unix_ms() as u64).to_string());
                     let fields = [
@@ -90,12 +90,13 @@
                         ("HTTP_X_MEMORY_KB", "8"),
                         ("HTTP_AUTHORIZATION", &bearer),
                     ];
-                    let began = Instant::now();
-                    match caller.request("/v1/page", &fields, b"ask") {
-                        RequestOutcome::Answered(answer) if answer.status() == wanted => {
+                    let sent_at = Instant::now();
+                    match client_connection.request("/v1/page", &fields, b"ask") {
+                        RequestOutcome::Answered(answer) if answer.status() == expected_status => {
                             good.fetch_add(1, Relaxed);
-                            if let Ok(mut times) = times.lock() {
-                                let _ = times.record((began.elapsed().as_micros() as u64).max(1));
+                            if let Ok(mut latency) = latency.lock() {
+                                let _ =
+                                    latency.record((sent_at.elapsed().as_micros() as u64).max(1));
                             }
                         }
                         _ => drop(other.fetch_add(1, Relaxed)),
@@ -105,11 +106,11 @@
         })
         .collect();
     threads.into_iter().for_each(|thread| drop(thread.join()));
-    let times = times
+    let latency = latency
         .lock()
-        .map(|times| quantiles(&times))
+        .map(|latency| quantiles(&latency))
         .unwrap_or_default();
-    (good.load(Relaxed), other.load(Relaxed), times)
+    (good.load(Relaxed), other.load(Relaxed), latency)
 }
 
 fn generate_key(id: &str) -> Result<SecretKey, String> {
@@ -117,9 +118,12 @@
 }
 
 /// Runs the measurement and returns its figures.
-pub fn measure(order: &Config) -> Result<Value, String> {
-    let told = |e: std::io::Error| e.to_string();
-    let (worker, now) = (SimulatedRuntime::start(4, (1, 3)).map_err(told)?, unix_ms());
+pub fn measure(config: &Config) -> Result<Value, String> {
+    let io_error_text = |e: std::io::Error| e.to_string();
+    let (runtime, now) = (
+        SimulatedRuntime::start(4, (1, 3)).map_err(io_error_text)?,
+        unix_ms(),
+    );
     let (root, key) = (generate_key("root")?, generate_key("k")?);
     let set = json!({"seq": 1, "issued_ms": now, "keys": [{"kty": "OKP", "crv": "Ed25519", "kid": "k",
         "x": key.public_key_text(), "from_ms": 0}], "revoked": {"tokens": ["bad"]}});
@@ -130,14 +134,14 @@
         &file,
         asterdale_identity::mint::sign_jws(&root, &head, &set),
     )
-    .map_err(told)?;
+    .map_err(io_error_text)?;
     let (records, registry) = (
-        services::records().map_err(told)?,
-        services::registry().map_err(told)?,
+        services::records().map_err(io_error_text)?,
+        services::registry().map_err(io_error_text)?,
     );
     let mut start = scripted::start_file_json(
         scripted::unused_address(),
-        worker.address,
+        runtime.address,
         records,
         registry,
     );
@@ -145,37 +149,40 @@
     start["identity"] = json!({"issuer": "i", "audience": "asterdale", "roots": [root.public_key_text()],
         "keys": {"file": file}, "roles": [{"name": "r", "stages": ["page"]}],
         "tenants": [{"name": "t", "roles": ["r"]}]});
-    let at = start["listen"]
+    let address = start["listen"]
         .as_str()
-        .and_then(|at| at.parse().ok())
+        .and_then(|address| address.parse().ok())
         .ok_or("no address")?;
     let daemon = Arc::new(Daemon::start(&LaunchConfig {
         program: program(),
         start,
         failpoint: None,
     })?);
-    let (good, bad) = (token(&key, "good", now), token(&key, "bad", now));
+    let (valid_token, revoked_token) = (token(&key, "good", now), token(&key, "bad", now));
     let stop = Arc::new(AtomicBool::new(false));
-    let (held, ended, share) = (daemon.clone(), stop.clone(), order.share);
-    let holder = thread::spawn(move || hold(&held, share, &ended));
-    daemon.wait_until_listening(at)?;
+    let (limited, limit_ended, share) = (daemon.clone(), stop.clone(), config.share);
+    let limiter = thread::spawn(move || limit_cpu(&limited, share, &limit_ended));
+    daemon.wait_until_listening(address)?;
     let mut turns = Vec::new();
     for flooded in [false, true, false, true] {
-        let (rate, seconds) = (order.rate, order.seconds);
-        let (bad, flood) = (bad.clone(), order.flood);
+        let (rate, seconds) = (config.rate, config.seconds);
+        let (revoked_token, flood) = (revoked_token.clone(), config.flood);
         let used = daemon.cpu_ms_and_memory_kib().0;
-        let other = thread::spawn(move || {
-            flooded.then(|| drive_load(at, &bad, (flood, 64), "401", seconds))
+        let flood_thread = thread::spawn(move || {
+            flooded.then(|| drive_load(address, &revoked_token, (flood, 64), "401", seconds))
         });
-        let (finished, not, times) = drive_load(at, &good, (rate, 16), "200", seconds);
-        let refused = other.join().map_err(|_| "the flood panicked".to_owned())?;
+        let (served, not_served, latency) =
+            drive_load(address, &valid_token, (rate, 16), "200", seconds);
+        let rejected = flood_thread
+            .join()
+            .map_err(|_| "the flood panicked".to_owned())?;
         let cpu = (daemon.cpu_ms_and_memory_kib().0 - used) / (seconds as f64 * 1e3);
-        turns.push(json!({"flood": flooded, "finished": finished, "not": not, "milliseconds": times,
-            "cores": (cpu * 1e3).round() / 1e3, "refused": refused.as_ref().map(|refused| refused.0),
-            "flood_unanswered": refused.as_ref().map(|refused| refused.1)}));
+        turns.push(json!({"flood": flooded, "finished": served, "not": not_served, "milliseconds": latency,
+            "cores": (cpu * 1e3).round() / 1e3, "refused": rejected.as_ref().map(|rejected| rejected.0),
+            "flood_unanswered": rejected.as_ref().map(|rejected| rejected.1)}));
     }
     stop.store(true, Relaxed);
-    let _ = holder.join();
+    let _ = limiter.join();
     let _ = std::fs::remove_file(file);
     let sum = |flood: bool| -> u64 {
         turns
--- a/crates/asterdale-testkit/src/issuer.rs
+++ b/crates/asterdale-testkit/src/issuer.rs
@@ -29,13 +29,13 @@
 
 #[derive(Default)]
 struct State {
-    mood: Option<Behavior>,
+    behavior: Option<Behavior>,
     /// All published sets with their sequence numbers, in the order of publication.
     sets: Vec<(u64, String)>,
     forged: String,
-    handed: Vec<(f64, u64)>,
-    asked: u64,
-    unchanged: u64,
+    deliveries: Vec<(f64, u64)>,
+    requests: u64,
+    not_modified: u64,
 }
 
 /// The stand-in issuer.
@@ -70,9 +70,9 @@
     }
 
     /// Changes how requests are answered from now on.
-    pub fn set_behavior(&self, mood: Behavior) {
+    pub fn set_behavior(&self, behavior: Behavior) {
         if let Ok(mut state) = self.state.lock() {
-            state.mood = Some(mood);
+            state.behavior = Some(behavior);
         }
     }
 
@@ -81,7 +81,7 @@
     pub fn deliveries(&self) -> Vec<(f64, u64)> {
         self.state
             .lock()
-            .map(|state| state.handed.clone())
+            .map(|state| state.deliveries.clone())
             .unwrap_or_default()
     }
 
@@ -89,7 +89,7 @@
     pub fn request_counts(&self) -> (u64, u64) {
         self.state
             .lock()
-            .map_or((0, 0), |state| (state.asked, state.unchanged))
+            .map_or((0, 0), |state| (state.requests, state.not_modified))
     }
 }
 
@@ -98,18 +98,18 @@
     let Some((head, _)) = services::read_request(&mut reader) else {
         return;
     };
-    let (mood, last, old, forged) = {
+    let (behavior, last, first, forged) = {
         let Ok(mut state) = state.lock() else { return };
-        state.asked += 1;
-        let mood = state.mood.unwrap_or(Behavior::Good);
+        state.requests += 1;
+        let behavior = state.behavior.unwrap_or(Behavior::Good);
         (
-            mood,
+            behavior,
             state.sets.last().cloned(),
             state.sets.first().cloned(),
             state.forged.clone(),
         )
     };
-    let (Some(last), Some(old)) = (last, old) else {
+    let (Some(last), Some(first)) = (last, first) else {
         return;
     };
     let mut out = stream;
@@ -121,26 +121,26 @@
         )
         .is_ok()
     };
-    match mood {
+    match behavior {
         Behavior::Down => {}
         Behavior::Malformed => {
             drop(out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"keys\":1"))
         }
-        Behavior::RolledBack => drop(send(stream, "old", &old.1)),
+        Behavior::RolledBack => drop(send(stream, "old", &first.1)),
         Behavior::Forged => drop(send(stream, "forged", &forged)),
         Behavior::Good | Behavior::Slow(_) => {
-            if let Behavior::Slow(ms) = mood {
+            if let Behavior::Slow(ms) = behavior {
                 thread::sleep(Duration::from_millis(ms));
             }
             let known = format!("If-None-Match: \"{}\"", last.0);
             if head.lines().any(|line| line == known) {
                 let _ = out.write_all(b"HTTP/1.1 304 Not Modified\r\nContent-Length: 0\r\n\r\n");
                 if let Ok(mut state) = state.lock() {
-                    state.unchanged += 1;
+                    state.not_modified += 1;
                 }
             } else if send(stream, &last.0.to_string(), &last.1) {
                 if let Ok(mut state) = state.lock() {
-                    state.handed.push((unix_ms(), last.0));
+                    state.deliveries.push((unix_ms(), last.0));
                 }
             }
         }
--- a/crates/asterdale-testkit/src/main.rs
+++ b/crates/asterdale-testkit/src/main.rs
@@ -19,7 +19,7 @@
 /// Stand-ins, a demonstration and proofs, all on loopback.
 #[derive(Parser)]
 #[command(name = "asterdale-testkit", version)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
@@ -28,10 +28,10 @@
 enum Command {
     /// Start a daemon with all its stand-ins, drive a steady load, and print the outcome of the requests
     Demo {
-        /// Tasks a second
+        /// Requests per second
         #[arg(long, default_value_t = 150.0)]
         rate: f64,
-        /// How long
+        /// Duration of the load in seconds
         #[arg(long, default_value_t = 10)]
         seconds: u64,
     },
@@ -75,7 +75,7 @@
     },
     /// Measure the cost of replacing a serving process, by hot restart and by stop and start
     Replace {
-        /// Tasks a second
+        /// Requests per second
         #[arg(long, default_value_t = 200.0)]
         rate: f64,
     },
@@ -89,8 +89,13 @@
         #[arg(long, value_delimiter = ',', default_value = "200,2000")]
         rates: Vec<f64>,
         /// Numbers of ownership replicas; one measurement for each
-        #[arg(long, value_delimiter = ',', default_value = "0,3,5")]
-        keepers: Vec<usize>,
+        #[arg(
+            long = "keepers",
+            value_name = "KEEPERS",
+            value_delimiter = ',',
+            default_value = "0,3,5"
+        )]
+        ownership_replicas: Vec<usize>,
         /// Add a measurement at each rate with a journal directory for each process and no replicas
         #[arg(long)]
         journal: bool,
@@ -107,7 +112,7 @@
         /// Number of processes
         #[arg(long, default_value_t = 9)]
         members: usize,
-        /// Tasks a second in all
+        /// Requests per second over all processes
         #[arg(long, default_value_t = 260.0)]
         rate: f64,
         /// Duration of each phase in seconds
@@ -171,7 +176,7 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Line::parse().command {
+    let result = match CommandLine::parse().command {
         Command::Demo { rate, seconds } => demo::run(&demo::Config {
             rate: rate.clamp(1.0, 5000.0),
             seconds,
@@ -199,7 +204,7 @@
                 seconds,
                 failpoint: failpoint.clone(),
             };
-            let (called, figures) = match name {
+            let (proof_name, figures) = match name {
                 Proof::Rotation => ("rotation", rotation::prove(&order)),
                 Proof::Fleet => {
                     let members = members.unwrap_or(12).clamp(3, 60);
@@ -251,7 +256,7 @@
             };
             figures.map(|mut figures| {
                 let held = figures["held"] == true;
-                (figures["name"], figures["seed"]) = (json!(called), json!(seed));
+                (figures["name"], figures["seed"]) = (json!(proof_name), json!(seed));
                 figures["failpoint"] = json!(failpoint);
                 println!("{figures}");
                 held
@@ -264,7 +269,7 @@
         Command::OwnershipCost {
             members,
             rates,
-            keepers,
+            ownership_replicas,
             journal,
             seconds,
             seed,
@@ -276,7 +281,7 @@
             ownership_cost::measure(&ownership_cost::Config {
                 members: members.clamp(1, 60),
                 rates,
-                keepers,
+                ownership_replicas,
                 journal,
                 seconds,
                 seed,
@@ -346,11 +351,11 @@
             true
         }),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(why) => {
-            eprintln!("asterdale-testkit: {why}");
+        Err(error) => {
+            eprintln!("asterdale-testkit: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/asterdale-testkit/src/process.rs
+++ b/crates/asterdale-testkit/src/process.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 /// The last lines of a daemon's log are retained, up to this many, to diagnose failures.
-const MOST_LINES: usize = 2000;
+const MAX_LOG_LINES: usize = 2000;
 
 /// The path of the daemon's program: `ASTERDALE_PROGRAM` if set, else `asterdale` in the parent of this program's
 /// directory or in that directory, else `asterdale` from the search path.
@@ -21,12 +21,12 @@
         return path.into();
     }
     let own = std::env::current_exe().unwrap_or_default();
-    let beside = own
+    let candidates = own
         .ancestors()
         .skip(1)
         .take(2)
         .map(|folder| folder.join("asterdale"));
-    beside
+    candidates
         .filter(|path| path.is_file())
         .last()
         .unwrap_or_else(|| "asterdale".into())
@@ -36,7 +36,7 @@
 /// contain failpoints.
 pub fn failpoint_program() -> Result<PathBuf, String> {
     let folder = Path::new("target/failpoints");
-    let built = Command::new("cargo")
+    let status = Command::new("cargo")
         .args([
             "build",
             "--quiet",
@@ -50,7 +50,7 @@
         .arg(folder)
         .status()
         .map_err(|e| format!("cargo: {e}"))?;
-    if !built.success() {
+    if !status.success() {
         return Err(
             "building the daemon with failpoints failed; run this command from the root of the repository".to_owned(),
         );
@@ -75,29 +75,29 @@
     /// A shell that kills the daemon if this program dies without dropping the value: it blocks on a read from a pipe
     /// that is closed then.
     guard: Option<Child>,
-    file: PathBuf,
+    start_file: PathBuf,
     log: Arc<Mutex<Vec<String>>>,
 }
 
 impl Daemon {
     /// Starts a daemon; it may not listen yet when this returns.
-    pub fn start(recipe: &LaunchConfig) -> Result<Daemon, String> {
+    pub fn start(launch: &LaunchConfig) -> Result<Daemon, String> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let file =
+        let start_file =
             std::env::temp_dir().join(format!("asterdale-testkit-{}-{n}", std::process::id()));
-        std::fs::write(&file, recipe.start.to_string())
-            .map_err(|e| format!("{}: {e}", file.display()))?;
-        let mut command = Command::new(&recipe.program);
+        std::fs::write(&start_file, launch.start.to_string())
+            .map_err(|e| format!("{}: {e}", start_file.display()))?;
+        let mut command = Command::new(&launch.program);
         command
             .env_remove("ROUTER_NAME")
             .env_remove("ROUTER_LISTEN")
-            .env("ROUTER_CONFIG", &file);
-        if let Some(failpoint) = &recipe.failpoint {
+            .env("ROUTER_CONFIG", &start_file);
+        if let Some(failpoint) = &launch.failpoint {
             command.env("ASTERDALE_FAILPOINT", failpoint);
         }
         let child = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn();
-        let mut child = child.map_err(|e| format!("{}: {e}", recipe.program.display()))?;
+        let mut child = child.map_err(|e| format!("{}: {e}", launch.program.display()))?;
         let kill = format!("read _; kill -KILL {}", child.id());
         let guard = Command::new("sh")
             .args(["-c", &kill])
@@ -118,7 +118,7 @@
             thread::spawn(move || {
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                     let Ok(mut lines) = lines.lock() else { return };
-                    if lines.len() >= MOST_LINES {
+                    if lines.len() >= MAX_LOG_LINES {
                         lines.remove(0);
                     }
                     lines.push(line);
@@ -128,7 +128,7 @@
         Ok(Daemon {
             child,
             guard,
-            file,
+            start_file,
             log,
         })
     }
@@ -150,7 +150,7 @@
 
     /// The path of its start file.
     pub fn start_file(&self) -> &Path {
-        &self.file
+        &self.start_file
     }
 
     /// The process id.
@@ -166,9 +166,9 @@
 
     /// Asks the daemon to drain and shut down, and waits until it has exited. Returns `false` if it has not exited
     /// within the timeout or exited with an error.
-    pub fn shut_down(&mut self, patience: Duration) -> bool {
+    pub fn shut_down(&mut self, timeout: Duration) -> bool {
         self.signal("TERM");
-        let end = Instant::now() + patience;
+        let end = Instant::now() + timeout;
         while Instant::now() < end {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.success();
@@ -261,6 +261,6 @@
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.start_file);
     }
 }
--- a/crates/asterdale-testkit/src/proofs/bids.rs
+++ b/crates/asterdale-testkit/src/proofs/bids.rs
@@ -9,7 +9,7 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::daemon_fleet::WINDOW_MS;
+use crate::daemon_fleet::RETRY_WINDOW_MS;
 use crate::edge_client::{EdgeClient, Pacer, RequestOutcome};
 use crate::unix_ms;
 
@@ -22,7 +22,7 @@
 /// Keys that are repeated by others are no older.
 const RECENT: f64 = 2000.0;
 /// A key is not asked for any more so long after it was first: whoever begins then may try until its window ends.
-const OLD: f64 = WINDOW_MS as f64 - PATIENCE - 500.0;
+const OLD: f64 = RETRY_WINDOW_MS as f64 - PATIENCE - 500.0;
 /// A bid that was finished this soon may be asked for again, within twice that.
 const SOON: f64 = 1000.0;
 /// A try that was told that it never ran.
@@ -207,7 +207,7 @@
                         bid.body = answer.body;
                         break;
                     }
-                    if matches!(status, "503" | "429") || answer.state != 0 {
+                    if matches!(status, "503" | "429") || answer.protocol_status != 0 {
                         let key = bid.key.clone();
                         self.seen().never.push(Never {
                             id,
--- a/crates/asterdale-testkit/src/proofs/restarts.rs
+++ b/crates/asterdale-testkit/src/proofs/restarts.rs
@@ -17,7 +17,7 @@
 
 use super::bids::{Load, Seen};
 use super::{histogram, quantiles, ProofConfig};
-use crate::daemon_fleet::{self, DaemonFleet, WINDOW_MS};
+use crate::daemon_fleet::{self, DaemonFleet, RETRY_WINDOW_MS};
 use crate::relays::LinkConditions;
 use crate::services::IdempotentRecords;
 use crate::unix_ms;
@@ -442,7 +442,7 @@
     let all: Vec<usize> = (0..told.members).collect();
     play.start(&all)?;
     // Empty folders: quiet for a window, and for as long as a task may lie unread.
-    wait(WINDOW_MS + 5500);
+    wait(RETRY_WINDOW_MS + 5500);
     let places = all.iter().map(|&n| play.fleet.address(n)).collect();
     let load = Arc::new(Load::new(places, (told.rate, LANES), true));
     let lanes: Vec<_> = (0..LANES)
--- a/crates/asterdale-testkit/src/proofs/takeover.rs
+++ b/crates/asterdale-testkit/src/proofs/takeover.rs
@@ -16,7 +16,7 @@
 
 use super::bids::{Load, Seen, LANES};
 use super::{histogram, quantiles, ProofConfig};
-use crate::daemon_fleet::{self, DaemonFleet, LEASE_MS, WINDOW_MS};
+use crate::daemon_fleet::{self, DaemonFleet, LEASE_MS, RETRY_WINDOW_MS};
 use crate::relays::LinkConditions;
 use crate::services::IdempotentRecords;
 use crate::unix_ms;
@@ -267,7 +267,7 @@
                 wait(4 * LEASE_MS);
                 self.start(&keepers[2..3])?;
                 who = (0..self.fleet.len()).collect();
-                wait(WINDOW_MS + 10 * LEASE_MS);
+                wait(RETRY_WINDOW_MS + 10 * LEASE_MS);
             }
             Fault::MostKeepers => {
                 let most = self.some(true, self.keepers / 2 + 1);
@@ -280,7 +280,7 @@
                 wait(if self.lasts {
                     4 * LEASE_MS
                 } else {
-                    WINDOW_MS + 10 * LEASE_MS
+                    RETRY_WINDOW_MS + 10 * LEASE_MS
                 });
             }
             Fault::Everybody => {
@@ -516,7 +516,7 @@
         play.fleet.wait_until_listening(n)?;
     }
     // A group is formed, and the window of one that may have been before has passed.
-    wait(WINDOW_MS + 4 * LEASE_MS);
+    wait(RETRY_WINDOW_MS + 4 * LEASE_MS);
     let places = (0..told.members).map(|n| play.fleet.address(n)).collect();
     let load = Arc::new(Load::new(places, (told.rate, LANES), false));
     let lanes: Vec<_> = (0..LANES)
--- a/crates/asterdale-testkit/src/replace.rs
+++ b/crates/asterdale-testkit/src/replace.rs
@@ -13,24 +13,32 @@
 use crate::simulated_runtime::SimulatedRuntime;
 
 /// Duration of the load before and after the replacement.
-const BEFORE: u64 = 3;
-const AFTER: u64 = 10;
+const SECONDS_BEFORE: u64 = 3;
+const SECONDS_AFTER: u64 = 10;
 
 /// Replaces the process once under load, and returns how many of the requests were served and how many were not.
-fn once(rate: f64, handed: bool) -> Result<Value, String> {
-    let told = |e: std::io::Error| e.to_string();
-    let worker = SimulatedRuntime::start(8, (20, 40)).map_err(told)?;
+fn once(rate: f64, hot_restart: bool) -> Result<Value, String> {
+    let io_error_text = |e: std::io::Error| e.to_string();
+    let runtime = SimulatedRuntime::start(8, (20, 40)).map_err(io_error_text)?;
     let (records, registry) = (
-        services::records().map_err(told)?,
-        services::registry().map_err(told)?,
+        services::records().map_err(io_error_text)?,
+        services::registry().map_err(io_error_text)?,
     );
-    let (site, at, recipe, mut daemon) = begin(&worker, records, registry, None)?;
-    let load = thread::spawn(move || drive_load(at, "", (rate, 64), "200", BEFORE + AFTER));
-    thread::sleep(Duration::from_secs(BEFORE));
-    let mut after = None;
-    if handed {
-        after = upgrade(&program(), &site.control, None);
-        if after.is_none() {
+    let (site, address, launch, mut daemon) = begin(&runtime, records, registry, None)?;
+    let load = thread::spawn(move || {
+        drive_load(
+            address,
+            "",
+            (rate, 64),
+            "200",
+            SECONDS_BEFORE + SECONDS_AFTER,
+        )
+    });
+    thread::sleep(Duration::from_secs(SECONDS_BEFORE));
+    let mut new_process = None;
+    if hot_restart {
+        new_process = upgrade(&program(), &site.control, None);
+        if new_process.is_none() {
             return Err(format!(
                 "the hot restart failed; log of the old process:\n{}",
                 daemon.log().join("\n")
@@ -38,22 +46,24 @@
         }
     } else {
         daemon.shut_down(Duration::from_secs(10));
-        daemon = Daemon::start(&recipe)?;
+        daemon = Daemon::start(&launch)?;
     }
-    let (finished, not, times) = load.join().map_err(|_| "the load panicked".to_owned())?;
-    if let Some(after) = after {
-        signal(after, "TERM");
+    let (served, not_served, latency) = load.join().map_err(|_| "the load panicked".to_owned())?;
+    if let Some(new_process) = new_process {
+        signal(new_process, "TERM");
     }
     daemon.shut_down(Duration::from_secs(10));
     drop(site);
-    Ok(json!({"handed_over": handed, "finished": finished, "not": not, "milliseconds": times}))
+    Ok(
+        json!({"handed_over": hot_restart, "finished": served, "not": not_served, "milliseconds": latency}),
+    )
 }
 
 /// Runs the measurement for both ways of replacing, in turn, twice each.
 pub fn measure(rate: f64) -> Result<Value, String> {
     let turns: Result<Vec<Value>, String> = [true, false, true, false]
         .into_iter()
-        .map(|handed| once(rate, handed))
+        .map(|hot_restart| once(rate, hot_restart))
         .collect();
     Ok(json!({"rate": rate, "turns": turns?}))
 }
--- a/crates/asterdale-testkit/src/scripted.rs
+++ b/crates/asterdale-testkit/src/scripted.rs
@@ -19,12 +19,12 @@
 use serde_json::{json, Value};
 
 /// The longest wait for an event, far longer than any event takes on a slow machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Polls until the condition is true; `what` names it in the panic after `WAIT_TIMEOUT`.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !holds() {
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
         assert!(Instant::now() < end, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(2));
     }
@@ -117,7 +117,9 @@
     pub fn start() -> Backend {
         let backend = Backend::start_before_runtime(|_| ());
         backend.runtime.set_ready();
-        wait_until("the link", || backend.runtime.shared.lock().unwrap().ready);
+        wait_until("the link", || {
+            backend.runtime.shared.lock().unwrap().is_ready
+        });
         backend
     }
 
@@ -140,11 +142,11 @@
             file,
             config,
         };
-        backend.listen_to_log();
+        backend.collect_log();
         backend
     }
 
-    fn listen_to_log(&mut self) {
+    fn collect_log(&mut self) {
         let (stderr, lines) = (self.child.stderr.take().unwrap(), self.log.clone());
         thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
@@ -159,18 +161,18 @@
     pub fn kill_and_restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
-        self.runtime.shared.lock().unwrap().ready = false;
+        self.runtime.shared.lock().unwrap().is_ready = false;
         (self.child, self.file) = launch(&self.config);
-        self.listen_to_log();
-        wait_until("the link", || self.runtime.shared.lock().unwrap().ready);
+        self.collect_log();
+        wait_until("the link", || self.runtime.shared.lock().unwrap().is_ready);
     }
 
     /// Opens a connection as an edge node does.
     pub fn connect(&self) -> EdgeConnection {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Ok(stream) = TcpStream::connect(self.listen) {
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
                 return EdgeConnection::new(stream);
             }
             assert!(
@@ -221,7 +223,7 @@
         }
         {
             let mut shared = runtime.shared.lock().unwrap();
-            (shared.up, shared.notices) =
+            (shared.is_up, shared.notices) =
                 (true, self.runtime.shared.lock().unwrap().notices.clone());
         }
         self.reload(&self.config.to_string());
@@ -253,7 +255,7 @@
     }
 
     /// Requests reports of the counters with SIGUSR1 until the condition is true for one.
-    pub fn counters_until(&self, holds: impl Fn(&dyn Fn(&str) -> u64) -> bool) {
+    pub fn counters_until(&self, condition: impl Fn(&dyn Fn(&str) -> u64) -> bool) {
         wait_until("the counters", || {
             let before = self.log().matches("counters: ").count();
             self.signal("-USR1");
@@ -261,7 +263,7 @@
                 self.log().matches("counters: ").count() > before
             });
             let log = self.log();
-            holds(&|name| counter(&log, name))
+            condition(&|name| counter(&log, name))
         });
     }
 }
@@ -320,43 +322,44 @@
     pub head: String,
     pub body: Vec<u8>,
     stream: TcpStream,
-    again: Sender<TcpStream>,
+    return_connection: Sender<TcpStream>,
 }
 
 impl Records {
     fn new() -> Records {
         let (listener, at) = listener();
         let (sender, calls) = channel();
-        let (again, replied) = channel::<TcpStream>();
-        let serve = move |stream: TcpStream, sender: Sender<Call>, again: Sender<TcpStream>| {
-            thread::spawn(move || {
-                let mut reader = BufReader::new(stream);
-                if let Some((head, body)) = crate::services::read_request(&mut reader) {
-                    let _ = sender.send(Call {
-                        head,
-                        body,
-                        stream: reader.into_inner(),
-                        again,
-                    });
-                }
-            })
-        };
-        let (first, once_more) = (sender.clone(), again.clone());
+        let (return_connection, returned) = channel::<TcpStream>();
+        let serve =
+            move |stream: TcpStream, sender: Sender<Call>, return_connection: Sender<TcpStream>| {
+                thread::spawn(move || {
+                    let mut reader = BufReader::new(stream);
+                    if let Some((head, body)) = crate::services::read_request(&mut reader) {
+                        let _ = sender.send(Call {
+                            head,
+                            body,
+                            stream: reader.into_inner(),
+                            return_connection,
+                        });
+                    }
+                })
+            };
+        let (sender_for_new, return_connection_again) = (sender.clone(), return_connection.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                serve(stream, first.clone(), again.clone());
+                serve(stream, sender_for_new.clone(), return_connection.clone());
             }
         });
         thread::spawn(move || {
-            for stream in replied {
-                serve(stream, sender.clone(), once_more.clone());
+            for stream in returned {
+                serve(stream, sender.clone(), return_connection_again.clone());
             }
         });
         Records { at, calls }
     }
 
     pub fn next_call(&self) -> Call {
-        self.calls.recv_timeout(PATIENCE).expect("no call came")
+        self.calls.recv_timeout(WAIT_TIMEOUT).expect("no call came")
     }
 }
 
@@ -375,7 +378,7 @@
         self.stream
             .write_all(&[head.as_bytes(), body].concat())
             .unwrap();
-        self.again.send(self.stream).unwrap();
+        self.return_connection.send(self.stream).unwrap();
     }
 }
 
@@ -383,52 +386,52 @@
 pub struct Runtime {
     at: SocketAddr,
     commands: Receiver<Value>,
-    shared: Arc<Mutex<Shared>>,
+    shared: Arc<Mutex<RuntimeState>>,
 }
 
-struct Shared {
-    up: bool,
+struct RuntimeState {
+    is_up: bool,
     /// The uptime that it reports.
-    up_ms: f64,
+    uptime_ms: f64,
     /// Whether received lines are discarded.
-    deaf: bool,
+    discard_input: bool,
     link: Option<TcpStream>,
     /// All notices so far; the first has number 1.
     notices: Vec<Value>,
     /// The number of the last notice that the backend has, from its last `sync`.
-    synced: Option<u64>,
-    ready: bool,
+    last_synced_notice: Option<u64>,
+    is_ready: bool,
 }
 
-impl Default for Shared {
-    fn default() -> Shared {
-        let (up, deaf, ready) = (false, false, false);
-        Shared {
-            up,
-            up_ms: 60_000.0,
-            deaf,
+impl Default for RuntimeState {
+    fn default() -> RuntimeState {
+        let (is_up, discard_input, is_ready) = (false, false, false);
+        RuntimeState {
+            is_up,
+            uptime_ms: 60_000.0,
+            discard_input,
             link: None,
             notices: Vec::new(),
-            synced: None,
-            ready,
+            last_synced_notice: None,
+            is_ready,
         }
     }
 }
 
-impl Shared {
-    fn say(&self, line: &Value) {
+impl RuntimeState {
+    fn send_line(&self, line: &Value) {
         if let Some(mut link) = self.link.as_ref() {
             let _ = link.write_all(format!("{line}\n").as_bytes());
         }
     }
-    fn ready(&mut self) {
-        if let (true, false, Some(no)) = (self.up, self.ready, self.synced) {
-            self.ready = true;
-            self.say(&json!({"t": "ready", "status": "LOADED", "time_ms": self.up_ms}));
+    fn become_ready(&mut self) {
+        if let (true, false, Some(no)) = (self.is_up, self.is_ready, self.last_synced_notice) {
+            self.is_ready = true;
+            self.send_line(&json!({"t": "ready", "status": "LOADED", "time_ms": self.uptime_ms}));
             self.notices
                 .iter()
                 .skip(no as usize)
-                .for_each(|notice| self.say(notice));
+                .for_each(|notice| self.send_line(notice));
         }
     }
 }
@@ -437,32 +440,32 @@
     fn new() -> Runtime {
         let (listener, at) = listener();
         let (sender, commands) = channel();
-        let shared = Arc::new(Mutex::new(Shared::default()));
-        let all = shared.clone();
+        let shared = Arc::new(Mutex::new(RuntimeState::default()));
+        let state = shared.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 {
-                    let mut shared = all.lock().unwrap();
-                    (shared.synced, shared.ready) = (None, false);
+                    let mut shared = state.lock().unwrap();
+                    (shared.last_synced_notice, shared.is_ready) = (None, false);
                     shared.link = Some(stream.try_clone().unwrap());
                 }
                 for line in BufReader::new(stream).lines().map_while(Result::ok) {
                     let line: Value = serde_json::from_str(&line).unwrap();
-                    let mut shared = all.lock().unwrap();
-                    if shared.deaf {
+                    let mut shared = state.lock().unwrap();
+                    if shared.discard_input {
                         continue;
                     }
                     match line["t"].as_str().unwrap() {
                         "sync" => {
-                            shared.synced = line["no"].as_u64();
-                            shared.ready();
+                            shared.last_synced_notice = line["no"].as_u64();
+                            shared.become_ready();
                         }
-                        "gauges" if shared.ready => {
-                            shared.say(
+                        "gauges" if shared.is_ready => {
+                            shared.send_line(
                                 &json!({"t": "load", "mark": line["mark"], "v": [0.1, 1, 0.1, 1]}),
                             );
                         }
-                        "gauges" => shared.say(&json!({"t": "nack", "status": "gauges"})),
+                        "gauges" => shared.send_line(&json!({"t": "nack", "status": "gauges"})),
                         _ => drop(sender.send(line)),
                     }
                 }
@@ -478,15 +481,15 @@
     /// Makes the runtime ready; the link becomes ready when `sync` has arrived on it.
     pub fn set_ready(&self) {
         let mut shared = self.shared.lock().unwrap();
-        shared.up = true;
-        shared.ready();
+        shared.is_up = true;
+        shared.become_ready();
     }
 
     /// Starts or stops discarding received lines. When it stops, the current link is closed, because it may have lost lines.
-    pub fn set_discard_input(&self, deaf: bool) {
+    pub fn set_discard_input(&self, discard_input: bool) {
         let mut shared = self.shared.lock().unwrap();
-        shared.deaf = deaf;
-        if let (false, Some(link)) = (deaf, &shared.link) {
+        shared.discard_input = discard_input;
+        if let (false, Some(link)) = (discard_input, &shared.link) {
             let _ = link.shutdown(std::net::Shutdown::Both);
         }
     }
@@ -495,7 +498,7 @@
     pub fn expect_command(&self, name: &str) -> Value {
         let command = self
             .commands
-            .recv_timeout(PATIENCE)
+            .recv_timeout(WAIT_TIMEOUT)
             .unwrap_or_else(|_| panic!("no {name} came"));
         assert_eq!(command["t"], name, "{command}");
         command
@@ -520,8 +523,8 @@
     fn notice(&self, mut notice: Value) {
         let mut shared = self.shared.lock().unwrap();
         notice["no"] = json!(shared.notices.len() + 1);
-        if shared.ready {
-            shared.say(&notice);
+        if shared.is_ready {
+            shared.send_line(&notice);
         }
         shared.notices.push(notice);
     }
@@ -539,7 +542,7 @@
     pub fn replace_runtime(&self) {
         self.break_link(|runtime| {
             let mut shared = runtime.shared.lock().unwrap();
-            (shared.up_ms, shared.notices) = (1.0, Vec::new());
+            (shared.uptime_ms, shared.notices) = (1.0, Vec::new());
         });
     }
 
@@ -548,7 +551,7 @@
     pub fn break_link(&self, meanwhile: impl FnOnce(&Runtime)) {
         {
             let mut shared = self.shared.lock().unwrap();
-            (shared.up, shared.ready) = (false, false);
+            (shared.is_up, shared.is_ready) = (false, false);
             let link = shared.link.take().unwrap();
             link.shutdown(std::net::Shutdown::Both).unwrap();
         }
@@ -570,7 +573,7 @@
     pub head: String,
     pub body: Vec<u8>,
     /// The FastCGI protocol status.
-    pub state: u8,
+    pub protocol_status: u8,
 }
 
 impl Response {
@@ -671,9 +674,15 @@
     }
 
     /// Sends a request of this request class.
-    pub fn send_task(&mut self, number: u16, stage: &str, id: &str, other: &[(&str, &str)]) {
+    pub fn send_task(
+        &mut self,
+        number: u16,
+        request_class: &str,
+        id: &str,
+        other: &[(&str, &str)],
+    ) {
         let start = unix_ms_text();
-        let path = format!("/v1/{stage}");
+        let path = format!("/v1/{request_class}");
         self.send(&request(
             number,
             &path,
@@ -709,7 +718,7 @@
                             head: String::from_utf8(stdout[..at].to_vec())
                                 .map_err(|e| bad(e.to_string()))?,
                             body: stdout[at..].to_vec(),
-                            state: record.content.get(4).copied().unwrap_or(u8::MAX),
+                            protocol_status: record.content.get(4).copied().unwrap_or(u8::MAX),
                         }));
                     }
                     other => return Err(bad(format!("a record of type {other}"))),
--- a/crates/asterdale-testkit/src/services.rs
+++ b/crates/asterdale-testkit/src/services.rs
@@ -8,12 +8,12 @@
 use std::time::{Duration, Instant};
 
 /// The longest head and the longest body that a stand-in reads, so that a broken peer can't make it buffer without bound.
-const MOST: u64 = 64 * 1024;
+const MAX_BYTES: u64 = 64 * 1024;
 
 /// Reads one HTTP request and returns its head and its body; `None` if it is malformed, too long or incomplete.
 pub fn read_request(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
     let mut head = String::new();
-    let mut limited = reader.take(MOST);
+    let mut limited = reader.take(MAX_BYTES);
     while !head.ends_with("\r\n\r\n") {
         if limited.read_line(&mut head).ok()? == 0 {
             return None;
@@ -24,22 +24,22 @@
         .find_map(|line| line.strip_prefix("Content-Length: "));
     let length: u64 = length
         .map_or(Some(0), |length| length.parse().ok())
-        .filter(|&n| n <= MOST)?;
+        .filter(|&n| n <= MAX_BYTES)?;
     let mut body = Vec::new();
     reader.take(length).read_to_end(&mut body).ok()?;
     (body.len() as u64 == length).then_some((head, body))
 }
 
 /// Listens on a loopback port and serves each connection on a thread of its own. Returns the address.
-pub fn serve(work: impl Fn(TcpStream) + Send + Sync + 'static) -> std::io::Result<SocketAddr> {
+pub fn serve(handler: impl Fn(TcpStream) + Send + Sync + 'static) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let at = listener.local_addr()?;
-    let work = std::sync::Arc::new(work);
+    let handler = std::sync::Arc::new(handler);
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let work = work.clone();
+            let handler = handler.clone();
             let _ = stream.set_read_timeout(Some(Duration::from_secs(10)));
-            thread::spawn(move || work(stream));
+            thread::spawn(move || handler(stream));
         }
     });
     Ok(at)
@@ -78,7 +78,7 @@
     /// By the call's body.
     effects: Arc<Mutex<HashMap<Vec<u8>, Effect>>>,
     /// Calls that were rejected for a stale fence: the time, and the id of the run that made the call.
-    older: Arc<Mutex<Vec<(Instant, String)>>>,
+    stale_fence_rejections: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
 impl IdempotentRecords {
@@ -92,9 +92,9 @@
 
     /// Calls that were rejected for a stale fence: the time, and the id of the run that made the call.
     pub fn stale_fence_rejections(&self) -> Vec<(Instant, String)> {
-        self.older
+        self.stale_fence_rejections
             .lock()
-            .map(|older| older.clone())
+            .map(|stale_fence_rejections| stale_fence_rejections.clone())
             .unwrap_or_default()
     }
 
@@ -110,7 +110,10 @@
         if let Some(fence) = fence {
             if fence < effect.highest_fence {
                 let id = field("Op-Of: ").unwrap_or_default().to_owned();
-                self.older.lock().ok()?.push((Instant::now(), id));
+                self.stale_fence_rejections
+                    .lock()
+                    .ok()?
+                    .push((Instant::now(), id));
                 return None;
             }
             effect.highest_fence = fence;
@@ -128,19 +131,19 @@
     }
 
     /// Serves calls on a loopback port; replies are delayed by up to this many milliseconds, depending on the body.
-    pub fn serve(&self, late: u64) -> std::io::Result<SocketAddr> {
-        let keyed = self.clone();
+    pub fn serve(&self, max_delay_ms: u64) -> std::io::Result<SocketAddr> {
+        let records = self.clone();
         serve(move |stream| {
             let mut reader = BufReader::new(&stream);
             let Some((head, body)) = read_request(&mut reader) else {
                 return;
             };
-            let reply = match keyed.call(&head, &body) {
+            let reply = match records.call(&head, &body) {
                 Some(reply) => {
                     let spread = body.iter().fold(0u64, |sum, byte| {
                         sum.wrapping_mul(31).wrapping_add((*byte).into())
                     });
-                    thread::sleep(Duration::from_millis(spread % (late + 1)));
+                    thread::sleep(Duration::from_millis(spread % (max_delay_ms + 1)));
                     let head =
                         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", reply.len());
                     [head.as_bytes(), &reply].concat()
--- a/crates/asterdale-testkit/src/simulated_runtime.rs
+++ b/crates/asterdale-testkit/src/simulated_runtime.rs
@@ -13,30 +13,31 @@
 use serde_json::{json, Value};
 
 /// Notices that are retained for replay, as many as the platform's runtime retains.
-const KEPT: usize = 4000;
+const MAX_RETAINED_NOTICES: usize = 4000;
 /// Of the runs that make a call, one in `LONG_RUNS.0` makes it after `LONG_RUNS.1` milliseconds, and one in as many continues
 /// for that long after the call. This is longer than a lease in the proofs, so that faults of the owner hit runs before and
 /// after their call.
-const LONG: (u64, u64) = (10, 2200);
+const LONG_RUNS: (u64, u64) = (10, 2200);
 
 /// The end of a phase of a run: the time, and the id of the run. The earliest is on top of the heap.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Due(std::cmp::Reverse<Instant>, String);
+struct PhaseEnd(std::cmp::Reverse<Instant>, String);
 
 #[derive(Default)]
 struct State {
     link: Option<TcpStream>,
-    /// The last ones, and how many there were before them.
+    /// The last notices, and how many earlier ones were dropped.
     notices: VecDeque<Value>,
-    before: usize,
-    due: BinaryHeap<Due>,
+    dropped_notices: usize,
+    phase_ends: BinaryHeap<PhaseEnd>,
     running: HashMap<String, Instant>,
     /// The runs that have not made their call yet, with its body.
-    calling: HashMap<String, Vec<u8>>,
+    pending_calls: HashMap<String, Vec<u8>>,
+    /// How often each run was started, by its id.
     runs: HashMap<String, u32>,
     /// All starts, in order.
     starts: Vec<Start>,
-    links: u32,
+    link_count: u32,
 }
 
 /// A start command, as the runtime received it.
@@ -57,14 +58,14 @@
     pub address: SocketAddr,
     cores: usize,
     /// Shortest and longest duration of a run in milliseconds.
-    lasts: (u64, u64),
+    run_duration_ms: (u64, u64),
     /// Runs of this request class make a call with their body after half of their duration.
-    calls: Option<&'static str>,
+    calling_class: Option<&'static str>,
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
 /// A hash of a run's id, from which its duration is derived.
-fn spread(id: &str) -> u64 {
+fn id_hash(id: &str) -> u64 {
     id.bytes().fold(0, |sum: u64, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
     })
@@ -77,34 +78,34 @@
 
 impl SimulatedRuntime {
     /// Starts a runtime that reports this many cores; runs take between the two durations in milliseconds.
-    pub fn start(cores: usize, lasts: (u64, u64)) -> std::io::Result<SimulatedRuntime> {
-        SimulatedRuntime::start_with_calls(cores, lasts, None)
+    pub fn start(cores: usize, run_duration_ms: (u64, u64)) -> std::io::Result<SimulatedRuntime> {
+        SimulatedRuntime::start_with_calls(cores, run_duration_ms, None)
     }
 
     /// Like [`SimulatedRuntime::start`]; in addition runs of this request class make a call to the records service, with
     /// their body, after half of their duration.
     pub fn start_with_calls(
         cores: usize,
-        lasts: (u64, u64),
-        calls: Option<&'static str>,
+        run_duration_ms: (u64, u64),
+        calling_class: Option<&'static str>,
     ) -> std::io::Result<SimulatedRuntime> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let worker = SimulatedRuntime {
+        let runtime = SimulatedRuntime {
             address: listener.local_addr()?,
             cores,
-            lasts,
-            calls,
+            run_duration_ms,
+            calling_class,
             shared: Arc::default(),
         };
-        let (linking, ending) = (worker.clone(), worker.clone());
+        let (acceptor, run_ender) = (runtime.clone(), runtime.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let linked = linking.clone();
-                thread::spawn(move || linked.serve(stream));
+                let server = acceptor.clone();
+                thread::spawn(move || server.serve(stream));
             }
         });
-        thread::spawn(move || ending.end());
-        Ok(worker)
+        thread::spawn(move || run_ender.end());
+        Ok(runtime)
     }
 
     /// How often each run was started, by its id.
@@ -127,7 +128,7 @@
 
     /// How many links were established; a new link replaces the previous one.
     pub fn link_count(&self) -> u32 {
-        self.shared.0.lock().map_or(0, |state| state.links)
+        self.shared.0.lock().map_or(0, |state| state.link_count)
     }
 
     fn serve(&self, stream: TcpStream) {
@@ -145,13 +146,13 @@
             };
             if line["t"] == "sync" {
                 state.link = writer.take();
-                state.links += 1;
+                state.link_count += 1;
             }
-            self.take(&mut state, &line);
+            self.handle_line(&mut state, &line);
         }
     }
 
-    fn take(&self, state: &mut State, line: &Value) {
+    fn handle_line(&self, state: &mut State, line: &Value) {
         let id = line["rid"].as_str().unwrap_or_default();
         match line["t"].as_str().unwrap_or_default() {
             "sync" => {
@@ -159,16 +160,16 @@
                 if no == 0 {
                     // A backend that has restarted: notices are numbered from 1 again, and none of its runs remain.
                     state.notices.clear();
-                    state.before = 0;
+                    state.dropped_notices = 0;
                     state.running.clear();
-                    state.calling.clear();
-                    state.due.clear();
+                    state.pending_calls.clear();
+                    state.phase_ends.clear();
                 }
                 state.say(&json!({"t": "ready", "status": "LOADED", "time_ms": 5}));
                 let missed = state
                     .notices
                     .iter()
-                    .skip(no.saturating_sub(state.before))
+                    .skip(no.saturating_sub(state.dropped_notices))
                     .cloned()
                     .collect::<Vec<_>>();
                 missed.iter().for_each(|notice| state.say(notice));
@@ -183,9 +184,9 @@
             }
             "start" if !state.running.contains_key(id) => {
                 *state.runs.entry(id.to_owned()).or_default() += 1;
-                let (least, most) = self.lasts;
-                let spread = spread(id);
-                let mut lasts = least + spread % (most - least + 1);
+                let (min_ms, max_ms) = self.run_duration_ms;
+                let id_hash = id_hash(id);
+                let mut duration_ms = min_ms + id_hash % (max_ms - min_ms + 1);
                 let body = STANDARD
                     .decode(line["b64"].as_str().unwrap_or_default())
                     .unwrap_or_default();
@@ -194,31 +195,38 @@
                     id: id.to_owned(),
                     body: body.clone(),
                 });
-                if self.calls.is_some_and(|stage| line["route"] == stage) {
-                    state.calling.insert(id.to_owned(), body);
+                if self
+                    .calling_class
+                    .is_some_and(|class| line["route"] == class)
+                {
+                    state.pending_calls.insert(id.to_owned(), body);
                     // A few runs make their call only after far more than a lease.
-                    lasts = if spread % LONG.0 == 0 {
-                        LONG.1
+                    duration_ms = if id_hash % LONG_RUNS.0 == 0 {
+                        LONG_RUNS.1
                     } else {
-                        lasts / 2
+                        duration_ms / 2
                     };
                 }
-                let end = Instant::now() + Duration::from_millis(lasts);
+                let end = Instant::now() + Duration::from_millis(duration_ms);
                 state.running.insert(id.to_owned(), end);
-                state.due.push(Due(std::cmp::Reverse(end), id.to_owned()));
+                state
+                    .phase_ends
+                    .push(PhaseEnd(std::cmp::Reverse(end), id.to_owned()));
                 self.shared.1.notify_one();
             }
             "give" | "omit"
-                if state.running.contains_key(id) && !state.calling.contains_key(id) =>
+                if state.running.contains_key(id) && !state.pending_calls.contains_key(id) =>
             {
-                let spread = spread(id);
-                let rest = if spread % LONG.0 == 1 {
-                    LONG.1
+                let id_hash = id_hash(id);
+                let remaining_ms = if id_hash % LONG_RUNS.0 == 1 {
+                    LONG_RUNS.1
                 } else {
-                    self.lasts.0 / 2
+                    self.run_duration_ms.0 / 2
                 };
-                let end = Instant::now() + Duration::from_millis(rest);
-                state.due.push(Due(std::cmp::Reverse(end), id.to_owned()));
+                let end = Instant::now() + Duration::from_millis(remaining_ms);
+                state
+                    .phase_ends
+                    .push(PhaseEnd(std::cmp::Reverse(end), id.to_owned()));
                 self.shared.1.notify_one();
             }
             _ => {}
@@ -231,26 +239,26 @@
         let Ok(mut state) = lock.lock() else { return };
         loop {
             let now = Instant::now();
-            let wait = match state.due.peek() {
-                Some(Due(at, _)) if at.0 <= now => {
-                    let Some(Due(_, id)) = state.due.pop() else {
+            let wait = match state.phase_ends.peek() {
+                Some(PhaseEnd(at, _)) if at.0 <= now => {
+                    let Some(PhaseEnd(_, id)) = state.phase_ends.pop() else {
                         continue;
                     };
-                    if let Some(body) = state.calling.remove(&id) {
-                        let no = state.before + state.notices.len() + 1;
+                    if let Some(body) = state.pending_calls.remove(&id) {
+                        let no = state.dropped_notices + state.notices.len() + 1;
                         let wants = json!({"t": "wants", "no": no, "rid": id, "b64": STANDARD.encode(body)});
                         state.notice(wants);
                         continue;
                     }
                     if state.running.remove(&id).is_some() {
                         let body = STANDARD.encode(run_result(&id));
-                        let no = state.before + state.notices.len() + 1;
+                        let no = state.dropped_notices + state.notices.len() + 1;
                         let end = json!({"t": "end", "no": no, "rid": id, "status": "PASS", "time_ms": 1, "b64": body});
                         state.notice(end);
                     }
                     continue;
                 }
-                Some(Due(at, _)) => at.0 - now,
+                Some(PhaseEnd(at, _)) => at.0 - now,
                 None => Duration::from_secs(3600),
             };
             let Ok((woken, _)) = wake.wait_timeout(state, wait) else {
@@ -265,9 +273,9 @@
     fn notice(&mut self, notice: Value) {
         self.say(&notice);
         self.notices.push_back(notice);
-        if self.notices.len() > KEPT {
+        if self.notices.len() > MAX_RETAINED_NOTICES {
             self.notices.pop_front();
-            self.before += 1;
+            self.dropped_notices += 1;
         }
     }
 
