--- a/crates/asterdale-testkit/src/edge_client.rs
+++ b/crates/asterdale-testkit/src/edge_client.rs
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Waits until the next request is due. A thread that is late continues from the current time and does not catch up.
+    /// Waits until the next request is due. A thread that is late continues from the current time and does not catch
+    /// up.
     pub fn wait(&mut self) {
         std::thread::sleep(self.next.saturating_duration_since(Instant::now()));
         self.next = (self.next + self.interval).max(Instant::now());
--- a/crates/asterdale-testkit/src/flood.rs
+++ b/crates/asterdale-testkit/src/flood.rs
@@ -1,6 +1,6 @@
-//! A measurement: how endless retries with a revoked token affect other requests while the daemon may use a fraction of a
-//! core. Requests with a valid token arrive at a steady rate, in turn with and without the flood. Its figures are for the
-//! documentation; CI does not run it.
+//! A measurement: how endless retries with a revoked token affect other requests while the daemon may use a fraction
+//! of a core. Requests with a valid token arrive at a steady rate, in turn with and without the flood. Its figures are
+//! for the documentation; CI does not run it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -35,8 +35,8 @@
     asterdale_identity::mint::sign_jws(key, &json!({"alg": "EdDSA", "kid": key.id()}), &claims)
 }
 
-/// Limits a process to a fraction of a core, like a CPU quota: in each period of a tenth of a second it runs until it has
-/// used its fraction, and is paused until the next period.
+/// Limits a process to a fraction of a core, like a CPU quota: in each period of a tenth of a second it runs until it
+/// has used its fraction, and is paused until the next period.
 fn limit_cpu(daemon: &Daemon, share: f64, end: &AtomicBool) {
     const PERIOD_MS: f64 = 100.0;
     while !end.load(Relaxed) {
--- a/crates/asterdale-testkit/src/issuer.rs
+++ b/crates/asterdale-testkit/src/issuer.rs
@@ -1,5 +1,5 @@
-//! A stand-in issuer: serves signed key sets over HTTP with entity tags, and can be slow, unavailable or rolled back, or
-//! serve malformed or forged sets. It records when it delivered which set completely, for the oracle of a proof.
+//! A stand-in issuer: serves signed key sets over HTTP with entity tags, and can be slow, unavailable or rolled back,
+//! or serve malformed or forged sets. It records when it delivered which set completely, for the oracle of a proof.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/asterdale-testkit/src/main.rs
+++ b/crates/asterdale-testkit/src/main.rs
@@ -35,7 +35,8 @@
         #[arg(long, default_value_t = 10)]
         seconds: u64,
     },
-    /// Run a proof under load and faults drawn from the seed; the last line has the figures, exit code 0 only if it held
+    /// Run a proof under load and faults drawn from the seed; the last line has the figures, exit code 0 only if it
+    /// held
     Prove {
         /// Which proof
         name: Proof,
@@ -171,7 +172,8 @@
     Fleet,
     /// Requests survive the loss of their backend: crashes, pauses and partitions of owners and replicas under load
     Takeover,
-    /// Started requests are known after a crash: kills, lost journal directories, directories restored from older copies
+    /// Started requests are known after a crash: kills, lost journal directories, directories restored from older
+    /// copies
     Restarts,
 }
 
--- a/crates/asterdale-testkit/src/ownership_cost.rs
+++ b/crates/asterdale-testkit/src/ownership_cost.rs
@@ -1,5 +1,5 @@
-//! A measurement: what replicated ownership adds to a keyed request in latency and CPU time, at several request rates and
-//! with several numbers of replicas. Its figures are for the documentation; CI does not run it.
+//! A measurement: what replicated ownership adds to a keyed request in latency and CPU time, at several request rates
+//! and with several numbers of replicas. Its figures are for the documentation; CI does not run it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/asterdale-testkit/src/partial_outage.rs
+++ b/crates/asterdale-testkit/src/partial_outage.rs
@@ -1,6 +1,6 @@
-//! A measurement: a third of a fleet is killed under load and started again, with and without membership, under the same
-//! load. The edge nodes' endpoint list stays unchanged, as on edge nodes that receive updates late. Its figures are for the
-//! documentation; CI does not run it.
+//! A measurement: a third of a fleet is killed under load and started again, with and without membership, under the
+//! same load. The edge nodes' endpoint list stays unchanged, as on edge nodes that receive updates late. Its figures
+//! are for the documentation; CI does not run it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -73,8 +73,8 @@
 }
 
 impl Load {
-    /// Sends the requests of one client thread. Each goes to a random member; after a rejection that permits a retry it goes
-    /// to another one, and the member that rejected it is not used until its retry delay has passed.
+    /// Sends the requests of one client thread. Each goes to a random member; after a rejection that permits a retry
+    /// it goes to another one, and the member that rejected it is not used until its retry delay has passed.
     fn run_client(&self, client: u64, seed: u64, rate: f64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ client << 32);
         let mut connections: Vec<EdgeClient> = self
@@ -156,8 +156,8 @@
         failpoint: None,
         seed: config.seed,
         gossip_enabled,
-        // A member serves 33 requests per second on two cores: without a third of the fleet the default rate exceeds the
-        // capacity of the rest.
+        // A member serves 33 requests per second on two cores: without a third of the fleet the default rate exceeds
+        // the capacity of the rest.
         run_duration_ms: (40, 80),
         ownership_replicas: 0,
         has_journal: false,
--- a/crates/asterdale-testkit/src/relays.rs
+++ b/crates/asterdale-testkit/src/relays.rs
@@ -57,6 +57,7 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
+/// A datagram to forward: when, its sequence number, the index of the receiver, and the bytes.
 struct QueuedDatagram(Instant, u64, usize, Vec<u8>);
 
 impl PartialEq for QueuedDatagram {
@@ -267,7 +268,7 @@
             let Some(Reverse(QueuedDatagram(_, _, to, bytes))) = queue.pop() else {
                 break;
             };
-            // Sent from the relay's own socket, because receivers don't reply to a datagram's source address.
+            // Sent from the relay's own socket: processes don't send replies to a datagram's source address.
             let _ = sockets[to].send_to(&bytes, addresses[to]);
             forwarded.fetch_add(1, Ordering::Relaxed);
         }
@@ -285,8 +286,8 @@
     std::str::from_utf8(record.get(offset + 2..offset + 2 + length)?).ok()
 }
 
-/// Carries a persistent stream in one direction. Nothing passes while either direction is blocked, since nothing could be
-/// acknowledged; pending bytes pass once neither is blocked, or the stream ends after `STALL_TIMEOUT`.
+/// Carries a persistent stream in one direction. Nothing passes while either direction is blocked, since nothing could
+/// be acknowledged; pending bytes pass once neither is blocked, or the stream ends after `STALL_TIMEOUT`.
 fn carry_persistent_stream(
     from: &TcpStream,
     mut pending: Vec<u8>,
--- a/crates/asterdale-testkit/src/replace.rs
+++ b/crates/asterdale-testkit/src/replace.rs
@@ -1,5 +1,5 @@
-//! A measurement: a serving process is replaced while requests arrive at a steady rate, in turn by hot restart and by stop
-//! and start. Its figures are for the documentation; CI does not run it.
+//! A measurement: a serving process is replaced while requests arrive at a steady rate, in turn by hot restart and by
+//! stop and start. Its figures are for the documentation; CI does not run it.
 
 use std::thread;
 use std::time::Duration;
--- a/crates/asterdale-testkit/src/scripted.rs
+++ b/crates/asterdale-testkit/src/scripted.rs
@@ -1,6 +1,6 @@
 //! A backend under test with stand-ins for the services it is connected to. A test controls each step of the
-//! stand-ins. Every wait is for an observed event and panics after `WAIT_TIMEOUT`. Items that only tests use have no
-//! doc comment if their name is enough.
+//! stand-ins. Every wait is for an observed event and panics after `WAIT_TIMEOUT`. Only
+//! tests use this module; items whose name is enough have no doc comment.
 #![allow(missing_docs)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -485,7 +485,8 @@
         shared.become_ready();
     }
 
-    /// Starts or stops discarding received lines. When it stops, the current link is closed, because it may have lost lines.
+    /// Starts or stops discarding received lines. When it stops, the current link is closed, because it may have lost
+    /// lines.
     pub fn set_discard_input(&self, discard_input: bool) {
         let mut shared = self.shared.lock().unwrap();
         shared.discard_input = discard_input;
@@ -546,8 +547,8 @@
         });
     }
 
-    /// Closes the link, calls `meanwhile`, and makes the runtime ready again. Notices added meanwhile are sent only on the
-    /// next link.
+    /// Closes the link, calls `meanwhile`, and makes the runtime ready again. Notices added meanwhile are sent only on
+    /// the next link.
     pub fn break_link(&self, meanwhile: impl FnOnce(&Runtime)) {
         {
             let mut shared = self.shared.lock().unwrap();
@@ -697,8 +698,8 @@
             .unwrap_or_else(|e| panic!("no answer came: {e}"))
     }
 
-    /// Like [`EdgeConnection::read_response`], but returns an error if the answer is malformed or the stream's read timeout
-    /// passes.
+    /// Like [`EdgeConnection::read_response`], but returns an error if the answer is malformed or the stream's read
+    /// timeout passes.
     pub fn try_read_response(&mut self) -> std::io::Result<Option<Response>> {
         let bad = |what: String| std::io::Error::new(std::io::ErrorKind::InvalidData, what);
         let mut stdout = Vec::new();
--- a/crates/asterdale-testkit/src/services.rs
+++ b/crates/asterdale-testkit/src/services.rs
@@ -7,7 +7,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest head and the longest body that a stand-in reads, so that a broken peer can't make it buffer without bound.
+/// The longest head and the longest body that a stand-in reads, so that a broken peer can't make it buffer without
+/// bound.
 const MAX_BYTES: u64 = 64 * 1024;
 
 /// Reads one HTTP request and returns its head and its body; `None` if it is malformed, too long or incomplete.
@@ -70,9 +71,9 @@
     reply: Vec<u8>,
 }
 
-/// A records service that deduplicates fenced calls by the key that they carry as their body: it executes the effect of a
-/// key once, repeats the reply for later calls, and rejects a call with a fence below the highest one seen for the key.
-/// A call without a fence is executed every time.
+/// A records service that deduplicates fenced calls by the key that they carry as their body: it executes the effect
+/// of a key once, repeats the reply for later calls, and rejects a call with a fence below the highest one seen for
+/// the key. A call without a fence is executed every time.
 #[derive(Clone, Default)]
 pub struct IdempotentRecords {
     /// By the call's body.
--- a/crates/asterdale-testkit/src/simulated_runtime.rs
+++ b/crates/asterdale-testkit/src/simulated_runtime.rs
@@ -14,9 +14,9 @@
 
 /// Notices that are retained for replay, as many as the platform's runtime retains.
 const MAX_RETAINED_NOTICES: usize = 4000;
-/// Of the runs that make a call, one in `LONG_RUNS.0` makes it after `LONG_RUNS.1` milliseconds, and one in as many continues
-/// for that long after the call. This is longer than a lease in the proofs, so that faults of the owner hit runs before and
-/// after their call.
+/// Of the runs that make a call, one in `LONG_RUNS.0` makes it after `LONG_RUNS.1` milliseconds, and one in as many
+/// continues for that long after the call. This is longer than a lease in the proofs, so that faults of the owner hit
+/// runs before and after their call.
 const LONG_RUNS: (u64, u64) = (10, 2200);
 
 /// The end of a phase of a run: the time, and the id of the run. The earliest is on top of the heap.
@@ -82,8 +82,8 @@
         SimulatedRuntime::start_with_calls(cores, run_duration_ms, None)
     }
 
-    /// Like [`SimulatedRuntime::start`]; in addition runs of this request class make a call to the records service, with
-    /// their body, after half of their duration.
+    /// Like [`SimulatedRuntime::start`]; in addition runs of this request class make a call to the records service,
+    /// with their body, after half of their duration.
     pub fn start_with_calls(
         cores: usize,
         run_duration_ms: (u64, u64),
--- a/crates/asterdale-testkit/src/soak.rs
+++ b/crates/asterdale-testkit/src/soak.rs
@@ -1,6 +1,6 @@
-//! A soak test: one daemon with stand-ins under a steady load over many connections, for minutes or hours. Memory, threads
-//! and descriptors are sampled every second, and their growth rate over the second half is reported, which shows even
-//! small leaks. The test passes if each request got exactly one answer and nothing grows.
+//! A soak test: one daemon with stand-ins under a steady load over many connections, for minutes or hours. Memory,
+//! threads and descriptors are sampled every second, and their growth rate over the second half is reported, which
+//! shows even small leaks. The test passes if each request got exactly one answer and nothing grows.
 
 use std::time::{Duration, Instant};
 
@@ -17,8 +17,8 @@
 /// Samples before this time, in seconds, are not used: idempotency entries and their results are retained for 60 s, so
 /// memory grows until then.
 const STEADY_AFTER_S: f64 = 70.0;
-/// The highest accepted growth of memory. It is exceeded by a leak of 16 bytes per task at 200 tasks per second, and not by
-/// the allocator's own variation within minutes.
+/// The highest accepted growth of memory. It is exceeded by a leak of 16 bytes per task at 200 tasks per second, and
+/// not by the allocator's own variation within minutes.
 const MAX_KIB_PER_HOUR: f64 = 8192.0;
 /// The highest accepted growth of the number of descriptors. One descriptor more may be an artifact of the time of
 /// sampling; more is a leak.
