--- a/crates/asterdale-testkit/src/scripted.rs
+++ b/crates/asterdale-testkit/src/scripted.rs
@@ -117,7 +117,7 @@
     pub fn start() -> Backend {
         let backend = Backend::start_before_runtime(|_| ());
         backend.runtime.set_ready();
-        wait_until("the link", || {
+        wait_until("the runtime link", || {
             backend.runtime.shared.lock().unwrap().is_ready
         });
         backend
@@ -164,7 +164,9 @@
         self.runtime.shared.lock().unwrap().is_ready = false;
         (self.child, self.file) = launch(&self.config);
         self.collect_log();
-        wait_until("the link", || self.runtime.shared.lock().unwrap().is_ready);
+        wait_until("the runtime link", || {
+            self.runtime.shared.lock().unwrap().is_ready
+        });
     }
 
     /// Opens a connection as an edge node does.
@@ -246,11 +248,13 @@
     /// Waits until the process has exited; returns its exit status and its log.
     pub fn wait_for_exit(&mut self) -> (ExitStatus, String) {
         let mut status = None;
-        wait_until("the end", || {
+        wait_until("the process to exit", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
-        wait_until("the last line", || self.log().contains("counters: "));
+        wait_until("the final counters in the log", || {
+            self.log().contains("counters: ")
+        });
         (status.unwrap(), self.log())
     }
 
@@ -259,7 +263,7 @@
         wait_until("the counters", || {
             let before = self.log().matches("counters: ").count();
             self.signal("-USR1");
-            wait_until("a report", || {
+            wait_until("a report of the counters", || {
                 self.log().matches("counters: ").count() > before
             });
             let log = self.log();
@@ -359,7 +363,9 @@
     }
 
     pub fn next_call(&self) -> Call {
-        self.calls.recv_timeout(WAIT_TIMEOUT).expect("no call came")
+        self.calls
+            .recv_timeout(WAIT_TIMEOUT)
+            .expect("no call to the records service arrived")
     }
 }
 
@@ -500,7 +506,7 @@
         let command = self
             .commands
             .recv_timeout(WAIT_TIMEOUT)
-            .unwrap_or_else(|_| panic!("no {name} came"));
+            .unwrap_or_else(|_| panic!("no {name} command arrived"));
         assert_eq!(command["t"], name, "{command}");
         command
     }
@@ -695,7 +701,7 @@
     /// Reads the next complete answer; `None` if the connection has ended.
     pub fn read_response(&mut self) -> Option<Response> {
         self.try_read_response()
-            .unwrap_or_else(|e| panic!("no answer came: {e}"))
+            .unwrap_or_else(|e| panic!("reading an answer failed: {e}"))
     }
 
     /// Like [`EdgeConnection::read_response`], but returns an error if the answer is malformed or the stream's read
@@ -722,7 +728,7 @@
                             protocol_status: record.content.get(4).copied().unwrap_or(u8::MAX),
                         }));
                     }
-                    other => return Err(bad(format!("a record of type {other}"))),
+                    other => return Err(bad(format!("unexpected record of type {other}"))),
                 }
             }
             match self.stream.read(self.incoming.free_space()) {
