--- a/crates/asterdale-testkit/src/daemon_fleet.rs
+++ b/crates/asterdale-testkit/src/daemon_fleet.rs
@@ -67,11 +67,11 @@
     /// The configuration of a proof whose keyed requests call this records service; the program has failpoints
     /// compiled in if the proof activates one.
     pub fn for_proof(
-        order: &crate::proofs::ProofConfig,
+        proof: &crate::proofs::ProofConfig,
         members: usize,
         records: SocketAddr,
     ) -> Result<FleetConfig, String> {
-        let has_failpoint = order.failpoint.is_some();
+        let has_failpoint = proof.failpoint.is_some();
         let program = if has_failpoint {
             crate::process::failpoint_program()?
         } else {
@@ -82,8 +82,8 @@
             seeds: 3.min(members),
             interval_ms: 100.0,
             program,
-            failpoint: order.failpoint.clone(),
-            seed: order.seed,
+            failpoint: proof.failpoint.clone(),
+            seed: proof.seed,
             gossip_enabled: true,
             run_duration_ms: (20, 120),
             ownership_replicas: 0,
--- a/crates/asterdale-testkit/src/replace.rs
+++ b/crates/asterdale-testkit/src/replace.rs
@@ -17,7 +17,7 @@
 const SECONDS_AFTER: u64 = 10;
 
 /// Replaces the process once under load, and returns how many of the requests were served and how many were not.
-fn once(rate: f64, hot_restart: bool) -> Result<Value, String> {
+fn replace_once(rate: f64, hot_restart: bool) -> Result<Value, String> {
     let io_error_text = |e: std::io::Error| e.to_string();
     let runtime = SimulatedRuntime::start(8, (20, 40)).map_err(io_error_text)?;
     let (records, registry) = (
@@ -63,7 +63,7 @@
 pub fn measure(rate: f64) -> Result<Value, String> {
     let turns: Result<Vec<Value>, String> = [true, false, true, false]
         .into_iter()
-        .map(|hot_restart| once(rate, hot_restart))
+        .map(|hot_restart| replace_once(rate, hot_restart))
         .collect();
     Ok(json!({"rate": rate, "turns": turns?}))
 }
--- a/crates/asterdale-testkit/src/scripted.rs
+++ b/crates/asterdale-testkit/src/scripted.rs
@@ -32,8 +32,8 @@
 
 fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
-    (listener, at)
+    let address = listener.local_addr().unwrap();
+    (listener, address)
 }
 
 /// An address at which nothing listens. Its loopback IP address is used once only, so no other listener takes the port.
@@ -87,7 +87,7 @@
     /// The bodies of the reports that the registry received.
     pub reports: Receiver<String>,
     log: Arc<Mutex<String>>,
-    file: PathBuf,
+    start_file: PathBuf,
     config: Value,
 }
 
@@ -98,18 +98,18 @@
         std::process::id(),
         thread::current().id()
     );
-    let file = std::env::temp_dir().join(name);
-    std::fs::write(&file, config.to_string()).unwrap();
+    let start_file = std::env::temp_dir().join(name);
+    std::fs::write(&start_file, config.to_string()).unwrap();
     let child = Command::new(crate::process::program())
         .env_remove("ROUTER_NAME")
         .env_remove("ROUTER_LISTEN")
-        .env("ROUTER_CONFIG", &file)
+        .env("ROUTER_CONFIG", &start_file)
         // A process that outlives the test run must not keep its standard output open.
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    (child, file)
+    (child, start_file)
 }
 
 impl Backend {
@@ -128,9 +128,9 @@
         let listen = unused_address();
         let (runtime, records) = (Runtime::new(), Records::new());
         let (reports, registry) = registry();
-        let mut config = start_file_json(listen, runtime.at, records.at, registry);
+        let mut config = start_file_json(listen, runtime.address, records.address, registry);
         change(&mut config);
-        let (child, file) = launch(&config);
+        let (child, start_file) = launch(&config);
         let log = Arc::default();
         let mut backend = Backend {
             child,
@@ -139,7 +139,7 @@
             records,
             reports,
             log,
-            file,
+            start_file,
             config,
         };
         backend.collect_log();
@@ -162,7 +162,7 @@
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         self.runtime.shared.lock().unwrap().is_ready = false;
-        (self.child, self.file) = launch(&self.config);
+        (self.child, self.start_file) = launch(&self.config);
         self.collect_log();
         wait_until("the runtime link", || {
             self.runtime.shared.lock().unwrap().is_ready
@@ -188,7 +188,7 @@
 
     /// The path of its start file, which processes started by a hot restart read as well.
     pub fn start_file(&self) -> &std::path::Path {
-        &self.file
+        &self.start_file
     }
 
     /// The process id.
@@ -202,7 +202,7 @@
 
     /// Replaces the start file by this text and sends SIGHUP to reload it.
     pub fn reload(&self, text: &str) {
-        std::fs::write(&self.file, text).unwrap();
+        std::fs::write(&self.start_file, text).unwrap();
         self.signal("-HUP");
     }
 
@@ -216,12 +216,12 @@
     /// notices of the old one. Returns the old stand-ins.
     pub fn move_services(&mut self) -> (Runtime, Records, Receiver<String>) {
         let (runtime, records, (reports, registry)) = (Runtime::new(), Records::new(), registry());
-        for (field, at) in [
-            ("runtime", runtime.at),
-            ("records", records.at),
+        for (field, address) in [
+            ("runtime", runtime.address),
+            ("records", records.address),
             ("registry", registry),
         ] {
-            self.config[field] = json!(at);
+            self.config[field] = json!(address);
         }
         {
             let mut shared = runtime.shared.lock().unwrap();
@@ -289,12 +289,12 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.start_file);
     }
 }
 
 fn registry() -> (Receiver<String>, SocketAddr) {
-    let (listener, at) = listener();
+    let (listener, address) = listener();
     let (sender, reports) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -312,12 +312,12 @@
             }
         }
     });
-    (reports, at)
+    (reports, address)
 }
 
 /// The records service; it passes each call to the test.
 pub struct Records {
-    at: SocketAddr,
+    address: SocketAddr,
     calls: Receiver<Call>,
 }
 
@@ -331,7 +331,7 @@
 
 impl Records {
     fn new() -> Records {
-        let (listener, at) = listener();
+        let (listener, address) = listener();
         let (sender, calls) = channel();
         let (return_connection, returned) = channel::<TcpStream>();
         let serve =
@@ -359,7 +359,7 @@
                 serve(stream, sender.clone(), return_connection_again.clone());
             }
         });
-        Records { at, calls }
+        Records { address, calls }
     }
 
     pub fn next_call(&self) -> Call {
@@ -390,7 +390,7 @@
 
 /// The runtime; it answers `sync` once it is up, and `gauges`, and passes all other commands to the test.
 pub struct Runtime {
-    at: SocketAddr,
+    address: SocketAddr,
     commands: Receiver<Value>,
     shared: Arc<Mutex<RuntimeState>>,
 }
@@ -444,7 +444,7 @@
 
 impl Runtime {
     fn new() -> Runtime {
-        let (listener, at) = listener();
+        let (listener, address) = listener();
         let (sender, commands) = channel();
         let shared = Arc::new(Mutex::new(RuntimeState::default()));
         let state = shared.clone();
@@ -478,7 +478,7 @@
             }
         });
         Runtime {
-            at,
+            address,
             commands,
             shared,
         }
@@ -718,13 +718,13 @@
                 match record.record_type {
                     record_type::STDOUT => stdout.extend_from_slice(record.content),
                     record_type::END_REQUEST => {
-                        let at = stdout.windows(4).position(|four| four == b"\r\n\r\n");
-                        let at = at.map_or(stdout.len(), |at| at + 4);
+                        let head_end = stdout.windows(4).position(|four| four == b"\r\n\r\n");
+                        let head_end = head_end.map_or(stdout.len(), |start| start + 4);
                         return Ok(Some(Response {
                             request: record.request_id,
-                            head: String::from_utf8(stdout[..at].to_vec())
+                            head: String::from_utf8(stdout[..head_end].to_vec())
                                 .map_err(|e| bad(e.to_string()))?,
-                            body: stdout[at..].to_vec(),
+                            body: stdout[head_end..].to_vec(),
                             protocol_status: record.content.get(4).copied().unwrap_or(u8::MAX),
                         }));
                     }
--- a/crates/asterdale-testkit/src/simulated_runtime.rs
+++ b/crates/asterdale-testkit/src/simulated_runtime.rs
@@ -104,7 +104,7 @@
                 thread::spawn(move || server.serve(stream));
             }
         });
-        thread::spawn(move || run_ender.end());
+        thread::spawn(move || run_ender.end_phases());
         Ok(runtime)
     }
 
@@ -234,7 +234,7 @@
     }
 
     /// Makes the calls of runs and ends runs when their time has come; never returns in normal operation.
-    fn end(&self) {
+    fn end_phases(&self) {
         let (lock, wake) = &*self.shared;
         let Ok(mut state) = lock.lock() else { return };
         loop {
