--- a/crates/asterdale-testkit/src/scripted.rs
+++ b/crates/asterdale-testkit/src/scripted.rs
@@ -1,6 +1,6 @@
 //! A backend under test with stand-ins for the services it is connected to. A test controls each step of the
-//! stand-ins. Every wait is for an observed event and panics after `WAIT_TIMEOUT`. Only
-//! tests use this module; items whose name is enough have no doc comment.
+//! stand-ins. Every wait is for an observed event and panics after `WAIT_TIMEOUT`. Only tests use this module; items
+//! whose name is enough have no doc comment.
 #![allow(missing_docs)]
 
 use std::io::{BufRead, BufReader, Read, Write};
