--- a/crates/asterdale-testkit/src/daemon_fleet.rs
+++ b/crates/asterdale-testkit/src/daemon_fleet.rs
@@ -149,10 +149,10 @@
                 "control": control_socket});
             }
             if config.ownership_replicas > 0 {
-                let keepers: Vec<Value> = (0..config.ownership_replicas)
+                let replicas: Vec<Value> = (0..config.ownership_replicas)
                     .map(|n| json!({"name": member_name(n), "at": relays.advertised[n]}))
                     .collect();
-                start["takeover"] = json!({"keepers": keepers, "lease_ms": LEASE_MS,
+                start["takeover"] = json!({"keepers": replicas, "lease_ms": LEASE_MS,
                     "stages": [{"name": "bid", "fenced": true}]});
             }
             if config.has_journal {
