--- a/crates/asterdale-testkit/src/issuer.rs
+++ b/crates/asterdale-testkit/src/issuer.rs
@@ -1,5 +1,5 @@
-//! A stand-in issuer: hands out signed sets of keys over HTTP, with tags, and can be slow, down, rolled back, or
-//! speak rubbish. It remembers when it handed out which set whole, which is what an oracle needs.
+//! A stand-in issuer: serves signed key sets over HTTP with entity tags, and can be slow, unavailable or rolled back,
+//! or serve malformed or forged sets. It records when it delivered which set completely, for the oracle of a proof.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,105 +10,106 @@
 use crate::services;
 use crate::unix_ms;
 
-/// How it behaves.
+/// How the issuer answers requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
-    /// As it should.
+pub enum Behavior {
+    /// Serves the last published set.
     Good,
-    /// Each reply takes this long, in milliseconds.
+    /// Delays each reply by this many milliseconds.
     Slow(u64),
-    /// Connections end without a reply.
+    /// Closes connections without a reply.
     Down,
-    /// It hands out a set from long ago.
+    /// Serves the first published set.
     RolledBack,
-    /// It says things that are no set.
-    Rubbish,
-    /// It hands out a set that another root has signed.
+    /// Serves a truncated body that is not a key set.
+    Malformed,
+    /// Serves a set that is signed with another root key.
     Forged,
 }
 
 #[derive(Default)]
 struct State {
-    mood: Option<Mood>,
-    /// All sets, in the order of their numbers.
+    behavior: Option<Behavior>,
+    /// All published sets with their sequence numbers, in the order of publication.
     sets: Vec<(u64, String)>,
     forged: String,
-    handed: Vec<(f64, u64)>,
-    asked: u64,
-    unchanged: u64,
+    deliveries: Vec<(f64, u64)>,
+    requests: u64,
+    not_modified: u64,
 }
 
-/// The issuer.
+/// The stand-in issuer.
 #[derive(Clone)]
 pub struct Issuer {
-    /// Where it listens.
-    pub at: SocketAddr,
+    /// The address at which it listens.
+    pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl Issuer {
-    /// One without a set yet.
+    /// Starts an issuer that has no key set yet.
     pub fn start() -> std::io::Result<Issuer> {
         let state: Arc<Mutex<State>> = Arc::default();
         let shared = state.clone();
-        let at = services::serve(move |stream| answer(&stream, &shared))?;
-        Ok(Issuer { at, state })
+        let address = services::serve(move |stream| answer(&stream, &shared))?;
+        Ok(Issuer { address, state })
     }
 
-    /// It hands out this set from now on.
+    /// Publishes a set, which is served from now on.
     pub fn publish(&self, seq: u64, set: String) {
         if let Ok(mut state) = self.state.lock() {
             state.sets.push((seq, set));
         }
     }
 
-    /// What a forger would hand out.
-    pub fn forged(&self, set: String) {
+    /// Sets the body that is served with [`Behavior::Forged`].
+    pub fn set_forged_key_set(&self, set: String) {
         if let Ok(mut state) = self.state.lock() {
             state.forged = set;
         }
     }
 
-    /// It behaves like this from now on.
-    pub fn mood(&self, mood: Mood) {
+    /// Changes how requests are answered from now on.
+    pub fn set_behavior(&self, behavior: Behavior) {
         if let Ok(mut state) = self.state.lock() {
-            state.mood = Some(mood);
+            state.behavior = Some(behavior);
         }
     }
 
-    /// When it handed out which set whole, as the last one: the time is after the last byte.
-    pub fn handed(&self) -> Vec<(f64, u64)> {
+    /// The complete deliveries of a current set: the Unix time in milliseconds after its last byte was written, and its
+    /// sequence number.
+    pub fn deliveries(&self) -> Vec<(f64, u64)> {
         self.state
             .lock()
-            .map(|state| state.handed.clone())
+            .map(|state| state.deliveries.clone())
             .unwrap_or_default()
     }
 
-    /// How often it was asked, and how often the set had not changed.
-    pub fn asked(&self) -> (u64, u64) {
+    /// The number of requests, and how many of them were answered with status 304.
+    pub fn request_counts(&self) -> (u64, u64) {
         self.state
             .lock()
-            .map_or((0, 0), |state| (state.asked, state.unchanged))
+            .map_or((0, 0), |state| (state.requests, state.not_modified))
     }
 }
 
 fn answer(stream: &TcpStream, state: &Mutex<State>) {
     let mut reader = BufReader::new(stream);
-    let Some((head, _)) = services::request(&mut reader) else {
+    let Some((head, _)) = services::read_request(&mut reader) else {
         return;
     };
-    let (mood, last, old, forged) = {
+    let (behavior, last, first, forged) = {
         let Ok(mut state) = state.lock() else { return };
-        state.asked += 1;
-        let mood = state.mood.unwrap_or(Mood::Good);
+        state.requests += 1;
+        let behavior = state.behavior.unwrap_or(Behavior::Good);
         (
-            mood,
+            behavior,
             state.sets.last().cloned(),
             state.sets.first().cloned(),
             state.forged.clone(),
         )
     };
-    let (Some(last), Some(old)) = (last, old) else {
+    let (Some(last), Some(first)) = (last, first) else {
         return;
     };
     let mut out = stream;
@@ -120,26 +121,26 @@
         )
         .is_ok()
     };
-    match mood {
-        Mood::Down => {}
-        Mood::Rubbish => {
+    match behavior {
+        Behavior::Down => {}
+        Behavior::Malformed => {
             drop(out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"keys\":1"))
         }
-        Mood::RolledBack => drop(send(stream, "old", &old.1)),
-        Mood::Forged => drop(send(stream, "forged", &forged)),
-        Mood::Good | Mood::Slow(_) => {
-            if let Mood::Slow(ms) = mood {
+        Behavior::RolledBack => drop(send(stream, "old", &first.1)),
+        Behavior::Forged => drop(send(stream, "forged", &forged)),
+        Behavior::Good | Behavior::Slow(_) => {
+            if let Behavior::Slow(ms) = behavior {
                 thread::sleep(Duration::from_millis(ms));
             }
             let known = format!("If-None-Match: \"{}\"", last.0);
             if head.lines().any(|line| line == known) {
                 let _ = out.write_all(b"HTTP/1.1 304 Not Modified\r\nContent-Length: 0\r\n\r\n");
                 if let Ok(mut state) = state.lock() {
-                    state.unchanged += 1;
+                    state.not_modified += 1;
                 }
             } else if send(stream, &last.0.to_string(), &last.1) {
                 if let Ok(mut state) = state.lock() {
-                    state.handed.push((unix_ms(), last.0));
+                    state.deliveries.push((unix_ms(), last.0));
                 }
             }
         }
--- a/crates/asterdale-testkit/src/process.rs
+++ b/crates/asterdale-testkit/src/process.rs
@@ -1,4 +1,5 @@
-//! Processes of the daemon: found, built with failpoints where one is asked for, started, told, ended.
+//! Daemon child processes: locating the program, building it with failpoints, starting it, signalling it and reading
+//! its log and resource use.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -10,30 +11,32 @@
 
 use serde_json::Value;
 
-/// Lines of a log that are kept: the last ones, for a look at why something failed.
-const MOST_LINES: usize = 2000;
+/// The last lines of a daemon's log are retained, up to this many, to diagnose failures.
+const MAX_LOG_LINES: usize = 2000;
 
-/// The daemon's program: `ASTERDALE_PROGRAM`, or the one beside this program or its folder.
+/// The path of the daemon's program: `ASTERDALE_PROGRAM` if set, else `asterdale` in the parent of this program's
+/// directory or in that directory, else `asterdale` from the search path.
 pub fn program() -> PathBuf {
     if let Some(path) = std::env::var_os("ASTERDALE_PROGRAM") {
         return path.into();
     }
     let own = std::env::current_exe().unwrap_or_default();
-    let beside = own
+    let candidates = own
         .ancestors()
         .skip(1)
         .take(2)
         .map(|folder| folder.join("asterdale"));
-    beside
+    candidates
         .filter(|path| path.is_file())
         .last()
         .unwrap_or_else(|| "asterdale".into())
 }
 
-/// Builds the daemon with failpoints compiled in, in a folder of its own: no shipped build can have them.
+/// Builds the daemon with failpoints compiled in. It has a separate target directory, because no shipped build may
+/// contain failpoints.
 pub fn failpoint_program() -> Result<PathBuf, String> {
     let folder = Path::new("target/failpoints");
-    let built = Command::new("cargo")
+    let status = Command::new("cargo")
         .args([
             "build",
             "--quiet",
@@ -47,53 +50,54 @@
         .arg(folder)
         .status()
         .map_err(|e| format!("cargo: {e}"))?;
-    if !built.success() {
+    if !status.success() {
         return Err(
-            "the daemon with failpoints can't be built: run this from the repository".to_owned(),
+            "building the daemon with failpoints failed; run this command from the root of the repository".to_owned(),
         );
     }
     Ok(folder.join("debug/asterdale"))
 }
 
-/// How the daemon is started.
+/// How a daemon is started.
 #[derive(Clone)]
-pub struct Recipe {
-    /// The program.
+pub struct LaunchConfig {
+    /// The path of the program.
     pub program: PathBuf,
-    /// The start file.
+    /// The content of the start file.
     pub start: Value,
-    /// The failpoint that is active in it.
+    /// The failpoint that is active in the daemon.
     pub failpoint: Option<String>,
 }
 
-/// A daemon that runs.
+/// A daemon process; dropping it kills the process and removes its start file.
 pub struct Daemon {
     child: Child,
-    /// Ends it where this program ends without a word: it reads from a pipe that ends then.
+    /// A shell that kills the daemon if this program dies without dropping the value: it blocks on a read from a pipe
+    /// that is closed then.
     guard: Option<Child>,
-    file: PathBuf,
+    start_file: PathBuf,
     log: Arc<Mutex<Vec<String>>>,
 }
 
 impl Daemon {
-    /// Starts one. It may not listen yet.
-    pub fn start(recipe: &Recipe) -> Result<Daemon, String> {
+    /// Starts a daemon; it may not listen yet when this returns.
+    pub fn start(launch: &LaunchConfig) -> Result<Daemon, String> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let file =
+        let start_file =
             std::env::temp_dir().join(format!("asterdale-testkit-{}-{n}", std::process::id()));
-        std::fs::write(&file, recipe.start.to_string())
-            .map_err(|e| format!("{}: {e}", file.display()))?;
-        let mut command = Command::new(&recipe.program);
+        std::fs::write(&start_file, launch.start.to_string())
+            .map_err(|e| format!("{}: {e}", start_file.display()))?;
+        let mut command = Command::new(&launch.program);
         command
             .env_remove("ROUTER_NAME")
             .env_remove("ROUTER_LISTEN")
-            .env("ROUTER_CONFIG", &file);
-        if let Some(failpoint) = &recipe.failpoint {
+            .env("ROUTER_CONFIG", &start_file);
+        if let Some(failpoint) = &launch.failpoint {
             command.env("ASTERDALE_FAILPOINT", failpoint);
         }
         let child = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn();
-        let mut child = child.map_err(|e| format!("{}: {e}", recipe.program.display()))?;
+        let mut child = child.map_err(|e| format!("{}: {e}", launch.program.display()))?;
         let kill = format!("read _; kill -KILL {}", child.id());
         let guard = Command::new("sh")
             .args(["-c", &kill])
@@ -114,7 +118,7 @@
             thread::spawn(move || {
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                     let Ok(mut lines) = lines.lock() else { return };
-                    if lines.len() >= MOST_LINES {
+                    if lines.len() >= MAX_LOG_LINES {
                         lines.remove(0);
                     }
                     lines.push(line);
@@ -124,18 +128,18 @@
         Ok(Daemon {
             child,
             guard,
-            file,
+            start_file,
             log,
         })
     }
 
-    /// Waits until it takes connections here.
-    pub fn listens(&self, at: SocketAddr) -> Result<(), String> {
+    /// Waits until the daemon accepts connections at this address, for 20 s at most.
+    pub fn wait_until_listening(&self, at: SocketAddr) -> Result<(), String> {
         let end = Instant::now() + Duration::from_secs(20);
         while TcpStream::connect_timeout(&at, Duration::from_secs(1)).is_err() {
             if Instant::now() >= end {
                 return Err(format!(
-                    "the daemon does not listen:\n{}",
+                    "the daemon does not listen after 20 s; its log:\n{}",
                     self.log().join("\n")
                 ));
             }
@@ -144,26 +148,27 @@
         Ok(())
     }
 
-    /// Its start file.
-    pub fn file(&self) -> &Path {
-        &self.file
+    /// The path of its start file.
+    pub fn start_file(&self) -> &Path {
+        &self.start_file
     }
 
-    /// Its process's number.
-    pub fn id(&self) -> u32 {
+    /// The process id.
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal, by name.
+    /// Sends the process a signal, given by name without `SIG`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         let _ = Command::new("sh").args(["-c", &kill]).status();
     }
 
-    /// Tells it to leave, and waits for its end; `false` if that took too long or went wrong.
-    pub fn leave(&mut self, patience: Duration) -> bool {
+    /// Asks the daemon to drain and shut down, and waits until it has exited. Returns `false` if it has not exited
+    /// within the timeout or exited with an error.
+    pub fn shut_down(&mut self, timeout: Duration) -> bool {
         self.signal("TERM");
-        let end = Instant::now() + patience;
+        let end = Instant::now() + timeout;
         while Instant::now() < end {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.success();
@@ -173,12 +178,12 @@
         false
     }
 
-    /// Whether it has ended by itself.
-    pub fn ended(&mut self) -> bool {
+    /// Whether the process has exited.
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// The last lines of its log.
+    /// The last lines of the log.
     pub fn log(&self) -> Vec<String> {
         self.log
             .lock()
@@ -186,7 +191,8 @@
             .unwrap_or_default()
     }
 
-    /// The counters, asked for now: the number of one of them.
+    /// Requests a report of the counters with SIGUSR1 and returns the value of one; `None` if no report within 10 s has
+    /// it.
     pub fn counter(&self, name: &str) -> Option<u64> {
         let reports = || {
             self.log()
@@ -208,20 +214,22 @@
         found.trim_end_matches(',').parse().ok()
     }
 
-    /// Its threads and its descriptors.
-    pub fn holds(&self) -> (usize, usize) {
+    /// The numbers of its threads and of its open file descriptors.
+    pub fn thread_and_descriptor_counts(&self) -> (usize, usize) {
         let count = |what: &str| {
-            std::fs::read_dir(format!("/proc/{}/{what}", self.id())).map_or(0, Iterator::count)
+            std::fs::read_dir(format!("/proc/{}/{what}", self.process_id()))
+                .map_or(0, Iterator::count)
         };
         (count("task"), count("fd"))
     }
 
-    /// CPU time that it has used, in milliseconds, and its memory, in KiB; as Linux tells them.
-    pub fn usage(&self) -> (f64, u64) {
+    /// CPU time used in milliseconds and resident memory in KiB, from `/proc`.
+    pub fn cpu_ms_and_memory_kib(&self) -> (f64, u64) {
         let read = |what: &str| {
-            std::fs::read_to_string(format!("/proc/{}/{what}", self.id())).unwrap_or_default()
+            std::fs::read_to_string(format!("/proc/{}/{what}", self.process_id()))
+                .unwrap_or_default()
         };
-        // The fields after the name in brackets: user and system time are the 12th and 13th, in hundredths.
+        // Of the fields after the name in parentheses the 12th and 13th are user and system time in 1/100 s.
         let stat = read("stat");
         let fields: Vec<&str> = stat
             .rsplit(") ")
@@ -246,13 +254,13 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // The guard first: once the daemon has ended its number may be another's.
+        // The guard is stopped first: once the daemon has exited, another process may get its process id.
         if let Some(mut guard) = self.guard.take() {
             let _ = guard.kill();
             let _ = guard.wait();
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.start_file);
     }
 }
--- a/crates/asterdale-testkit/src/proofs/bids.rs
+++ b/crates/asterdale-testkit/src/proofs/bids.rs
@@ -9,8 +9,8 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::caller::{Caller, Fate, Pace};
-use crate::many::WINDOW_MS;
+use crate::daemon_fleet::RETRY_WINDOW_MS;
+use crate::edge_client::{EdgeClient, Pacer, RequestOutcome};
 use crate::unix_ms;
 
 /// Threads that bring the load.
@@ -22,7 +22,7 @@
 /// Keys that are repeated by others are no older.
 const RECENT: f64 = 2000.0;
 /// A key is not asked for any more so long after it was first: whoever begins then may try until its window ends.
-const OLD: f64 = WINDOW_MS as f64 - PATIENCE - 500.0;
+const OLD: f64 = RETRY_WINDOW_MS as f64 - PATIENCE - 500.0;
 /// A bid that was finished this soon may be asked for again, within twice that.
 const SOON: f64 = 1000.0;
 /// A try that was told that it never ran.
@@ -121,8 +121,9 @@
     /// One lane: each task goes to some backend, and to others until it has a result or its caller gives up.
     pub(super) fn lane(&self, seed: u64, lane: u64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ lane << 32);
-        let mut callers: Vec<Caller> = self.places.iter().map(|&at| Caller::new(at)).collect();
-        let mut pace = Pace::new(lane, self.lanes, self.rate);
+        let mut callers: Vec<EdgeClient> =
+            self.places.iter().map(|&at| EdgeClient::new(at)).collect();
+        let mut pace = Pacer::new(lane, self.lanes, self.rate);
         while !self.stop.load(Ordering::Relaxed) {
             pace.wait();
             let key = (random.next_u32() % 2 == 0).then(|| self.key(&mut random));
@@ -144,7 +145,7 @@
         }
     }
 
-    fn bid(&self, key: Option<String>, callers: &mut [Caller], random: &mut Pcg64Mcg) -> Bid {
+    fn bid(&self, key: Option<String>, callers: &mut [EdgeClient], random: &mut Pcg64Mcg) -> Bid {
         let began = unix_ms();
         let mut bid = Bid {
             key,
@@ -191,12 +192,12 @@
                     bid.key.as_deref().unwrap_or_default(),
                 ),
             ];
-            callers[to].waits(Duration::from_secs_f64((waits + 100.0) / 1e3));
+            callers[to].set_timeout(Duration::from_secs_f64((waits + 100.0) / 1e3));
             let body = bid.key.clone().unwrap_or_default();
             let mut pause = 20.0;
-            match callers[to].ask(path, &fields, body.as_bytes()) {
-                Fate::Refused | Fate::Lost => {}
-                Fate::Answered(answer) => {
+            match callers[to].request(path, &fields, body.as_bytes()) {
+                RequestOutcome::Refused | RequestOutcome::Lost => {}
+                RequestOutcome::Answered(answer) => {
                     let field =
                         |name: &str| answer.head.lines().find_map(|line| line.strip_prefix(name));
                     let unknown = field("X-Outcome: unknown").is_some();
@@ -206,7 +207,7 @@
                         bid.body = answer.body;
                         break;
                     }
-                    if matches!(status, "503" | "429") || answer.state != 0 {
+                    if matches!(status, "503" | "429") || answer.protocol_status != 0 {
                         let key = bid.key.clone();
                         self.seen().never.push(Never {
                             id,
--- a/crates/asterdale-testkit/src/proofs/upgrade.rs
+++ b/crates/asterdale-testkit/src/proofs/upgrade.rs
@@ -16,10 +16,10 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
 
-use super::{histogram, quantiles, Order};
-use crate::caller::{Caller, Fate};
-use crate::process::{failpoint_program, program, Daemon, Recipe};
-use crate::worker::Worker;
+use super::{histogram, quantiles, ProofConfig};
+use crate::edge_client::{EdgeClient, RequestOutcome};
+use crate::process::{failpoint_program, program, Daemon, LaunchConfig};
+use crate::simulated_runtime::SimulatedRuntime;
 use crate::{scripted, services, unix_ms};
 
 /// Tasks a second in all, and the connections that bring them.
@@ -69,7 +69,7 @@
     /// One lane: a third of its tasks are bids, half of those repeat a recent one.
     fn lane(&self, edge: u32, seed: u64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let mut caller = Caller::new(self.at);
+        let mut caller = EdgeClient::new(self.at);
         let every = Duration::from_secs_f64(f64::from(LANES) / RATE);
         let mut next = Instant::now() + every.mul_f64(f64::from(random.next_u32() % 1000) / 1000.0);
         let number = (edge % 4).to_string();
@@ -109,10 +109,10 @@
                 "/v1/page"
             };
             let body = mark.clone().unwrap_or_default();
-            match caller.ask(path, &fields, body.as_bytes()) {
-                Fate::Refused => note(&self.refused, sent),
-                Fate::Lost => note(&self.lost, unix_ms()),
-                Fate::Answered(answer) => {
+            match caller.request(path, &fields, body.as_bytes()) {
+                RequestOutcome::Refused => note(&self.refused, sent),
+                RequestOutcome::Lost => note(&self.lost, unix_ms()),
+                RequestOutcome::Answered(answer) => {
                     let status = answer.status().to_owned();
                     let asked = Asked {
                         mark,
@@ -350,11 +350,11 @@
 
 /// A daemon that can hand over, on a site of its own; where it listens, and how it was started.
 pub fn begin(
-    worker: &Worker,
+    worker: &SimulatedRuntime,
     records: SocketAddr,
     registry: SocketAddr,
     failpoint: Option<String>,
-) -> Result<(Site, SocketAddr, Recipe, Daemon), String> {
+) -> Result<(Site, SocketAddr, LaunchConfig, Daemon), String> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let told = |e: std::io::Error| e.to_string();
     let program = if failpoint.is_some() {
@@ -368,7 +368,12 @@
     std::fs::create_dir_all(&folder).map_err(told)?;
     std::fs::set_permissions(&folder, std::fs::Permissions::from_mode(0o700)).map_err(told)?;
     let control = folder.join("control");
-    let mut start = scripted::config(scripted::address(), worker.at, records, registry);
+    let mut start = scripted::start_file_json(
+        scripted::unused_address(),
+        worker.address,
+        records,
+        registry,
+    );
     start["settings"]["extra"]["cores"] = json!(8);
     start["upgrade"] = json!({"control": control});
     let at = start["listen"]
@@ -376,7 +381,7 @@
         .and_then(|at| at.parse().ok())
         .ok_or("no address")?;
     let text = start.to_string();
-    let recipe = Recipe {
+    let recipe = LaunchConfig {
         program: program.clone(),
         start,
         failpoint,
@@ -384,20 +389,20 @@
     let daemon = Daemon::start(&recipe)?;
     let site = Site {
         folder,
-        file: daemon.file().to_owned(),
+        file: daemon.start_file().to_owned(),
         control,
         program,
         text,
     };
-    daemon.listens(at)?;
+    daemon.wait_until_listening(at)?;
     Ok((site, at, recipe, daemon))
 }
 
 /// Runs the proof, with so many upgrades, of which so many are made to fail. How long it takes follows from that.
-pub fn prove(order: &Order, upgrades: u32, fails: u32) -> Result<Value, String> {
+pub fn prove(order: &ProofConfig, upgrades: u32, fails: u32) -> Result<Value, String> {
     let told = |e: std::io::Error| e.to_string();
     let mut random = Pcg64Mcg::seed_from_u64(order.seed);
-    let worker = Worker::start(8, (5, 40)).map_err(told)?;
+    let worker = SimulatedRuntime::start(8, (5, 40)).map_err(told)?;
     let (records, registry) = (
         services::records().map_err(told)?,
         services::registry().map_err(told)?,
@@ -440,7 +445,7 @@
     for n in (1..failing.len()).rev() {
         failing.swap(n, random.next_u32() as usize % (n + 1));
     }
-    let (kills, mut serving) = (Mutex::default(), daemon.id());
+    let (kills, mut serving) = (Mutex::default(), daemon.process_id());
     let (mut done, mut memory, mut windows, mut lost_sight) = (0, 0, Vec::new(), Vec::new());
     for (n, failure) in failing.iter().enumerate() {
         let began = unix_ms();
@@ -472,7 +477,7 @@
     signal(serving, "TERM");
     let end = Instant::now() + Duration::from_secs(20);
     while alive(serving) && Instant::now() < end {
-        let _ = daemon.ended();
+        let _ = daemon.has_exited();
         thread::sleep(Duration::from_millis(10));
     }
     let left = !alive(serving);
@@ -485,7 +490,7 @@
     let (mut wrong, counts) = judge(&play, &worker.runs(), &kills);
     wrong.append(&mut lost_sight);
     // An upgrade makes a link, and a way back another. Two that serve take it from each other for ever.
-    let links = worker.links();
+    let links = worker.link_count();
     if links > 1 + 2 * upgrades {
         wrong.push(format!(
             "the link was made {links} times in {upgrades} upgrades: two processes serve"
--- a/crates/asterdale-testkit/src/scripted.rs
+++ b/crates/asterdale-testkit/src/scripted.rs
@@ -1,6 +1,6 @@
-//! A backend under test, and small stand-ins for all that it talks to, which do what a test tells them, one
-//! step at a time. Every wait is for something observed, and ends with a panic after `PATIENCE`. Names say what
-//! things are; it is for tests alone.
+//! A backend under test with stand-ins for the services it is connected to. A test controls each step of the
+//! stand-ins. Every wait is for an observed event and panics after `WAIT_TIMEOUT`. Only tests use this module; items
+//! whose name is enough have no doc comment.
 #![allow(missing_docs)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -18,26 +18,26 @@
 use base64::Engine;
 use serde_json::{json, Value};
 
-/// Far longer than anything takes on a slow machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// The longest wait for an event, far longer than any event takes on a slow machine.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until this is true.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < end, "waited in vain for {what}");
+/// Polls until the condition is true; `what` names it in the panic after `WAIT_TIMEOUT`.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
 fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
-    (listener, at)
+    let address = listener.local_addr().unwrap();
+    (listener, address)
 }
 
-/// An address where nobody listens, on a loopback address of its own: no other listener gets its port.
-pub fn address() -> SocketAddr {
+/// An address at which nothing listens. Its loopback IP address is used once only, so no other listener takes the port.
+pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (n, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
     SocketAddr::from((
@@ -51,8 +51,8 @@
     ))
 }
 
-/// A start file that works; the addresses are given.
-pub fn config(
+/// The content of a valid start file with these addresses.
+pub fn start_file_json(
     listen: SocketAddr,
     runtime: SocketAddr,
     records: SocketAddr,
@@ -78,57 +78,59 @@
             "overShareWorth": 0.1, "servers": 2, "tickNs": 5_000_000, "worthBy": "work"}})
 }
 
-/// A backend that runs, with its stand-ins.
+/// A running backend with its stand-ins.
 pub struct Backend {
     child: Child,
     listen: SocketAddr,
     pub runtime: Runtime,
     pub records: Records,
-    /// Bodies of the reports that came to the registry.
+    /// The bodies of the reports that the registry received.
     pub reports: Receiver<String>,
     log: Arc<Mutex<String>>,
-    file: PathBuf,
+    start_file: PathBuf,
     config: Value,
 }
 
-/// Starts the program with this start file.
+/// Starts the daemon with this start file; returns the process and the path of the file.
 pub fn launch(config: &Value) -> (Child, PathBuf) {
     let name = format!(
         "asterdale-test-{}-{:?}",
         std::process::id(),
         thread::current().id()
     );
-    let file = std::env::temp_dir().join(name);
-    std::fs::write(&file, config.to_string()).unwrap();
+    let start_file = std::env::temp_dir().join(name);
+    std::fs::write(&start_file, config.to_string()).unwrap();
     let child = Command::new(crate::process::program())
         .env_remove("ROUTER_NAME")
         .env_remove("ROUTER_LISTEN")
-        .env("ROUTER_CONFIG", &file)
-        // A process that is left behind must not hold the output of the tests.
+        .env("ROUTER_CONFIG", &start_file)
+        // A process that outlives the test run must not keep its standard output open.
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    (child, file)
+    (child, start_file)
 }
 
 impl Backend {
-    /// One whose runtime is up.
+    /// Starts a backend and waits until its runtime is ready.
     pub fn start() -> Backend {
         let backend = Backend::start_before_runtime(|_| ());
-        backend.runtime.up();
-        until("the link", || backend.runtime.shared.lock().unwrap().ready);
+        backend.runtime.set_ready();
+        wait_until("the runtime link", || {
+            backend.runtime.shared.lock().unwrap().is_ready
+        });
         backend
     }
 
-    /// One whose runtime takes the link and is not up yet; the start file can be changed.
+    /// Starts a backend whose runtime accepts the link and is not ready yet; `change` may edit the start file.
     pub fn start_before_runtime(change: impl FnOnce(&mut Value)) -> Backend {
-        let listen = address();
+        let listen = unused_address();
         let (runtime, records) = (Runtime::new(), Records::new());
         let (reports, registry) = registry();
-        let mut config = config(listen, runtime.at, records.at, registry);
+        let mut config = start_file_json(listen, runtime.address, records.address, registry);
         change(&mut config);
-        let (child, file) = launch(&config);
+        let (child, start_file) = launch(&config);
         let log = Arc::default();
         let mut backend = Backend {
             child,
@@ -137,14 +139,14 @@
             records,
             reports,
             log,
-            file,
+            start_file,
             config,
         };
-        backend.listen_to_log();
+        backend.collect_log();
         backend
     }
 
-    fn listen_to_log(&mut self) {
+    fn collect_log(&mut self) {
         let (stderr, lines) = (self.child.stderr.take().unwrap(), self.log.clone());
         thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
@@ -155,23 +157,25 @@
         });
     }
 
-    /// Kills it, and starts it anew among the same stand-ins, by the same start file.
-    pub fn killed_and_started(&mut self) {
+    /// Kills the backend and starts it again with the same stand-ins and start file.
+    pub fn kill_and_restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
-        self.runtime.shared.lock().unwrap().ready = false;
-        (self.child, self.file) = launch(&self.config);
-        self.listen_to_log();
-        until("the link", || self.runtime.shared.lock().unwrap().ready);
+        self.runtime.shared.lock().unwrap().is_ready = false;
+        (self.child, self.start_file) = launch(&self.config);
+        self.collect_log();
+        wait_until("the runtime link", || {
+            self.runtime.shared.lock().unwrap().is_ready
+        });
     }
 
-    /// A connection as an edge node opens it.
-    pub fn connect(&self) -> Edge {
-        let end = Instant::now() + PATIENCE;
+    /// Opens a connection as an edge node does.
+    pub fn connect(&self) -> EdgeConnection {
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Ok(stream) = TcpStream::connect(self.listen) {
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
-                return Edge::on(stream);
+                stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+                return EdgeConnection::new(stream);
             }
             assert!(
                 Instant::now() < end,
@@ -182,13 +186,13 @@
         }
     }
 
-    /// Its start file, which its successors read, too.
-    pub fn file(&self) -> &std::path::Path {
-        &self.file
+    /// The path of its start file, which processes started by a hot restart read as well.
+    pub fn start_file(&self) -> &std::path::Path {
+        &self.start_file
     }
 
-    /// Its process's number.
-    pub fn id(&self) -> u32 {
+    /// The process id.
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
@@ -196,32 +200,32 @@
         self.log.lock().unwrap().clone()
     }
 
-    /// Puts this text in the place of the start file, and has it read.
+    /// Replaces the start file by this text and sends SIGHUP to reload it.
     pub fn reload(&self, text: &str) {
-        std::fs::write(&self.file, text).unwrap();
+        std::fs::write(&self.start_file, text).unwrap();
         self.signal("-HUP");
     }
 
-    /// The start file with a change, as text; later changes build on it.
-    pub fn changed(&mut self, change: impl FnOnce(&mut Value)) -> String {
+    /// Edits the start file in memory and returns its text; later edits include this one.
+    pub fn edit_start_file(&mut self, change: impl FnOnce(&mut Value)) -> String {
         change(&mut self.config);
         self.config.to_string()
     }
 
-    /// Moves all that the backend talks to to new addresses, where the runtime's notices go on; what was there
-    /// before comes back.
-    pub fn moved(&mut self) -> (Runtime, Records, Receiver<String>) {
+    /// Reloads the backend with new addresses of runtime, records service and registry. The new runtime continues the
+    /// notices of the old one. Returns the old stand-ins.
+    pub fn move_services(&mut self) -> (Runtime, Records, Receiver<String>) {
         let (runtime, records, (reports, registry)) = (Runtime::new(), Records::new(), registry());
-        for (field, at) in [
-            ("runtime", runtime.at),
-            ("records", records.at),
+        for (field, address) in [
+            ("runtime", runtime.address),
+            ("records", records.address),
             ("registry", registry),
         ] {
-            self.config[field] = json!(at);
+            self.config[field] = json!(address);
         }
         {
             let mut shared = runtime.shared.lock().unwrap();
-            (shared.up, shared.notices) =
+            (shared.is_up, shared.notices) =
                 (true, self.runtime.shared.lock().unwrap().notices.clone());
         }
         self.reload(&self.config.to_string());
@@ -241,39 +245,41 @@
             .success());
     }
 
-    /// Waits for its end; how it ended, and its log.
-    pub fn ended(&mut self) -> (ExitStatus, String) {
+    /// Waits until the process has exited; returns its exit status and its log.
+    pub fn wait_for_exit(&mut self) -> (ExitStatus, String) {
         let mut status = None;
-        until("the end", || {
+        wait_until("the process to exit", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
-        until("the last line", || self.log().contains("counters: "));
+        wait_until("the final counters in the log", || {
+            self.log().contains("counters: ")
+        });
         (status.unwrap(), self.log())
     }
 
-    /// The counters, printed on request: asked for until `holds`.
-    pub fn counters_until(&self, holds: impl Fn(&dyn Fn(&str) -> u64) -> bool) {
-        until("the counters", || {
+    /// Requests reports of the counters with SIGUSR1 until the condition is true for one.
+    pub fn counters_until(&self, condition: impl Fn(&dyn Fn(&str) -> u64) -> bool) {
+        wait_until("the counters", || {
             let before = self.log().matches("counters: ").count();
             self.signal("-USR1");
-            until("a report", || {
+            wait_until("a report of the counters", || {
                 self.log().matches("counters: ").count() > before
             });
             let log = self.log();
-            holds(&|name| counter(&log, name))
+            condition(&|name| counter(&log, name))
         });
     }
 }
 
-/// A counter in the last report of this log.
+/// The value of a counter in the last report of this log.
 pub fn counter(log: &str, name: &str) -> u64 {
     let report = log.rsplit("counters: ").next().unwrap();
     let found = report
         .split_whitespace()
         .find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
     found
-        .unwrap_or_else(|| panic!("no {name} in {report}"))
+        .unwrap_or_else(|| panic!("no counter {name} in {report}"))
         .trim_end_matches(',')
         .parse()
         .unwrap()
@@ -283,17 +289,17 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.start_file);
     }
 }
 
 fn registry() -> (Receiver<String>, SocketAddr) {
-    let (listener, at) = listener();
+    let (listener, address) = listener();
     let (sender, reports) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let mut reader = BufReader::new(&stream);
-            let Some((head, body)) = crate::services::request(&mut reader) else {
+            let Some((head, body)) = crate::services::read_request(&mut reader) else {
                 continue;
             };
             assert!(
@@ -306,67 +312,70 @@
             }
         }
     });
-    (reports, at)
+    (reports, address)
 }
 
-/// The records service: hands each call to the test.
+/// The records service; it passes each call to the test.
 pub struct Records {
-    at: SocketAddr,
+    address: SocketAddr,
     calls: Receiver<Call>,
 }
 
-/// A call that waits for its reply; dropping it breaks the connection.
+/// A call without a reply yet; dropping it closes the connection.
 pub struct Call {
     pub head: String,
     pub body: Vec<u8>,
     stream: TcpStream,
-    again: Sender<TcpStream>,
+    return_connection: Sender<TcpStream>,
 }
 
 impl Records {
     fn new() -> Records {
-        let (listener, at) = listener();
+        let (listener, address) = listener();
         let (sender, calls) = channel();
-        let (again, replied) = channel::<TcpStream>();
-        let serve = move |stream: TcpStream, sender: Sender<Call>, again: Sender<TcpStream>| {
-            thread::spawn(move || {
-                let mut reader = BufReader::new(stream);
-                if let Some((head, body)) = crate::services::request(&mut reader) {
-                    let _ = sender.send(Call {
-                        head,
-                        body,
-                        stream: reader.into_inner(),
-                        again,
-                    });
-                }
-            })
-        };
-        let (first, once_more) = (sender.clone(), again.clone());
+        let (return_connection, returned) = channel::<TcpStream>();
+        let serve =
+            move |stream: TcpStream, sender: Sender<Call>, return_connection: Sender<TcpStream>| {
+                thread::spawn(move || {
+                    let mut reader = BufReader::new(stream);
+                    if let Some((head, body)) = crate::services::read_request(&mut reader) {
+                        let _ = sender.send(Call {
+                            head,
+                            body,
+                            stream: reader.into_inner(),
+                            return_connection,
+                        });
+                    }
+                })
+            };
+        let (sender_for_new, return_connection_again) = (sender.clone(), return_connection.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                serve(stream, first.clone(), again.clone());
+                serve(stream, sender_for_new.clone(), return_connection.clone());
             }
         });
         thread::spawn(move || {
-            for stream in replied {
-                serve(stream, sender.clone(), once_more.clone());
+            for stream in returned {
+                serve(stream, sender.clone(), return_connection_again.clone());
             }
         });
-        Records { at, calls }
+        Records { address, calls }
     }
 
-    pub fn call(&self) -> Call {
-        self.calls.recv_timeout(PATIENCE).expect("no call came")
+    pub fn next_call(&self) -> Call {
+        self.calls
+            .recv_timeout(WAIT_TIMEOUT)
+            .expect("no call to the records service arrived")
     }
 }
 
 impl Call {
-    /// The other end of its connection.
-    pub fn from(&self) -> SocketAddr {
+    /// The backend's address of its connection.
+    pub fn peer_address(&self) -> SocketAddr {
         self.stream.peer_addr().unwrap()
     }
 
-    /// Replies, and keeps the connection for the next call.
+    /// Sends the reply and keeps the connection open for the next call.
     pub fn reply(mut self, status: &str, body: &[u8]) {
         let head = format!(
             "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n",
@@ -375,139 +384,140 @@
         self.stream
             .write_all(&[head.as_bytes(), body].concat())
             .unwrap();
-        self.again.send(self.stream).unwrap();
+        self.return_connection.send(self.stream).unwrap();
     }
 }
 
-/// The runtime: answers `sync` once it is up, and gauges; hands all other commands to the test.
+/// The runtime; it answers `sync` once it is up, and `gauges`, and passes all other commands to the test.
 pub struct Runtime {
-    at: SocketAddr,
+    address: SocketAddr,
     commands: Receiver<Value>,
-    shared: Arc<Mutex<Shared>>,
+    shared: Arc<Mutex<RuntimeState>>,
 }
 
-struct Shared {
-    up: bool,
-    /// How long it has been up, as it says.
-    up_ms: f64,
-    /// Whatever comes is lost.
-    deaf: bool,
+struct RuntimeState {
+    is_up: bool,
+    /// The uptime that it reports.
+    uptime_ms: f64,
+    /// Whether received lines are discarded.
+    discard_input: bool,
     link: Option<TcpStream>,
-    /// All notices so far, numbered from 1.
+    /// All notices so far; the first has number 1.
     notices: Vec<Value>,
-    /// The number in the last `sync`.
-    synced: Option<u64>,
-    ready: bool,
+    /// The number of the last notice that the backend has, from its last `sync`.
+    last_synced_notice: Option<u64>,
+    is_ready: bool,
 }
 
-impl Default for Shared {
-    fn default() -> Shared {
-        let (up, deaf, ready) = (false, false, false);
-        Shared {
-            up,
-            up_ms: 60_000.0,
-            deaf,
+impl Default for RuntimeState {
+    fn default() -> RuntimeState {
+        let (is_up, discard_input, is_ready) = (false, false, false);
+        RuntimeState {
+            is_up,
+            uptime_ms: 60_000.0,
+            discard_input,
             link: None,
             notices: Vec::new(),
-            synced: None,
-            ready,
+            last_synced_notice: None,
+            is_ready,
         }
     }
 }
 
-impl Shared {
-    fn say(&self, line: &Value) {
+impl RuntimeState {
+    fn send_line(&self, line: &Value) {
         if let Some(mut link) = self.link.as_ref() {
             let _ = link.write_all(format!("{line}\n").as_bytes());
         }
     }
-    fn ready(&mut self) {
-        if let (true, false, Some(no)) = (self.up, self.ready, self.synced) {
-            self.ready = true;
-            self.say(&json!({"t": "ready", "status": "LOADED", "time_ms": self.up_ms}));
+    fn become_ready(&mut self) {
+        if let (true, false, Some(no)) = (self.is_up, self.is_ready, self.last_synced_notice) {
+            self.is_ready = true;
+            self.send_line(&json!({"t": "ready", "status": "LOADED", "time_ms": self.uptime_ms}));
             self.notices
                 .iter()
                 .skip(no as usize)
-                .for_each(|notice| self.say(notice));
+                .for_each(|notice| self.send_line(notice));
         }
     }
 }
 
 impl Runtime {
     fn new() -> Runtime {
-        let (listener, at) = listener();
+        let (listener, address) = listener();
         let (sender, commands) = channel();
-        let shared = Arc::new(Mutex::new(Shared::default()));
-        let all = shared.clone();
+        let shared = Arc::new(Mutex::new(RuntimeState::default()));
+        let state = shared.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 {
-                    let mut shared = all.lock().unwrap();
-                    (shared.synced, shared.ready) = (None, false);
+                    let mut shared = state.lock().unwrap();
+                    (shared.last_synced_notice, shared.is_ready) = (None, false);
                     shared.link = Some(stream.try_clone().unwrap());
                 }
                 for line in BufReader::new(stream).lines().map_while(Result::ok) {
                     let line: Value = serde_json::from_str(&line).unwrap();
-                    let mut shared = all.lock().unwrap();
-                    if shared.deaf {
+                    let mut shared = state.lock().unwrap();
+                    if shared.discard_input {
                         continue;
                     }
                     match line["t"].as_str().unwrap() {
                         "sync" => {
-                            shared.synced = line["no"].as_u64();
-                            shared.ready();
+                            shared.last_synced_notice = line["no"].as_u64();
+                            shared.become_ready();
                         }
-                        "gauges" if shared.ready => {
-                            shared.say(
+                        "gauges" if shared.is_ready => {
+                            shared.send_line(
                                 &json!({"t": "load", "mark": line["mark"], "v": [0.1, 1, 0.1, 1]}),
                             );
                         }
-                        "gauges" => shared.say(&json!({"t": "nack", "status": "gauges"})),
+                        "gauges" => shared.send_line(&json!({"t": "nack", "status": "gauges"})),
                         _ => drop(sender.send(line)),
                     }
                 }
             }
         });
         Runtime {
-            at,
+            address,
             commands,
             shared,
         }
     }
 
-    /// It comes up.
-    pub fn up(&self) {
+    /// Makes the runtime ready; the link becomes ready when `sync` has arrived on it.
+    pub fn set_ready(&self) {
         let mut shared = self.shared.lock().unwrap();
-        shared.up = true;
-        shared.ready();
+        shared.is_up = true;
+        shared.become_ready();
     }
 
-    /// From now on whatever comes is lost, or not; a link that is made meanwhile breaks at the end of it.
-    pub fn deaf(&self, deaf: bool) {
+    /// Starts or stops discarding received lines. When it stops, the current link is closed, because it may have lost
+    /// lines.
+    pub fn set_discard_input(&self, discard_input: bool) {
         let mut shared = self.shared.lock().unwrap();
-        shared.deaf = deaf;
-        if let (false, Some(link)) = (deaf, &shared.link) {
+        shared.discard_input = discard_input;
+        if let (false, Some(link)) = (discard_input, &shared.link) {
             let _ = link.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    /// The next command that is not about gauges.
-    pub fn command(&self, name: &str) -> Value {
+    /// Waits for the next command other than `sync` and `gauges`, and checks its name.
+    pub fn expect_command(&self, name: &str) -> Value {
         let command = self
             .commands
-            .recv_timeout(PATIENCE)
-            .unwrap_or_else(|_| panic!("no {name} came"));
+            .recv_timeout(WAIT_TIMEOUT)
+            .unwrap_or_else(|_| panic!("no {name} command arrived"));
         assert_eq!(command["t"], name, "{command}");
         command
     }
 
-    /// Whether a command has come that the test has not seen.
-    pub fn commanded(&self) -> Option<Value> {
+    /// The next command, if one has arrived.
+    pub fn try_next_command(&self) -> Option<Value> {
         self.commands.try_recv().ok()
     }
 
-    /// Says a line that is no notice.
-    pub fn say(&self, line: &str) {
+    /// Sends a line that is not a notice.
+    pub fn send_line(&self, line: &str) {
         let shared = self.shared.lock().unwrap();
         shared
             .link
@@ -520,59 +530,60 @@
     fn notice(&self, mut notice: Value) {
         let mut shared = self.shared.lock().unwrap();
         notice["no"] = json!(shared.notices.len() + 1);
-        if shared.ready {
-            shared.say(&notice);
+        if shared.is_ready {
+            shared.send_line(&notice);
         }
         shared.notices.push(notice);
     }
 
-    pub fn end(&self, id: &str, status: &str, body: &[u8]) {
+    pub fn send_run_end(&self, id: &str, status: &str, body: &[u8]) {
         let body = STANDARD.encode(body);
         self.notice(json!({"t": "end", "rid": id, "status": status, "time_ms": 3.5, "b64": body}));
     }
 
-    pub fn wants(&self, id: &str, body: &[u8]) {
+    pub fn send_call_request(&self, id: &str, body: &[u8]) {
         self.notice(json!({"t": "wants", "rid": id, "b64": STANDARD.encode(body)}));
     }
 
-    /// Another runtime takes its place: up for a moment, with no work, and notices numbered anew.
-    pub fn replaced(&self) {
-        self.broken(|runtime| {
+    /// Replaces the runtime by a new one: short uptime, no runs, and notices numbered from 1.
+    pub fn replace_runtime(&self) {
+        self.break_link(|runtime| {
             let mut shared = runtime.shared.lock().unwrap();
-            (shared.up_ms, shared.notices) = (1.0, Vec::new());
+            (shared.uptime_ms, shared.notices) = (1.0, Vec::new());
         });
     }
 
-    /// Breaks the link. What is noticed meanwhile comes only with the next one.
-    pub fn broken(&self, meanwhile: impl FnOnce(&Runtime)) {
+    /// Closes the link, calls `meanwhile`, and makes the runtime ready again. Notices added meanwhile are sent only on
+    /// the next link.
+    pub fn break_link(&self, meanwhile: impl FnOnce(&Runtime)) {
         {
             let mut shared = self.shared.lock().unwrap();
-            (shared.up, shared.ready) = (false, false);
+            (shared.is_up, shared.is_ready) = (false, false);
             let link = shared.link.take().unwrap();
             link.shutdown(std::net::Shutdown::Both).unwrap();
         }
         meanwhile(self);
-        self.up();
+        self.set_ready();
     }
 }
 
 /// An edge node's side of one connection.
-pub struct Edge<S = TcpStream> {
+pub struct EdgeConnection<S = TcpStream> {
     pub stream: S,
     incoming: RecordReader,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, PartialEq)]
-pub struct Answered {
+pub struct Response {
     pub request: u16,
     pub head: String,
     pub body: Vec<u8>,
-    /// The protocol state.
-    pub state: u8,
+    /// The FastCGI protocol status.
+    pub protocol_status: u8,
 }
 
-impl Answered {
+impl Response {
     pub fn status(&self) -> &str {
         self.head
             .lines()
@@ -591,7 +602,7 @@
     bytes
 }
 
-/// A request as records. The fields are CGI names; one that is empty is left out.
+/// Encodes a request as FastCGI records. The fields have CGI names; fields with an empty value are omitted.
 pub fn request(request: u16, path: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut params = Vec::new();
     for (name, value) in [("REQUEST_METHOD", "POST"), ("SCRIPT_NAME", path)]
@@ -621,8 +632,8 @@
     bytes
 }
 
-/// The fields of a task; those given replace the usual ones.
-pub fn fields<'a>(
+/// The fields of a request; those in `other` replace the default ones.
+pub fn task_fields<'a>(
     id: &'a str,
     start: &'a str,
     other: &[(&'a str, &'a str)],
@@ -644,7 +655,7 @@
     fields
 }
 
-pub fn now() -> String {
+pub fn unix_ms_text() -> String {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
@@ -652,10 +663,10 @@
         .to_string()
 }
 
-impl<S: Read + Write> Edge<S> {
-    /// A connection that is open already.
-    pub fn on(stream: S) -> Edge<S> {
-        Edge {
+impl<S: Read + Write> EdgeConnection<S> {
+    /// Wraps an open connection.
+    pub fn new(stream: S) -> EdgeConnection<S> {
+        EdgeConnection {
             stream,
             incoming: RecordReader::default(),
         }
@@ -669,26 +680,33 @@
         self.stream.write_all(bytes)
     }
 
-    /// Sends a task of this stage.
-    pub fn task(&mut self, number: u16, stage: &str, id: &str, other: &[(&str, &str)]) {
-        let start = now();
-        let path = format!("/v1/{stage}");
+    /// Sends a request of this request class.
+    pub fn send_task(
+        &mut self,
+        number: u16,
+        request_class: &str,
+        id: &str,
+        other: &[(&str, &str)],
+    ) {
+        let start = unix_ms_text();
+        let path = format!("/v1/{request_class}");
         self.send(&request(
             number,
             &path,
-            &fields(id, &start, other),
+            &task_fields(id, &start, other),
             b"ask\0\xff",
         ));
     }
 
-    /// The next whole answer; `None` at the end of the connection.
-    pub fn answer(&mut self) -> Option<Answered> {
-        self.try_answer()
-            .unwrap_or_else(|e| panic!("no answer came: {e}"))
+    /// Reads the next complete answer; `None` if the connection has ended.
+    pub fn read_response(&mut self) -> Option<Response> {
+        self.try_read_response()
+            .unwrap_or_else(|e| panic!("reading an answer failed: {e}"))
     }
 
-    /// The same; an answer that can't be read is an error, as is none in the time that the stream is given.
-    pub fn try_answer(&mut self) -> std::io::Result<Option<Answered>> {
+    /// Like [`EdgeConnection::read_response`], but returns an error if the answer is malformed or the stream's read
+    /// timeout passes.
+    pub fn try_read_response(&mut self) -> std::io::Result<Option<Response>> {
         let bad = |what: String| std::io::Error::new(std::io::ErrorKind::InvalidData, what);
         let mut stdout = Vec::new();
         loop {
@@ -700,17 +718,17 @@
                 match record.record_type {
                     record_type::STDOUT => stdout.extend_from_slice(record.content),
                     record_type::END_REQUEST => {
-                        let at = stdout.windows(4).position(|four| four == b"\r\n\r\n");
-                        let at = at.map_or(stdout.len(), |at| at + 4);
-                        return Ok(Some(Answered {
+                        let head_end = stdout.windows(4).position(|four| four == b"\r\n\r\n");
+                        let head_end = head_end.map_or(stdout.len(), |start| start + 4);
+                        return Ok(Some(Response {
                             request: record.request_id,
-                            head: String::from_utf8(stdout[..at].to_vec())
+                            head: String::from_utf8(stdout[..head_end].to_vec())
                                 .map_err(|e| bad(e.to_string()))?,
-                            body: stdout[at..].to_vec(),
-                            state: record.content.get(4).copied().unwrap_or(u8::MAX),
+                            body: stdout[head_end..].to_vec(),
+                            protocol_status: record.content.get(4).copied().unwrap_or(u8::MAX),
                         }));
                     }
-                    other => return Err(bad(format!("a record of type {other}"))),
+                    other => return Err(bad(format!("unexpected record of type {other}"))),
                 }
             }
             match self.stream.read(self.incoming.free_space()) {
@@ -723,9 +741,9 @@
         }
     }
 
-    /// The status of the next answer, which is for this request.
-    pub fn status(&mut self, number: u16) -> String {
-        let answer = self.answer().expect("the connection ended");
+    /// Reads the next answer, checks that it is for this request, and returns its status.
+    pub fn expect_status(&mut self, number: u16) -> String {
+        let answer = self.read_response().expect("the connection ended");
         assert_eq!(answer.request, number, "{answer:?}");
         answer.status().to_owned()
     }
