--- a/crates/asterdale-transport/src/control.rs
+++ b/crates/asterdale-transport/src/control.rs
@@ -1,5 +1,5 @@
-//! The control socket of a process: a client sends a line of text, and gets back a line of JSON. The file permissions of
-//! the socket's folder decide who may connect.
+//! The control socket of a process: a client sends a command as a line of text, and the server answers with a line of JSON.
+//! The file permissions of the socket's folder decide who may connect.
 
 mod client;
 mod server;
--- a/crates/asterdale-transport/src/control/client.rs
+++ b/crates/asterdale-transport/src/control/client.rs
@@ -10,12 +10,12 @@
 use super::{CLIENT_TIMEOUT, LEAVE, REPLICA_STATUS, SHOW};
 use crate::status::StatusReport;
 
-/// The maximal length of an answer, in bytes: a report of 4,096 members, the most that a view holds.
+/// The maximal length of an answer, in bytes. It fits a report of 4,096 members, the maximal size of a view.
 const MAX_ANSWER_BYTES: u64 = 4 * 1024 * 1024;
-/// How long a client waits for the answer. The server may serve another client first.
+/// How long a client waits for the answer. The server serves one client at a time, and may serve another one first.
 const ANSWER_TIMEOUT: Duration = CLIENT_TIMEOUT.saturating_mul(3);
 
-/// Why a process did not do what it was asked to do over its control socket.
+/// Why a command over a control socket failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
     /// The socket cannot be reached.
@@ -26,12 +26,12 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The answer is not as expected.
+    /// The answer is not valid JSON, or lacks expected fields.
     #[error("{path}: no answer: {source}", path = path.display())]
     InvalidAnswer {
         /// The path of the socket.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The decoding error.
         source: serde_json::Error,
     },
     /// The process answered with an error.
@@ -42,7 +42,7 @@
     LeaveTimeout,
 }
 
-/// What the process behind this socket knows of its fleet.
+/// Requests the status report of the process that serves this socket.
 ///
 /// # Errors
 /// If there is no valid answer.
@@ -51,7 +51,7 @@
     serde_json::from_value(answer).map_err(|source| invalid_answer(path, source))
 }
 
-/// The state of the process behind this socket as an ownership replica. Its group is 0 if it is none.
+/// Requests the replica status of the process that serves this socket. The group is 0 if the process is no replica.
 ///
 /// # Errors
 /// If there is no valid answer.
@@ -59,10 +59,10 @@
     request(path, REPLICA_STATUS)
 }
 
-/// Has the process behind this socket leave its fleet.
+/// Makes the process that serves this socket leave its fleet.
 ///
 /// # Errors
-/// If there is no valid answer, or it does not announce that in time.
+/// If there is no valid answer, or the process does not announce its leave in time.
 pub fn leave(path: &Path) -> Result<(), ControlError> {
     match request(path, LEAVE)?["left"].as_bool() {
         Some(true) => Ok(()),
--- a/crates/asterdale-transport/src/control/server.rs
+++ b/crates/asterdale-transport/src/control/server.rs
@@ -22,7 +22,7 @@
 }
 
 impl ControlSocket {
-    /// Binds the socket. A socket file that nobody listens on is left over from a process that ended, and is replaced.
+    /// Binds the socket. A socket file without a listener is left over from a process that has ended, and is replaced.
     pub(crate) fn bind(path: PathBuf) -> io::Result<ControlSocket> {
         let listener = bind_or_replace(&path)
             .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", path.display())))?;
@@ -33,10 +33,10 @@
     pub(crate) fn serve(&self, transport: &Transport) {
         for stream in self.listener.incoming() {
             let Ok(stream) = stream else { continue };
-            // A client that fails or is too slow loses its answer; there is nobody else to tell.
+            // If a client fails or is too slow, its connection is closed; there is no other receiver for the error.
             let _ = serve_client(&stream, transport);
         }
-        // The socket may have been removed by somebody else.
+        // Removal fails if the socket file has been removed already.
         let _ = std::fs::remove_file(&self.path);
     }
 }
--- a/crates/asterdale-transport/src/datagrams.rs
+++ b/crates/asterdale-transport/src/datagrams.rs
@@ -14,10 +14,10 @@
     mailbox: &Sender<MembershipMessage>,
     dropped_datagrams: &AtomicU64,
 ) {
-    // With one byte more, a datagram that is too long can be told from one of the maximal length.
+    // One byte more than the maximum, to distinguish a datagram that is too long from one of the maximal length.
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
-        // An error is an ICMP reply to an earlier datagram of this socket, whose receiver is gone.
+        // The error comes from an ICMP reply: the receiver of an earlier datagram from this socket is gone.
         let Ok((length, _)) = socket.recv_from(&mut buffer) else {
             continue;
         };
--- a/crates/asterdale-transport/src/exchanges.rs
+++ b/crates/asterdale-transport/src/exchanges.rs
@@ -1,5 +1,6 @@
-//! The thread of the exchanges of full views. It waits for all streams together. A stream carries one message each way. The
-//! number of streams and their time are limited, so that a slow or silent peer occupies a place for two seconds only.
+//! The thread that runs exchanges of full membership views. It polls all streams together. A stream carries one message in
+//! each direction. The number of streams and their duration are limited, so that a slow or silent peer occupies a stream for
+//! two seconds at most.
 
 mod stream;
 
@@ -21,13 +22,13 @@
 use crate::threads;
 use stream::{ExchangeStream, Progress, Role};
 
-/// The maximal duration of an exchange. Full views take some KiB, and the network some milliseconds.
+/// The maximal duration of an exchange. Full views have some KiB, and the network takes some milliseconds.
 const MAX_DURATION: Duration = Duration::from_secs(2);
-/// The maximal number of concurrent exchanges that others have requested. Usually there is one in several seconds.
+/// The maximal number of concurrent exchanges that peers have requested. Usually there is one in several seconds.
 const MAX_RESPONDING: usize = 32;
 /// The maximal number of concurrent exchanges that this process has requested.
 const MAX_REQUESTING: usize = 8;
-/// Events that one poll returns.
+/// The maximal number of events that one poll returns.
 const EVENT_CAPACITY: usize = 64;
 const LISTENER: Token = Token(usize::MAX);
 const COMMANDS: Token = Token(usize::MAX - 1);
@@ -60,7 +61,7 @@
     /// Sends a command. Never waits.
     pub(crate) fn send(&self, command: ExchangeCommand) {
         if self.commands.send(command).is_ok() {
-            // Without the wake-up the command waits for the next event of a stream.
+            // If the wake-up fails, the command is handled at the next event of a stream.
             let _ = self.waker.wake();
         }
     }
@@ -72,7 +73,7 @@
     listener: TcpListener,
     commands: Receiver<ExchangeCommand>,
     mailbox: Sender<MembershipMessage>,
-    /// Takes over the streams that turn out to be persistent.
+    /// Takes over streams whose first length field marks them as persistent.
     persistent: Option<PersistentStreams>,
     streams: HashMap<usize, ExchangeStream>,
     last_number: usize,
@@ -170,7 +171,7 @@
     fn accept(&mut self) {
         loop {
             match self.listener.accept() {
-                // Without capacity the stream is closed, and the peer asks another member.
+                // At the limit the stream is closed, and the peer requests an exchange from another member.
                 Ok((stream, _)) => {
                     if self.has_capacity(Role::Responder) && stream.set_nonblocking(true).is_ok() {
                         self.add(TcpStream::from_std(stream), Role::Responder, Vec::new());
@@ -228,7 +229,7 @@
     }
 
     fn deliver(&self, message: MembershipMessage) {
-        // With a full mailbox the exchange is lost, like a datagram; its stream ends at its deadline.
+        // If the mailbox is full, the message is dropped, like a datagram, and the stream is closed at its deadline.
         let _ = self.mailbox.try_send(message);
     }
 
--- a/crates/asterdale-transport/src/exchanges/stream.rs
+++ b/crates/asterdale-transport/src/exchanges/stream.rs
@@ -1,4 +1,4 @@
-//! One stream of an exchange: a request one way, a response the other way.
+//! One stream of an exchange: a request in one direction, a response in the other.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::time::Instant;
@@ -8,27 +8,27 @@
 
 use crate::framing::{length_field, LENGTH_BYTES, PERSISTENT_BIT};
 
-/// Bytes that are read at once.
+/// The size of the buffer of one read call.
 const READ_BUFFER_BYTES: usize = 8192;
 
-/// Which part this process has in an exchange.
+/// The role of this process in an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
-    /// It sends the request.
+    /// Sends the request.
     Requester,
-    /// It sends the response.
+    /// Sends the response.
     Responder,
 }
 
-/// How far a stream has come.
+/// The progress of a stream.
 pub(super) enum Progress {
-    /// It waits for the peer or for a response.
+    /// The stream waits for the peer or for a local response.
     Pending,
     /// The peer's message has arrived.
     Received(Vec<u8>),
-    /// The response is sent.
+    /// The response has been sent.
     Done,
-    /// It is a persistent stream and no exchange.
+    /// The peer opened a persistent stream, not an exchange.
     Persistent,
 }
 
@@ -36,11 +36,11 @@
 pub(super) struct ExchangeStream {
     pub(super) stream: TcpStream,
     pub(super) role: Role,
-    /// Bytes that are still to be written.
+    /// Bytes that have not been written yet.
     pub(super) outgoing: Vec<u8>,
-    /// Bytes that were read.
+    /// Bytes that have been read.
     pub(super) received: Vec<u8>,
-    /// Whether the peer's message was returned: nothing more is read then.
+    /// Whether the peer's message has been returned. Nothing is read after that.
     is_received: bool,
     pub(super) deadline: Instant,
 }
@@ -136,7 +136,7 @@
     }
 }
 
-/// Whether the stream has to wait for the peer, or for its connection.
+/// Whether the operation has to be repeated later: the stream is not ready or not yet connected.
 fn is_not_ready(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/asterdale-transport/src/framing.rs
+++ b/crates/asterdale-transport/src/framing.rs
@@ -1,12 +1,12 @@
-//! Frames on TCP streams: a length in four bytes, big-endian, then the message. The highest bit of the first length tells
-//! the two kinds of streams apart that arrive at the same listener.
+//! Frames on TCP streams: a length in four bytes, big-endian, then the message. Streams of exchanges and persistent streams
+//! arrive at the same listener; the highest bit of the first length distinguishes them.
 
 /// The length of a frame's length field, in bytes.
 pub(crate) const LENGTH_BYTES: usize = 4;
 /// Set in the length field of every frame on a persistent stream, and of no frame of an exchange.
 pub(crate) const PERSISTENT_BIT: u32 = 0x8000_0000;
 
-/// The length field at the start of these bytes, if all of it has arrived.
+/// Returns the length field at the start of these bytes, or `None` if it is incomplete.
 pub(crate) fn length_field(bytes: &[u8]) -> Option<u32> {
     bytes
         .first_chunk::<LENGTH_BYTES>()
--- a/crates/asterdale-transport/src/handle.rs
+++ b/crates/asterdale-transport/src/handle.rs
@@ -11,7 +11,7 @@
 use crate::status::StatusReport;
 use crate::summary::FleetSummary;
 
-/// How long callers wait for the membership actor, both to take a message and to reply.
+/// How long callers wait for space in the membership actor's mailbox, and again for its reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A handle to the transport.
@@ -25,15 +25,15 @@
 }
 
 impl Transport {
-    /// Announces this about the local process from now on. Never waits.
+    /// Sets the metadata that the local process announces to its fleet. Never blocks.
     pub fn publish_status(&self, metadata: Metadata) {
-        // A full mailbox drops it: callers publish their status again and again.
+        // Dropped if the mailbox is full: callers publish their status periodically.
         let _ = self
             .mailbox
             .try_send(MembershipMessage::SetMetadata(metadata));
     }
 
-    /// All that this process knows of its fleet; `None` if the actor does not reply within some seconds.
+    /// Returns a status report of the fleet, or `None` if the actor does not reply within some seconds.
     pub fn status_report(&self) -> Option<StatusReport> {
         let (reply, report) = bounded(1);
         self.mailbox
@@ -42,7 +42,7 @@
         report.recv_timeout(REPLY_TIMEOUT).ok()
     }
 
-    /// Leaves the fleet, and returns once that is announced; `false` if that takes more than some seconds.
+    /// Leaves the fleet, and returns once the leave is announced; `false` if that takes more than some seconds.
     pub fn leave(&self) -> bool {
         let (reply, left) = bounded(1);
         self.mailbox
--- a/crates/asterdale-transport/src/lib.rs
+++ b/crates/asterdale-transport/src/lib.rs
@@ -1,12 +1,12 @@
 //! The sockets of the fleet: UDP datagrams for probes and gossip, TCP for exchanges of full membership views and for the
-//! messages of replicated ownership, and a control socket. `asterdale-membership` and `asterdale-ownership` take the
+//! messages of replicated ownership, and a control socket. `asterdale-membership` and `asterdale-ownership` make the
 //! decisions; this package owns the sockets, the clock and the threads. Messages are always sent to the addresses that the
 //! members advertise, never to the source of an earlier message, so that a fleet works across address translation.
 //!
 //! Threads:
 //! - `membership` owns the membership state machine.
 //! - `datagrams` receives datagrams.
-//! - `exchanges` waits for all streams that carry one exchange.
+//! - `exchanges` polls all streams that carry one exchange.
 //! - `fleet control` serves the control socket, if there is one.
 //! - `ownership` owns the state machines of replicated ownership, and `streams` the persistent streams between them, if
 //!   requests are replicated.
--- a/crates/asterdale-transport/src/membership_actor.rs
+++ b/crates/asterdale-transport/src/membership_actor.rs
@@ -1,4 +1,4 @@
-//! The membership actor: it passes messages and times to the membership state machine and carries out its actions. It takes
+//! The membership actor: it passes messages and times to the membership state machine and carries out its actions. It makes
 //! no decisions of its own.
 
 use std::net::UdpSocket;
@@ -14,7 +14,7 @@
 use crate::status::StatusReport;
 use crate::summary::FleetSummary;
 
-/// The longest wait for a message, so that a step of a clock cannot stop the actor.
+/// The longest wait for a message, so that a clock step cannot block the actor.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
 /// The state of the actor's thread.
@@ -26,7 +26,7 @@
     pub(crate) summary: Arc<FleetSummary>,
     /// Datagrams that were dropped because the mailbox was full.
     pub(crate) dropped_datagrams: Arc<AtomicU64>,
-    /// Who waits until the process has left the fleet.
+    /// Notified once the process has left the fleet.
     pub(crate) waiting_for_leave: Option<Sender<()>>,
     pub(crate) on_event: F,
 }
@@ -36,7 +36,7 @@
         self.started.elapsed().as_secs_f64() * 1e3
     }
 
-    /// Serves until all senders of the mailbox are dropped.
+    /// Handles messages until all senders of the mailbox are dropped.
     pub(crate) fn run(mut self, mailbox: &Receiver<MembershipMessage>) {
         loop {
             let wait_s = ((self.membership.next_wake_ms() - self.now_ms()) / 1e3)
@@ -62,7 +62,7 @@
             return;
         }
         if let Some(reply) = self.waiting_for_leave.take() {
-            // Whoever waited may have given up.
+            // The caller may have timed out.
             let _ = reply.try_send(());
         }
     }
@@ -87,7 +87,7 @@
             MembershipMessage::ReportStatus(reply) => {
                 let dropped_datagrams = self.dropped_datagrams.load(Ordering::Relaxed);
                 let report = StatusReport::new(&self.membership, now_ms, dropped_datagrams);
-                // Whoever waited may have given up.
+                // The caller may have timed out.
                 let _ = reply.try_send(report);
                 Vec::new()
             }
@@ -101,7 +101,7 @@
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                // A datagram that cannot be sent is lost, as any datagram may be.
+                // A send error is ignored: datagrams may be lost anyway.
                 Action::Send(to, bytes) => drop(self.socket.send_to(&bytes, to)),
                 Action::Exchange(to, bytes) => {
                     let request = ExchangeCommand::Request { to, bytes };
@@ -109,7 +109,7 @@
                 }
                 Action::Event(event) => {
                     (self.on_event)(&event);
-                    // The event's receiver gives up everything that depends on the old generation before it returns.
+                    // `on_event` releases everything that depends on the old generation before it returns.
                     if matches!(event, Event::DeclaredDead { .. }) {
                         let now_ms = self.now_ms();
                         let actions = self.membership.rejoin(now_ms);
--- a/crates/asterdale-transport/src/messages.rs
+++ b/crates/asterdale-transport/src/messages.rs
@@ -11,17 +11,17 @@
     Datagram(Vec<u8>),
     /// Another process requests an exchange of views.
     ExchangeRequest {
-        /// The number of the stream that takes the response.
+        /// The number of the stream for the response.
         stream: usize,
         /// The request.
         bytes: Vec<u8>,
     },
     /// The response to an exchange that this process requested.
     ExchangeResponse(Vec<u8>),
-    /// Announce this about the local process from now on.
+    /// Set the metadata that the local process announces to its fleet.
     SetMetadata(Metadata),
     /// Reply with a status report.
     ReportStatus(Sender<StatusReport>),
-    /// Leave the fleet, and reply once that is announced.
+    /// Leave the fleet, and reply once the leave is announced.
     Leave(Sender<()>),
 }
--- a/crates/asterdale-transport/src/ownership/actor.rs
+++ b/crates/asterdale-transport/src/ownership/actor.rs
@@ -1,5 +1,5 @@
 //! The ownership actor: it passes messages, commands and times to the state machines of the owner and the replica, and
-//! carries out their actions. It takes no decisions of its own.
+//! carries out their actions. It makes no decisions of its own.
 
 use std::collections::VecDeque;
 use std::io;
@@ -20,14 +20,15 @@
 use crate::persistent_streams::PersistentStreams;
 use crate::threads;
 
-/// The capacity of the queue of received messages. A message that finds it full is lost; its sender repeats what matters.
+/// The capacity of the queue of received messages. If it is full, messages are dropped; their senders repeat
+/// what has to arrive.
 pub(crate) const MESSAGE_QUEUE_CAPACITY: usize = 8192;
-/// The longest wait for an input, so that a step of a clock cannot stop the actor.
+/// The longest wait for a message or command, so that a clock step cannot block the actor.
 const MAX_WAIT: Duration = Duration::from_millis(500);
-/// The maximal number of messages, and of commands, that are handled before the resulting actions are carried out. Their
-/// results share messages and log entries.
+/// The maximal number of messages, and of commands, that are handled before the resulting actions are carried out. The
+/// results of one batch share messages and log entries.
 const MAX_BATCH: usize = 256;
-/// The storage's timestamp is refreshed this often while nothing else is written.
+/// The interval at which the storage's timestamp is refreshed while nothing else is written.
 const TIMESTAMP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The state of the actor's thread.
@@ -45,7 +46,7 @@
     on_notification: F,
 }
 
-/// Starts the actor's thread. It calls `on_notification` for each notification, in order; that must not wait.
+/// Starts the actor's thread. It calls `on_notification` for each notification, in order; the callback must not block.
 pub(crate) fn start(
     settings: OwnershipActorSettings,
     local: LocalProcess,
@@ -53,7 +54,7 @@
     messages: Receiver<Vec<u8>>,
     on_notification: impl Fn(OwnershipNotification) + Send + 'static,
 ) -> io::Result<OwnershipHandle> {
-    // Not bounded: commands come from one thread, which limits how many of them wait for an answer.
+    // Unbounded: commands come from one thread, which limits its number of unanswered commands.
     let (sender, commands) = unbounded();
     let started = Instant::now();
     let lease_end_us = Arc::new(AtomicU64::new(0));
@@ -67,7 +68,7 @@
     threads::spawn("ownership", move || {
         let address = local.address;
         let authenticator = local.authenticator.clone();
-        // Created by the thread that uses it: the state of the Raft library belongs to this thread alone.
+        // Created on the actor's thread, since the Raft library's state must stay on one thread.
         let (replica, storage) = new_replica(settings, local);
         let actor = Actor {
             replica,
@@ -100,7 +101,7 @@
     )
 }
 
-/// The replica, if this process is in the list of replicas, and its storage, if it has one.
+/// Creates the replica, if this process is in the list of replicas. Also returns the storage, if there is one.
 fn new_replica(
     settings: OwnershipActorSettings,
     local: LocalProcess,
@@ -130,7 +131,7 @@
         self.started.elapsed().as_secs_f64() * 1e3
     }
 
-    /// Serves until all senders of messages or of commands are dropped.
+    /// Runs until all senders of messages or of commands are dropped.
     fn run(mut self, messages: &Receiver<Vec<u8>>, commands: &Receiver<OwnershipCommand>) {
         loop {
             let timer = after(self.time_to_next_wake());
@@ -191,19 +192,19 @@
             OwnershipCommand::SetTakeoverCapacity(capacity) => self.owner.set_capacity(capacity),
             OwnershipCommand::Leave(reply) => {
                 actions.extend(self.owner.shut_down(now_ms));
-                // Whoever waited may have given up.
+                // The caller may have timed out.
                 let _ = reply.try_send(());
             }
             OwnershipCommand::ReportStatus(reply) => {
                 let replica = self.replica.as_ref();
                 let status = replica.map(Replica::status).unwrap_or_default();
-                // Whoever waited may have given up.
+                // The caller may have timed out.
                 let _ = reply.try_send(status);
             }
         }
     }
 
-    /// Has the state machines flush what they have gathered, and wakes them if it is time.
+    /// Flushes the batched work of the state machines, and wakes those whose wake time has come.
     fn advance(&mut self, actions: &mut Vec<Action>) {
         let now_ms = self.now_ms();
         if let Some(replica) = &mut self.replica {
@@ -217,7 +218,7 @@
             actions.extend(self.owner.wake(now_ms));
         }
         if self.replica.is_some() && self.saved_at.elapsed() >= TIMESTAMP_INTERVAL {
-            // The next process does not trust a storage with an old timestamp.
+            // Refreshes the timestamp: the next process does not trust a storage with an old one.
             actions.push(Action::Persist(Vec::new()));
         }
     }
@@ -246,7 +247,7 @@
         (self.on_notification)(notification);
     }
 
-    /// A message of this process to itself needs no stream.
+    /// Handles a message of this process to itself, which needs no stream.
     fn deliver_locally(&mut self, message: &[u8]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.handle_message(message, &mut actions);
@@ -257,8 +258,8 @@
         actions
     }
 
-    /// Writes to the storage. If that fails, the process stops to be a replica, and nothing is sent that depends on the
-    /// write.
+    /// Writes to the storage. If the write fails, the process stops being a replica, and pending messages, which may depend
+    /// on the write, are dropped.
     fn persist(&mut self, writes: Vec<StorageWrite>, pending: &mut VecDeque<Action>) {
         let Some(storage) = &self.storage else {
             return;
--- a/crates/asterdale-transport/src/ownership/handle.rs
+++ b/crates/asterdale-transport/src/ownership/handle.rs
@@ -10,7 +10,7 @@
 
 /// How long callers wait for a reply of the actor.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the shutdown waits for the last message to be sent by the streams' thread.
+/// How long [`OwnershipHandle::leave`] waits for the streams' thread to send the last message.
 const SEND_DELAY: Duration = Duration::from_millis(50);
 
 /// A command to the ownership actor.
@@ -35,11 +35,11 @@
 
 impl OwnershipHandle {
     fn command(&self, command: OwnershipCommand) {
-        // Fails only if the thread has ended, which a panic alone causes: that ends the program.
+        // Fails only if the thread has panicked, and a panic ends the program.
         let _ = self.commands.send(command);
     }
 
-    /// Sends a request to the replicas. The answer comes as a notification with this number.
+    /// Sends a request to the replicas. The answer arrives as an `OwnershipNotification::Answered` with this number.
     pub fn request(&self, number: u64, request: OwnershipRequest) {
         self.command(OwnershipCommand::Request(number, request));
     }
@@ -54,12 +54,12 @@
         self.command(OwnershipCommand::DropClaim { key, fence });
     }
 
-    /// Sets how many ownerless requests this process would take over now.
+    /// Sets how many ownerless requests this process can take over now.
     pub fn set_takeover_capacity(&self, capacity: u32) {
         self.command(OwnershipCommand::SetTakeoverCapacity(capacity));
     }
 
-    /// Whether the lease is valid at this moment, by a clock that goes on while the process is stopped.
+    /// Whether the lease is valid now. The clock also advances while the process is stopped (SIGSTOP).
     pub fn is_lease_valid(&self) -> bool {
         let now_us = self.started.elapsed().as_micros() as u64;
         now_us < self.lease_end_us.load(Ordering::SeqCst)
@@ -70,11 +70,11 @@
         self.lease_ms
     }
 
-    /// Gives up the lease, and returns once that is sent or after two seconds.
+    /// Releases the lease, and returns once the message is sent, or after about two seconds.
     pub fn leave(&self) {
         let (reply, left) = bounded(1);
         if self.commands.send(OwnershipCommand::Leave(reply)).is_ok() {
-            // Without a reply the lease ends by itself.
+            // Without a reply the lease expires.
             let _ = left.recv_timeout(REPLY_TIMEOUT);
             std::thread::sleep(SEND_DELAY);
         }
--- a/crates/asterdale-transport/src/ownership/settings.rs
+++ b/crates/asterdale-transport/src/ownership/settings.rs
@@ -20,7 +20,7 @@
     pub unix_time_s: u64,
 }
 
-/// The local process, as its peers know it.
+/// The identity of the local process towards its peers.
 #[derive(Clone, Debug)]
 pub(crate) struct LocalProcess {
     pub(crate) name: String,
@@ -38,6 +38,6 @@
     OwnerlessRequests(Vec<KeyedRequest>),
     /// An event for the log.
     Log(OwnershipEvent),
-    /// The storage failed: this process is no replica any more.
+    /// The storage failed: this process has stopped being a replica.
     StorageFailed(StorageError),
 }
--- a/crates/asterdale-transport/src/ownership/storage.rs
+++ b/crates/asterdale-transport/src/ownership/storage.rs
@@ -23,11 +23,11 @@
     /// Writes all of this, in order, and returns once it is on disk. Without writes it refreshes the storage's timestamp.
     ///
     /// # Errors
-    /// If it may not be on disk. The storage is not used any more then.
+    /// If the writes may not be on disk. The storage is not used after an error.
     fn save(&mut self, writes: Vec<StorageWrite>) -> Result<(), StorageError>;
 }
 
-/// A replica's storage and what it held when it was opened.
+/// A replica's storage and its contents when it was opened.
 #[derive(Clone)]
 pub struct ReplicaDisk {
     /// The stored state; empty unless it is certainly the latest.
--- a/crates/asterdale-transport/src/persistent_streams.rs
+++ b/crates/asterdale-transport/src/persistent_streams.rs
@@ -1,8 +1,8 @@
 //! The thread of the persistent streams between the ownership actors of the fleet's processes. A stream carries messages in
-//! one direction; answers come back on a stream that the peer opens. One thread waits for all streams together.
+//! one direction; answers arrive on a stream that the peer opens. One thread polls all streams.
 //!
-//! A peer without the fleet's key is disconnected at its first message. A peer that sends too much, too slowly, or stops
-//! reading costs one of a limited number of streams and what that stream may buffer, and does not affect the others.
+//! A peer without the fleet's key is disconnected at its first message. A peer that sends too much or too slowly, or
+//! stops reading, uses one of a limited number of streams and that stream's limited buffer, and does not affect the others.
 
 mod inbound;
 mod outbound;
@@ -22,17 +22,17 @@
 use inbound::{InboundStream, Parsed};
 use outbound::OutboundStream;
 
-/// The maximal number of streams that others have opened.
+/// The maximal number of streams that peers have opened.
 const MAX_INBOUND: usize = 512;
 /// The maximal number of streams that this process has opened.
 const MAX_OUTBOUND: usize = 512;
 /// The maximal size of all partly received messages, in bytes. The stream that exceeds it is closed.
 const MAX_PARTIAL_BYTES: usize = 64 * 1024 * 1024;
-/// How often streams are checked for their time limits.
+/// The interval at which the time limits of streams are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// The longest wait for an event, well below [`SWEEP_INTERVAL`].
+/// The longest wait for an event. Well below [`SWEEP_INTERVAL`], so that sweeps are on time.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(200);
-/// Events that one poll returns.
+/// The maximal number of events that one poll returns.
 const EVENT_CAPACITY: usize = 256;
 const COMMANDS: Token = Token(usize::MAX);
 
@@ -40,7 +40,7 @@
 enum StreamCommand {
     /// Send a message to this address.
     Send(SocketAddr, Vec<u8>),
-    /// Take over an accepted stream, and the bytes that were read from it.
+    /// Take over an accepted stream, and the bytes that have been read from it.
     Adopt(TcpStream, Vec<u8>),
 }
 
@@ -54,12 +54,12 @@
 impl PersistentStreams {
     fn command(&self, command: StreamCommand) {
         if self.commands.send(command).is_ok() {
-            // Without the wake-up the command waits for the next event or `MAX_POLL_WAIT`.
+            // If the wake-up fails, the command is handled at the next event, or after `MAX_POLL_WAIT`.
             let _ = self.waker.wake();
         }
     }
 
-    /// Takes over an accepted stream, and the bytes that were read from it.
+    /// Takes over an accepted stream, and the bytes that have been read from it.
     pub(crate) fn adopt(&self, stream: TcpStream, received: Vec<u8>) {
         self.command(StreamCommand::Adopt(stream, received));
     }
@@ -70,7 +70,7 @@
     }
 }
 
-/// The receiver of messages is gone: the thread ends.
+/// The receiver of messages was dropped: the thread ends.
 struct Disconnected;
 
 /// The state of the thread.
@@ -82,14 +82,14 @@
     inbound: HashMap<usize, InboundStream>,
     outbound: HashMap<usize, OutboundStream>,
     outbound_numbers: HashMap<SocketAddr, usize>,
-    /// Inbound streams that may have more to read, in turn.
+    /// Inbound streams that may have more to read. They are served round robin.
     readable: VecDeque<usize>,
     /// The size of all partly received messages, in bytes.
     partial_bytes: usize,
     last_number: usize,
 }
 
-/// Starts the thread. Messages whose authentication code is valid go to `messages`; one that finds it full is lost.
+/// Starts the thread. Messages whose authentication code is valid are sent to `messages`, or dropped if it is full.
 pub(crate) fn start(
     authenticator: MessageAuthenticator,
     messages: Sender<Vec<u8>>,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Handles all commands, and then writes: all messages of this turn go out in one write for each stream.
+    /// Handles all queued commands before it writes, so that the messages of one stream share a write.
     fn handle_commands(&mut self) {
         let commands: Vec<StreamCommand> = self.commands.try_iter().collect();
         let mut to_write: Vec<usize> = Vec::new();
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Reads once from each stream that may have more.
+    /// Reads once from each stream that may have more data.
     fn read_all_readable(&mut self) -> Result<(), Disconnected> {
         for _ in 0..self.readable.len() {
             let Some(number) = self.readable.pop_front() else {
@@ -195,7 +195,7 @@
 
     fn adopt(&mut self, mut stream: TcpStream, received: Vec<u8>) {
         if self.inbound.len() >= MAX_INBOUND {
-            return; // the peer connects again
+            return; // the stream is closed, and the peer connects again later
         }
         let number = self.new_number();
         let registered =
@@ -239,7 +239,7 @@
     }
 
     /// Queues a message for a stream, which is opened if necessary. Returns the stream's number, or `None` if the message is
-    /// lost.
+    /// dropped.
     fn enqueue(&mut self, to: SocketAddr, message: &[u8]) -> Option<usize> {
         let now = Instant::now();
         let number = self.outbound_number(to, now)?;
--- a/crates/asterdale-transport/src/persistent_streams/inbound.rs
+++ b/crates/asterdale-transport/src/persistent_streams/inbound.rs
@@ -12,36 +12,36 @@
 
 /// The maximal length of an encoded message with its authentication code, in bytes.
 const MAX_FRAME_BYTES: usize = MAX_MESSAGE_BYTES + 64;
-/// A message has to arrive completely within this time.
+/// How long the complete arrival of a message may take.
 const MAX_MESSAGE_DURATION: Duration = Duration::from_secs(10);
-/// About how much is read from one stream before it is the turn of the others, in bytes.
+/// About how many bytes are read from one stream before the next stream is read.
 const READ_TURN_BYTES: usize = 64 * 1024;
-/// Bytes that are read at once.
+/// The size of the buffer of one read call.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What reading a stream has brought.
+/// The result of reading a stream.
 pub(super) struct ReadOutcome {
     /// How many bytes were read.
     pub(super) bytes: usize,
     /// Whether the peer has closed the stream, or it has failed.
     pub(super) is_closed: bool,
-    /// Whether the turn ended before everything was read.
+    /// Whether the read limit was reached before all available data was read.
     pub(super) may_have_more: bool,
 }
 
 /// What the received bytes contain.
 pub(super) enum Parsed {
-    /// Messages of this many bytes in total, which were delivered.
+    /// Valid messages, which were delivered, and possibly an incomplete one.
     Valid {
         /// The size of the messages with their length fields.
         taken_bytes: usize,
     },
-    /// Likewise, and then bytes that are no message of the fleet.
+    /// Valid messages, which were delivered, followed by bytes that are no valid message of the fleet.
     Invalid {
         /// The size of the messages with their length fields.
         taken_bytes: usize,
     },
-    /// The receiver of messages is gone.
+    /// The receiver of messages was dropped.
     Disconnected,
 }
 
@@ -67,13 +67,13 @@
         self.received.len()
     }
 
-    /// Whether a message has not arrived completely within its time.
+    /// Whether the incomplete message has exceeded [`MAX_MESSAGE_DURATION`].
     pub(super) fn is_message_late(&self, now: Instant) -> bool {
         self.message_started
             .is_some_and(|started| now - started > MAX_MESSAGE_DURATION)
     }
 
-    /// Reads about [`READ_TURN_BYTES`], or what has arrived.
+    /// Reads what has arrived, up to about [`READ_TURN_BYTES`].
     pub(super) fn read(&mut self) -> ReadOutcome {
         let before = self.received.len();
         let mut buffer = [0; READ_BUFFER_BYTES];
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Delivers the complete messages that were received. A message that finds the receiver's queue full is lost.
+    /// Delivers the complete messages that were received. If the receiver's queue is full, a message is dropped.
     pub(super) fn deliver_messages(
         &mut self,
         authenticator: &MessageAuthenticator,
--- a/crates/asterdale-transport/src/persistent_streams/outbound.rs
+++ b/crates/asterdale-transport/src/persistent_streams/outbound.rs
@@ -10,13 +10,14 @@
 
 use crate::framing::persistent_frame;
 
-/// The maximal size of the queue, in bytes. Messages beyond it are lost; their senders repeat what matters.
+/// The maximal size of the queue, in bytes. Messages beyond it are dropped; their senders repeat what has to
+/// arrive.
 const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
 /// A stream with queued messages that has written nothing for this long is closed.
 const MAX_BLOCKED: Duration = Duration::from_secs(10);
-/// A stream without messages for this long is closed, and opened again for the next message.
+/// A stream without messages for this long is closed, and reopened for the next message.
 const MAX_IDLE: Duration = Duration::from_secs(60);
-/// The shortest time between two attempts to connect.
+/// The minimal interval between two attempts to connect.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
 /// The maximal number of messages in one write.
 const MAX_WRITE_MESSAGES: usize = 64;
@@ -24,7 +25,7 @@
 /// The stream is broken and has to be closed.
 struct Broken;
 
-/// A persistent stream to a peer, or the intention to open one.
+/// A persistent stream to a peer. It is opened when a message has to be sent.
 pub(super) struct OutboundStream {
     pub(super) address: SocketAddr,
     stream: Option<TcpStream>,
@@ -33,7 +34,7 @@
     written_bytes: usize,
     /// The size of all queued messages, in bytes.
     queued_bytes: usize,
-    /// When it last connected, wrote something, or started to queue.
+    /// When the stream was last opened or written to, or a message was added to an empty queue.
     last_progress: Instant,
     connect_not_before: Instant,
 }
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Starts to connect unless there is a stream. Returns whether there is one.
+    /// Starts to connect unless there is a stream already. Returns whether there is a stream now.
     pub(super) fn ensure_connected(
         &mut self,
         registry: &Registry,
@@ -68,7 +69,7 @@
         let Ok(mut stream) = TcpStream::connect(self.address) else {
             return false;
         };
-        // Without it messages arrive later, and nothing else changes.
+        // Without TCP_NODELAY messages are delayed, but nothing else changes.
         let _ = stream.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
         if registry.register(&mut stream, token, interest).is_err() {
@@ -93,7 +94,8 @@
         true
     }
 
-    /// Writes as much as the stream takes. If it breaks, the queue is lost; the senders repeat what matters.
+    /// Writes as much as the socket accepts. If the stream breaks, its queue is dropped; the senders
+    /// repeat what has to arrive.
     pub(super) fn write(&mut self) {
         if self.stream.is_some() && self.try_write().is_err() {
             self.close();
@@ -117,7 +119,7 @@
         Ok(())
     }
 
-    /// A peer never sends anything on this stream: data or an end of file break it.
+    /// Checks that the peer has neither sent data, which it never does on this stream, nor closed the stream.
     fn check_peer(&mut self) -> Result<(), Broken> {
         let Some(stream) = &mut self.stream else {
             return Err(Broken);
@@ -158,12 +160,12 @@
         }
     }
 
-    /// Whether it has queued messages and has made no progress for too long.
+    /// Whether the stream has queued messages and has made no progress for longer than [`MAX_BLOCKED`].
     pub(super) fn is_blocked(&self, now: Instant) -> bool {
         !self.queue.is_empty() && now - self.last_progress > MAX_BLOCKED
     }
 
-    /// Whether it has had no messages for too long.
+    /// Whether the stream has had no messages for longer than [`MAX_IDLE`].
     pub(super) fn is_idle(&self, now: Instant) -> bool {
         self.queue.is_empty() && now - self.last_progress > MAX_IDLE
     }
--- a/crates/asterdale-transport/src/start.rs
+++ b/crates/asterdale-transport/src/start.rs
@@ -23,11 +23,11 @@
 use crate::summary::FleetSummary;
 use crate::threads;
 
-/// The capacity of the membership actor's mailbox. A datagram that finds it full is dropped, as by any full queue on its
-/// path; the protocol repeats what matters.
+/// The capacity of the membership actor's mailbox. If it is full, a datagram is dropped, as by any full queue on its path;
+/// the protocol repeats what has to arrive.
 const MAILBOX_CAPACITY: usize = 4096;
 
-/// How a process takes part in its fleet.
+/// The settings of the transport.
 #[derive(Clone, Debug)]
 pub struct TransportSettings {
     /// The local address, over UDP and TCP.
@@ -40,8 +40,8 @@
     pub ownership: Option<OwnershipActorSettings>,
 }
 
-/// Starts the transport. `on_event` is called with each membership event, in order, by the membership actor's thread, and
-/// `on_notification` with each notification of the ownership actor by that one's thread. Neither may wait.
+/// Starts the transport. The membership actor's thread calls `on_event` with each membership event, in order, and the
+/// ownership actor's thread calls `on_notification` with each of its notifications. Neither callback may block.
 ///
 /// # Errors
 /// If a socket cannot be bound or a thread cannot be started.
--- a/crates/asterdale-transport/src/status.rs
+++ b/crates/asterdale-transport/src/status.rs
@@ -6,7 +6,7 @@
 use asterdale_membership::{MemberRecord, Membership, Phase, Status};
 use serde::{Deserialize, Serialize};
 
-/// What is known of a member.
+/// The status of a member, as the reporting process knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// Its name.
@@ -29,17 +29,17 @@
     /// The time since a message came from the member itself, in milliseconds; absent if none ever did.
     #[serde(rename = "heard_ms")]
     pub last_contact_ms: Option<u64>,
-    /// Its own statement: `cold`, `ready`, `full` or `leaving`.
+    /// Its phase, as announced by the member: `cold`, `ready`, `full` or `leaving`.
     pub phase: String,
     /// The utilization of its cores, in percent.
     #[serde(rename = "load")]
     pub load_percent: u8,
-    /// How far it is warmed up, in percent.
+    /// Its warm-up progress, in percent.
     #[serde(rename = "warm")]
     pub warm_percent: u8,
 }
 
-/// What a process knows of its fleet.
+/// The fleet, as the reporting process knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
     /// The reporting process.
@@ -108,7 +108,7 @@
         ["alive", "suspect"].contains(&&*self.status)
     }
 
-    /// A row of the table, under [`table_header`].
+    /// A row of the table with the columns of [`table_header`].
     fn to_row(&self) -> String {
         format!(
             "{:<16} {:<21} {:>10} {:<8} {:>9.1} {:<16} {:<8} {:>4} {:>4}",
@@ -138,7 +138,7 @@
 }
 
 impl StatusReport {
-    /// The report of this moment.
+    /// Creates the report for the current time.
     pub(crate) fn new(
         membership: &Membership,
         now_ms: f64,
@@ -184,7 +184,7 @@
         generations
     }
 
-    /// A table for people.
+    /// Formats the report as a human-readable table.
     pub fn to_table(&self) -> String {
         let uncertainty = if self.has_majority {
             ""
--- a/crates/asterdale-transport/src/summary.rs
+++ b/crates/asterdale-transport/src/summary.rs
@@ -4,7 +4,7 @@
 
 use asterdale_membership::{Membership, Metadata, Phase};
 
-/// From this percentage on a member counts as warm: it can take the full load that callers are promised.
+/// A member with at least this warm-up percentage counts as warm: it can serve the full load that callers are promised.
 const MIN_WARM_PERCENT: u8 = 80;
 
 /// Counts of the fleet's members, as this process sees them.
@@ -18,7 +18,8 @@
 }
 
 impl FleetSummary {
-    /// Live members, this process among them; 0 if it is no member, or is in contact with less than the majority.
+    /// The number of live members, including this process; 0 if this process is no member, or is not in contact with a
+    /// majority.
     pub fn live_members(&self) -> u32 {
         if self.has_majority.load(Ordering::Relaxed) {
             self.live_members.load(Ordering::Relaxed)
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Live members that accept work and are warm.
+    /// The number of live members that accept work and are warm.
     pub fn warm_members(&self) -> u32 {
         self.warm_members
             .load(Ordering::Relaxed)
@@ -44,7 +45,7 @@
         self.generation.load(Ordering::Relaxed)
     }
 
-    /// Takes the counts from the state machine.
+    /// Updates the summary from the membership state machine.
     pub(crate) fn update(&self, membership: &Membership, now_ms: f64) {
         let is_member = membership.is_member();
         let live_members = if is_member {
--- a/crates/asterdale-transport/src/threads.rs
+++ b/crates/asterdale-transport/src/threads.rs
@@ -1,9 +1,9 @@
-//! Threads of this package.
+//! Thread creation.
 
 use std::io;
 use std::thread;
 
-/// The stack of a thread: all large buffers are on the heap.
+/// The stack size of a thread. Small, because all large buffers are on the heap.
 const STACK_BYTES: usize = 256 * 1024;
 
 /// Starts a named thread. It runs as long as the process, blocked in the kernel most of the time, and is not joined.
--- a/crates/asterdale-transport/tests/sockets.rs
+++ b/crates/asterdale-transport/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Fleets of processes on real sockets, and strangers that must not disturb them.
+//! Fleets of processes on real sockets, and traffic without the fleet's key, which must not disrupt them.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -95,7 +95,7 @@
     assert_eq!(live_members(&first), 1);
     control::leave(&path).unwrap();
     assert!(control::show(&path).is_ok_and(|report| report.state == "ended"));
-    // Left over if removing it fails; the next run replaces it.
+    // If the removal fails, the file is left over, and the next run replaces it.
     let _ = std::fs::remove_file(path);
 }
 
@@ -104,7 +104,7 @@
     let address = free_address();
     let (first, _) = start_process(settings("one", address, &[]));
     wait_until("the first to join", || live_members(&first) == 1);
-    // More silent streams than the limit, invalid lengths, and noise over UDP and TCP.
+    // More silent streams than the limit, invalid lengths, and random data over UDP and TCP.
     let silent: Vec<TcpStream> = (0..60)
         .map(|_| TcpStream::connect(address).unwrap())
         .collect();
@@ -118,7 +118,7 @@
             let _ = stream.write_all(&[0xff, 0xff, 0xff, byte, 1, 2, 3]);
         }
     }
-    // The strangers' streams end at their deadlines, and a process with the key joins.
+    // The silent streams are closed at their deadlines, and a process with the key joins.
     let (second, _) = start_process(settings("two", free_address(), &[address]));
     wait_until("both to join", || {
         live_members(&first) == 2 && live_members(&second) == 2
--- a/crates/asterdale-transport/tests/status_report.rs
+++ b/crates/asterdale-transport/tests/status_report.rs
@@ -1,4 +1,5 @@
-//! The status report's JSON and table, which operators and tools read, do not change with the names in the code.
+//! The JSON keys and the table of the status report, which operators and tools read, do not change when names in the code
+//! change.
 
 use std::collections::BTreeMap;
 
