--- a/crates/asterdale-journal/src/actor.rs
+++ b/crates/asterdale-journal/src/actor.rs
@@ -1,5 +1,5 @@
 //! The journal's actor: it applies commands to the index and writes the changes, many commands in one commit (group commit).
-//! Every answer leaves after the commit that it depends on. All commands that arrive during a commit share the next one.
+//! Every answer is sent after the commit that it depends on. All commands that arrive during a commit share the next one.
 
 use std::time::{Duration, Instant};
 
@@ -15,22 +15,22 @@
 use crate::recovery::{self, PreviousRun};
 use crate::store::Store;
 
-/// The folder's timestamp is refreshed this often while nothing else is written: five times within the age up to which the
-/// recovery check takes a folder for current.
+/// The interval at which the folder's timestamp is refreshed while nothing else is written: a fifth of the maximal age of a
+/// timestamp that the recovery check accepts as current.
 const TIMESTAMP_INTERVAL: Duration = Duration::from_secs(1);
-/// The maximal number of commands that join the first one of a commit.
+/// The maximal number of commands of a commit after the first one.
 const MAX_BATCH_COMMANDS: usize = 512;
 /// The maximal number of expired keys that one commit deletes.
 const MAX_EXPIRED_KEYS: usize = 1024;
-/// After a failure other than a failed sync, the file is reopened this often.
+/// The interval between attempts to reopen the file after a failure other than a failed sync.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
-/// The maximal number of writes that wait for a failed disk: outcomes of requests that ran meanwhile. The oldest are dropped
-/// beyond it; their keys are unknown after a crash.
+/// The maximal number of writes that are buffered while the disk fails: outcomes of requests that ran meanwhile. Beyond it
+/// the oldest are dropped; the state of their keys is unknown after a crash.
 const MAX_UNWRITTEN: usize = 65_536;
-/// How long the failpoint that starts requests before their intents are written delays the commit, like a slow disk.
+/// How long the failpoint that starts requests before their intents are on disk delays the commit, as a slow disk would.
 const EARLY_START_DELAY: Duration = Duration::from_millis(30);
 
-/// A folder that was just opened.
+/// The state of the folder after it was opened.
 pub(crate) struct FolderState {
     pub(crate) index: KeyIndex,
     pub(crate) store: Store,
@@ -38,7 +38,7 @@
     pub(crate) previous_run: Option<PreviousRun>,
     /// Folder time when it was opened, in milliseconds.
     pub(crate) started_at_ms: f64,
-    /// The end of the quiet period as the previous run left it, in folder time.
+    /// The end of the quiet period that the previous run stored, in folder time.
     pub(crate) previous_quiet_until_ms: f64,
 }
 
@@ -54,9 +54,9 @@
     previous_run: Option<PreviousRun>,
     previous_quiet_until_ms: f64,
     is_recovery_checked: bool,
-    /// Writes that are not on disk yet.
+    /// Writes that have not been committed yet.
     unwritten: Vec<KeyWrite>,
-    /// A sync failed, the folder was replaced, or a newer process has the name: nothing is started any more in this run.
+    /// Whether this run may start no more executions: a sync failed, the folder was replaced, or a newer process has the name.
     is_stopped: bool,
     reopen_at: Instant,
     committed_at: Instant,
@@ -70,7 +70,7 @@
     claim: u64,
 }
 
-/// What the commands of one commit have caused.
+/// The effects of the commands of one commit.
 #[derive(Default)]
 struct Batch {
     writes: Vec<KeyWrite>,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Serves commands until all handles are dropped.
+    /// Handles commands until all handles are dropped.
     pub(crate) fn run(mut self, commands: &Receiver<JournalCommand>) {
         let mut received = Vec::new();
         loop {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Applies the commands that are about the process and not about a key.
+    /// Applies the commands that concern the process and not a key.
     fn apply_process_event(&mut self, now_ms: f64, command: JournalCommand, batch: &mut Batch) {
         match command {
             JournalCommand::Joined {
@@ -254,13 +254,13 @@
         batch.is_header_changed = true;
     }
 
-    /// Does the recovery check, once, and sets the quiet period by its result.
+    /// Does the recovery check once, and sets the quiet period according to its result.
     fn check_recovery(&mut self, now_ms: f64, remembered_generation: u64) {
         if std::mem::replace(&mut self.is_recovery_checked, true) {
             return;
         }
         let verdict = recovery::assess(self.previous_run, remembered_generation);
-        // A quiet period of the previous run goes on: its timestamps do not prove that no earlier entry was lost.
+        // A quiet period of the previous run continues: its timestamps do not prove that no earlier entry was lost.
         let quiet_until_ms = match verdict.is_trusted() {
             true if self.previous_quiet_until_ms > now_ms => self.previous_quiet_until_ms,
             true => 0.0,
@@ -283,7 +283,7 @@
             return;
         };
         (self.on_event)(JournalEvent::Failed(error));
-        // Whether the intents are on disk is not known: none of these executions may start.
+        // The intents may or may not be on disk: none of these executions may start.
         for claim in std::mem::take(&mut batch.claims) {
             let delete = self.index.cancel_claim(&claim.key, claim.claim);
             self.unwritten.extend(delete);
@@ -301,12 +301,12 @@
             (self.on_event)(JournalEvent::Answered(request, answer));
         }
         if let Some(reply) = batch.flush {
-            // Whoever waited may have given up.
+            // The caller may have timed out.
             let _ = reply.send(());
         }
     }
 
-    /// Writes these and all earlier unwritten changes in one commit. Without an open file they wait.
+    /// Writes these and all earlier unwritten changes in one commit. They stay buffered while no file is open.
     fn commit(&mut self, writes: Vec<KeyWrite>) -> Result<(), StoreError> {
         self.committed_at = Instant::now();
         self.unwritten.extend(writes);
@@ -332,7 +332,7 @@
         }
     }
 
-    /// Reopens the file after a failure other than a failed sync, for example of a full disk, and writes what is unwritten.
+    /// Reopens the file after a failure other than a failed sync, such as a full disk, and commits the unwritten changes.
     fn reopen_after_failure(&mut self) {
         if self.store.is_some() || self.is_stopped || Instant::now() < self.reopen_at {
             return;
@@ -345,7 +345,7 @@
             (header.folder_id, header.run) == (self.header.folder_id, self.header.run)
         });
         if !is_same_run {
-            // The folder was deleted or replaced meanwhile.
+            // The folder was deleted or replaced while the file was closed.
             self.is_stopped = true;
             return;
         }
--- a/crates/asterdale-journal/src/clock.rs
+++ b/crates/asterdale-journal/src/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock, for the moments that are stored in files.
+//! The wall clock, for timestamps that are stored in files.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/asterdale-journal/src/command.rs
+++ b/crates/asterdale-journal/src/command.rs
@@ -8,7 +8,7 @@
 use crate::index::{IndexLimits, KeyStatus};
 use crate::recovery::RecoveryVerdict;
 
-/// How to open a journal.
+/// The settings of a journal.
 #[derive(Clone, Debug)]
 pub struct JournalSettings {
     /// The folder. Only one process can have it open.
@@ -28,7 +28,7 @@
 /// A command to the journal. Answers carry the number of the request.
 #[derive(Debug)]
 pub enum JournalCommand {
-    /// Answer what is known of a key.
+    /// Answer with the status of a key.
     Lookup {
         /// The number of the request.
         request: u64,
@@ -37,7 +37,7 @@
         /// The digest of the request's body.
         body_digest: u64,
     },
-    /// Claim a key and write the intent. Answered once that is on disk.
+    /// Claim a key and write the intent. Answered once the intent is on disk.
     Claim {
         /// The number of the request.
         request: u64,
@@ -50,7 +50,7 @@
         /// How long the key is remembered, in milliseconds.
         window_ms: f64,
     },
-    /// Write the outcome of an execution. Answered once that is on disk, or cannot be.
+    /// Write the outcome of an execution. Answered once the outcome is on disk, or the write has failed.
     RecordOutcome {
         /// The number of the request.
         request: u64,
@@ -58,7 +58,7 @@
         key: Vec<u8>,
         /// The number of the claim.
         claim: u64,
-        /// The result, if it succeeded.
+        /// The result, if the execution succeeded.
         result: Option<Vec<u8>>,
     },
     /// Delete the intent of an execution that never started.
@@ -74,16 +74,16 @@
     Joined {
         /// Its generation.
         generation: u64,
-        /// The highest generation of its name that others remembered; 0 for none.
+        /// The highest generation of its name that other members remembered; 0 for none.
         remembered: u64,
     },
     /// The process has a new generation.
     GenerationChanged(u64),
-    /// The process has no fleet that could remember it.
+    /// The process has no fleet, and so no members that remember a generation of it.
     NoFleet,
-    /// A newer process has this name: start nothing any more.
+    /// A newer process has this name: start no more executions.
     Superseded,
-    /// Write everything that came before, and reply.
+    /// Commit the changes of all earlier commands, and reply.
     Flush(Sender<()>),
 }
 
@@ -92,13 +92,13 @@
 pub enum JournalAnswer {
     /// The status of a key.
     Status(KeyStatus),
-    /// The execution may start under the claim of this number: its intent is on disk.
+    /// The execution may start under the claim with this number: its intent is on disk.
     Claimed(u64),
-    /// The outcome is on disk; after a failure of the disk it may be in memory alone.
+    /// The outcome is on disk; after a disk failure it may be in memory only.
     OutcomeRecorded,
 }
 
-/// What the journal reports.
+/// An event that the journal reports.
 #[derive(Debug)]
 pub enum JournalEvent {
     /// The answer to the request of this number.
@@ -110,15 +110,15 @@
         /// How long the quiet period lasts from now, in milliseconds.
         quiet_ms: f64,
     },
-    /// A commit failed: keyed requests are not started any more.
+    /// A commit failed: no more keyed requests are started until [`JournalEvent::Recovered`].
     Failed(StoreError),
-    /// Commits succeed again.
+    /// Commits succeed again, and keyed requests are started again.
     Recovered,
     /// A damaged file was renamed, and the journal started with an empty one.
     DamagedFileMoved {
         /// The new path of the damaged file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error that the damage caused.
         error: StoreError,
     },
 }
--- a/crates/asterdale-journal/src/entry.rs
+++ b/crates/asterdale-journal/src/entry.rs
@@ -5,15 +5,15 @@
 
 use prost::Message;
 
-/// How far a request's execution had come when its entry was written.
+/// The state of a request's execution when its entry was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum ExecutionState {
-    /// It was about to start: it may have run.
+    /// The execution was about to start: it may have run.
     Intent = 0,
-    /// It ended with a result that is stored.
+    /// The execution ended with a result, which is stored.
     Succeeded = 1,
-    /// It ended without a result that could be stored.
+    /// The execution ended without a result, or with one that could not be stored.
     Failed = 2,
 }
 
@@ -57,7 +57,7 @@
     /// The name of the process that owns the folder.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// A random id, drawn when the folder was created.
+    /// A random id, generated when the folder was created.
     #[prost(fixed64, tag = "2")]
     pub folder_id: u64,
     /// Counts the processes that have opened the folder.
@@ -66,7 +66,7 @@
     /// The generation of the owner in its fleet; 0 for none.
     #[prost(uint64, tag = "4")]
     pub generation: u64,
-    /// Folder time at the last commit, in milliseconds. It advances only while a process has the folder open, and never steps.
+    /// Folder time at the last commit, in milliseconds. It advances only while a process has the folder open, without steps.
     #[prost(double, tag = "5")]
     pub folder_time_ms: f64,
     /// Unix time at the last commit, in milliseconds. This clock may step.
@@ -86,11 +86,11 @@
 /// The length of an attempt id, in bytes.
 const ATTEMPT_ID_BYTES: usize = 16;
 
-/// Encodes a message behind the version byte.
+/// Encodes a message after a version byte.
 pub fn encode(message: &impl Message) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(1 + message.encoded_len());
     bytes.push(VERSION);
-    // Encoding fails only for want of space, and a vector grows.
+    // Encoding fails only if the buffer is too small, and a vector grows.
     let _ = message.encode(&mut bytes);
     bytes
 }
--- a/crates/asterdale-journal/src/error.rs
+++ b/crates/asterdale-journal/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the stored files: a lock that is taken, damaged contents, a disk that failed.
+//! Errors of the stored files: a lock held by another process, damaged contents, disk failures.
 
 use std::io;
 use std::path::PathBuf;
@@ -29,8 +29,8 @@
     /// The contents are damaged, or were written by another program.
     #[error("the stored contents are damaged: {0}")]
     Damaged(#[source] Damage),
-    /// The database could not read from or write to the disk, for example because the disk is full. Whether the last commit
-    /// is on disk is not known.
+    /// The database could not read from or write to the disk, for example because the disk is full. The last commit may or
+    /// may not be on disk.
     #[error("the disk failed: {0}")]
     Database(#[source] Box<redb::Error>),
     /// A file system operation failed.
@@ -44,12 +44,12 @@
 }
 
 impl StoreError {
-    /// An error of the database library that leaves open whether the contents are sound.
+    /// An error of the database library that does not imply damaged contents.
     pub(crate) fn database(error: impl Into<redb::Error>) -> StoreError {
         StoreError::Database(Box::new(error.into()))
     }
 
-    /// An error of the database library that says that the contents are damaged.
+    /// An error of the database library that implies damaged contents.
     pub(crate) fn damaged(error: impl Into<redb::Error>) -> StoreError {
         StoreError::Damaged(Damage::Database(Box::new(error.into())))
     }
@@ -63,7 +63,7 @@
     Store {
         /// The journal's folder.
         folder: PathBuf,
-        /// What failed.
+        /// The error.
         source: StoreError,
     },
     /// A damaged file cannot be renamed.
--- a/crates/asterdale-journal/src/failpoint.rs
+++ b/crates/asterdale-journal/src/failpoint.rs
@@ -3,9 +3,9 @@
 asterdale_failpoints::failpoints! {
     /// A request may start before its intent is on disk.
     StartBeforeIntent = "early",
-    /// A commit that failed is reported as made.
+    /// A failed commit is reported as successful.
     IgnoredSyncError = "sync",
-    /// A folder that is older than what others remember, or that cannot be verified, is trusted.
+    /// A folder is trusted although other members remember a later generation, or although it cannot be verified.
     TrustedRollback = "rollback",
     /// The folder's lock is ignored.
     UnlockedFolder = "unlocked",
--- a/crates/asterdale-journal/src/folder.rs
+++ b/crates/asterdale-journal/src/folder.rs
@@ -9,7 +9,7 @@
 use crate::recovery::PreviousRun;
 use crate::store::{catch_library_panic, Store, StoredState, STATE_FILE};
 
-/// An error of the store, with the folder that it is about.
+/// Adds the folder's path to an error of the store.
 pub(crate) fn start_error(settings: &JournalSettings, source: StoreError) -> StartError {
     StartError::Store {
         folder: settings.folder.clone(),
@@ -21,12 +21,12 @@
 pub(crate) struct OpenFolder {
     pub(crate) store: Store,
     pub(crate) stored: StoredState,
-    /// The new path of a damaged file that was renamed, and what is wrong with it.
+    /// The new path of a damaged file that was renamed, and the error that the damage caused.
     pub(crate) damaged_file: Option<(PathBuf, StoreError)>,
 }
 
-/// Opens the folder. A damaged file is kept under another name for whoever investigates it; the process goes on like one
-/// that has lost everything.
+/// Opens the folder. A damaged file is renamed, so that it can be investigated, and replaced by an empty one; the process
+/// continues like one whose entire state was lost.
 pub(crate) fn open_or_replace(settings: &JournalSettings) -> Result<OpenFolder, StartError> {
     let error = match open(settings) {
         Ok((store, stored)) => {
@@ -58,7 +58,7 @@
 pub(crate) fn open(settings: &JournalSettings) -> Result<(Store, StoredState), StoreError> {
     catch_library_panic(|| {
         let mut store = Store::open(&settings.folder, settings.max_file_bytes)?;
-        // After an orderly shutdown the library checks no pages by itself.
+        // After a clean shutdown the library does not check the pages when it opens the file.
         if !store.check_integrity()? {
             return Err(StoreError::Damaged(Damage::Integrity));
         }
@@ -67,7 +67,8 @@
     })
 }
 
-/// What the folder says of the run before. With damaged entries it cannot be verified, whatever its age.
+/// Returns what the folder says about the previous run. With damaged entries the folder is never taken for current, so its
+/// age is infinite.
 pub(crate) fn previous_run(stored: &StoredState) -> Option<PreviousRun> {
     let header = stored.header.as_ref()?;
     let age_ms = if stored.damaged_entries > 0 {
@@ -86,13 +87,13 @@
     FolderHeader {
         name: settings.name.clone(),
         folder_id: settings.random_id,
-        // Another number than the id, which the folder's statistics print: the golden ratio's bits.
+        // Different from the id, which the folder's statistics print. The constant consists of bits of the golden ratio.
         digest_secret: settings.random_id.rotate_left(32) ^ 0x9e37_79b9_7f4a_7c15,
         ..FolderHeader::default()
     }
 }
 
-/// Checks that the folder belongs to the process of this name.
+/// Checks that the folder belongs to the process with the name in the settings.
 pub(crate) fn check_owner(
     settings: &JournalSettings,
     header: &FolderHeader,
--- a/crates/asterdale-journal/src/index.rs
+++ b/crates/asterdale-journal/src/index.rs
@@ -1,36 +1,36 @@
-//! The index of idempotency keys: what is known of each key, and whether it may be executed. A state machine without I/O and
+//! The index of idempotency keys: the status of each key, and whether it may be executed. A state machine without I/O or a
 //! clock: it returns the writes that must be on disk before an answer is sent. Times are folder time in milliseconds.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::entry::{Entry, ExecutionState};
 
-/// The suggested wait of a lookup before the recovery check is done, which takes some gossip intervals.
+/// The suggested retry delay while the recovery check, which takes some gossip intervals, is not done.
 const RECOVERY_PENDING_RETRY_MS: f64 = 100.0;
-/// How much longer an entry is kept whose request still runs when its window ends.
+/// How much longer an entry is kept if its request is still running when its window ends.
 const RUNNING_EXTENSION_MS: f64 = 1000.0;
-/// What an entry takes besides its key and result, in bytes.
+/// The approximate memory of an entry besides its key and result, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 128;
 
-/// What is known of a key.
+/// The status of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyStatus {
-    /// It was never executed, and may be.
+    /// It was never executed, and may be executed.
     Absent,
-    /// It was claimed in this run and has not ended.
+    /// It was claimed in this run, and its execution has not ended.
     InFlight,
-    /// It ended with this result.
+    /// Its execution ended with this result.
     Succeeded(Vec<u8>),
-    /// It ended without a result.
+    /// Its execution ended without a result.
     Failed,
-    /// It may have been executed in an earlier run. Nothing more will be known for `retry_after_ms`.
+    /// It may have been executed in an earlier run. The status does not change before `retry_after_ms` have passed.
     Unknown {
-        /// Until its window ends, or the quiet period.
+        /// The time until the key's window or the quiet period ends, or a retry delay before the recovery check is done.
         retry_after_ms: f64,
     },
     /// The key belongs to a request with another body.
     BodyMismatch,
-    /// Nothing was executed, since the index is full or the disk has failed.
+    /// It was not executed, since the index is full, the disk has failed, or this run may start no more executions.
     Unavailable,
 }
 
@@ -43,7 +43,7 @@
     Delete(Vec<u8>),
 }
 
-/// How much the index may hold.
+/// The capacity of the index.
 #[derive(Clone, Copy, Debug)]
 pub struct IndexLimits {
     /// The maximal number of keys.
@@ -73,7 +73,7 @@
 }
 
 impl IndexedEntry {
-    /// Whether it was claimed in this run and has not ended.
+    /// Whether the key was claimed in this run and its execution has not ended.
     fn is_in_flight(&self) -> bool {
         self.claim > 0 && self.entry.state() == ExecutionState::Intent
     }
@@ -102,8 +102,8 @@
 }
 
 impl KeyIndex {
-    /// An index of the entries that earlier runs wrote. No other key may be executed until [`KeyIndex::set_quiet_until`] is
-    /// called.
+    /// Creates an index with the entries that earlier runs wrote. No other key may be executed until
+    /// [`KeyIndex::set_quiet_until`] is called.
     pub fn new(
         run: u64,
         limits: IndexLimits,
@@ -124,7 +124,7 @@
         index
     }
 
-    /// Sets the end of the quiet period: before it, a key without an entry may have been executed by an earlier run, and is
+    /// Sets the end of the quiet period. Until then, a key without an entry may have been executed by an earlier run, and is
     /// not executed.
     pub fn set_quiet_until(&mut self, quiet_until_ms: f64) {
         self.quiet_until_ms = quiet_until_ms;
@@ -151,7 +151,7 @@
         Some(indexed)
     }
 
-    /// What is known of a key with this body.
+    /// Returns the status of a key for a request with this body digest.
     pub fn lookup(&self, now_ms: f64, key: &[u8], body_digest: u64) -> KeyStatus {
         let Some(indexed) = self.entries.get(key) else {
             return self.status_of_absent_key(now_ms);
@@ -222,7 +222,7 @@
         write
     }
 
-    /// The entry of a claim that has not ended.
+    /// The entry of a claim that is in flight.
     fn claimed(&self, key: &[u8], claim: u64) -> Option<&Entry> {
         let indexed = self.entries.get(key)?;
         (indexed.claim == claim && indexed.is_in_flight()).then_some(&indexed.entry)
@@ -237,7 +237,7 @@
         result: Option<Vec<u8>>,
     ) -> Option<KeyWrite> {
         let mut entry = self.claimed(key, claim)?.clone();
-        // A result that does not fit is not stored: repeats of the request fail, and are not executed.
+        // A result beyond the size limit is not stored: retries of the request fail, and are not executed.
         let fits = |result: &Vec<u8>| self.size_bytes + result.len() <= self.limits.max_bytes;
         match result.filter(fits) {
             Some(result) => {
--- a/crates/asterdale-journal/src/index/tests.rs
+++ b/crates/asterdale-journal/src/index/tests.rs
@@ -106,7 +106,7 @@
     );
     assert_eq!(index.cancel_claim(&[1], claims[1]), None);
     assert!(index.claim(0.0, request(&[1])).is_ok());
-    // A result that does not fit: repeats of the request fail.
+    // A result beyond the size limit: retries of the request fail.
     index.record_outcome(&[0], claims[0], Some(vec![0; 2000]));
     assert_eq!(index.lookup(1.0, &[0], DIGEST), KeyStatus::Failed);
 }
--- a/crates/asterdale-journal/src/journal.rs
+++ b/crates/asterdale-journal/src/journal.rs
@@ -14,45 +14,45 @@
 
 /// How long [`Journal::flush`] waits for the disk.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
-/// The stack of the journal's thread: its buffers are on the heap.
+/// The stack size of the journal's thread, whose buffers are on the heap.
 const STACK_BYTES: usize = 512 * 1024;
 
 /// A handle to the journal. Its thread ends when the last handle is dropped.
 #[derive(Clone, Debug)]
 pub struct Journal {
     commands: Sender<JournalCommand>,
-    /// The generation of this process that the folder remembers; 0 for none.
+    /// The generation of this process that is stored in the folder; 0 for none.
     pub generation: u64,
-    /// How many keys were stored when the folder was opened.
+    /// The number of stored keys when the folder was opened.
     pub stored_keys: usize,
     /// The secret key of body digests. It is the same in all runs over this folder.
     pub digest_secret: u64,
 }
 
 impl Journal {
-    /// Sends a command. Never waits.
+    /// Sends a command. Never blocks.
     pub fn send(&self, command: JournalCommand) {
-        // Fails only if the thread has ended, which a panic alone causes: that ends the program.
+        // Fails only if the thread has panicked, and a panic ends the program.
         let _ = self.commands.send(command);
     }
 
-    /// Returns once all commands so far are on disk, or cannot be, or after two seconds.
+    /// Returns once the changes of all commands so far are on disk or could not be written, or after two seconds.
     pub fn flush(&self) {
         let (reply, flushed) = bounded(1);
         self.send(JournalCommand::Flush(reply));
-        // After the timeout the caller goes on, with the same result as for a disk that failed.
+        // After the timeout the caller continues, as after a disk failure.
         let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
-/// Opens the folder and starts the journal's thread. That thread calls `on_event` for each event; it must not block for long.
-/// A damaged file is renamed, and the journal starts with an empty one.
+/// Opens the folder and starts the journal's thread. That thread calls `on_event` for each event; the callback must not block
+/// for long. A damaged file is renamed, and the journal starts with an empty one.
 ///
-/// The thread is named but not joined: `on_event` may wait for a thread that drops the last handle, which must not wait for
-/// the journal's thread then. Callers that need the last commit call [`Journal::flush`].
+/// The thread is never joined: `on_event` may wait for the thread that drops the last handle, and joining the journal's
+/// thread there would be a deadlock. Callers that need the last commit on disk call [`Journal::flush`].
 ///
 /// # Errors
-/// If another process has the folder, if it is another process's, or if the disk fails.
+/// If another process has the folder open, if the folder belongs to a process of another name, or if the disk fails.
 pub fn start(
     settings: JournalSettings,
     on_event: impl Fn(JournalEvent) + Send + 'static,
@@ -71,7 +71,7 @@
     header.run += 1;
     let started_at_ms = header.folder_time_ms;
     let previous_quiet_until_ms = header.quiet_until_ms;
-    // Should this run end before its recovery check, the next run knows no more than this one.
+    // If this run ends before its recovery check, the next run cannot assume that no entries were lost.
     header.quiet_until_ms = header
         .quiet_until_ms
         .max(started_at_ms + settings.max_window_ms);
--- a/crates/asterdale-journal/src/lib.rs
+++ b/crates/asterdale-journal/src/lib.rs
@@ -1,12 +1,12 @@
 //! The write-ahead journal of keyed requests. The intent of an execution is on disk before it starts, and its outcome before
-//! it is reported. After a crash the next run of the process knows which requests it may execute, which it must not, and
-//! which may have been executed. `docs/durable.md` has the design and its alternatives.
+//! it is reported. After a crash the journal tells the next run of the process which requests it may execute, which it must
+//! not execute, and which may have been executed. `docs/durable.md` has the design and its alternatives.
 //!
 //! Modules, lowest first:
 //! - [`entry`]: the stored records and their encoding.
-//! - [`store`]: the database file, over a trait for disks that tests implement with faults.
-//! - [`index`]: what is known of each key and what may be executed, without I/O and clock.
-//! - [`recovery`]: whether the folder holds everything that the last run wrote, without I/O and clock.
+//! - [`store`]: the database file. It accesses the disk through a trait, which tests implement with injected faults.
+//! - [`index`]: the status of each key, and whether it may be executed, without I/O or a clock.
+//! - [`recovery`]: whether the folder holds everything that the last run wrote, without I/O or a clock.
 //! - [`command`] and [`journal`]: the actor's messages, and the handle to it. The actor writes many commands in one commit.
 //! - [`replica_store`]: the log storage of an ownership replica, in a file of its own.
 
--- a/crates/asterdale-journal/src/recovery.rs
+++ b/crates/asterdale-journal/src/recovery.rs
@@ -6,7 +6,7 @@
 //! - The other members of the fleet remember a generation of this process. A later generation than the folder's proves a
 //!   later run. The same generation proves nothing, since the folder may be a copy taken earlier in that generation. No
 //!   remembered generation proves nothing either, since all members may have been restarted.
-//! - The folder's own timestamp, which is refreshed every second while a process has it open. A timestamp of a moment ago
+//! - The folder's own timestamp, which is refreshed every second while a process has it open. A recent timestamp
 //!   means that the folder is as the last run left it.
 //!
 //! Two cases are not detected: a copy that is restored within [`FRESH_AGE_MAX_MS`] of being taken, and a clock that was set
@@ -14,8 +14,8 @@
 
 use crate::failpoint::{self, Failpoint};
 
-/// A folder whose timestamp is at most this old, in milliseconds by the Unix clock, is as the last run left it. It covers
-/// some of the refreshes, which come every second, and the time that a supervisor needs to restart a process.
+/// A folder whose timestamp is at most this old, in milliseconds by the Unix clock, is as the last run left it. The limit
+/// covers several refreshes, which are a second apart, and the time that a supervisor needs to restart a process.
 pub const FRESH_AGE_MAX_MS: f64 = 5_000.0;
 
 /// What a folder says about the run before this one.
@@ -32,13 +32,13 @@
 pub enum RecoveryVerdict {
     /// The folder is as the last run left it: a key without an entry was never executed.
     Current,
-    /// The folder is empty and no member remembers the process: a first start, or everything was lost.
+    /// The folder is empty and no member remembers the process: a first start, or the loss of all state.
     FirstStart,
     /// The folder is empty, but other members remember the process.
     StateLost,
     /// Other members remember a later generation than the folder does.
     Stale,
-    /// It cannot be told whether the folder is as the last run left it.
+    /// It is unknown whether the folder is as the last run left it.
     Unverified,
 }
 
--- a/crates/asterdale-journal/src/replica_store.rs
+++ b/crates/asterdale-journal/src/replica_store.rs
@@ -1,5 +1,5 @@
 //! The log storage of an ownership replica: numbered log entries and named metadata values (hard state, snapshot) in a
-//! database file. Several changes are written in one commit. Only the replica knows what the bytes mean.
+//! database file. Several changes are written in one commit. The values are opaque bytes here; the replica encodes them.
 
 use std::path::Path;
 
@@ -56,7 +56,7 @@
         Some(value)
     }
 
-    /// The run that wrote this, if a timestamp can be read.
+    /// The run that wrote the contents, if they have a valid timestamp.
     fn previous_run(&self) -> Option<PreviousRun> {
         let timestamp = self.metadata_value(TIMESTAMP_KEY)?.try_into().ok()?;
         Some(PreviousRun {
@@ -74,11 +74,11 @@
 
 impl ReplicaStore {
     /// Opens the file and reads it. The contents are empty (and deleted) if they belong to another replica or fail the
-    /// recovery check: a replica with an older state could vote again in a term in which it has voted. A damaged file is
+    /// recovery check: a replica with an older state could vote a second time in the same term. A damaged file is
     /// renamed, and the replica starts with an empty one.
     ///
     /// # Errors
-    /// [`StoreError::Locked`] if another process has the file; otherwise if the disk fails.
+    /// [`StoreError::Locked`] if another process has the file open; other errors if the disk fails.
     pub fn open(
         folder: &Path,
         name: &str,
@@ -127,7 +127,7 @@
         Ok(ReplicaContents { metadata, entries })
     }
 
-    /// Deletes the log and all metadata but for the name and the timestamp, which are written anew.
+    /// Deletes the log and all metadata except the name and the timestamp, which are overwritten.
     fn reset(&self, name: &str, contents: &ReplicaContents) -> Result<(), StoreError> {
         let transaction = self.store.begin_write()?;
         {
@@ -154,11 +154,11 @@
         transaction.commit().map_err(StoreError::database)
     }
 
-    /// Writes all changes, in order, in one commit with a new timestamp, and returns once that is synced to disk. Without
-    /// changes it writes the timestamp alone.
+    /// Writes all changes, in order, in one commit with a new timestamp, and returns once it is synced to disk. Without
+    /// changes it writes the timestamp only.
     ///
     /// # Errors
-    /// [`StoreError::Database`] if the disk fails. Later commits fail too then.
+    /// [`StoreError::Database`] if the disk fails. After that, later commits fail too.
     pub fn commit(&self, changes: &[ReplicaChange]) -> Result<(), StoreError> {
         let transaction = self.store.begin_write()?;
         {
--- a/crates/asterdale-journal/src/replica_store/stored.rs
+++ b/crates/asterdale-journal/src/replica_store/stored.rs
@@ -1,5 +1,5 @@
-//! A replica's file that an earlier release left is read to the same metadata and entries. It is read from within the
-//! package, since opening a file with an old timestamp deletes its contents, and no test is to depend on the clock.
+//! A replica file written by an earlier release yields the same metadata and entries. The tests use package internals, since
+//! [`ReplicaStore::open`] deletes contents with an old timestamp, and tests must not depend on the clock.
 //! `tests/fixtures/folder/README.md` says how the file was made.
 
 use super::*;
--- a/crates/asterdale-journal/src/replica_store/tests.rs
+++ b/crates/asterdale-journal/src/replica_store/tests.rs
@@ -26,7 +26,7 @@
 #[test]
 fn contents_are_read_again_unless_they_are_old_or_of_another_replica() {
     let folder = std::env::temp_dir().join(format!("asterdale-replica-{}", std::process::id()));
-    // A folder of an earlier test run; there is usually none.
+    // An earlier test run may have left a folder; usually there is none.
     let _ = std::fs::remove_dir_all(&folder);
     let open = |name: &str| ReplicaStore::open(&folder, name, MAX_FILE_BYTES).unwrap();
     let (replica, contents) = open("a");
@@ -36,7 +36,7 @@
     replica
         .commit(&[replace_from(1, 1..9), set_hard_state(7)])
         .unwrap();
-    // A later leader's entries replace those of an earlier leader; the first ones are part of a snapshot.
+    // A new leader's entries replace those of an earlier leader, and a snapshot covers the first two entries.
     replica
         .commit(&[replace_from(5, [50]), ReplicaChange::DeleteThrough(2)])
         .unwrap();
--- a/crates/asterdale-journal/src/store.rs
+++ b/crates/asterdale-journal/src/store.rs
@@ -1,6 +1,6 @@
-//! The journal's file: a table of keys and the folder's header, in a `redb` database (copy on write, a checksum on each page,
-//! atomic commits). The disk is reached through the library's `StorageBackend` trait, so that tests can put a faulty disk
-//! there.
+//! The journal's file: a table of keys and the folder's header, in a `redb` database (copy-on-write, a checksum for each
+//! page, atomic commits). The disk is accessed through the library's `StorageBackend` trait, so that tests can inject disk
+//! faults.
 
 mod backend;
 mod panics;
@@ -31,19 +31,19 @@
 const ENTRIES_TABLE: TableDefinition<&[u8], &[u8]> = TableDefinition::new("entries");
 const METADATA_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
 const HEADER_KEY: &str = "face";
-/// Bytes of database pages that are cached. Small, because all entries are read once, at the start.
+/// The size of the database's page cache, in bytes. Small, because entries are read only once, at the start.
 const CACHE_BYTES: usize = 4 << 20;
 /// The name of the file in its folder.
 pub const STATE_FILE: &str = "state.redb";
 
-/// What a file holds.
+/// The contents of a file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
     /// The folder's header; `None` for a new folder.
     pub header: Option<FolderHeader>,
     /// Entries by key.
     pub entries: Vec<(Vec<u8>, Entry)>,
-    /// How many entries could not be decoded.
+    /// The number of entries that could not be decoded.
     pub damaged_entries: usize,
 }
 
@@ -55,10 +55,10 @@
 }
 
 impl Store {
-    /// Opens the file [`STATE_FILE`] of this folder, or creates it. It may grow to `max_file_bytes`.
+    /// Opens the file [`STATE_FILE`] of this folder, or creates it. The file may grow to `max_file_bytes`.
     ///
     /// # Errors
-    /// [`StoreError::Locked`] if another process has it open, [`StoreError::Damaged`] if it can't be read.
+    /// [`StoreError::Locked`] if another process has the file open, [`StoreError::Damaged`] if its contents can't be read.
     pub fn open(folder: &Path, max_file_bytes: u64) -> Result<Store, StoreError> {
         Store::open_file(folder, STATE_FILE, max_file_bytes)
     }
@@ -97,7 +97,7 @@
         Ok(store)
     }
 
-    /// Opens the database on this disk. It may grow to `max_bytes`.
+    /// Opens the database on this disk. The file may grow to `max_bytes`.
     ///
     /// # Errors
     /// [`StoreError::Database`] if the disk fails, [`StoreError::Damaged`] if the contents can't be read.
@@ -126,7 +126,7 @@
         })
     }
 
-    /// Opens a copy of a file's bytes in memory. The file itself may be in use by another process.
+    /// Opens an in-memory copy of a file. Another process may have the file itself open.
     ///
     /// # Errors
     /// As [`Store::from_backend`].
@@ -179,10 +179,10 @@
         Ok(state)
     }
 
-    /// Writes the header and all of `writes` in one commit, and returns once that is synced to disk.
+    /// Writes the header and all of `writes` in one commit, and returns once it is synced to disk.
     ///
     /// # Errors
-    /// [`StoreError::Database`] if the disk fails. Then either all of it is on disk or none.
+    /// [`StoreError::Database`] if the disk fails. Either the complete commit is on disk then, or nothing of it.
     pub fn commit(&self, writes: &[KeyWrite], header: &FolderHeader) -> Result<(), StoreError> {
         let outcome = self.write(writes, header);
         if failpoint::is_active(Failpoint::IgnoredSyncError) {
@@ -216,12 +216,12 @@
         transaction.commit().map_err(StoreError::database)
     }
 
-    /// Whether a sync has failed. The process must not open this file again then.
+    /// Whether a sync has failed. After that, the process must not open this file again.
     pub fn sync_failed(&self) -> bool {
         self.sync_failed.load(Ordering::SeqCst)
     }
 
-    /// Checks the checksums of all pages; `false` if something had to be repaired.
+    /// Verifies the checksums of all pages; `false` if pages had to be repaired.
     ///
     /// # Errors
     /// [`StoreError::Damaged`] if the file can't be read.
@@ -229,7 +229,7 @@
         self.database.check_integrity().map_err(StoreError::damaged)
     }
 
-    /// How many keys are stored.
+    /// The number of stored keys.
     ///
     /// # Errors
     /// [`StoreError::Database`] if the disk fails.
@@ -249,8 +249,8 @@
     }
 }
 
-/// Takes the lock of an open file. The library locks files that it opens by path, but not those that it is given. The lock
-/// belongs to the open file: it is released when the process ends, however it ends, and kept while the process is stopped.
+/// Locks an open file. The library locks files that it opens by path, but not files that are passed to it. The lock belongs
+/// to the open file: it is released when the process ends in any way, and stays held while the process is stopped (SIGSTOP).
 fn lock(file: &File) -> Result<(), Errno> {
     let locked = flock(file, FlockOperation::NonBlockingLockExclusive);
     if failpoint::is_active(Failpoint::UnlockedFolder) {
--- a/crates/asterdale-journal/src/store/backend.rs
+++ b/crates/asterdale-journal/src/store/backend.rs
@@ -1,4 +1,4 @@
-//! Storage backends of the database: one that adds this package's guarantees to a disk, and one in memory.
+//! Storage backends of the database: a wrapper that adds the guarantees below to a disk, and one in memory.
 
 use std::io::{Error, ErrorKind, Result};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,11 +7,11 @@
 use redb::StorageBackend;
 
 /// A disk with a maximal file length. After one failed sync all later syncs fail too, since the kernel may have dropped the
-/// pages that the failed one was for, whatever a later sync reports.
+/// dirty pages of the failed sync, and a later sync may succeed nevertheless.
 ///
-/// The file grows on disk before anything is written that refers to its new length, and it never shrinks. A crash may keep
-/// the library's file header and lose the length, or the reverse, and the library refuses to open a file that is shorter
-/// than its header says (found by `tests/crashes.rs`).
+/// The file grows on disk before anything is written that refers to its new length, and it never shrinks. Otherwise a
+/// crash may persist the library's file header but not the new length, or the reverse, and the library refuses to open a
+/// file that is shorter than its header says (covered by `tests/crashes.rs`).
 #[derive(Debug)]
 pub(super) struct GuardedBackend<B> {
     pub(super) disk: B,
--- a/crates/asterdale-journal/src/store/panics.rs
+++ b/crates/asterdale-journal/src/store/panics.rs
@@ -1,4 +1,5 @@
-//! Panics of the database library, turned into errors: it has no error for some kinds of damage and panics instead.
+//! Converts panics of the database library into errors: for some kinds of damage the library panics instead of returning an
+//! error.
 
 use std::cell::Cell;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -10,13 +11,13 @@
 }
 
 /// Whether a panic of this thread will be caught and reported as a damaged file. A panic hook that ends the program has to
-/// ask this first.
+/// check this first.
 pub fn is_catching_panics() -> bool {
     IS_CATCHING.get()
 }
 
-/// Runs `read`, which reads a file that may be damaged, and reports a panic as [`StoreError::Damaged`]. With one flipped bit
-/// the library panics for 1 to 2 files of 100.
+/// Runs `read`, which reads a file that may be damaged, and reports a panic as [`StoreError::Damaged`]. With one flipped
+/// bit the library panics for 1% to 2% of files.
 pub fn catch_library_panic<T>(
     read: impl FnOnce() -> Result<T, StoreError>,
 ) -> Result<T, StoreError> {
--- a/crates/asterdale-journal/tests/crashes.rs
+++ b/crates/asterdale-journal/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! The index and its store compared with a plain map, on a disk with injected faults: acknowledged commits are there after
-//! a crash, commits are atomic, and a disk that lost a sync is not used again.
+//! Compares the index and its store with an in-memory map, on a disk with injected faults: acknowledged commits survive a
+//! crash, commits are atomic, and no commit is acknowledged after a failed sync.
 
 mod disk;
 
@@ -22,7 +22,7 @@
     max_entries: 200,
     max_bytes: 1 << 20,
 };
-/// Runs of a case, each of which ends with a crash.
+/// The number of runs per seed. Each run ends with a crash.
 const RUNS: u64 = 3;
 
 type Map = BTreeMap<Vec<u8>, Entry>;
@@ -45,7 +45,7 @@
     Ok(state.entries.into_iter().collect())
 }
 
-/// How a run of a process ended.
+/// The outcome of a run of a process.
 struct RunOutcome {
     /// The entries of all acknowledged commits.
     acknowledged: Map,
@@ -55,7 +55,7 @@
     is_acknowledged_after_failure: bool,
 }
 
-/// A run of a process over this disk, which makes `commits` commits unless one fails.
+/// Runs a process on this disk, which makes `commits` commits unless one fails.
 fn run_process(
     random: &mut Pcg64Mcg,
     disk: &Disk,
@@ -90,7 +90,7 @@
         let mut after = map.clone();
         apply(&mut after, &writes);
         if store.commit(&writes, &header).is_err() {
-            // No later commit may be acknowledged, whatever the disk does.
+            // No later commit may be acknowledged, even if the disk works again.
             return RunOutcome {
                 acknowledged: map,
                 unacknowledged: Some(after),
@@ -144,7 +144,8 @@
     }
 }
 
-/// Some runs, each ended by a fault. Returns how many crashes there were, or what is wrong.
+/// Makes [`RUNS`] runs, each with a random fault and a crash at its end. Returns the number of crashes, or a description of
+/// the violated guarantee.
 fn check_seed(seed: u64) -> Result<u32, String> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let (mut bytes, mut map) = (Vec::new(), Map::new());
@@ -166,7 +167,7 @@
         let is_nothing_acknowledged =
             outcome.acknowledged.is_empty() && outcome.unacknowledged.is_some();
         if bytes.is_empty() || is_nothing_acknowledged {
-            // The disk failed before anything was acknowledged: an unreadable file is replaced then.
+            // The disk failed before any commit was acknowledged: an unreadable file may be replaced.
             if read_entries(Disk::new(bytes.clone(), Fault::None)).is_err() {
                 bytes.clear();
             }
@@ -242,7 +243,7 @@
         let mut bytes = bytes.clone();
         let position = random.next_u64() as usize % bytes.len();
         bytes[position] ^= 1 << (random.next_u32() % 8);
-        // As a process does that opens a damaged folder.
+        // The same steps as when a process opens its folder.
         let read = catch_unwind(AssertUnwindSafe(|| {
             let mut store =
                 Store::from_backend(Disk::new(bytes, Fault::None), MAX_FILE_BYTES).ok()?;
@@ -272,7 +273,7 @@
     );
 }
 
-/// Starts a journal over this folder, and ends it after its recovery check.
+/// Starts a journal in this folder, and stops it after its recovery check. Returns its events.
 fn run_journal(folder: &Path, random_id: u64) -> Vec<JournalEvent> {
     let settings = JournalSettings {
         folder: folder.to_owned(),
@@ -289,7 +290,7 @@
         remembered: 0,
     });
     journal.flush();
-    // The thread ends with the last handle, and then closes the channel and releases the lock.
+    // The thread ends when the last handle is dropped. It then closes the channel and releases the lock.
     drop(journal);
     events.iter().collect()
 }
@@ -299,14 +300,14 @@
     let folder = std::env::temp_dir().join(format!("asterdale-flipped-{}", std::process::id()));
     let file = folder.join(STATE_FILE);
     let (mut replaced, mut read) = (0, 0);
-    // A folder of an earlier test run; there is usually none.
+    // An earlier test run may have left a folder; usually there is none.
     let _ = std::fs::remove_dir_all(&folder);
     run_journal(&folder, 0);
     let undamaged = std::fs::read(&file).unwrap();
     let mut random = Pcg64Mcg::seed_from_u64(11);
     for flip in 1..=150 {
         let mut bytes = undamaged.clone();
-        // Within the file's header and first pages, which are in use.
+        // A position in the file's header and first pages, which are in use.
         let position = random.next_u64() as usize % (64 * 1024).min(bytes.len());
         bytes[position] ^= 1 << (random.next_u32() % 8);
         std::fs::write(&file, bytes).unwrap();
--- a/crates/asterdale-journal/tests/disk/mod.rs
+++ b/crates/asterdale-journal/tests/disk/mod.rs
@@ -1,5 +1,5 @@
-//! A disk in memory with injected faults. After a crash, any subset of the writes since the last sync may be there, in any
-//! order, and writes may be torn. Syncs can fail and the disk can be full.
+//! An in-memory disk with injected faults. After a crash, any subset of the writes since the last sync may have reached the
+//! disk, in any order, and writes may be torn. Syncs can fail and the disk can be full.
 
 use std::io::{Error, ErrorKind, Result};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,7 +7,7 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Bytes that are written atomically.
+/// The size of an atomic write, in bytes.
 const SECTOR_BYTES: usize = 512;
 
 #[derive(Clone, Debug)]
@@ -31,9 +31,9 @@
 
 #[derive(Debug)]
 struct State {
-    /// The bytes of the last sync.
+    /// The contents as of the last successful sync.
     durable: Vec<u8>,
-    /// The bytes that a reader sees.
+    /// The contents that reads return.
     current: Vec<u8>,
     /// Operations since the last sync.
     pending: Vec<Operation>,
@@ -80,12 +80,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many operations that change the disk were attempted.
+    /// The number of attempted operations that change the disk.
     pub fn operations(&self) -> u64 {
         self.state().operations
     }
 
-    /// The bytes after a crash at this moment: a random part of the operations since the last sync, in random order, some torn.
+    /// The contents after a crash now: a random subset of the operations since the last sync, in random order, some torn.
     pub fn crashed(&self, seed: u64) -> Vec<u8> {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let state = self.state();
@@ -168,7 +168,7 @@
         state.begin_operation()?;
         state.syncs += 1;
         if matches!(state.fault, Fault::Sync(number) if state.syncs == number) {
-            // As kernels do: the pages count as written, but are not on disk.
+            // Like kernels: the pages are marked clean, but are not on disk.
             state.pending.clear();
             return Err(Error::other("the sync failed"));
         }
--- a/crates/asterdale-journal/tests/stored_folder.rs
+++ b/crates/asterdale-journal/tests/stored_folder.rs
@@ -1,6 +1,6 @@
-//! A journal folder that an earlier release left is read to the same intents, outcomes and results, and a process that
-//! opens it continues with its name, secret, generation and run. The tables are also read without the store's code, so that
-//! a change of a stored name is seen even if reading and writing change together.
+//! A journal folder written by an earlier release yields the same intents, outcomes and results, and a process that opens it
+//! continues with its name, secret, generation and run. The tables are also read without the store's code, so that a changed
+//! stored name is detected even if reading and writing change together.
 //! `fixtures/folder/README.md` says how the file was made.
 
 use std::path::{Path, PathBuf};
@@ -68,11 +68,11 @@
     }
 }
 
-/// A folder of this test's own, with a copy of the file in it.
+/// Creates a folder for one test, with a copy of the file.
 fn folder(name: &str) -> PathBuf {
     let folder =
         std::env::temp_dir().join(format!("asterdale-stored-{name}-{}", std::process::id()));
-    // A folder of an earlier test run; there is usually none.
+    // An earlier test run may have left a folder; usually there is none.
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join(STATE_FILE), STORED_FILE).unwrap();
@@ -203,7 +203,7 @@
     for (key, expected) in entries() {
         let stored = table.get(&key[..]).unwrap().unwrap();
         assert_eq!(stored.value(), entry::encode(&expected), "{key:?}");
-        // The version, and the field of the state with its stored number.
+        // The version byte, and the state field with its stored number.
         let prefix: &[u8] = match expected.state() {
             ExecutionState::Intent => &[1, 0x11],
             ExecutionState::Succeeded => &[1, 0x08, 1],
