--- a/crates/asterdale-journal/src/error.rs
+++ b/crates/asterdale-journal/src/error.rs
@@ -83,6 +83,6 @@
         owner: String,
     },
     /// The journal's thread cannot be started.
-    #[error("no thread for the journal: {0}")]
+    #[error("the journal's thread cannot be started: {0}")]
     Thread(#[source] io::Error),
 }
--- a/crates/asterdale-journal/src/replica_store/tests.rs
+++ b/crates/asterdale-journal/src/replica_store/tests.rs
@@ -55,6 +55,6 @@
     replica.commit(&[set_hard_state(8)]).unwrap();
     drop(replica);
     assert_eq!(open("b").1, ReplicaContents::default(), "another replica");
-    assert_eq!(open("a").1, ReplicaContents::default(), "deleted by it");
+    assert_eq!(open("a").1, ReplicaContents::default(), "deleted by b");
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/crates/asterdale-journal/src/store/backend.rs
+++ b/crates/asterdale-journal/src/store/backend.rs
@@ -33,7 +33,7 @@
             return Ok(());
         }
         if len > self.max_bytes {
-            let reason = "the maximal size of this file";
+            let reason = "the file would exceed its maximal size";
             return Err(Error::new(ErrorKind::StorageFull, reason));
         }
         self.disk.set_len(len)?;
--- a/crates/asterdale-journal/tests/crashes.rs
+++ b/crates/asterdale-journal/tests/crashes.rs
@@ -173,7 +173,7 @@
             }
         }
         let stored = read_entries(Disk::new(bytes.clone(), Fault::None)).map_err(|e| {
-            format!("{fault:?}, run {run}: what was acknowledged can't be read: {e}")
+            format!("{fault:?}, run {run}: acknowledged entries can't be read: {e}")
         })?;
         if stored != outcome.acknowledged && outcome.unacknowledged.as_ref() != Some(&stored) {
             return Err(format!(
@@ -219,7 +219,7 @@
             let Ok(stored) = read_entries(Disk::new(disk.crashed(seed), Fault::None)) else {
                 assert!(
                     outcome.acknowledged.is_empty(),
-                    "operation {operation}: what was acknowledged can't be read"
+                    "operation {operation}: acknowledged entries can't be read"
                 );
                 continue;
             };
@@ -260,7 +260,7 @@
             Ok(Some(stored)) => {
                 assert!(
                     stored == map,
-                    "byte {position}: other entries than were written"
+                    "byte {position}: the entries differ from the written ones"
                 );
                 harmless += 1;
             }
--- a/crates/asterdale-journal/tests/disk/mod.rs
+++ b/crates/asterdale-journal/tests/disk/mod.rs
@@ -149,7 +149,7 @@
         let from = offset as usize;
         let range = state.current.get(from..from + out.len());
         out.copy_from_slice(
-            range.ok_or_else(|| Error::new(ErrorKind::UnexpectedEof, "past the end"))?,
+            range.ok_or_else(|| Error::new(ErrorKind::UnexpectedEof, "read past the end"))?,
         );
         Ok(())
     }
--- a/crates/asterdale-transport/src/control/client.rs
+++ b/crates/asterdale-transport/src/control/client.rs
@@ -27,7 +27,7 @@
         source: io::Error,
     },
     /// The answer is not valid JSON, or lacks expected fields.
-    #[error("{path}: no answer: {source}", path = path.display())]
+    #[error("{path}: invalid answer: {source}", path = path.display())]
     InvalidAnswer {
         /// The path of the socket.
         path: PathBuf,
@@ -38,7 +38,7 @@
     #[error("{0}")]
     Rejected(String),
     /// The process did not announce its leave in time.
-    #[error("it did not leave in time")]
+    #[error("the process did not announce its leave in time")]
     LeaveTimeout,
 }
 
--- a/crates/asterdale-transport/src/control/server.rs
+++ b/crates/asterdale-transport/src/control/server.rs
@@ -13,7 +13,7 @@
 /// The maximal length of a command, in bytes.
 const MAX_COMMAND_BYTES: u64 = 256;
 /// The answer if the actor does not reply in time.
-const NO_REPLY: &str = "the state machine does not answer";
+const NO_REPLY: &str = "the actor did not reply in time";
 
 /// A bound control socket.
 pub(crate) struct ControlSocket {
@@ -76,7 +76,7 @@
 
 fn replica_answer(transport: &Transport) -> Value {
     let Some(ownership) = &transport.ownership else {
-        return json!({"error": "nothing is kept by this fleet"});
+        return json!({"error": "keyed requests are not replicated in this fleet"});
     };
     match ownership.replica_status() {
         Some(status) => replica_status_as_json(&status),
--- a/crates/asterdale-transport/src/status.rs
+++ b/crates/asterdale-transport/src/status.rs
@@ -189,10 +189,10 @@
         let uncertainty = if self.has_majority {
             ""
         } else {
-            " and is not certain of it"
+            ", not in contact with a majority"
         };
         let title = format!(
-            "{} is {}, generation {}, hears {:.0}% of the fleet{uncertainty}; view {}",
+            "{} is {}, generation {}, sees {:.0}% of the fleet live{uncertainty}; view {}",
             self.local.name,
             self.state,
             self.local.generation,
--- a/crates/asterdale-transport/tests/sockets.rs
+++ b/crates/asterdale-transport/tests/sockets.rs
@@ -56,7 +56,7 @@
 fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let deadline = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < deadline, "waited in vain for {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -133,7 +133,7 @@
         assert_eq!(
             stream.read(&mut [0; 8]).unwrap_or(0),
             0,
-            "a stranger got an answer"
+            "an unauthenticated connection got an answer"
         );
     }
 }
--- a/crates/asterdale-transport/tests/status_report.rs
+++ b/crates/asterdale-transport/tests/status_report.rs
@@ -60,7 +60,7 @@
 #[test]
 fn table_has_a_title_a_header_and_a_row_for_each_member() {
     let expected = "\
-a is in, generation 3, hears 67% of the fleet and is not certain of it; view 00000000000000ff
+a is in, generation 3, sees 67% of the fleet live, not in contact with a majority; view 00000000000000ff
 name             at                    generation status       for s by               phase    load warm
 a                127.0.0.1:7000                 3 alive          1.3 b                ready      30  100
 b                127.0.0.1:7000                 3 suspect        1.3 b                ready      30  100
