--- a/crates/asterdale-journal/src/actor.rs
+++ b/crates/asterdale-journal/src/actor.rs
@@ -26,7 +26,7 @@
 const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
 /// The maximal number of writes that are buffered while the disk fails: outcomes of requests that ran meanwhile. Beyond it
 /// the oldest are dropped; the state of their keys is unknown after a crash.
-const MAX_UNWRITTEN: usize = 65_536;
+const MAX_UNWRITTEN_WRITES: usize = 65_536;
 /// How long the failpoint that starts requests before their intents are on disk delays the commit, as a slow disk would.
 const EARLY_START_DELAY: Duration = Duration::from_millis(30);
 
@@ -310,8 +310,9 @@
     fn commit(&mut self, writes: Vec<KeyWrite>) -> Result<(), StoreError> {
         self.committed_at = Instant::now();
         self.unwritten.extend(writes);
-        if self.unwritten.len() > MAX_UNWRITTEN {
-            self.unwritten.drain(..self.unwritten.len() - MAX_UNWRITTEN);
+        if self.unwritten.len() > MAX_UNWRITTEN_WRITES {
+            self.unwritten
+                .drain(..self.unwritten.len() - MAX_UNWRITTEN_WRITES);
         }
         let Some(store) = &self.store else {
             return Ok(());
--- a/crates/asterdale-journal/tests/crashes.rs
+++ b/crates/asterdale-journal/tests/crashes.rs
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn journal_starts_over_a_folder_with_flipped_bits_and_knows_whether_entries_are_lost() {
+fn journal_starts_in_a_folder_with_a_flipped_bit_and_detects_lost_entries() {
     let folder = std::env::temp_dir().join(format!("asterdale-flipped-{}", std::process::id()));
     let file = folder.join(STATE_FILE);
     let (mut replaced, mut read) = (0, 0);
--- a/crates/asterdale-journal/tests/stored_folder.rs
+++ b/crates/asterdale-journal/tests/stored_folder.rs
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn stored_entries_decide_about_repeats_as_before() {
+fn stored_entries_determine_the_status_of_retried_requests() {
     let state = Store::from_image(STORED_FILE.to_vec())
         .unwrap()
         .load()
--- a/crates/asterdale-transport/src/exchanges.rs
+++ b/crates/asterdale-transport/src/exchanges.rs
@@ -23,11 +23,11 @@
 use stream::{ExchangeStream, Progress, Role};
 
 /// The maximal duration of an exchange. Full views have some KiB, and the network takes some milliseconds.
-const MAX_DURATION: Duration = Duration::from_secs(2);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The maximal number of concurrent exchanges that peers have requested. Usually there is one in several seconds.
-const MAX_RESPONDING: usize = 32;
+const MAX_RESPONDER_STREAMS: usize = 32;
 /// The maximal number of concurrent exchanges that this process has requested.
-const MAX_REQUESTING: usize = 8;
+const MAX_REQUESTER_STREAMS: usize = 8;
 /// The maximal number of events that one poll returns.
 const EVENT_CAPACITY: usize = 64;
 const LISTENER: Token = Token(usize::MAX);
@@ -161,8 +161,8 @@
 
     fn has_capacity(&self, role: Role) -> bool {
         let max_streams = match role {
-            Role::Requester => MAX_REQUESTING,
-            Role::Responder => MAX_RESPONDING,
+            Role::Requester => MAX_REQUESTER_STREAMS,
+            Role::Responder => MAX_RESPONDER_STREAMS,
         };
         let streams = self.streams.values();
         streams.filter(|stream| stream.role == role).count() < max_streams
@@ -201,7 +201,7 @@
             .registry()
             .register(&mut stream, Token(number), interest);
         if registered.is_ok() {
-            let deadline = Instant::now() + MAX_DURATION;
+            let deadline = Instant::now() + EXCHANGE_TIMEOUT;
             let stream = ExchangeStream::new(stream, role, outgoing, deadline);
             self.streams.insert(number, stream);
         }
--- a/crates/asterdale-transport/src/exchanges/stream.rs
+++ b/crates/asterdale-transport/src/exchanges/stream.rs
@@ -41,7 +41,7 @@
     /// Bytes that have been read.
     pub(super) received: Vec<u8>,
     /// Whether the peer's message has been returned. Nothing is read after that.
-    is_received: bool,
+    is_message_returned: bool,
     pub(super) deadline: Instant,
 }
 
@@ -57,7 +57,7 @@
             role,
             outgoing,
             received: Vec::new(),
-            is_received: false,
+            is_message_returned: false,
             deadline,
         }
     }
@@ -68,7 +68,7 @@
         if !self.write()? {
             return Ok(Progress::Pending);
         }
-        if self.is_received {
+        if self.is_message_returned {
             return Ok(if had_outgoing {
                 Progress::Done
             } else {
@@ -131,7 +131,7 @@
         let Some(message) = self.received.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
             return Ok(Progress::Pending);
         };
-        self.is_received = true;
+        self.is_message_returned = true;
         Ok(Progress::Received(message.to_vec()))
     }
 }
--- a/crates/asterdale-transport/src/ownership/handle.rs
+++ b/crates/asterdale-transport/src/ownership/handle.rs
@@ -11,7 +11,7 @@
 /// How long callers wait for a reply of the actor.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long [`OwnershipHandle::leave`] waits for the streams' thread to send the last message.
-const SEND_DELAY: Duration = Duration::from_millis(50);
+const LAST_SEND_GRACE: Duration = Duration::from_millis(50);
 
 /// A command to the ownership actor.
 pub(super) enum OwnershipCommand {
@@ -76,7 +76,7 @@
         if self.commands.send(OwnershipCommand::Leave(reply)).is_ok() {
             // Without a reply the lease expires.
             let _ = left.recv_timeout(REPLY_TIMEOUT);
-            std::thread::sleep(SEND_DELAY);
+            std::thread::sleep(LAST_SEND_GRACE);
         }
     }
 
--- a/crates/asterdale-transport/src/persistent_streams.rs
+++ b/crates/asterdale-transport/src/persistent_streams.rs
@@ -23,9 +23,9 @@
 use outbound::OutboundStream;
 
 /// The maximal number of streams that peers have opened.
-const MAX_INBOUND: usize = 512;
+const MAX_INBOUND_STREAMS: usize = 512;
 /// The maximal number of streams that this process has opened.
-const MAX_OUTBOUND: usize = 512;
+const MAX_OUTBOUND_STREAMS: usize = 512;
 /// The maximal size of all partly received messages, in bytes. The stream that exceeds it is closed.
 const MAX_PARTIAL_BYTES: usize = 64 * 1024 * 1024;
 /// The interval at which the time limits of streams are checked.
@@ -194,7 +194,7 @@
     }
 
     fn adopt(&mut self, mut stream: TcpStream, received: Vec<u8>) {
-        if self.inbound.len() >= MAX_INBOUND {
+        if self.inbound.len() >= MAX_INBOUND_STREAMS {
             return; // the stream is closed, and the peer connects again later
         }
         let number = self.new_number();
@@ -223,12 +223,12 @@
         let read = stream.read();
         self.partial_bytes += read.bytes;
         let parsed = stream.deliver_messages(&self.authenticator, &self.messages);
-        let (taken_bytes, is_valid) = match parsed {
-            Parsed::Valid { taken_bytes } => (taken_bytes, true),
-            Parsed::Invalid { taken_bytes } => (taken_bytes, false),
+        let (consumed_bytes, is_valid) = match parsed {
+            Parsed::Valid { consumed_bytes } => (consumed_bytes, true),
+            Parsed::Invalid { consumed_bytes } => (consumed_bytes, false),
             Parsed::Disconnected => return Err(Disconnected),
         };
-        self.partial_bytes -= taken_bytes;
+        self.partial_bytes -= consumed_bytes;
         let is_over_limit = self.partial_bytes > MAX_PARTIAL_BYTES && stream.buffered_bytes() > 0;
         if read.is_closed || !is_valid || is_over_limit {
             self.close_inbound(number);
@@ -254,7 +254,7 @@
         if let Some(&number) = self.outbound_numbers.get(&to) {
             return Some(number);
         }
-        if self.outbound.len() >= MAX_OUTBOUND {
+        if self.outbound.len() >= MAX_OUTBOUND_STREAMS {
             return None;
         }
         let number = self.new_number();
@@ -270,17 +270,17 @@
     }
 
     fn enforce_time_limits(&mut self, now: Instant) {
-        let late: Vec<usize> = self
+        let timed_out: Vec<usize> = self
             .inbound
             .iter()
-            .filter(|(_, stream)| stream.is_message_late(now))
+            .filter(|(_, stream)| stream.is_message_timed_out(now))
             .map(|(&number, _)| number)
             .collect();
-        for number in late {
+        for number in timed_out {
             self.close_inbound(number);
         }
         for stream in self.outbound.values_mut() {
-            if stream.is_blocked(now) {
+            if stream.is_stalled(now) {
                 stream.close();
             }
         }
--- a/crates/asterdale-transport/src/persistent_streams/inbound.rs
+++ b/crates/asterdale-transport/src/persistent_streams/inbound.rs
@@ -13,9 +13,9 @@
 /// The maximal length of an encoded message with its authentication code, in bytes.
 const MAX_FRAME_BYTES: usize = MAX_MESSAGE_BYTES + 64;
 /// How long the complete arrival of a message may take.
-const MAX_MESSAGE_DURATION: Duration = Duration::from_secs(10);
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
 /// About how many bytes are read from one stream before the next stream is read.
-const READ_TURN_BYTES: usize = 64 * 1024;
+const READ_LIMIT_BYTES: usize = 64 * 1024;
 /// The size of the buffer of one read call.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
@@ -34,12 +34,12 @@
     /// Valid messages, which were delivered, and possibly an incomplete one.
     Valid {
         /// The size of the messages with their length fields.
-        taken_bytes: usize,
+        consumed_bytes: usize,
     },
     /// Valid messages, which were delivered, followed by bytes that are no valid message of the fleet.
     Invalid {
         /// The size of the messages with their length fields.
-        taken_bytes: usize,
+        consumed_bytes: usize,
     },
     /// The receiver of messages was dropped.
     Disconnected,
@@ -67,18 +67,18 @@
         self.received.len()
     }
 
-    /// Whether the incomplete message has exceeded [`MAX_MESSAGE_DURATION`].
-    pub(super) fn is_message_late(&self, now: Instant) -> bool {
+    /// Whether the incomplete message has exceeded [`MESSAGE_TIMEOUT`].
+    pub(super) fn is_message_timed_out(&self, now: Instant) -> bool {
         self.message_started
-            .is_some_and(|started| now - started > MAX_MESSAGE_DURATION)
+            .is_some_and(|started| now - started > MESSAGE_TIMEOUT)
     }
 
-    /// Reads what has arrived, up to about [`READ_TURN_BYTES`].
+    /// Reads what has arrived, up to about [`READ_LIMIT_BYTES`].
     pub(super) fn read(&mut self) -> ReadOutcome {
         let before = self.received.len();
         let mut buffer = [0; READ_BUFFER_BYTES];
         let (mut is_closed, mut may_have_more) = (false, true);
-        while self.received.len() - before < READ_TURN_BYTES {
+        while self.received.len() - before < READ_LIMIT_BYTES {
             match self.stream.read(&mut buffer) {
                 Ok(0) => is_closed = true,
                 Ok(count) => {
@@ -104,15 +104,15 @@
         authenticator: &MessageAuthenticator,
         messages: &Sender<Vec<u8>>,
     ) -> Parsed {
-        let mut taken_bytes = 0;
+        let mut consumed_bytes = 0;
         let mut is_valid = true;
-        while let Some(length) = length_field(&self.received[taken_bytes..]) {
+        while let Some(length) = length_field(&self.received[consumed_bytes..]) {
             let size = (length & !PERSISTENT_BIT) as usize;
             if length & PERSISTENT_BIT == 0 || size > MAX_FRAME_BYTES {
                 is_valid = false;
                 break;
             }
-            let start = taken_bytes + LENGTH_BYTES;
+            let start = consumed_bytes + LENGTH_BYTES;
             let Some(message) = self.received.get(start..start + size) else {
                 break;
             };
@@ -124,23 +124,23 @@
                 Ok(()) | Err(TrySendError::Full(_)) => {}
                 Err(TrySendError::Disconnected(_)) => return Parsed::Disconnected,
             }
-            taken_bytes += LENGTH_BYTES + size;
+            consumed_bytes += LENGTH_BYTES + size;
         }
-        self.remove_delivered(taken_bytes);
+        self.remove_delivered(consumed_bytes);
         if is_valid {
-            Parsed::Valid { taken_bytes }
+            Parsed::Valid { consumed_bytes }
         } else {
-            Parsed::Invalid { taken_bytes }
+            Parsed::Invalid { consumed_bytes }
         }
     }
 
-    fn remove_delivered(&mut self, taken_bytes: usize) {
-        if taken_bytes > 0 {
-            self.received.drain(..taken_bytes);
+    fn remove_delivered(&mut self, consumed_bytes: usize) {
+        if consumed_bytes > 0 {
+            self.received.drain(..consumed_bytes);
         }
         self.message_started = if self.received.is_empty() {
             None
-        } else if taken_bytes == 0 {
+        } else if consumed_bytes == 0 {
             self.message_started.or_else(|| Some(Instant::now()))
         } else {
             Some(Instant::now())
--- a/crates/asterdale-transport/src/persistent_streams/outbound.rs
+++ b/crates/asterdale-transport/src/persistent_streams/outbound.rs
@@ -14,9 +14,9 @@
 /// arrive.
 const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
 /// A stream with queued messages that has written nothing for this long is closed.
-const MAX_BLOCKED: Duration = Duration::from_secs(10);
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// A stream without messages for this long is closed, and reopened for the next message.
-const MAX_IDLE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// The minimal interval between two attempts to connect.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
 /// The maximal number of messages in one write.
@@ -160,14 +160,14 @@
         }
     }
 
-    /// Whether the stream has queued messages and has made no progress for longer than [`MAX_BLOCKED`].
-    pub(super) fn is_blocked(&self, now: Instant) -> bool {
-        !self.queue.is_empty() && now - self.last_progress > MAX_BLOCKED
+    /// Whether the stream has queued messages and has made no progress for longer than [`STALL_TIMEOUT`].
+    pub(super) fn is_stalled(&self, now: Instant) -> bool {
+        !self.queue.is_empty() && now - self.last_progress > STALL_TIMEOUT
     }
 
-    /// Whether the stream has had no messages for longer than [`MAX_IDLE`].
+    /// Whether the stream has had no messages for longer than [`IDLE_TIMEOUT`].
     pub(super) fn is_idle(&self, now: Instant) -> bool {
-        self.queue.is_empty() && now - self.last_progress > MAX_IDLE
+        self.queue.is_empty() && now - self.last_progress > IDLE_TIMEOUT
     }
 
     /// Closes the stream and drops its queue.
--- a/crates/asterdale-transport/src/status.rs
+++ b/crates/asterdale-transport/src/status.rs
@@ -186,13 +186,13 @@
 
     /// Formats the report as a human-readable table.
     pub fn to_table(&self) -> String {
-        let uncertainty = if self.has_majority {
+        let majority_note = if self.has_majority {
             ""
         } else {
             ", not in contact with a majority"
         };
         let title = format!(
-            "{} is {}, generation {}, sees {:.0}% of the fleet live{uncertainty}; view {}",
+            "{} is {}, generation {}, sees {:.0}% of the fleet live{majority_note}; view {}",
             self.local.name,
             self.state,
             self.local.generation,
--- a/crates/asterdale-transport/tests/sockets.rs
+++ b/crates/asterdale-transport/tests/sockets.rs
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn strangers_that_send_noise_or_nothing_do_not_disturb_the_fleet() {
+fn unauthenticated_traffic_and_silent_streams_do_not_disrupt_the_fleet() {
     let address = free_address();
     let (first, _) = start_process(settings("one", address, &[]));
     wait_until("the first to join", || live_members(&first) == 1);
