--- a/crates/asterdale-journal/src/index.rs
+++ b/crates/asterdale-journal/src/index.rs
@@ -23,9 +23,9 @@
     Succeeded(Vec<u8>),
     /// Its execution ended without a result.
     Failed,
-    /// It may have been executed in an earlier run. The status does not change before `retry_after_ms` have passed.
+    /// It may have been executed in an earlier run. A retry is useful after `retry_after_ms`.
     Unknown {
-        /// The time until the key's window or the quiet period ends, or a retry delay before the recovery check is done.
+        /// The time until the key's window or the quiet period ends; a fixed delay while the recovery check is not done.
         retry_after_ms: f64,
     },
     /// The key belongs to a request with another body.
--- a/crates/asterdale-journal/src/recovery.rs
+++ b/crates/asterdale-journal/src/recovery.rs
@@ -1,6 +1,6 @@
 //! The recovery check: whether a folder holds everything that the last run of its process wrote. A folder that is empty, or
-//! older than the last run, lacks entries of requests that may have run. Then nothing may be executed or reported as never
-//! executed until all idempotency windows of that run have ended.
+//! older than the last run, lacks entries of requests that may have run. In that case no request may be executed or reported
+//! as never executed until all idempotency windows of that run have ended.
 //!
 //! There are two sources of evidence:
 //! - The other members of the fleet remember a generation of this process. A later generation than the folder's proves a
--- a/crates/asterdale-transport/src/control/server.rs
+++ b/crates/asterdale-transport/src/control/server.rs
@@ -36,7 +36,7 @@
             // If a client fails or is too slow, its connection is closed; there is no other receiver for the error.
             let _ = serve_client(&stream, transport);
         }
-        // Removal fails if the socket file has been removed already.
+        // The error is ignored: the socket file may have been removed already.
         let _ = std::fs::remove_file(&self.path);
     }
 }
--- a/crates/asterdale-transport/src/datagrams.rs
+++ b/crates/asterdale-transport/src/datagrams.rs
@@ -8,7 +8,8 @@
 
 use crate::messages::MembershipMessage;
 
-/// Passes datagrams to the membership actor until its mailbox is closed. Counts those that find the mailbox full.
+/// Passes datagrams to the membership actor until its mailbox is closed. While the mailbox is full, datagrams are dropped and
+/// counted.
 pub(crate) fn receive(
     socket: &UdpSocket,
     mailbox: &Sender<MembershipMessage>,
--- a/crates/asterdale-transport/src/ownership/actor.rs
+++ b/crates/asterdale-transport/src/ownership/actor.rs
@@ -20,8 +20,8 @@
 use crate::persistent_streams::PersistentStreams;
 use crate::threads;
 
-/// The capacity of the queue of received messages. If it is full, messages are dropped; their senders repeat
-/// what has to arrive.
+/// The capacity of the queue of received messages. If the queue is full, messages are dropped; their senders repeat what has
+/// to arrive.
 pub(crate) const MESSAGE_QUEUE_CAPACITY: usize = 8192;
 /// The longest wait for a message or command, so that a clock step cannot block the actor.
 const MAX_WAIT: Duration = Duration::from_millis(500);
--- a/crates/asterdale-transport/src/persistent_streams/outbound.rs
+++ b/crates/asterdale-transport/src/persistent_streams/outbound.rs
@@ -10,8 +10,7 @@
 
 use crate::framing::persistent_frame;
 
-/// The maximal size of the queue, in bytes. Messages beyond it are dropped; their senders repeat what has to
-/// arrive.
+/// The maximal size of the queue, in bytes. Messages beyond it are dropped; their senders repeat what has to arrive.
 const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
 /// A stream with queued messages that has written nothing for this long is closed.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
@@ -94,8 +93,8 @@
         true
     }
 
-    /// Writes as much as the socket accepts. If the stream breaks, its queue is dropped; the senders
-    /// repeat what has to arrive.
+    /// Writes as much as the socket accepts. If the stream breaks, its queue is dropped; the senders repeat
+    /// what has to arrive.
     pub(super) fn write(&mut self) {
         if self.stream.is_some() && self.try_write().is_err() {
             self.close();
