--- a/crates/asterdale-transport/src/control/server.rs
+++ b/crates/asterdale-transport/src/control/server.rs
@@ -13,7 +13,7 @@
 /// The maximal length of a command, in bytes.
 const MAX_COMMAND_BYTES: u64 = 256;
 /// The answer if the actor does not reply in time.
-const NO_REPLY: &str = "the state machine does not answer";
+const NO_REPLY: &str = "the actor did not reply in time";
 
 /// A bound control socket.
 pub(crate) struct ControlSocket {
@@ -22,7 +22,7 @@
 }
 
 impl ControlSocket {
-    /// Binds the socket. A socket file that nobody listens on is left over from a process that ended, and is replaced.
+    /// Binds the socket. A socket file without a listener is left over from a process that has ended, and is replaced.
     pub(crate) fn bind(path: PathBuf) -> io::Result<ControlSocket> {
         let listener = bind_or_replace(&path)
             .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", path.display())))?;
@@ -33,10 +33,10 @@
     pub(crate) fn serve(&self, transport: &Transport) {
         for stream in self.listener.incoming() {
             let Ok(stream) = stream else { continue };
-            // A client that fails or is too slow loses its answer; there is nobody else to tell.
+            // If a client fails or is too slow, its connection is closed; there is no other receiver for the error.
             let _ = serve_client(&stream, transport);
         }
-        // The socket may have been removed by somebody else.
+        // The error is ignored: the socket file may have been removed already.
         let _ = std::fs::remove_file(&self.path);
     }
 }
@@ -76,7 +76,7 @@
 
 fn replica_answer(transport: &Transport) -> Value {
     let Some(ownership) = &transport.ownership else {
-        return json!({"error": "nothing is kept by this fleet"});
+        return json!({"error": "keyed requests are not replicated in this fleet"});
     };
     match ownership.replica_status() {
         Some(status) => replica_status_as_json(&status),
--- a/crates/asterdale-transport/src/persistent_streams/inbound.rs
+++ b/crates/asterdale-transport/src/persistent_streams/inbound.rs
@@ -12,36 +12,36 @@
 
 /// The maximal length of an encoded message with its authentication code, in bytes.
 const MAX_FRAME_BYTES: usize = MAX_MESSAGE_BYTES + 64;
-/// A message has to arrive completely within this time.
-const MAX_MESSAGE_DURATION: Duration = Duration::from_secs(10);
-/// About how much is read from one stream before it is the turn of the others, in bytes.
-const READ_TURN_BYTES: usize = 64 * 1024;
-/// Bytes that are read at once.
+/// How long the complete arrival of a message may take.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
+/// About how many bytes are read from one stream before the next stream is read.
+const READ_LIMIT_BYTES: usize = 64 * 1024;
+/// The size of the buffer of one read call.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What reading a stream has brought.
+/// The result of reading a stream.
 pub(super) struct ReadOutcome {
     /// How many bytes were read.
     pub(super) bytes: usize,
     /// Whether the peer has closed the stream, or it has failed.
     pub(super) is_closed: bool,
-    /// Whether the turn ended before everything was read.
+    /// Whether the read limit was reached before all available data was read.
     pub(super) may_have_more: bool,
 }
 
 /// What the received bytes contain.
 pub(super) enum Parsed {
-    /// Messages of this many bytes in total, which were delivered.
+    /// Valid messages, which were delivered, and possibly an incomplete one.
     Valid {
         /// The size of the messages with their length fields.
-        taken_bytes: usize,
+        consumed_bytes: usize,
     },
-    /// Likewise, and then bytes that are no message of the fleet.
+    /// Valid messages, which were delivered, followed by bytes that are no valid message of the fleet.
     Invalid {
         /// The size of the messages with their length fields.
-        taken_bytes: usize,
+        consumed_bytes: usize,
     },
-    /// The receiver of messages is gone.
+    /// The receiver of messages was dropped.
     Disconnected,
 }
 
@@ -67,18 +67,18 @@
         self.received.len()
     }
 
-    /// Whether a message has not arrived completely within its time.
-    pub(super) fn is_message_late(&self, now: Instant) -> bool {
+    /// Whether the incomplete message has exceeded [`MESSAGE_TIMEOUT`].
+    pub(super) fn is_message_timed_out(&self, now: Instant) -> bool {
         self.message_started
-            .is_some_and(|started| now - started > MAX_MESSAGE_DURATION)
+            .is_some_and(|started| now - started > MESSAGE_TIMEOUT)
     }
 
-    /// Reads about [`READ_TURN_BYTES`], or what has arrived.
+    /// Reads what has arrived, up to about [`READ_LIMIT_BYTES`].
     pub(super) fn read(&mut self) -> ReadOutcome {
         let before = self.received.len();
         let mut buffer = [0; READ_BUFFER_BYTES];
         let (mut is_closed, mut may_have_more) = (false, true);
-        while self.received.len() - before < READ_TURN_BYTES {
+        while self.received.len() - before < READ_LIMIT_BYTES {
             match self.stream.read(&mut buffer) {
                 Ok(0) => is_closed = true,
                 Ok(count) => {
@@ -98,21 +98,21 @@
         }
     }
 
-    /// Delivers the complete messages that were received. A message that finds the receiver's queue full is lost.
+    /// Delivers the complete messages that were received. If the receiver's queue is full, a message is dropped.
     pub(super) fn deliver_messages(
         &mut self,
         authenticator: &MessageAuthenticator,
         messages: &Sender<Vec<u8>>,
     ) -> Parsed {
-        let mut taken_bytes = 0;
+        let mut consumed_bytes = 0;
         let mut is_valid = true;
-        while let Some(length) = length_field(&self.received[taken_bytes..]) {
+        while let Some(length) = length_field(&self.received[consumed_bytes..]) {
             let size = (length & !PERSISTENT_BIT) as usize;
             if length & PERSISTENT_BIT == 0 || size > MAX_FRAME_BYTES {
                 is_valid = false;
                 break;
             }
-            let start = taken_bytes + LENGTH_BYTES;
+            let start = consumed_bytes + LENGTH_BYTES;
             let Some(message) = self.received.get(start..start + size) else {
                 break;
             };
@@ -124,23 +124,23 @@
                 Ok(()) | Err(TrySendError::Full(_)) => {}
                 Err(TrySendError::Disconnected(_)) => return Parsed::Disconnected,
             }
-            taken_bytes += LENGTH_BYTES + size;
+            consumed_bytes += LENGTH_BYTES + size;
         }
-        self.remove_delivered(taken_bytes);
+        self.remove_delivered(consumed_bytes);
         if is_valid {
-            Parsed::Valid { taken_bytes }
+            Parsed::Valid { consumed_bytes }
         } else {
-            Parsed::Invalid { taken_bytes }
+            Parsed::Invalid { consumed_bytes }
         }
     }
 
-    fn remove_delivered(&mut self, taken_bytes: usize) {
-        if taken_bytes > 0 {
-            self.received.drain(..taken_bytes);
+    fn remove_delivered(&mut self, consumed_bytes: usize) {
+        if consumed_bytes > 0 {
+            self.received.drain(..consumed_bytes);
         }
         self.message_started = if self.received.is_empty() {
             None
-        } else if taken_bytes == 0 {
+        } else if consumed_bytes == 0 {
             self.message_started.or_else(|| Some(Instant::now()))
         } else {
             Some(Instant::now())
