--- a/crates/asterdale-simhost/src/event.rs
+++ b/crates/asterdale-simhost/src/event.rs
@@ -11,7 +11,7 @@
 /// The most gauges that a tick carries.
 const MAX_GAUGES: usize = 4;
 
-/// What happened in an instance.
+/// An event of an instance.
 pub enum Event {
     CallNeeded(TaskId),
     Drain {
@@ -19,7 +19,7 @@
     },
     CallerGone(TaskId),
     Arrival(ArrivalRecord),
-    /// The values of the gauges, in the order of the settings.
+    /// The values of the gauges, in the order in which the settings name them.
     Tick(Vec<f64>),
     RunEnded {
         task: TaskId,
@@ -35,12 +35,12 @@
 /// A request that was read.
 pub struct ArrivalRecord {
     pub task: TaskId,
-    /// The number of its caller on the wire.
+    /// Number of the caller on the wire.
     pub caller: u32,
     pub class: usize,
     pub tenant: usize,
     pub unread_ms: f64,
-    /// How long its caller still waits, if that is known.
+    /// Time until the caller's deadline, if that is known.
     pub remaining_ms: Option<f64>,
     pub cost_hint_ms: Option<f64>,
     pub memory_kb: f64,
@@ -101,7 +101,7 @@
         .collect()
 }
 
-/// The outcome of a code, which is like an HTTP status.
+/// Decodes an outcome; the codes resemble HTTP statuses.
 fn outcome(code: u16) -> Result<Outcome, Problem> {
     Ok(match code {
         200 => Outcome::Ok,
--- a/crates/asterdale-simhost/src/host.rs
+++ b/crates/asterdale-simhost/src/host.rs
@@ -40,7 +40,7 @@
         Ok(())
     }
 
-    /// Starts an instance. One that panics does not exist.
+    /// Starts an instance. If it panics, it is not added and the panic is reported.
     fn start(
         &mut self,
         id: InstanceId,
@@ -59,7 +59,7 @@
         Ok(())
     }
 
-    /// Handles an event of an instance. One that panics is removed, and is reported by its message.
+    /// Handles an event of an instance. If the instance panics, it is removed and the panic is reported.
     fn handle_event(
         &mut self,
         id: InstanceId,
@@ -71,7 +71,7 @@
         let record = batch.record(index);
         let Some(instance) = self.instances.get_mut(&id) else {
             return match record.code() {
-                event_code::CALL_NEEDED..=event_code::CALL_ENDED => Ok(()), // it has exited, or has panicked
+                event_code::CALL_NEEDED..=event_code::CALL_ENDED => Ok(()), // the instance has exited or panicked
                 other => Err(Problem::UnknownCode(other)),
             };
         };
--- a/crates/asterdale-simhost/src/instance.rs
+++ b/crates/asterdale-simhost/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: a server, the names of its tasks on the wire, and its actions as records of the reply.
+//! One instance: a server, the numbers of its tasks on the wire, and its actions as records of the reply.
 
 use std::collections::HashMap;
 
@@ -13,16 +13,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct InstanceId(pub u16);
 
-/// Maps numbers on the wire to those of the decisions.
+/// Maps numbers on the wire to handles and indices of the decisions.
 struct Names {
     instance: InstanceId,
-    /// Handles of the tasks that have not been released. Only looked up: its order is random.
+    /// Handles of the tasks that have not been released. Never iterated, since the order of a hash map is random.
     handles: HashMap<TaskId, Handle>,
     /// Ids of tasks, by [`Handle::index`].
     ids: Vec<TaskId>,
     /// Small indices of the callers, by their number on the wire.
     callers: HashMap<u32, usize>,
-    /// The task that is being received.
+    /// Wire number of the request that is being received.
     arriving: TaskId,
 }
 
@@ -43,11 +43,11 @@
     }
 }
 
-/// A server and what it takes to host it.
+/// A server, its wire numbers, and the names of its gauges.
 pub struct Instance {
     server: Server,
     names: Names,
-    /// The names of the gauges, in the order in which their values come.
+    /// Names of the gauges, in the order of their values in a tick.
     gauge_names: Vec<String>,
 }
 
@@ -244,7 +244,7 @@
     }
 
     fn schedule_tick(&mut self, at_ms: f64) {
-        // The second field is a number that would come back with the tick; it is not used.
+        // The second field is a number that the simulator returns with the tick; it is not used.
         let fields: &[&[u8]] = &[&nanoseconds(at_ms), &0u32.to_be_bytes()];
         self.action(action_code::SCHEDULE_TICK, fields);
     }
--- a/crates/asterdale-simhost/src/serve.rs
+++ b/crates/asterdale-simhost/src/serve.rs
@@ -1,4 +1,4 @@
-//! The loop of this process: a batch is read, handled, and replied to.
+//! Main loop: reads a batch, handles it, and writes the reply.
 
 use std::io::{self, Read, Write};
 
--- a/crates/asterdale-simhost/src/wire/batch.rs
+++ b/crates/asterdale-simhost/src/wire/batch.rs
@@ -6,7 +6,7 @@
 pub const HEADER_BYTES: usize = 16;
 /// Size of an event record.
 pub const RECORD_BYTES: usize = 64;
-/// No batch may claim more than this: far over the largest one, and little enough to be allocated.
+/// Maximum size of a batch: far above the largest real one, and small enough to be allocated.
 const MAX_BATCH_BYTES: usize = 1 << 30;
 
 /// The header of a batch.
@@ -14,16 +14,16 @@
 pub struct Header {
     /// The time of the batch, in nanoseconds.
     pub clock_ns: u64,
-    /// Bytes of the complete batch.
+    /// Size of the complete batch, header included.
     pub bytes: usize,
-    /// Records in it.
+    /// Number of records.
     pub records: usize,
 }
 
 /// Reads a batch's header.
 ///
 /// # Errors
-/// Its sizes are impossible.
+/// A size in the header is invalid.
 pub fn read_header(bytes: &[u8; HEADER_BYTES]) -> Result<Header, Malformed> {
     let fields = Record { bytes, start: 0 };
     let header = Header {
--- a/crates/asterdale-simhost/src/wire/mod.rs
+++ b/crates/asterdale-simhost/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The frames of the simulator's wire: batches of events are read, replies with actions are written. All numbers are
+//! Wire format of the simulator: batches of events are read, replies with actions are written. All numbers are
 //! big-endian, without padding.
 
 mod batch;
@@ -18,11 +18,11 @@
     pub const CALL_NEEDED: u8 = 1;
     /// The process of the instance has ended.
     pub const EXIT: u8 = 2;
-    /// The notice of a graceful shutdown.
+    /// A graceful shutdown begins.
     pub const DRAIN: u8 = 3;
     /// The records that follow concern this instance.
     pub const CONTEXT: u8 = 4;
-    /// The caller of a task is gone.
+    /// The caller of a task no longer waits for an answer.
     pub const CALLER_GONE: u8 = 5;
     /// A request was read.
     pub const ARRIVAL: u8 = 6;
@@ -48,13 +48,13 @@
     pub const SET_IDLE_TIMEOUT: u8 = 4;
     /// Retain an idempotency key.
     pub const RETAIN_ENTRY: u8 = 5;
-    /// The actions that follow are of this instance.
+    /// The actions that follow belong to this instance.
     pub const CONTEXT: u8 = 6;
     /// Answer: failed.
     pub const FAIL: u8 = 7;
     /// Start a call.
     pub const START_CALL: u8 = 8;
-    /// Answer with the result of the earlier attempt.
+    /// Answer with the result of the earlier attempt with the same idempotency key.
     pub const JOIN: u8 = 9;
     /// Abort a task.
     pub const STOP: u8 = 10;
--- a/crates/asterdale-simulator/src/experiment.rs
+++ b/crates/asterdale-simulator/src/experiment.rs
@@ -1,4 +1,8 @@
-//! The experiment file: JSON, with a schema made from these types. Times are in milliseconds.
+//! The experiment file: JSON, with a schema that is generated from these types. The suffix of a name gives its unit: `_ms`
+//! for milliseconds, `_s` for seconds.
+//!
+//! The doc comments of the types and fields are the descriptions in the schema. The serialized names are the file format and
+//! differ from the fields' names.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -13,23 +17,24 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Everything that is drawn comes from it.
+    /// Seed of all random numbers.
     #[serde(default)]
     pub seed: u64,
-    /// How long tasks come, in seconds.
+    /// How long requests arrive, in seconds.
     pub seconds: f64,
-    /// Of that, so much at the start is not counted.
+    /// Warm-up at the start, in seconds. Requests that arrive within it are not counted.
     #[serde(default)]
     pub warm_s: f64,
     /// The servers.
     pub servers: Servers,
     /// The edge nodes.
     pub edges: Edges,
-    /// The kinds of tasks.
+    /// The request classes.
     pub stages: Vec<Stage>,
-    /// Tasks a second over the whole fleet: points that are joined by lines. The last holds to the end.
+    /// Requests per second over the whole fleet, interpolated linearly between these points. The last value holds until
+    /// the end.
     pub load: Vec<Point>,
-    /// Troubles.
+    /// Faults to inject.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
@@ -38,30 +43,30 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Point {
-    /// When, in seconds.
+    /// Time from the start of the run, in seconds.
     pub at_s: f64,
-    /// Tasks a second.
+    /// Requests per second.
     pub per_s: f64,
 }
 
-/// The servers, all alike.
+/// The servers, which are all the same.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Servers {
-    /// How many.
+    /// Number of servers.
     pub count: usize,
-    /// Cores of each.
+    /// Cores per server.
     pub cores: f64,
-    /// Runs for each core up to which nothing is lost; beyond it the cores do ever less.
+    /// Running requests per core above which the total throughput of the cores falls.
     #[serde(default = "far")]
     pub crowd: f64,
-    /// Runs for each core that kill the server, if they stay for a second.
+    /// Running requests per core above which the server crashes if that lasts for a second.
     #[serde(default = "far")]
     pub deadly: f64,
-    /// Work that reading a task costs, in milliseconds of one core.
+    /// Work of reading a request, in milliseconds of one core.
     #[serde(default)]
     pub read_ms: f64,
-    /// Who decides.
+    /// Policy that decides which requests a server runs.
     pub policy: Policy,
 }
 
@@ -69,45 +74,48 @@
     1e9
 }
 
-/// Who decides what a server takes.
+/// Policy that decides which requests a server runs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
     /// The decision module.
     Asterdale,
-    /// Runs everything at once, and never turns anything away.
+    /// Runs every request at once and rejects none.
     Everything,
-    /// Runs as many as there are cores; holds this many more; turns away the rest.
+    /// Runs as many requests as there are cores, queues this many more, and rejects the rest.
     Pool(usize),
-    /// Runs no more than this; holds nothing.
+    /// Runs at most this many requests and rejects the rest: there is no queue.
     Fixed(usize),
-    /// A limit that grows by one a window and is cut to 0.9 when a run takes over twice the least.
+    /// A concurrency limit that grows by one per window, or is multiplied by 0.9 if a run took more than twice the shortest
+    /// one.
     Aimd,
-    /// As the pool with no end, and turns away what has waited 5 ms or more for 100 ms on end.
+    /// A pool with an unbounded queue, which rejects queued requests once the queueing delay has been 5 ms or more for
+    /// 100 ms.
     Codel,
 }
 
-/// The edge nodes, all alike.
+/// The edge nodes, which are all the same.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Edges {
-    /// How many.
+    /// Number of edge nodes.
     pub count: usize,
-    /// How a server is picked.
+    /// How an edge node picks a server.
     pub pick: Pick,
-    /// What is done when a try was turned away or broke.
+    /// When an attempt that was rejected or failed is retried.
     #[serde(default)]
     pub retry: Retry,
-    /// How long one try is waited for; 0 for as long as the client waits.
+    /// Timeout of one attempt, in milliseconds; 0 for the client's timeout alone.
     #[serde(default)]
     pub try_ms: f64,
-    /// One way between an edge node and a server: from a half of this to three halves.
+    /// Mean one-way delay between an edge node and a server, in milliseconds. Each delay is uniform from 0.5 to 1.5 times
+    /// the mean.
     #[serde(default)]
     pub way_ms: f64,
-    /// A server that ended or came back is seen so much later.
+    /// Time until the edge nodes detect that a server crashed or restarted, in milliseconds.
     #[serde(default)]
     pub late_ms: f64,
-    /// Advice to stay away is heeded.
+    /// Whether edge nodes avoid a server for the time that its Retry-After gives.
     #[serde(default)]
     pub heeds: bool,
 }
@@ -116,65 +124,69 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Pick {
-    /// One after the other.
+    /// Each server in turn.
     RoundRobin,
-    /// Any.
+    /// A random server.
     Random,
-    /// The one with fewer of this edge node's tasks, of two.
+    /// Of two random servers, the one with fewer open attempts of this edge node.
     TwoChoices,
-    /// The one with fewest of this edge node's tasks.
+    /// The server with the fewest open attempts of this edge node.
     LeastLoaded,
-    /// By the subject, on a ring of points; the next one if that has over this many times the mean.
+    /// By the subject, on a consistent hash ring; the next server if that one has more open attempts than this many times
+    /// the mean.
     RingHash(f64),
-    /// By the subject, the highest of all hashes; the next one if that has over this many times the mean.
+    /// By the subject, the server with the highest hash; the next one if that one has more open attempts than this many
+    /// times the mean.
     Rendezvous(f64),
 }
 
-/// What is done when a try was turned away or broke.
+/// When an attempt that was rejected or failed is retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Retry {
-    /// Nothing.
+    /// Never.
     #[default]
     None,
-    /// Up to so many further tries, at once, elsewhere.
+    /// Up to this many retries, without a delay, at another server.
     Fixed(u32),
-    /// The same, as long as further tries are no more than this share of the first ones.
+    /// Up to this many retries, without a delay, as long as the retries are fewer than this share of the first attempts.
     Budget(u32, f64),
-    /// Up to so many, each after a wait drawn from 0 to this many milliseconds, doubled each time.
+    /// Up to this many retries, each after a delay that is uniform from 0 to this many milliseconds; the maximum doubles with
+    /// each retry.
     Jitter(u32, f64),
 }
 
-/// A kind of task.
+/// A request class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// How many of all tasks are of this kind, beside the other kinds' figures.
+    /// Relative frequency of the class among all requests.
     pub share: f64,
-    /// Work of one, in milliseconds of one core: the mean.
+    /// Mean work of a request, in milliseconds of one core.
     pub work_ms: f64,
-    /// The spread of the logarithm of the work; absent: without a memory (exponential).
+    /// Standard deviation of the logarithm of the work (log-normal distribution); if absent, the work is exponentially
+    /// distributed.
     #[serde(default)]
     pub sigma: Option<f64>,
-    /// Full utility is earned by an answer within this time.
+    /// Latency objective, in milliseconds: an answer within it earns the full weight.
     pub due_ms: f64,
-    /// The client waits so long.
+    /// Timeout of the client, in milliseconds.
     pub limit_ms: f64,
-    /// What one is worth.
+    /// Priority weight of a request.
     #[serde(default = "one")]
     pub utility: f64,
-    /// The part of it that a late answer earns.
+    /// Share of the weight that an answer after the latency objective earns, from 0 to 1.
     #[serde(default)]
     pub late_share: f64,
-    /// Carries a key by which a repeat is known, and must run once on a server.
+    /// Whether requests carry an idempotency key. A server must run a request with the same key only once.
     #[serde(default)]
     pub fingerprinted: bool,
-    /// Subjects that tasks are about; 0 for ever new ones.
+    /// Number of subjects that the requests are about; 0 for a new subject with each request.
     #[serde(default)]
     pub subjects: usize,
-    /// The part of tasks that are about subject 0.
+    /// Share of the requests that are about subject 0, from 0 to 1.
     #[serde(default)]
     pub hot: f64,
 }
@@ -183,37 +195,37 @@
     1.0
 }
 
-/// A trouble.
+/// A fault to inject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins, in seconds.
+    /// Start of the fault, in seconds from the start of the run.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration of the fault, in seconds.
     pub for_s: f64,
-    /// The first server that it meets.
+    /// Index of the first affected server.
     #[serde(default)]
     pub first: usize,
-    /// And how many from there on.
+    /// Number of affected servers, with consecutive indices.
     pub servers: usize,
-    /// What it is.
+    /// Kind of the fault.
     pub what: Trouble,
 }
 
-/// What a trouble is.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Trouble {
-    /// Killed at the beginning; back, knowing nothing, at the end.
+    /// The server crashes at the start and restarts without its state at the end.
     Crash,
-    /// The cores do this part of what they should.
+    /// The cores run at this share of their nominal speed.
     Slow(f64),
-    /// Nothing is done at all, and nothing heard; then all goes on.
+    /// The process is paused: nothing runs and no attempt is received. At the end all of it continues.
     Pause,
 }
 
 impl Experiment {
-    /// Tasks a second at this time.
+    /// Requests per second at this time.
     pub fn rate(&self, at_s: f64) -> f64 {
         let after = self.load.partition_point(|point| point.at_s <= at_s);
         let Some(before) = after.checked_sub(1).map(|n| &self.load[n]) else {
--- a/crates/asterdale-simulator/src/membership/network.rs
+++ b/crates/asterdale-simulator/src/membership/network.rs
@@ -197,7 +197,7 @@
         }
         let is_wake = matches!(delivery, Delivery::Wake);
         if let Some(waiting) = self.paused.get_mut(&to) {
-            // A wake-up is not kept, since a resumed member is woken in any case.
+            // A wake-up is not queued, since a resumed member is woken in any case.
             if !is_wake {
                 waiting.push(delivery);
             }
--- a/crates/asterdale-simulator/src/world.rs
+++ b/crates/asterdale-simulator/src/world.rs
@@ -1,4 +1,5 @@
-//! The run: tasks come, edge nodes send tries, servers read, decide and work, faults begin and end.
+//! One simulation run: requests arrive, edge nodes send attempts, servers read, decide and execute, and faults start and
+//! end.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -15,39 +16,39 @@
 use crate::report::{quantiles_ms, RunReport, SecondReport};
 use crate::{millis, nanos, Nanos};
 
-/// The gauge of the cores is their use over so long, in nanoseconds: as the platform's.
+/// Window of the CPU utilization gauge, in nanoseconds: the same as that of the platform's gauge.
 const GAUGE: Nanos = 500_000_000;
-/// A crowd that would kill a server has to stay for so long.
+/// How long a server has to be overloaded without a break until it crashes, in nanoseconds.
 const DEADLY: Nanos = 1_000_000_000;
-/// Nothing more comes so long after the end, in milliseconds, beyond the longest that a client waits.
+/// Time that is simulated after the last client's timeout, in milliseconds. Later events are dropped.
 const AFTER: f64 = 1000.0;
 
 enum Event {
-    /// The next task comes.
+    /// The next request arrives at its edge node.
     Task,
-    /// A try comes to its server.
+    /// An attempt reaches its server.
     Arrive(u32),
-    /// A run, or a reading, ends; if nothing has changed since.
+    /// A job on a server's cores completes. Ignored if the version of the cores has changed since.
     End(u32, u64),
-    /// A server's decider wants to be asked; in this life of it.
+    /// A tick that a server's decider scheduled. Ignored in a later incarnation of the server.
     Beat(u32, u32),
-    /// An edge node hears of a try.
+    /// An edge node receives an attempt's outcome, with the Retry-After in milliseconds.
     Hear(u32, AttemptOutcome, f64),
-    /// A try was waited for long enough.
+    /// The edge node's timeout of an attempt has passed.
     TryOver(u32),
-    /// A client gives up.
+    /// A client's timeout has passed.
     ClientOver(u32),
-    /// A task is tried again.
+    /// The delay before a request's retry has passed.
     Again(u32),
-    /// A server hears that nobody waits for a try any more.
+    /// A server is notified that the edge node no longer waits for an attempt.
     Left(u32),
-    /// A fault begins, or ends.
+    /// A fault starts (`true`) or ends.
     Fault(u32, bool),
-    /// Edge nodes see that a server is there, or not.
+    /// The edge nodes detect that a server is up (`true`) or down.
     Seen(u32, bool),
-    /// A crowd may have stayed too long; in this life of the server.
+    /// Crashes the server if it has been overloaded for too long. Ignored in a later incarnation of the server.
     Crowd(u32, u32),
-    /// A second is over.
+    /// A second of the report ends.
     Second,
 }
 
@@ -59,7 +60,7 @@
     born: Nanos,
     tries: u32,
     last: Option<usize>,
-    /// Its present try.
+    /// The attempt that the edge node waits for.
     open: Option<u32>,
     over: bool,
     counted: bool,
@@ -76,13 +77,13 @@
 struct Try {
     task: u32,
     server: usize,
-    /// The server's life that it came to.
+    /// Incarnation of the server that received it.
     life: u32,
     arrived: Nanos,
     at: Where,
-    /// The edge node waits for it.
+    /// Whether the edge node still waits for it.
     waited: bool,
-    /// The server has answered it.
+    /// Whether the server has answered it.
     answered: bool,
 }
 
@@ -99,17 +100,18 @@
     actions: ActionQueue,
     life: u32,
     paused: bool,
-    /// What came while it was paused.
+    /// Attempts that arrived while the server was paused.
     waiting: Vec<u32>,
     slots: Vec<Option<u32>>,
-    /// Keys, by subject and stage: looked up, never walked.
+    /// By class and subject: the attempt that owns the idempotency entry, when the entry expires, and its state. Never
+    /// iterated, since the order of a hash map is random.
     known: HashMap<(usize, u64), (u32, Nanos, Fate)>,
     gauge: VecDeque<(Nanos, f64)>,
     crowded: Option<Nanos>,
     beat_at: Nanos,
 }
 
-/// A run.
+/// State of one simulation run.
 pub struct World<'a> {
     experiment: &'a Experiment,
     seed: u64,
@@ -117,7 +119,7 @@
     end: Nanos,
     queue: EventQueue<Event>,
     tasks: Vec<Task>,
-    /// In the order in which they were sent; none before `oldest` is in a server.
+    /// In the order in which they were sent. All attempts before `oldest` have ended at their server.
     tries: Vec<Try>,
     oldest: usize,
     servers: Vec<Machine>,
@@ -135,7 +137,7 @@
     tries_sent: u64,
     times: Histogram<u64>,
     sum_ms: f64,
-    /// Tasks in the fleet, times how long, and when that was last counted.
+    /// Requests in the fleet, the integral of that number over time in milliseconds, and the time of the last update.
     inside: (u64, f64, Nanos),
     spent_ms: f64,
     second: SecondReport,
@@ -144,7 +146,7 @@
     deaths: u64,
 }
 
-/// Plays an experiment with this seed.
+/// Simulates an experiment with this seed.
 pub fn play(experiment: &Experiment, seed: u64) -> RunReport {
     let mut world = World::new(experiment, seed);
     world.run();
@@ -191,7 +193,7 @@
             possible: 0.0,
             tries_sent: 0,
             times: Histogram::new_with_bounds(1, 3_600_000_000, 3)
-                .unwrap_or_else(|e| panic!("bounds: {e}")),
+                .unwrap_or_else(|e| panic!("invalid histogram bounds: {e}")),
             sum_ms: 0.0,
             inside: (0, 0.0, 0),
             spent_ms: 0.0,
@@ -251,10 +253,10 @@
         }
     }
 
-    // ---- Tasks and edge nodes ----
+    // ---- Requests and edge nodes ----
 
-    /// The next task comes after a time without a memory: the rate may have changed by then, so the fastest rate is
-    /// drawn for and some are left out.
+    /// Schedules the next request of a Poisson process whose rate changes over time. Candidates are drawn at the highest
+    /// rate and accepted with the ratio of the present rate to it (thinning).
     fn next_task(&mut self, from: Nanos) {
         let most = self
             .experiment
@@ -391,7 +393,7 @@
         }
     }
 
-    /// The edge node stops waiting for this try; its server hears so.
+    /// The edge node stops waiting for this attempt and notifies the server.
     fn give_up_try(&mut self, n: u32) {
         let attempt = &mut self.tries[n as usize];
         if !attempt.waited {
@@ -520,7 +522,7 @@
         self.act(n, None);
     }
 
-    /// A server ends: all that it had is gone, and its edge nodes' connections break.
+    /// Crashes a server: its state is lost, and its connections to the edge nodes break.
     fn fall(&mut self, n: usize) {
         let now = self.now;
         let machine = &mut self.servers[n];
@@ -632,7 +634,7 @@
         self.foresee(server);
     }
 
-    /// A task has been read: now it is decided about.
+    /// An attempt has been read: passes it to the decider.
     fn read(&mut self, server: usize, n: u32) {
         let (task, arrived) = (self.tries[n as usize].task, self.tries[n as usize].arrived);
         let task = &self.tasks[task as usize];
@@ -656,7 +658,7 @@
             decider.receive(millis(now), arrival, &mut machine.actions);
         }
         self.act(server, Some(n));
-        // Nobody may wait for it any more.
+        // The edge node may have stopped waiting while the attempt was being read.
         if !self.tries[n as usize].waited {
             self.left_inside(n);
         }
@@ -711,7 +713,7 @@
                 self.checker.excuse(u64::from(n));
                 self.left_inside(n);
             }
-            // One that is being read is looked at when that is over.
+            // The decider doesn't know the attempt yet: `is_awaited` is checked after reading.
             Where::Reading(_) | Where::Way => self.checker.excuse(u64::from(n)),
             Where::Over => {}
         }
@@ -740,7 +742,7 @@
                 .queue
                 .schedule(now + 10_000_000, Event::Beat(n as u32, life));
         }
-        // What the cores were used for over the last half second.
+        // CPU utilization over the gauge's window.
         machine.cores.set_speed(now, machine.cores.speed());
         machine.gauge.push_back((now, machine.cores.busy_ms()));
         while machine.gauge.len() > 2 && machine.gauge[1].0 + GAUGE <= now {
@@ -759,7 +761,7 @@
         self.foresee(n);
     }
 
-    /// Does what was decided. `arriving` is the try that has just been taken.
+    /// Executes the decider's actions. `arriving` is the attempt that has just been passed to it.
     fn act(&mut self, server: usize, arriving: Option<u32>) {
         let now = self.now;
         while let Some(action) = self.servers[server].actions.pop() {
@@ -868,7 +870,8 @@
         }
     }
 
-    /// What a task had joined is over. The decider hears of it once what it is doing is done.
+    /// The earlier attempt that this one joined has ended. Leaves the resulting actions to `execute_actions`, which calls
+    /// this function.
     fn join_over(&mut self, server: usize, n: u32, well: bool) {
         let Where::Inside(slot, _) = self.tries[n as usize].at else {
             return;
@@ -879,7 +882,7 @@
         }
     }
 
-    // ---- Faults, and the books ----
+    // ---- Faults and accounting ----
 
     fn fault(&mut self, n: usize, begins: bool) {
         let fault = &self.experiment.faults[n];
