--- a/crates/asterdale-simhost/src/wire/error.rs
+++ b/crates/asterdale-simhost/src/wire/error.rs
@@ -48,36 +48,36 @@
     /// The input ends before the header does.
     #[error("input ends inside a header")]
     TruncatedHeader,
-    /// The header claims a size that no batch has.
-    #[error("a size of {0} bytes")]
+    /// The size in the header is below the minimum or above the maximum.
+    #[error("invalid batch size of {0} bytes")]
     InvalidSize(usize),
-    /// The header claims more records than the batch has bytes for.
-    #[error("{records} records in {bytes} bytes")]
+    /// The header gives more records than fit into the size of the batch.
+    #[error("{records} records do not fit into {bytes} bytes")]
     TooManyRecords {
-        /// Records by the header.
+        /// Number of records in the header.
         records: usize,
-        /// Bytes by the header.
+        /// Size in the header.
         bytes: usize,
     },
     /// The input ends before the batch does.
     #[error("{received} bytes of {expected}")]
     TruncatedBatch {
-        /// Bytes that came.
+        /// Bytes that were received.
         received: usize,
-        /// Bytes by the header.
+        /// Size in the header.
         expected: usize,
     },
     /// A field refers to bytes outside of the tail.
-    #[error("{length} bytes at {start} of a tail of {tail}")]
+    #[error("field refers to {length} bytes at {start} of a tail of {tail} bytes")]
     OutsideTail {
-        /// Length by the field.
+        /// Length in the field.
         length: usize,
-        /// Offset in the tail by the field.
+        /// Offset in the field.
         start: usize,
         /// Length of the tail.
         tail: usize,
     },
-    /// A record before the first one that names an instance.
+    /// The record comes before the first context record, which selects an instance.
     #[error("code {0} before any context")]
     NoContext(u8),
     /// No event has this code.
@@ -86,12 +86,12 @@
     /// No outcome has this code.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u16),
-    /// A request of a class that the settings don't have.
+    /// The class of a request is not in the settings.
     #[error("class {class} of {classes}")]
     UnknownClass {
         /// The class of the request.
         class: usize,
-        /// How many there are.
+        /// Number of classes in the settings.
         classes: usize,
     },
     /// The settings of an instance can't be read.
--- a/crates/asterdale-simulator/src/experiment/validation.rs
+++ b/crates/asterdale-simulator/src/experiment/validation.rs
@@ -51,37 +51,33 @@
         self.require(
             (0.001..=86_400.0).contains(&experiment.seconds),
             "seconds",
-            "from 0.001 to 86400 is wanted",
+            "must be from 0.001 to 86400",
         );
         self.require(
             (0.0..=experiment.seconds).contains(&experiment.warm_s),
             "warm_s",
-            "from 0 to `seconds` is wanted",
+            "must be from 0 to `seconds`",
         );
         self.require(
             (1..=10_000).contains(&servers.count),
             "servers.count",
-            "from 1 to 10000 is wanted",
+            "must be from 1 to 10000",
         );
         self.require(
             (0.1..=1024.0).contains(&servers.cores),
             "servers.cores",
-            "from 0.1 to 1024 is wanted",
-        );
-        self.require(
-            servers.crowd >= 1.0,
-            "servers.crowd",
-            "at least 1 is wanted",
+            "must be from 0.1 to 1024",
         );
+        self.require(servers.crowd >= 1.0, "servers.crowd", "must be at least 1");
         self.require(
             servers.deadly >= 1.0,
             "servers.deadly",
-            "at least 1 is wanted",
+            "must be at least 1",
         );
         self.require(
             (1..=10_000).contains(&edges.count),
             "edges.count",
-            "from 1 to 10000 is wanted",
+            "must be from 1 to 10000",
         );
     }
 
@@ -90,48 +86,56 @@
         self.require(
             (1..=64).contains(&classes.len()),
             "stages",
-            "from 1 to 64 are wanted",
+            "must have from 1 to 64 classes",
         );
         for (index, class) in classes.iter().enumerate() {
             self.check_class(index, class);
         }
         let total_share = classes.iter().map(|class| class.share).sum::<f64>();
-        self.require(total_share > 0.0, "stages", "no share is above 0");
+        self.require(
+            total_share > 0.0,
+            "stages",
+            "at least one share must be above 0",
+        );
     }
 
     fn check_class(&mut self, index: usize, class: &Stage) {
         self.require(
             (0.0..=1e9).contains(&class.share),
             &format!("stages[{index}].share"),
-            "a number from 0 on is wanted",
+            "must be from 0 to 1000000000",
         );
         self.require(
             (1e-3..=1e6).contains(&class.work_ms),
             &format!("stages[{index}].work_ms"),
-            "from 0.001 to 1000000 is wanted",
+            "must be from 0.001 to 1000000",
         );
         self.require(
             (0.0..=class.limit_ms).contains(&class.due_ms),
             &format!("stages[{index}].due_ms"),
-            "from 0 to `limit_ms` is wanted",
+            "must be from 0 to `limit_ms`",
         );
         self.require(
             (0.0..=1.0).contains(&class.hot),
             &format!("stages[{index}].hot"),
-            "from 0 to 1 is wanted",
+            "must be from 0 to 1",
         );
     }
 
     fn check_load(&mut self, experiment: &Experiment) {
         let points = &experiment.load;
-        self.require(!points.is_empty(), "load", "at least one point is wanted");
+        self.require(!points.is_empty(), "load", "must have at least one point");
         let is_ordered = points.is_sorted_by(|earlier, later| earlier.at_s <= later.at_s);
-        self.require(is_ordered, "load", "points are wanted in the order of time");
+        self.require(
+            is_ordered,
+            "load",
+            "points must be in ascending order of `at_s`",
+        );
         for (index, point) in points.iter().enumerate() {
             self.require(
                 (0.0..=1e7).contains(&point.per_s),
                 &format!("load[{index}].per_s"),
-                "from 0 to 10000000 is wanted",
+                "must be from 0 to 10000000",
             );
         }
     }
@@ -141,12 +145,12 @@
             self.require(
                 fault.first + fault.servers <= experiment.servers.count,
                 &format!("faults[{index}].servers"),
-                "there are not so many servers",
+                "`first` + `servers` must not exceed `servers.count`",
             );
             self.require(
                 fault.at_s >= 0.0 && fault.for_s >= 0.0,
                 &format!("faults[{index}].at_s"),
-                "no time before the start",
+                "`at_s` and `for_s` must not be negative",
             );
         }
     }
--- a/crates/asterdale-simulator/src/main.rs
+++ b/crates/asterdale-simulator/src/main.rs
@@ -20,7 +20,7 @@
 /// Exit code if a subcommand fails.
 const EXIT_FAILED: u8 = 2;
 
-/// What asterdale balances, in one process.
+/// Deterministic simulation of a fleet of servers behind load balancers
 #[derive(Parser)]
 #[command(name = "asterdale-simulator", version)]
 struct Arguments {
@@ -30,65 +30,65 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play an experiment, and print what came of it as JSON; the speed goes to standard error
+    /// Run an experiment and print a report as JSON; the speed goes to standard error
     Run {
         /// The experiment's file
         file: PathBuf,
-        /// The seed, in place of the file's
+        /// Seed, instead of the one in the file
         #[arg(long)]
         seed: Option<u64>,
-        /// So many seeds from there on, beside each other
+        /// Number of consecutive seeds, which are run in parallel
         #[arg(long, default_value_t = 1)]
         repeats: u64,
-        /// Without the seconds
+        /// Leave out the report of each second
         #[arg(long)]
         brief: bool,
     },
-    /// Play it under the module and each plain policy, with the same tasks, and print a table
+    /// Run an experiment under the decision module and each baseline policy, with the same requests, and print a table
     Policies {
         /// The experiment's file
         file: PathBuf,
-        /// So many seeds each
+        /// Number of seeds per policy
         #[arg(long, default_value_t = 3)]
         repeats: u64,
     },
-    /// Play the view of the fleet, each size and fault with several seeds; a line of JSON for each play
+    /// Simulate the fleet's membership for each size and fault with several seeds; prints a line of JSON per simulation
     Members {
-        /// How many members, one size after the other
+        /// Numbers of members to simulate
         #[arg(long, value_delimiter = ',', default_values_t = [10, 100, 1000])]
         members: Vec<usize>,
-        /// What befalls them
+        /// Faults to inject
         #[arg(long, value_enum, value_delimiter = ',', default_values_t = [FaultArgument::Crash])]
         faults: Vec<FaultArgument>,
-        /// For so many seconds
+        /// Observed time in seconds
         #[arg(long, default_value_t = 60.0)]
         seconds: f64,
-        /// A datagram is lost with this chance
+        /// Probability that a datagram is lost, from 0 to 1
         #[arg(long, default_value_t = 0.01)]
         loss: f64,
-        /// Suspicions last the least from the start, as in SWIM alone
+        /// Plain SWIM: suspicions last the minimum time from the start, without Lifeguard's suspicion timeout
         #[arg(long)]
         plain: bool,
-        /// So many seeds
+        /// Number of seeds per size and fault
         #[arg(long, default_value_t = 5)]
         repeats: u64,
-        /// Plot the time to detection over the size, with the published bounds, into this file (SVG)
+        /// SVG file for a plot of the detection time over the number of members, with the published bounds
         #[arg(long)]
         plot: Option<PathBuf>,
     },
-    /// Play the wave of work after a loss that the others take over, with the bound of owners and without; a line of
-    /// JSON for each play
+    /// Simulate the failover surge: the survivors of a crash claim the requests of the crashed servers, with the owners'
+    /// capacity bound and without it; prints a line of JSON per simulation
     Wave {
-        /// How many servers, one size after the other
+        /// Numbers of servers to simulate
         #[arg(long, value_delimiter = ',', default_values_t = [10, 100, 1000])]
         servers: Vec<usize>,
-        /// The part of them that dies at once
+        /// Share of the servers that crash at the same time, from 0 to 0.9
         #[arg(long, default_value_t = 0.33)]
         lost: f64,
-        /// Busy part of the cores before that, one after the other
+        /// CPU utilizations before the crash, from 0 to 1
         #[arg(long, value_delimiter = ',', default_values_t = [0.5, 0.8])]
         load: Vec<f64>,
-        /// So many seeds
+        /// Number of seeds per size and load
         #[arg(long, default_value_t = 3)]
         repeats: u64,
     },
@@ -96,16 +96,16 @@
     Schema,
 }
 
-/// What befalls a fleet.
+/// Fault of the membership simulation.
 #[derive(Clone, Copy, ValueEnum)]
 enum FaultArgument {
-    /// Nothing
+    /// No fault
     None,
-    /// One dies
+    /// One member crashes
     Crash,
-    /// A tenth stands still again and again
+    /// A tenth of the members pause repeatedly
     Stutter,
-    /// Two halves are parted for longer than any suspicion lasts
+    /// The network is partitioned into two halves for longer than any suspicion lasts
     Halves,
 }
 
--- a/crates/asterdale-simulator/src/plot.rs
+++ b/crates/asterdale-simulator/src/plot.rs
@@ -54,7 +54,7 @@
     let highest_s = published_bounds(largest).latest_detection_ms / 1e3 * HEADROOM;
     let mut chart = ChartBuilder::on(area)
         .caption(
-            "Seconds until a dead member is held for dead",
+            "Seconds until a crashed member is declared dead",
             ("sans-serif", 20),
         )
         .margin(12)
@@ -87,7 +87,7 @@
     let latest = line(&|bounds| bounds.latest_detection_ms + bounds.dissemination_ms);
     chart
         .draw_series(LineSeries::new(latest, &RED))?
-        .label("bound, never confirmed, and the news' rides")
+        .label("bound, suspicion never confirmed, with dissemination")
         .legend(|(left, top)| PathElement::new([(left, top), (left + 20, top)], RED));
     Ok(())
 }
@@ -102,12 +102,12 @@
     let first = points(&|report| report.first_detection_ms).into_iter();
     chart
         .draw_series(first.map(|point| Circle::new(point, 3, BLACK.filled())))?
-        .label("the first holds it for dead")
+        .label("first member to declare it dead")
         .legend(|(left, top)| Circle::new((left + 10, top), 3, BLACK.filled()));
     let all = points(&|report| report.full_detection_ms).into_iter();
     chart
         .draw_series(all.map(|point| TriangleMarker::new(point, 5, GREEN.filled())))?
-        .label("all do")
+        .label("all members")
         .legend(|(left, top)| TriangleMarker::new((left + 10, top), 5, GREEN.filled()));
     Ok(())
 }
