--- a/crates/asterdale-simulator/src/commands.rs
+++ b/crates/asterdale-simulator/src/commands.rs
@@ -61,7 +61,7 @@
     let started_at = Instant::now();
     let reports: Vec<RunReport> = (first_seed..first_seed + repeats)
         .into_par_iter()
-        .map(|seed| world::play(&experiment, seed))
+        .map(|seed| world::simulate(&experiment, seed))
         .collect();
     let took_s = started_at.elapsed().as_secs_f64();
     let events: u64 = reports.iter().map(|report| report.events).sum();
@@ -101,7 +101,7 @@
         experiment.servers.policy = policy;
         let reports: Vec<RunReport> = (experiment.seed..experiment.seed + repeats)
             .into_par_iter()
-            .map(|seed| world::play(&experiment, seed))
+            .map(|seed| world::simulate(&experiment, seed))
             .collect();
         print_policy(name, &reports);
     }
--- a/crates/asterdale-simulator/src/decider.rs
+++ b/crates/asterdale-simulator/src/decider.rs
@@ -11,7 +11,7 @@
 use asterdale::{Actions, Handle, Server};
 
 use self::baseline::Baseline;
-use crate::experiment::{Experiment, Policy, Stage};
+use crate::experiment::{Experiment, Policy, RequestClass};
 
 mod baseline;
 
@@ -211,7 +211,7 @@
         slow_start,
         slow_start_share: 1.0,
         slow_start_ms: 0.0,
-        overload_factor: experiment.servers.deadly.min(1e6),
+        overload_factor: experiment.servers.crash_concurrency.min(1e6),
         tick_ms: 1.0,
         drain_grace_ms: 0.0,
         servers: experiment.servers.count as f64,
@@ -224,27 +224,31 @@
         response_reuse_ms: 0.0,
         preemption: Preemption::Unsupported,
         capacity_hint: CapacityHint::Unused,
-        max_retry_after_ms: if experiment.edges.heeds { 1000.0 } else { 0.0 },
+        max_retry_after_ms: if experiment.edges.honors_retry_after {
+            1000.0
+        } else {
+            0.0
+        },
         over_quota_weight_share: 1.0,
         weight_per_work: false,
-        classes: experiment.stages.iter().map(class_parameters).collect(),
+        classes: experiment.classes.iter().map(class_parameters).collect(),
         tenants: Vec::new(),
     }
 }
 
-fn class_parameters(class: &Stage) -> ClassParameters {
+fn class_parameters(class: &RequestClass) -> ClassParameters {
     ClassParameters {
-        objective_ms: class.due_ms,
-        deadline_ms: class.limit_ms,
-        weight: class.utility,
-        late_weight_share: class.late_share,
+        objective_ms: class.objective_ms,
+        deadline_ms: class.client_timeout_ms,
+        weight: class.weight,
+        late_weight_share: class.late_weight_share,
         degraded_weight_share: 0.0,
         makes_calls: false,
-        idempotency: if class.fingerprinted {
+        idempotency: if class.is_keyed {
             Idempotency::Keyed
         } else {
             Idempotency::Idempotent
         },
-        retry_window_ms: 2.0 * class.limit_ms,
+        retry_window_ms: 2.0 * class.client_timeout_ms,
     }
 }
--- a/crates/asterdale-simulator/src/edge/tests.rs
+++ b/crates/asterdale-simulator/src/edge/tests.rs
@@ -50,10 +50,10 @@
         count: 1,
         pick: Pick::Random,
         retry,
-        try_ms: 0.0,
-        way_ms: 0.0,
-        late_ms: 0.0,
-        heeds: false,
+        attempt_timeout_ms: 0.0,
+        network_delay_ms: 0.0,
+        detection_delay_ms: 0.0,
+        honors_retry_after: false,
     };
     let (mut retries, budget) = (0, edges(Retry::Budget(9, 0.1)));
     for _ in 0..1000 {
--- a/crates/asterdale-simulator/src/experiment.rs
+++ b/crates/asterdale-simulator/src/experiment.rs
@@ -23,17 +23,18 @@
     /// How long requests arrive, in seconds.
     pub seconds: f64,
     /// Warm-up at the start, in seconds. Requests that arrive within it are not counted.
-    #[serde(default)]
-    pub warm_s: f64,
+    #[serde(rename = "warm_s", default)]
+    pub warm_up_s: f64,
     /// The servers.
     pub servers: Servers,
     /// The edge nodes.
     pub edges: Edges,
     /// The request classes.
-    pub stages: Vec<Stage>,
+    #[serde(rename = "stages")]
+    pub classes: Vec<RequestClass>,
     /// Requests per second over the whole fleet, interpolated linearly between these points. The last value holds until
     /// the end.
-    pub load: Vec<Point>,
+    pub load: Vec<LoadPoint>,
     /// Faults to inject.
     #[serde(default)]
     pub faults: Vec<Fault>,
@@ -41,8 +42,8 @@
 
 /// A point of the load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct Point {
+#[serde(rename = "Point", deny_unknown_fields)]
+pub struct LoadPoint {
     /// Time from the start of the run, in seconds.
     pub at_s: f64,
     /// Requests per second.
@@ -58,19 +59,19 @@
     /// Cores per server.
     pub cores: f64,
     /// Running requests per core above which the total throughput of the cores falls.
-    #[serde(default = "far")]
-    pub crowd: f64,
+    #[serde(rename = "crowd", default = "unlimited")]
+    pub max_concurrency: f64,
     /// Running requests per core above which the server crashes if that lasts for a second.
-    #[serde(default = "far")]
-    pub deadly: f64,
+    #[serde(rename = "deadly", default = "unlimited")]
+    pub crash_concurrency: f64,
     /// Work of reading a request, in milliseconds of one core.
-    #[serde(default)]
-    pub read_ms: f64,
+    #[serde(rename = "read_ms", default)]
+    pub read_work_ms: f64,
     /// Policy that decides which requests a server runs.
     pub policy: Policy,
 }
 
-fn far() -> f64 {
+fn unlimited() -> f64 {
     1e9
 }
 
@@ -106,18 +107,18 @@
     #[serde(default)]
     pub retry: Retry,
     /// Timeout of one attempt, in milliseconds; 0 for the client's timeout alone.
-    #[serde(default)]
-    pub try_ms: f64,
+    #[serde(rename = "try_ms", default)]
+    pub attempt_timeout_ms: f64,
     /// Mean one-way delay between an edge node and a server, in milliseconds. Each delay is uniform from 0.5 to 1.5 times
     /// the mean.
-    #[serde(default)]
-    pub way_ms: f64,
+    #[serde(rename = "way_ms", default)]
+    pub network_delay_ms: f64,
     /// Time until the edge nodes detect that a server crashed or restarted, in milliseconds.
-    #[serde(default)]
-    pub late_ms: f64,
+    #[serde(rename = "late_ms", default)]
+    pub detection_delay_ms: f64,
     /// Whether edge nodes avoid a server for the time that its Retry-After gives.
-    #[serde(default)]
-    pub heeds: bool,
+    #[serde(rename = "heeds", default)]
+    pub honors_retry_after: bool,
 }
 
 /// How an edge node picks a server.
@@ -158,8 +159,8 @@
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct Stage {
+#[serde(rename = "Stage", deny_unknown_fields)]
+pub struct RequestClass {
     /// Name of the class.
     pub name: String,
     /// Relative frequency of the class among all requests.
@@ -171,27 +172,29 @@
     #[serde(default)]
     pub sigma: Option<f64>,
     /// Latency objective, in milliseconds: an answer within it earns the full weight.
-    pub due_ms: f64,
+    #[serde(rename = "due_ms")]
+    pub objective_ms: f64,
     /// Timeout of the client, in milliseconds.
-    pub limit_ms: f64,
+    #[serde(rename = "limit_ms")]
+    pub client_timeout_ms: f64,
     /// Priority weight of a request.
-    #[serde(default = "one")]
-    pub utility: f64,
+    #[serde(rename = "utility", default = "default_weight")]
+    pub weight: f64,
     /// Share of the weight that an answer after the latency objective earns, from 0 to 1.
-    #[serde(default)]
-    pub late_share: f64,
+    #[serde(rename = "late_share", default)]
+    pub late_weight_share: f64,
     /// Whether requests carry an idempotency key. A server must run a request with the same key only once.
-    #[serde(default)]
-    pub fingerprinted: bool,
+    #[serde(rename = "fingerprinted", default)]
+    pub is_keyed: bool,
     /// Number of subjects that the requests are about; 0 for a new subject with each request.
     #[serde(default)]
     pub subjects: usize,
     /// Share of the requests that are about subject 0, from 0 to 1.
-    #[serde(default)]
-    pub hot: f64,
+    #[serde(rename = "hot", default)]
+    pub hot_share: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -202,20 +205,22 @@
     /// Start of the fault, in seconds from the start of the run.
     pub at_s: f64,
     /// Duration of the fault, in seconds.
-    pub for_s: f64,
+    #[serde(rename = "for_s")]
+    pub duration_s: f64,
     /// Index of the first affected server.
-    #[serde(default)]
-    pub first: usize,
+    #[serde(rename = "first", default)]
+    pub first_server: usize,
     /// Number of affected servers, with consecutive indices.
     pub servers: usize,
     /// Kind of the fault.
-    pub what: Trouble,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
 }
 
 /// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(rename_all = "snake_case")]
-pub enum Trouble {
+#[serde(rename = "Trouble", rename_all = "snake_case")]
+pub enum FaultKind {
     /// The server crashes at the start and restarts without its state at the end.
     Crash,
     /// The cores run at this share of their nominal speed.
@@ -227,14 +232,14 @@
 impl Experiment {
     /// Requests per second at this time.
     pub fn rate(&self, at_s: f64) -> f64 {
-        let after = self.load.partition_point(|point| point.at_s <= at_s);
-        let Some(before) = after.checked_sub(1).map(|n| &self.load[n]) else {
+        let next_index = self.load.partition_point(|point| point.at_s <= at_s);
+        let Some(before) = next_index.checked_sub(1).map(|index| &self.load[index]) else {
             return self.load[0].per_s;
         };
-        let Some(next) = self.load.get(after) else {
+        let Some(next) = self.load.get(next_index) else {
             return before.per_s;
         };
-        let part = (at_s - before.at_s) / (next.at_s - before.at_s);
-        before.per_s + part * (next.per_s - before.per_s)
+        let fraction = (at_s - before.at_s) / (next.at_s - before.at_s);
+        before.per_s + fraction * (next.per_s - before.per_s)
     }
 }
--- a/crates/asterdale-simulator/src/experiment/validation.rs
+++ b/crates/asterdale-simulator/src/experiment/validation.rs
@@ -1,6 +1,6 @@
 //! Reads an experiment's file and checks its values.
 
-use super::{Experiment, Stage};
+use super::{Experiment, RequestClass};
 
 /// The experiment is invalid. The text has a line for each problem, which starts with the path of the value.
 #[derive(Debug, thiserror::Error)]
@@ -54,7 +54,7 @@
             "must be from 0.001 to 86400",
         );
         self.require(
-            (0.0..=experiment.seconds).contains(&experiment.warm_s),
+            (0.0..=experiment.seconds).contains(&experiment.warm_up_s),
             "warm_s",
             "must be from 0 to `seconds`",
         );
@@ -68,9 +68,13 @@
             "servers.cores",
             "must be from 0.1 to 1024",
         );
-        self.require(servers.crowd >= 1.0, "servers.crowd", "must be at least 1");
         self.require(
-            servers.deadly >= 1.0,
+            servers.max_concurrency >= 1.0,
+            "servers.crowd",
+            "must be at least 1",
+        );
+        self.require(
+            servers.crash_concurrency >= 1.0,
             "servers.deadly",
             "must be at least 1",
         );
@@ -82,7 +86,7 @@
     }
 
     fn check_classes(&mut self, experiment: &Experiment) {
-        let classes = &experiment.stages;
+        let classes = &experiment.classes;
         self.require(
             (1..=64).contains(&classes.len()),
             "stages",
@@ -99,7 +103,7 @@
         );
     }
 
-    fn check_class(&mut self, index: usize, class: &Stage) {
+    fn check_class(&mut self, index: usize, class: &RequestClass) {
         self.require(
             (0.0..=1e9).contains(&class.share),
             &format!("stages[{index}].share"),
@@ -111,12 +115,12 @@
             "must be from 0.001 to 1000000",
         );
         self.require(
-            (0.0..=class.limit_ms).contains(&class.due_ms),
+            (0.0..=class.client_timeout_ms).contains(&class.objective_ms),
             &format!("stages[{index}].due_ms"),
             "must be from 0 to `limit_ms`",
         );
         self.require(
-            (0.0..=1.0).contains(&class.hot),
+            (0.0..=1.0).contains(&class.hot_share),
             &format!("stages[{index}].hot"),
             "must be from 0 to 1",
         );
@@ -143,12 +147,12 @@
     fn check_faults(&mut self, experiment: &Experiment) {
         for (index, fault) in experiment.faults.iter().enumerate() {
             self.require(
-                fault.first + fault.servers <= experiment.servers.count,
+                fault.first_server + fault.servers <= experiment.servers.count,
                 &format!("faults[{index}].servers"),
                 "`first` + `servers` must not exceed `servers.count`",
             );
             self.require(
-                fault.at_s >= 0.0 && fault.for_s >= 0.0,
+                fault.at_s >= 0.0 && fault.duration_s >= 0.0,
                 &format!("faults[{index}].at_s"),
                 "`at_s` and `for_s` must not be negative",
             );
--- a/crates/asterdale-simulator/src/lib.rs
+++ b/crates/asterdale-simulator/src/lib.rs
@@ -16,7 +16,6 @@
 pub mod random;
 pub mod report;
 #[allow(
-    clippy::min_ident_chars,
     clippy::too_many_lines,
     reason = "not finished for readers yet, see docs/readability.md"
 )]
--- a/crates/asterdale-simulator/src/report.rs
+++ b/crates/asterdale-simulator/src/report.rs
@@ -40,7 +40,7 @@
 /// Report of one run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RunReport {
-    /// Earned utility as a share of the possible utility, from 0 to 1.
+    /// Earned weight as a share of the possible weight, from 0 to 1.
     #[serde(rename = "service")]
     pub earned_share: f64,
     /// Counted requests in all (`came`) and by their end. Requests of the warm-up are not counted.
--- a/crates/asterdale-simulator/tests/validity.rs
+++ b/crates/asterdale-simulator/tests/validity.rs
@@ -1,7 +1,7 @@
 //! Tests of the simulation against closed-form results, for determinism, and for the effect of each fault.
 
-use asterdale_simulator::experiment::{read, Experiment, Fault, Policy, Retry, Trouble};
-use asterdale_simulator::world::play;
+use asterdale_simulator::experiment::{read, Experiment, Fault, FaultKind, Policy, Retry};
+use asterdale_simulator::world::simulate;
 use rayon::prelude::*;
 use serde_json::json;
 
@@ -22,8 +22,8 @@
     }
     let full =
         term * offered / f64::from(servers) * f64::from(servers) / (f64::from(servers) - offered);
-    let waits = full / (sum + full);
-    1.0 + waits / (f64::from(servers) - offered)
+    let wait_probability = full / (sum + full);
+    1.0 + wait_probability / (f64::from(servers) - offered)
 }
 
 #[test]
@@ -33,17 +33,17 @@
         let runs: Vec<f64> = (1..=8u64)
             .into_par_iter()
             .map(|seed| {
-                play(
+                simulate(
                     &experiment(Policy::Pool(1_000_000), 100.0 * offered, 300.0),
                     seed,
                 )
                 .mean_latency_ms
             })
             .collect();
-        let (mean, wanted) = (runs.iter().sum::<f64>() / 8.0, 10.0 * erlang(4, offered));
+        let (mean, expected) = (runs.iter().sum::<f64>() / 8.0, 10.0 * erlang(4, offered));
         assert!(
-            (mean / wanted - 1.0).abs() < 0.02,
-            "{mean} ms, and {wanted} by the formula, at {load}"
+            (mean / expected - 1.0).abs() < 0.02,
+            "{mean} ms instead of {expected} ms at load {load}"
         );
     }
 }
@@ -51,11 +51,11 @@
 #[test]
 fn shared_cores_match_processor_sharing_formula() {
     // M/M/1 with processor sharing: the mean time is 1 / (1 - load), whatever the order.
-    let mut one = experiment(Policy::Everything, 70.0, 600.0);
-    one.servers.cores = 1.0;
+    let mut single_core = experiment(Policy::Everything, 70.0, 600.0);
+    single_core.servers.cores = 1.0;
     let runs: Vec<f64> = (1..=8u64)
         .into_par_iter()
-        .map(|seed| play(&one, seed).mean_latency_ms)
+        .map(|seed| simulate(&single_core, seed).mean_latency_ms)
         .collect();
     let mean = runs.iter().sum::<f64>() / 8.0;
     assert!((mean / (10.0 / 0.3) - 1.0).abs() < 0.03, "{mean}");
@@ -63,10 +63,14 @@
 
 #[test]
 fn accounting_obeys_littles_law_and_output_is_deterministic_on_any_thread_count() {
-    let mut many = experiment(Policy::Asterdale, 2000.0, 8.0);
-    (many.servers.count, many.edges.count, many.edges.way_ms) = (8, 5, 1.0);
-    many.edges.retry = Retry::Budget(2, 0.2);
-    let all = |threads| {
+    let mut fleet = experiment(Policy::Asterdale, 2000.0, 8.0);
+    (
+        fleet.servers.count,
+        fleet.edges.count,
+        fleet.edges.network_delay_ms,
+    ) = (8, 5, 1.0);
+    fleet.edges.retry = Retry::Budget(2, 0.2);
+    let run_seeds = |threads| {
         let pool = rayon::ThreadPoolBuilder::new()
             .num_threads(threads)
             .build()
@@ -74,14 +78,14 @@
         pool.install(|| {
             (1..=4u64)
                 .into_par_iter()
-                .map(|seed| json!(play(&many, seed)).to_string())
+                .map(|seed| json!(simulate(&fleet, seed)).to_string())
                 .collect::<Vec<_>>()
         })
     };
-    let (one, four) = (all(1), all(4));
-    assert_eq!(one, four);
-    assert_ne!(one[0], one[1]);
-    let outcome = play(&many, 1);
+    let (one_thread, four_threads) = (run_seeds(1), run_seeds(4));
+    assert_eq!(one_thread, four_threads);
+    assert_ne!(one_thread[0], one_thread[1]);
+    let outcome = simulate(&fleet, 1);
     assert!(
         (outcome.little_law_ratio - 1.0).abs() < 1e-9,
         "{}",
@@ -100,37 +104,37 @@
     assert_eq!(ends, outcome.requests["came"]);
 }
 
-fn with(fault: Trouble, servers: usize) -> Experiment {
-    let mut all = experiment(Policy::Asterdale, 600.0, 20.0);
+fn experiment_with_fault(fault: FaultKind, servers: usize) -> Experiment {
+    let mut faulty = experiment(Policy::Asterdale, 600.0, 20.0);
     (
-        all.servers.count,
-        all.edges.count,
-        all.edges.late_ms,
-        all.edges.way_ms,
+        faulty.servers.count,
+        faulty.edges.count,
+        faulty.edges.detection_delay_ms,
+        faulty.edges.network_delay_ms,
     ) = (4, 4, 500.0, 0.5);
-    all.edges.retry = Retry::Fixed(2);
-    all.stages[0].due_ms = 500.0;
-    all.stages[0].limit_ms = 2000.0;
-    all.faults = vec![Fault {
+    faulty.edges.retry = Retry::Fixed(2);
+    faulty.classes[0].objective_ms = 500.0;
+    faulty.classes[0].client_timeout_ms = 2000.0;
+    faulty.faults = vec![Fault {
         at_s: 8.0,
-        for_s: 4.0,
-        first: 0,
+        duration_s: 4.0,
+        first_server: 0,
         servers,
-        what: fault,
+        kind: fault,
     }];
-    all
+    faulty
 }
 
 #[test]
 fn each_fault_has_its_effect_and_ends() {
-    let (calm, crash) = (
-        play(&with(Trouble::Slow(1.0), 1), 3),
-        play(&with(Trouble::Crash, 2), 3),
+    let (no_fault, crash) = (
+        simulate(&experiment_with_fault(FaultKind::Slow(1.0), 1), 3),
+        simulate(&experiment_with_fault(FaultKind::Crash, 2), 3),
     );
     assert!(
-        calm.earned_share > 0.999 && calm.violations.is_empty(),
+        no_fault.earned_share > 0.999 && no_fault.violations.is_empty(),
         "{:?}",
-        calm.violations
+        no_fault.violations
     );
     let up: Vec<usize> = crash
         .seconds
@@ -139,13 +143,13 @@
         .collect();
     assert_eq!((up[5], up[9], up[15]), (4, 2, 4));
     assert!(crash.violations.is_empty(), "{:?}", crash.violations);
-    let slow = play(&with(Trouble::Slow(0.2), 2), 3);
+    let slow = simulate(&experiment_with_fault(FaultKind::Slow(0.2), 2), 3);
     assert!(
-        slow.latency_ms["p99"] > 1.5 * calm.latency_ms["p99"],
+        slow.latency_ms["p99"] > 1.5 * no_fault.latency_ms["p99"],
         "{:?}",
         slow.latency_ms
     );
-    let pause = play(&with(Trouble::Pause, 4), 3);
+    let pause = simulate(&experiment_with_fault(FaultKind::Pause, 4), 3);
     assert_eq!(pause.seconds[9].met_objective, 0);
     assert!(
         pause.seconds[15].met_objective > 500,
@@ -156,22 +160,25 @@
 
 #[test]
 fn overload_crashes_the_accept_all_baseline_but_not_the_module() {
-    let mut flood = with(Trouble::Slow(1.0), 1);
-    (flood.servers.crowd, flood.servers.deadly) = (2.0, 8.0);
-    flood.load[0].per_s = 4000.0;
-    let ours = play(&flood, 1);
-    flood.servers.policy = Policy::Everything;
-    let theirs = play(&flood, 1);
+    let mut overload = experiment_with_fault(FaultKind::Slow(1.0), 1);
+    (
+        overload.servers.max_concurrency,
+        overload.servers.crash_concurrency,
+    ) = (2.0, 8.0);
+    overload.load[0].per_s = 4000.0;
+    let module = simulate(&overload, 1);
+    overload.servers.policy = Policy::Everything;
+    let accept_all = simulate(&overload, 1);
     assert!(
-        ours.overload_crashes == 0 && theirs.overload_crashes > 0,
+        module.overload_crashes == 0 && accept_all.overload_crashes > 0,
         "{} and {}",
-        ours.overload_crashes,
-        theirs.overload_crashes
+        module.overload_crashes,
+        accept_all.overload_crashes
     );
     assert!(
-        ours.earned_share > theirs.earned_share,
+        module.earned_share > accept_all.earned_share,
         "{} and {}",
-        ours.earned_share,
-        theirs.earned_share
+        module.earned_share,
+        accept_all.earned_share
     );
 }
