--- a/crates/asterdale-simulator/src/world.rs
+++ b/crates/asterdale-simulator/src/world.rs
@@ -63,12 +63,14 @@
     /// The attempt that the edge node waits for.
     open_attempt: Option<u32>,
     is_ended: bool,
+    /// Whether it arrived after the warm-up.
     is_counted: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AttemptState {
-    InTransit,
+    /// On its way to the server.
+    Sent,
     /// The server reads it; the decider does not know it yet.
     Reading(JobHandle),
     /// Its slot in the decider, and its job on the cores once it runs.
@@ -251,18 +253,14 @@
             Event::AttemptArrival(id) => self.attempt_arrived(id),
             Event::JobCompletion(server, version) => self.complete_jobs(server as usize, version),
             Event::Tick(server, incarnation) => self.tick(server as usize, incarnation),
-            Event::Outcome(id, outcome, retry_after_ms) => {
-                self.on_outcome(id, outcome, retry_after_ms)
-            }
+            Event::Outcome(id, outcome, retry_ms) => self.on_outcome(id, outcome, retry_ms),
             Event::AttemptTimeout(id) => self.attempt_timed_out(id),
             Event::ClientTimeout(id) => self.client_timed_out(id),
             Event::Retry(id) => self.send_attempt(id),
             Event::CallerGone(id) => self.caller_gone(id),
             Event::FaultChange(index, starts) => self.apply_fault(index as usize, starts),
             Event::ServerDetected(server, is_up) => self.is_up[server as usize] = is_up,
-            Event::Overload(server, incarnation) => {
-                self.check_overload(server as usize, incarnation)
-            }
+            Event::Overload(server, incarnation) => self.check_load(server as usize, incarnation),
             Event::SecondEnd => self.end_second(),
         }
     }
@@ -390,7 +388,7 @@
             server,
             incarnation: 0,
             received_at: 0,
-            state: AttemptState::InTransit,
+            state: AttemptState::Sent,
             is_awaited: true,
             is_answered: false,
         };
@@ -582,7 +580,7 @@
             let attempt = &mut self.attempts[attempt_id as usize];
             if attempt.server == server
                 && attempt.incarnation == incarnation
-                && !matches!(attempt.state, AttemptState::InTransit | AttemptState::Ended)
+                && !matches!(attempt.state, AttemptState::Sent | AttemptState::Ended)
             {
                 attempt.state = AttemptState::Ended;
                 self.checker.excuse(u64::from(attempt_id));
@@ -654,7 +652,7 @@
         }
     }
 
-    fn check_overload(&mut self, server: usize, incarnation: u32) {
+    fn check_load(&mut self, server: usize, incarnation: u32) {
         let machine = &self.servers[server];
         let is_still_overloaded = machine
             .overloaded_since
@@ -766,9 +764,7 @@
                 self.report_caller_gone(id);
             }
             // The decider doesn't know the attempt yet: `is_awaited` is checked after reading.
-            AttemptState::Reading(_) | AttemptState::InTransit => {
-                self.checker.excuse(u64::from(id))
-            }
+            AttemptState::Reading(_) | AttemptState::Sent => self.checker.excuse(u64::from(id)),
             AttemptState::Ended => {}
         }
     }
