--- a/crates/asterdale-daemon/tests/proofs.rs
+++ b/crates/asterdale-daemon/tests/proofs.rs
@@ -44,18 +44,18 @@
 #[test]
 fn twelve_processes_keep_one_view_through_crashes_pauses_and_partitions() {
     let _one = one();
-    let order = ProofConfig {
+    let proof = ProofConfig {
         seed: 17,
         seconds: 0,
         failpoint: None,
     };
-    let told = fleet::Told {
-        order,
+    let config = fleet::Config {
+        proof,
         members: 12,
         interval_ms: 100.0,
         rounds: 1,
     };
-    let figures = fleet::prove(&told).unwrap();
+    let figures = fleet::prove(&config).unwrap();
     assert_eq!(figures["held"], true, "{figures:#}");
 }
 
@@ -63,13 +63,13 @@
 #[test]
 fn what_was_begun_is_known_after_kills_lost_folders_and_older_copies() {
     let _one = one();
-    let order = ProofConfig {
+    let proof = ProofConfig {
         seed: 17,
         seconds: 0,
         failpoint: None,
     };
-    let figures = restarts::prove(&restarts::Told {
-        order,
+    let figures = restarts::prove(&restarts::Config {
+        proof,
         members: 6,
         rate: 120.0,
         rounds: 1,
--- a/crates/asterdale-daemon/tests/takeover.rs
+++ b/crates/asterdale-daemon/tests/takeover.rs
@@ -11,20 +11,20 @@
 #[test]
 fn work_in_hand_survives_owners_and_keepers_and_no_key_has_its_effect_twice() {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let order = ProofConfig {
+    let proof = ProofConfig {
         seed: 17,
         seconds: 0,
         failpoint: None,
     };
-    let told = takeover::Told {
-        order,
+    let config = takeover::Config {
+        proof,
         members: 9,
-        keepers: 3,
+        ownership_replicas: 3,
         rate: 120.0,
         rounds: 1,
-        lasts: false,
+        has_journal: false,
     };
-    let figures = takeover::prove(&told).unwrap();
+    let figures = takeover::prove(&config).unwrap();
     assert_eq!(figures["held"], true, "{figures:#}");
 }
 
@@ -32,19 +32,19 @@
 #[test]
 fn everybody_may_be_killed_at_once_where_keepers_have_disks() {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let order = ProofConfig {
+    let proof = ProofConfig {
         seed: 17,
         seconds: 0,
         failpoint: None,
     };
-    let told = takeover::Told {
-        order,
+    let config = takeover::Config {
+        proof,
         members: 9,
-        keepers: 3,
+        ownership_replicas: 3,
         rate: 120.0,
         rounds: 1,
-        lasts: true,
+        has_journal: true,
     };
-    let figures = takeover::prove(&told).unwrap();
+    let figures = takeover::prove(&config).unwrap();
     assert_eq!(figures["held"], true, "{figures:#}");
 }
--- a/crates/asterdale-testkit/src/main.rs
+++ b/crates/asterdale-testkit/src/main.rs
@@ -201,19 +201,19 @@
             journal,
             failpoint,
         } => {
-            let order = ProofConfig {
+            let proof = ProofConfig {
                 seed,
                 seconds,
                 failpoint: failpoint.clone(),
             };
             let (proof_name, figures) = match name {
-                Proof::Rotation => ("rotation", rotation::prove(&order)),
+                Proof::Rotation => ("rotation", rotation::prove(&proof)),
                 Proof::Fleet => {
                     let members = members.unwrap_or(12).clamp(3, 60);
                     (
                         "fleet",
-                        fleet::prove(&fleet::Told {
-                            order,
+                        fleet::prove(&fleet::Config {
+                            proof,
                             members,
                             interval_ms,
                             rounds,
@@ -222,19 +222,19 @@
                 }
                 Proof::Takeover => {
                     let members = members.unwrap_or(9).clamp(6, 60);
-                    let (keepers, rate) = (
+                    let (ownership_replicas, rate) = (
                         (keepers | 1).clamp(3, 7.min(members)),
                         rate.clamp(1.0, 5000.0),
                     );
                     (
                         "takeover",
-                        takeover::prove(&takeover::Told {
-                            order,
+                        takeover::prove(&takeover::Config {
+                            proof,
                             members,
-                            keepers,
+                            ownership_replicas,
                             rate,
                             rounds,
-                            lasts: journal,
+                            has_journal: journal,
                         }),
                     )
                 }
@@ -243,8 +243,8 @@
                         (members.unwrap_or(6).clamp(3, 60), rate.clamp(1.0, 5000.0));
                     (
                         "restarts",
-                        restarts::prove(&restarts::Told {
-                            order,
+                        restarts::prove(&restarts::Config {
+                            proof,
                             members,
                             rate,
                             rounds,
@@ -253,7 +253,7 @@
                 }
                 Proof::Upgrade => (
                     "upgrade",
-                    upgrade::prove(&order, upgrades, fails.min(upgrades)),
+                    upgrade::prove(&proof, upgrades, fails.min(upgrades)),
                 ),
             };
             figures.map(|mut figures| {
--- a/crates/asterdale-testkit/src/proofs/fleet.rs
+++ b/crates/asterdale-testkit/src/proofs/fleet.rs
@@ -60,9 +60,9 @@
 ];
 
 /// What is proven.
-pub struct Told {
+pub struct Config {
     /// Seed and failpoint.
-    pub order: ProofConfig,
+    pub proof: ProofConfig,
     /// How many processes.
     pub members: usize,
     /// From one probe to the next, in milliseconds.
@@ -411,21 +411,21 @@
 }
 
 /// Proves it; the figures.
-pub fn prove(told: &Told) -> Result<Value, String> {
-    let order = &told.order;
-    let program = if order.failpoint.is_some() {
+pub fn prove(config: &Config) -> Result<Value, String> {
+    let proof = &config.proof;
+    let program = if proof.failpoint.is_some() {
         failpoint_program()?
     } else {
         program()
     };
-    let seeds = 3.min(told.members);
+    let seeds = 3.min(config.members);
     let fleet = DaemonFleet::new(&daemon_fleet::FleetConfig {
-        members: told.members,
+        members: config.members,
         seeds,
-        interval_ms: told.interval_ms,
+        interval_ms: config.interval_ms,
         program,
-        failpoint: order.failpoint.clone(),
-        seed: order.seed,
+        failpoint: proof.failpoint.clone(),
+        seed: proof.seed,
         gossip_enabled: true,
         ownership_replicas: 0,
         has_journal: false,
@@ -434,8 +434,8 @@
     })?;
     let mut play = Play {
         fleet,
-        random: Pcg64Mcg::seed_from_u64(order.seed),
-        interval_ms: told.interval_ms,
+        random: Pcg64Mcg::seed_from_u64(proof.seed),
+        interval_ms: config.interval_ms,
         held: BTreeMap::new(),
         highest: BTreeMap::new(),
         above: BTreeMap::new(),
@@ -446,11 +446,11 @@
         kinds: Vec::new(),
     };
     let began = Instant::now();
-    for round in 0..told.rounds {
+    for round in 0..config.rounds {
         for fault in SHORT {
             let fault = match fault {
                 Fault::JoinAll if round > 0 => continue,
-                Fault::JoinAll if order.seed % 2 == 0 => Fault::JoinOneByOne,
+                Fault::JoinAll if proof.seed % 2 == 0 => Fault::JoinOneByOne,
                 fault => fault,
             };
             play.fault(fault, seeds)?;
@@ -474,10 +474,10 @@
     let round = |x: f64| (x * 100.0).round() / 100.0;
     let held = play.unsettled.is_empty() && play.back == 0 && play.low == 0 && ended.is_empty();
     Ok(
-        json!({"held": held, "members": told.members, "interval_ms": told.interval_ms, "seconds": round(seconds),
+        json!({"held": held, "members": config.members, "interval_ms": config.interval_ms, "seconds": round(seconds),
         "settled_ms": quantiles(&play.settled), "bound_ms": play.bound().as_millis() as u64,
         "unsettled": play.unsettled, "went_back": play.back, "not_above": play.low, "ended": ended,
-        "faults": play.kinds, "datagrams_a_second_a_member": round(play.fleet.relays.forwarded_datagrams() as f64 / seconds / told.members as f64),
+        "faults": play.kinds, "datagrams_a_second_a_member": round(play.fleet.relays.forwarded_datagrams() as f64 / seconds / config.members as f64),
         "since_the_last_start": {"suspected": sum("suspected"), "refuted": sum("refuted"), "died": sum("died"),
             "exchanges": sum("exchanges"), "fallen": sum("fallen")}}),
     )
--- a/crates/asterdale-testkit/src/proofs/mod.rs
+++ b/crates/asterdale-testkit/src/proofs/mod.rs
@@ -1,8 +1,8 @@
 //! Proofs: real daemons on loopback, load and faults drawn from a seed, and an oracle that shares no code with
 //! what it checks. Counts and rules give the verdict, never a time.
 
-mod bids;
 pub mod fleet;
+mod keyed_load;
 pub mod restarts;
 pub mod rotation;
 pub mod takeover;
--- a/crates/asterdale-testkit/src/proofs/restarts.rs
+++ b/crates/asterdale-testkit/src/proofs/restarts.rs
@@ -15,7 +15,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
 
-use super::bids::{Load, Seen};
+use super::keyed_load::{Load, Seen};
 use super::{histogram, quantiles, ProofConfig};
 use crate::daemon_fleet::{self, DaemonFleet, RETRY_WINDOW_MS};
 use crate::relays::LinkConditions;
@@ -59,9 +59,9 @@
 }
 
 /// What is proven.
-pub struct Told {
+pub struct Config {
     /// Seed and failpoint.
-    pub order: ProofConfig,
+    pub proof: ProofConfig,
     /// How many processes.
     pub members: usize,
     /// Tasks a second in all.
@@ -420,16 +420,16 @@
 }
 
 /// Runs the proof. How long it takes follows from the faults.
-pub fn prove(told: &Told) -> Result<Value, String> {
-    let order = &told.order;
+pub fn prove(config: &Config) -> Result<Value, String> {
+    let proof = &config.proof;
     let keyed = IdempotentRecords::default();
     let records = keyed.serve(20).map_err(|e| e.to_string())?;
-    let config = daemon_fleet::FleetConfig::for_proof(order, told.members, records)?;
+    let fleet_config = daemon_fleet::FleetConfig::for_proof(proof, config.members, records)?;
     let fleet = DaemonFleet::new(&daemon_fleet::FleetConfig {
         has_journal: true,
-        ..config
+        ..fleet_config
     })?;
-    let random = Pcg64Mcg::seed_from_u64(order.seed);
+    let random = Pcg64Mcg::seed_from_u64(proof.seed);
     let (copies, deaths, wrong) = (HashMap::new(), Vec::new(), Vec::new());
     let mut play = Play {
         fleet,
@@ -439,15 +439,15 @@
         deaths,
         wrong,
     };
-    let all: Vec<usize> = (0..told.members).collect();
+    let all: Vec<usize> = (0..config.members).collect();
     play.start(&all)?;
     // Empty folders: quiet for a window, and for as long as a task may lie unread.
     wait(RETRY_WINDOW_MS + 5500);
     let places = all.iter().map(|&n| play.fleet.address(n)).collect();
-    let load = Arc::new(Load::new(places, (told.rate, LANES), true));
+    let load = Arc::new(Load::new(places, (config.rate, LANES), true));
     let lanes: Vec<_> = (0..LANES)
         .map(|lane| {
-            let (load, seed) = (load.clone(), order.seed);
+            let (load, seed) = (load.clone(), proof.seed);
             thread::spawn(move || load.lane(seed, lane))
         })
         .collect();
@@ -468,7 +468,7 @@
     while !well() && began.elapsed() < Duration::from_secs(40) {
         wait(100);
     }
-    for fault in faults(order.failpoint.as_deref(), told.rounds) {
+    for fault in faults(proof.failpoint.as_deref(), config.rounds) {
         eprintln!("{:.1} s: {fault:?}", began.elapsed().as_secs_f64());
         play.fault(fault)?;
         let ms = 300 + play.random.next_u64() % 900;
@@ -502,7 +502,7 @@
     figures["held"] = json!(wrong.is_empty());
     figures["wrong"] = json!(wrong.len());
     figures["kills"] = json!(play.kills);
-    figures["members"] = json!(told.members);
+    figures["members"] = json!(config.members);
     figures["seconds"] = json!(began.elapsed().as_secs());
     Ok(figures)
 }
--- a/crates/asterdale-testkit/src/proofs/rotation.rs
+++ b/crates/asterdale-testkit/src/proofs/rotation.rs
@@ -742,10 +742,10 @@
 }
 
 /// Runs the proof; its figures, `held` among them.
-pub fn prove(order: &ProofConfig) -> Result<Value, String> {
+pub fn prove(proof: &ProofConfig) -> Result<Value, String> {
     let told = |e: std::io::Error| e.to_string();
-    let mut random = Pcg64Mcg::seed_from_u64(order.seed);
-    let program = if order.failpoint.is_some() {
+    let mut random = Pcg64Mcg::seed_from_u64(proof.seed);
+    let program = if proof.failpoint.is_some() {
         failpoint_program()?
     } else {
         program()
@@ -756,7 +756,7 @@
     );
     let root = bytes(&mut random);
     let start =
-        start_file(&worker, &issuer, &root, most_age(period(order.seconds))).map_err(told)?;
+        start_file(&worker, &issuer, &root, most_age(period(proof.seconds))).map_err(told)?;
     let listen = start["listen"]
         .as_str()
         .and_then(|at| at.parse().ok())
@@ -764,7 +764,7 @@
     let recipe = LaunchConfig {
         program,
         start,
-        failpoint: order.failpoint.clone(),
+        failpoint: proof.failpoint.clone(),
     };
     let now = unix_ms();
     // Something to begin with: a key that signs.
@@ -785,12 +785,12 @@
         counts: Mutex::default(),
         times: Mutex::new(histogram()),
         gaps: Mutex::default(),
-        end: Instant::now() + Duration::from_secs(order.seconds),
+        end: Instant::now() + Duration::from_secs(proof.seconds),
     });
     let mut daemon = Daemon::start(&recipe)?;
     let mut threads = Vec::new();
     let (issuing, seed) = (play.clone(), random.next_u64());
-    let rotation = period(order.seconds);
+    let rotation = period(proof.seconds);
     threads.push(thread::spawn(move || issuing.issue(seed, rotation)));
     for edge in 0..EDGES {
         for _ in 0..LANES {
@@ -853,7 +853,7 @@
     .filter_map(|name| Some((name, daemon.counter(name)?)))
     .collect();
     let left = daemon.shut_down(Duration::from_secs(20));
-    let verdicts = judge_all(&play, &worker.runs(), order.seconds);
+    let verdicts = judge_all(&play, &worker.runs(), proof.seconds);
     verdicts
         .wrong
         .iter()
@@ -868,7 +868,7 @@
     let sent = play.all.lock().map_or(0, |all| all.len());
     // A proof in which next to nothing was let in, or nothing turned away, shows nothing.
     let finished = verdicts.counts.get("answered 200 ").copied().unwrap_or(0);
-    let spoke = finished > sent as u64 / 5 && sent as u64 > order.seconds * 50;
+    let spoke = finished > sent as u64 / 5 && sent as u64 > proof.seconds * 50;
     let rotations = play.issued.lock().map_or(0, |issued| issued.keys.len() - 1);
     let times = play
         .times
--- a/crates/asterdale-testkit/src/proofs/takeover.rs
+++ b/crates/asterdale-testkit/src/proofs/takeover.rs
@@ -14,7 +14,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
 
-use super::bids::{Load, Seen, LANES};
+use super::keyed_load::{Load, Seen, LANES};
 use super::{histogram, quantiles, ProofConfig};
 use crate::daemon_fleet::{self, DaemonFleet, LEASE_MS, RETRY_WINDOW_MS};
 use crate::relays::LinkConditions;
@@ -77,19 +77,19 @@
 ];
 
 /// What is proven.
-pub struct Told {
+pub struct Config {
     /// Seed and failpoint.
-    pub order: ProofConfig,
+    pub proof: ProofConfig,
     /// How many processes.
     pub members: usize,
     /// How many of them keep.
-    pub keepers: usize,
+    pub ownership_replicas: usize,
     /// Tasks a second in all.
     pub rate: f64,
     /// How often all kinds of faults come.
     pub rounds: u32,
     /// Each process has a folder on disk.
-    pub lasts: bool,
+    pub has_journal: bool,
 }
 
 struct Play {
@@ -487,18 +487,21 @@
 }
 
 /// Runs the proof. How long it takes follows from the faults.
-pub fn prove(told: &Told) -> Result<Value, String> {
-    let order = &told.order;
+pub fn prove(config: &Config) -> Result<Value, String> {
+    let proof = &config.proof;
     let keyed = IdempotentRecords::default();
     let records = keyed.serve(20).map_err(|e| e.to_string())?;
-    let config = daemon_fleet::FleetConfig::for_proof(order, told.members, records)?;
+    let fleet_config = daemon_fleet::FleetConfig::for_proof(proof, config.members, records)?;
     let fleet = DaemonFleet::new(&daemon_fleet::FleetConfig {
         interval_ms: 200.0,
-        ownership_replicas: told.keepers,
-        has_journal: told.lasts,
-        ..config
+        ownership_replicas: config.ownership_replicas,
+        has_journal: config.has_journal,
+        ..fleet_config
     })?;
-    let (random, keepers) = (Pcg64Mcg::seed_from_u64(order.seed), told.keepers);
+    let (random, keepers) = (
+        Pcg64Mcg::seed_from_u64(proof.seed),
+        config.ownership_replicas,
+    );
     let mut play = Play {
         fleet,
         random,
@@ -507,21 +510,21 @@
         deaths: Vec::new(),
         phases: Vec::new(),
         taken: 0,
-        lasts: told.lasts,
+        lasts: config.has_journal,
     };
-    for n in 0..told.members {
+    for n in 0..config.members {
         play.fleet.start(n)?;
     }
-    for n in 0..told.members {
+    for n in 0..config.members {
         play.fleet.wait_until_listening(n)?;
     }
     // A group is formed, and the window of one that may have been before has passed.
     wait(RETRY_WINDOW_MS + 4 * LEASE_MS);
-    let places = (0..told.members).map(|n| play.fleet.address(n)).collect();
-    let load = Arc::new(Load::new(places, (told.rate, LANES), false));
+    let places = (0..config.members).map(|n| play.fleet.address(n)).collect();
+    let load = Arc::new(Load::new(places, (config.rate, LANES), false));
     let lanes: Vec<_> = (0..LANES)
         .map(|lane| {
-            let (load, seed) = (load.clone(), order.seed);
+            let (load, seed) = (load.clone(), proof.seed);
             thread::spawn(move || load.lane(seed, lane))
         })
         .collect();
@@ -530,7 +533,11 @@
     play.phases
         .push(("none".to_owned(), unix_ms() - 3000.0, unix_ms()));
     let mut cuts = Vec::new();
-    for fault in faults(order.failpoint.as_deref(), told.rounds, told.lasts) {
+    for fault in faults(
+        proof.failpoint.as_deref(),
+        config.rounds,
+        config.has_journal,
+    ) {
         let (from, since) = (Instant::now(), unix_ms());
         eprintln!("{:.1} s: {fault:?}", began.elapsed().as_secs_f64());
         play.fault(fault)?;
@@ -554,9 +561,9 @@
             play.fleet.log(n).join("\n")
         );
     }
-    if order.failpoint.is_some() {
+    if proof.failpoint.is_some() {
         // What keepers said, for a look at why a fault was found, or not.
-        for n in 0..told.keepers {
+        for n in 0..config.ownership_replicas {
             let said = play.fleet.log(n);
             said.iter()
                 .filter(|line| line.contains("takeover: "))
@@ -588,7 +595,8 @@
     figures["held"] = json!(wrong.is_empty());
     figures["wrong"] = json!(wrong.len());
     figures["taken_over"] = json!(play.taken);
-    (figures["members"], figures["keepers"]) = (json!(told.members), json!(told.keepers));
+    (figures["members"], figures["keepers"]) =
+        (json!(config.members), json!(config.ownership_replicas));
     figures["seconds"] = json!(began.elapsed().as_secs());
     Ok(figures)
 }
--- a/crates/asterdale-testkit/src/proofs/upgrade.rs
+++ b/crates/asterdale-testkit/src/proofs/upgrade.rs
@@ -349,7 +349,7 @@
 }
 
 /// A daemon that can hand over, on a site of its own; where it listens, and how it was started.
-pub fn begin(
+pub fn start_daemon_with_handover(
     worker: &SimulatedRuntime,
     records: SocketAddr,
     registry: SocketAddr,
@@ -399,15 +399,16 @@
 }
 
 /// Runs the proof, with so many upgrades, of which so many are made to fail. How long it takes follows from that.
-pub fn prove(order: &ProofConfig, upgrades: u32, fails: u32) -> Result<Value, String> {
+pub fn prove(proof: &ProofConfig, upgrades: u32, fails: u32) -> Result<Value, String> {
     let told = |e: std::io::Error| e.to_string();
-    let mut random = Pcg64Mcg::seed_from_u64(order.seed);
+    let mut random = Pcg64Mcg::seed_from_u64(proof.seed);
     let worker = SimulatedRuntime::start(8, (5, 40)).map_err(told)?;
     let (records, registry) = (
         services::records().map_err(told)?,
         services::registry().map_err(told)?,
     );
-    let (site, at, _, mut daemon) = begin(&worker, records, registry, order.failpoint.clone())?;
+    let (site, at, _, mut daemon) =
+        start_daemon_with_handover(&worker, records, registry, proof.failpoint.clone())?;
     let play = Arc::new(Play {
         at,
         stop: AtomicBool::new(false),
--- a/crates/asterdale-testkit/src/replace.rs
+++ b/crates/asterdale-testkit/src/replace.rs
@@ -8,7 +8,7 @@
 
 use crate::flood::drive_load;
 use crate::process::{program, Daemon};
-use crate::proofs::upgrade::{begin, signal, upgrade};
+use crate::proofs::upgrade::{signal, start_daemon_with_handover, upgrade};
 use crate::services;
 use crate::simulated_runtime::SimulatedRuntime;
 
@@ -24,7 +24,8 @@
         services::records().map_err(io_error_text)?,
         services::registry().map_err(io_error_text)?,
     );
-    let (site, address, launch, mut daemon) = begin(&runtime, records, registry, None)?;
+    let (site, address, launch, mut daemon) =
+        start_daemon_with_handover(&runtime, records, registry, None)?;
     let load = thread::spawn(move || {
         drive_load(
             address,
