--- a/crates/asterdale-testkit/src/proofs/fleet.rs
+++ b/crates/asterdale-testkit/src/proofs/fleet.rs
@@ -1,7 +1,8 @@
-//! Many processes keep a view of each other while some crash, stand still, are cut off, lose what they say or hear it
-//! twice. Held if after the last of each kind of fault all who live hold the same, nobody dead is in it and nobody who
-//! lives is missing, within the bound that the terms state; if no view ever went back to an older generation; and if
-//! whoever started anew was above all earlier ones under its name that anybody remembered.
+//! Membership: many processes maintain views of each other while some crash, are paused, are partitioned, or have their
+//! datagrams lost or duplicated. The proof holds if after the last fault of each kind all live members have the same
+//! view within the documented bound, with no dead member in it and no live member missing; if no view ever went back to
+//! an older generation; and if each restarted process had a higher generation than all earlier ones of its name that
+//! any member remembered.
 
 use std::collections::BTreeMap;
 use std::thread;
@@ -16,9 +17,9 @@
 use crate::process::{failpoint_program, program};
 use crate::relays::LinkConditions;
 
-/// How often the views are asked for.
+/// Interval between queries of the views.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// After a fault a busy machine may take so many times the bound that the terms state, which has a factor of two.
+/// On a busy machine convergence may take this many times the documented bound, which already has a factor of two.
 const BUSY_MACHINE_FACTOR: f64 = 1.5;
 
 /// A kind of fault.
@@ -41,7 +42,7 @@
     ReplayOldDatagrams,
 }
 
-/// How it goes, in this order; what is drawn is who.
+/// The faults of one round, in this order; only the affected members are drawn at random.
 const FAULT_SEQUENCE: [Fault; 14] = [
     Fault::JoinAll,
     Fault::KillOne,
@@ -59,15 +60,15 @@
     Fault::RestartAll,
 ];
 
-/// What is proven.
+/// The configuration of the proof.
 pub struct Config {
     /// Seed and failpoint.
     pub proof: ProofConfig,
-    /// How many processes.
+    /// Number of members.
     pub members: usize,
-    /// From one probe to the next, in milliseconds.
+    /// Interval between membership probes in milliseconds.
     pub interval_ms: f64,
-    /// How often all kinds of faults come.
+    /// Number of rounds; each round injects all faults.
     pub rounds: u32,
 }
 
@@ -75,11 +76,11 @@
     fleet: DaemonFleet,
     random: Pcg64Mcg,
     interval_ms: f64,
-    /// The highest generation that each holder has held of each name, since it started.
+    /// The generation of each name that each member had in its view when last queried, since that member started.
     highest_held: BTreeMap<(usize, String), u64>,
-    /// The highest generation that each process was ever seen to have.
+    /// The highest generation of each name that was ever seen in a view.
     highest: BTreeMap<String, u64>,
-    /// A restart's generation has to be above this.
+    /// The generation that a restarted member has to exceed, by name.
     previous: BTreeMap<String, u64>,
     regressions: u64,
     restarts_not_above: u64,
@@ -102,7 +103,7 @@
         thread::sleep(Duration::from_secs_f64(intervals * self.interval_ms / 1e3));
     }
 
-    /// Looks at all views: what they hold, and whether that ever went back.
+    /// Queries the views of all running members, and counts generations that went back.
     fn check_views(&mut self) -> BTreeMap<usize, Value> {
         let mut views = BTreeMap::new();
         for n in self.fleet.running() {
@@ -137,7 +138,7 @@
         views
     }
 
-    /// Why not all who live hold the same.
+    /// Why the views of the running members have not converged; `None` if they have.
     fn convergence_problem(&mut self) -> Option<String> {
         let (running, views) = (self.fleet.running(), self.check_views());
         let mut first: Option<(BTreeMap<String, u64>, Value)> = None;
@@ -176,7 +177,7 @@
                 Some(_) => {}
             }
         }
-        // Whoever took an earlier one's number has to hear so, and hears so from those who held that one.
+        // A restarted process that chose too low a generation learns so from the members that know the previous one.
         let not_above = self
             .previous
             .iter()
@@ -185,8 +186,8 @@
     }
 
     fn bound(&self) -> Duration {
-        // The terms' own bound, written out: questions to the dead, a probe, the longest suspicion and the shortest,
-        // news and exchanges, twice.
+        // The documented bound in probe intervals: queries to dead members, a probe, the longest and the shortest
+        // suspicion, dissemination and full exchanges; and all of it twice.
         let n = self.fleet.len();
         let log = ((n + 1) as f64).log10().max(1.0);
         let intervals = 30.0 + 4.0 + 30.0 * log + 5.0 * log + (4.0 * log).ceil() + 30.0;
@@ -233,7 +234,7 @@
         Ok(())
     }
 
-    /// Kills them; those that remain remember their generations.
+    /// Kills these members. Their generations are recorded first, as the remaining members remember them.
     fn kill(&mut self, indices: &[usize]) {
         self.check_views();
         for &n in indices {
@@ -241,7 +242,7 @@
         }
     }
 
-    /// Starts them anew, and notes what their generations have to be above.
+    /// Starts these members again, and records the generations that they have to exceed.
     fn restart(&mut self, indices: &[usize]) -> Result<(), String> {
         for &n in indices {
             let previous = self.highest.get(&member_name(n)).copied().unwrap_or(0);
@@ -310,7 +311,7 @@
                 };
             }
             Fault::ReplayOldDatagrams => {
-                // What it said in its earlier life comes once more when it has a new one.
+                // Datagrams of the member's previous incarnation are sent again while the new one runs.
                 let chosen = self.choose_members(&all, 1);
                 let datagrams = self.fleet.relays.take_recorded(chosen[0]);
                 self.kill(&chosen);
@@ -408,7 +409,7 @@
             }
             Fault::RestartAll => {
                 self.kill(&all);
-                // Nobody remembers.
+                // No member is left that remembers earlier generations.
                 self.highest.clear();
                 self.highest_held.clear();
                 self.start(&all)?;
@@ -419,7 +420,7 @@
     }
 }
 
-/// Proves it; the figures.
+/// Runs the proof and returns its figures.
 pub fn prove(config: &Config) -> Result<Value, String> {
     let proof = &config.proof;
     let program = if proof.failpoint.is_some() {
@@ -463,7 +464,7 @@
                 fault => fault,
             };
             harness.inject(fault, seeds)?;
-            // What is wrong is wrong: the rest would tell no more, and take its bound each time.
+            // The proof has failed: further faults would show nothing more, and each would wait for its full bound.
             if harness.not_converged.len()
                 + harness.regressions as usize
                 + harness.restarts_not_above as usize
--- a/crates/asterdale-testkit/src/proofs/keyed_load.rs
+++ b/crates/asterdale-testkit/src/proofs/keyed_load.rs
@@ -1,5 +1,6 @@
-//! The load of the proofs whose tasks carry keys: bids, half of which repeat what another caller asks for, unmarked, and
-//! pages; each caller tries until it has a result or gives up.
+//! Load of the proofs with idempotency keys: `bid` requests, half of which reuse a key that another client is using at
+//! the time, without being marked as retries, and `page` requests, which have no key. Each client retries until it has
+//! a result or gives up.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -13,34 +14,36 @@
 use crate::edge_client::{EdgeClient, Pacer, RequestOutcome};
 use crate::unix_ms;
 
-/// Threads that bring the load.
+/// Number of threads that send the load.
 pub(super) const LOAD_THREADS: u64 = 48;
-/// A caller gives up after so many milliseconds, and waits so long for one try. Both are shorter than a window: a key
-/// is never repeated after its window has ended.
+/// A client gives up on a request after the first of these times, and on one attempt after the second, in milliseconds.
+/// Both are shorter than the retry window: no key is repeated after its window has ended.
 const GIVE_UP_MS: f64 = 4000.0;
 const ATTEMPT_TIMEOUT_MS: f64 = 1500.0;
-/// Keys that are repeated by others are no older.
+/// Only keys that are not older than this are reused by other clients.
 const RECENT_KEY_MAX_AGE_MS: f64 = 2000.0;
-/// A key is not asked for any more so long after it was first: whoever begins then may try until its window ends.
+/// No request is started with a key this long after the first use of the key: a client that starts then may retry until
+/// the retry window ends.
 const KEY_MAX_AGE_MS: f64 = RETRY_WINDOW_MS as f64 - GIVE_UP_MS - 500.0;
-/// A bid that was finished this soon may be asked for again, within twice that.
+/// A keyed request that was served sooner than this may be repeated, within twice this time.
 const QUICK_ANSWER_MS: f64 = 1000.0;
-/// A try that was told that it never ran.
+/// An attempt that was answered as never run.
 pub(super) struct RejectedAttempt {
-    /// Its id.
+    /// The request id.
     pub(super) id: String,
-    /// Its key, if it had one.
+    /// The idempotency key, if any.
     pub(super) key: Option<String>,
-    /// When it began, in Unix milliseconds.
+    /// When the attempt was sent, in Unix milliseconds.
     pub(super) sent_ms: f64,
 }
 
-/// A task, as its caller saw it end.
+/// A request with all its attempts, as its client saw it end.
 pub(super) struct ClientRequest {
     pub(super) key: Option<String>,
     pub(super) sent_ms: f64,
     pub(super) duration_ms: f64,
-    /// Status of the last whole answer, `unknown` among them; none where there was none.
+    /// Status of the last complete answer, or `unknown` if that reported an unknown outcome; `None` if there was no
+    /// complete answer.
     pub(super) last_status: Option<String>,
     pub(super) body: Vec<u8>,
     pub(super) attempts: u32,
@@ -49,7 +52,7 @@
 #[derive(Default)]
 pub(super) struct LoadHistory {
     pub(super) requests: Vec<ClientRequest>,
-    /// Tries that were told that they never ran.
+    /// Attempts that were answered as never run.
     pub(super) rejected_attempts: Vec<RejectedAttempt>,
 }
 
@@ -57,16 +60,17 @@
     backends: Vec<std::net::SocketAddr>,
     requests_per_s: f64,
     thread_count: u64,
-    /// Each key has one backend that it is asked for at.
+    /// Whether each key is sent to one backend only.
     has_key_affinity: bool,
     pub(super) stop: AtomicBool,
     history: Mutex<LoadHistory>,
     recent_keys: Mutex<Vec<(f64, String)>>,
-    /// Keys that were finished and are asked for once more, from then on, and when they were first asked for.
+    /// Keys of served requests that are sent once more: the earliest time for that, the key, and the time of its first
+    /// use.
     keys_to_repeat: Mutex<Vec<(f64, String, f64)>>,
 }
 
-/// The backend that a key is asked for at, where each has one.
+/// The index of the backend that a key is sent to, where each key has one backend.
 pub(super) fn backend_index_of_key(key: &str, backend_count: usize) -> usize {
     key.bytes().fold(0usize, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
@@ -74,7 +78,8 @@
 }
 
 impl Load {
-    /// One that goes to these, so many tasks a second in all by so many lanes; each key at one of them, or at any.
+    /// A load on these backends, with a total rate in requests per second and a number of threads. Each key goes to one
+    /// of the backends, or to any.
     pub(super) fn new(
         backends: Vec<std::net::SocketAddr>,
         (requests_per_s, thread_count): (f64, u64),
@@ -97,7 +102,8 @@
         self.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A key of a bid: half of them repeat what another caller asks for at this moment.
+    /// Chooses the key of a request; also returns when it was first used. Served keys that are due to be repeated come
+    /// first; half of the other requests reuse a key that another client is using at the time.
     fn choose_key(&self, random: &mut Pcg64Mcg) -> (String, f64) {
         let now_ms = unix_ms();
         let mut keys_to_repeat = self
@@ -128,7 +134,8 @@
         (key, now_ms)
     }
 
-    /// One lane: each task goes to some backend, and to others until it has a result or its caller gives up.
+    /// Runs one thread of the load: each request goes to some backend, and to others until it has a result or its
+    /// client gives up.
     pub(super) fn run_thread(&self, seed: u64, thread_index: u64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ thread_index << 32);
         let mut clients: Vec<EdgeClient> = self
@@ -142,7 +149,8 @@
             let key = (random.next_u32() % 2 == 0).then(|| self.choose_key(&mut random));
             let (key, first_ms) = key.map_or((None, 0.0), |(key, first_ms)| (Some(key), first_ms));
             let request = self.send_until_answered(key, &mut clients, &mut random);
-            // An answer may be lost on its last way: a third asks again for what it has.
+            // An answer may be lost between edge node and client, so a third of the requests are repeated after they
+            // were served.
             if let Some(key) = request
                 .key
                 .clone()
--- a/crates/asterdale-testkit/src/proofs/mod.rs
+++ b/crates/asterdale-testkit/src/proofs/mod.rs
@@ -1,5 +1,5 @@
-//! Proofs: real daemons on loopback, load and faults drawn from a seed, and an oracle that shares no code with
-//! what it checks. Counts and rules give the verdict, never a time.
+//! Proofs: each runs real daemons on loopback, with load and faults drawn from a seed, and an oracle that shares no
+//! code with the daemon that it checks. The verdict follows from counts and rules, never from a measured time.
 
 pub mod fleet;
 mod keyed_load;
@@ -11,18 +11,18 @@
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 
-/// What a proof is told.
+/// The configuration that all proofs share.
 #[derive(Clone)]
 pub struct ProofConfig {
-    /// Load and faults are drawn from it.
+    /// Seed of the load and the faults.
     pub seed: u64,
-    /// How long the load lasts.
+    /// Duration of the load in seconds, for a proof whose duration does not follow from its faults.
     pub seconds: u64,
-    /// The failpoint that is active in the daemon: the proof must not hold then.
+    /// The failpoint that is active in the daemons; the proof must then fail.
     pub failpoint: Option<String>,
 }
 
-/// A histogram of milliseconds, in microseconds inside, up to a minute.
+/// A histogram of durations of up to one minute, recorded in microseconds.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000, 3)
         .unwrap_or_else(|e| panic!("bounds of a histogram: {e}"))
--- a/crates/asterdale-testkit/src/proofs/restarts.rs
+++ b/crates/asterdale-testkit/src/proofs/restarts.rs
@@ -1,8 +1,9 @@
-//! What was begun is known after a crash: many processes under load, each with a folder on disk, killed alone, several and
-//! all at once, in the middle of whatever they do; folders lost and put back from older copies between, parts of the fleet
-//! cut off meanwhile. Bids are repeated unmarked at the backend of their key. Held if no key was started twice, however its
-//! backend died, no key had its effect twice, no two answers under a key differ, no bid whose try ran was said never to have
-//! run, and every caller heard a final answer.
+//! Recovery from the journal: many processes under load, each with a journal directory, are killed one at a time,
+//! several and all at once, at any point of their work; in between, directories are lost or replaced by older copies,
+//! and parts of the fleet are partitioned meanwhile. Keyed requests are repeated at the backend of their key without
+//! being marked as retries. The proof holds if no key was started twice, however its backend ended, no key had its
+//! effect twice, no two answers under one key differ, no keyed request was answered as never run although that attempt
+//! ran, and every client received a final answer.
 
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
@@ -22,51 +23,53 @@
 use crate::services::IdempotentRecords;
 use crate::unix_ms;
 
-/// Threads that bring the load: of a process that is quiet each caller waits for as long as he has.
+/// Number of threads that send the load: a client of a backend in its quiet period waits until it gives up.
 const LOAD_THREADS: u64 = 240;
-/// A copy that is put back is at least so old: a younger one is not told from what was left (`docs/durable.md`).
+/// A copy that is restored is at least this old: a younger one cannot be told from the latest state
+/// (`docs/durable.md`).
 const MIN_COPY_AGE: Duration = Duration::from_millis(6000);
-/// Callers give up after four seconds: whatever is quiet then was quiet for all that they asked.
+/// Clients give up after four seconds: after this wait, in milliseconds, every request that was waiting has ended.
 const CALLERS_GIVE_UP_MS: u64 = 4500;
 
-/// What happens.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    /// One is killed and started anew at once.
+    /// One member is killed and restarted at once.
     KillOne,
-    /// Half of them.
+    /// Half of the members are killed and restarted.
     KillHalf,
-    /// All of them.
+    /// All members are killed and restarted.
     KillAll,
-    /// One is killed again before it can have said what it knows.
+    /// One member is killed again before it can have told others what it restored.
     KillTwice,
-    /// All of them, and one comes back to an empty folder.
+    /// All members are killed, and one restarts with an empty journal directory.
     KillAllLoseDirectory,
-    /// One comes back to an empty folder.
+    /// One member restarts with an empty journal directory.
     LoseDirectory,
-    /// One comes back to a copy that is older than what it left.
+    /// One member restarts with a copy that is older than its last state.
     Rollback,
-    /// All are killed, and one comes back to an older copy: nobody remembers it.
+    /// All members are killed, and one restarts with an older copy: no other member remembers the last state.
     KillAllRollback,
-    /// Some ways are cut, and one of those behind them is killed.
+    /// Half of the members are cut off from the others, and one of them is killed.
     KillDuringPartition,
-    /// One is killed; its folder is another's: it must not start. Then it has its own again.
+    /// One member is killed and gets the journal directory of another, with which it must not start. Then it gets its
+    /// own back.
     SwapDirectory,
-    /// One is killed, and bits of its file are flipped.
+    /// One member is killed, and bits of its journal file are flipped.
     DamageFile,
-    /// A second process is started over the folder of one that serves, and of one that stands still: it must not start.
+    /// A second process is started on the journal directory of a running member and of a paused one; it must not start.
     StartSecondProcess,
 }
 
-/// What is proven.
+/// The configuration of the proof.
 pub struct Config {
     /// Seed and failpoint.
     pub proof: ProofConfig,
-    /// How many processes.
+    /// Number of members.
     pub members: usize,
-    /// Tasks a second in all.
+    /// Total rate in requests per second.
     pub rate: f64,
-    /// How often all kinds of faults come.
+    /// Number of rounds; each round injects all faults.
     pub rounds: u32,
 }
 
@@ -74,9 +77,9 @@
     fleet: DaemonFleet,
     random: Pcg64Mcg,
     kills: u64,
-    /// By process: since when there is a copy of its folder.
+    /// By member: when its journal directory was copied.
     copy_times: HashMap<usize, Instant>,
-    /// Kills, in Unix milliseconds.
+    /// Times of kills in Unix milliseconds.
     kill_times_ms: Vec<f64>,
     violations: Vec<String>,
 }
@@ -111,7 +114,7 @@
             self.fleet.kill(n);
             self.kills += 1;
             self.kill_times_ms.push(unix_ms());
-            // What a dead one left stands still: its copy is whole.
+            // The directory of a killed process does not change any more, so its copy is complete.
             if !self.copy_times.contains_key(&n) {
                 copy_directory(
                     &self.fleet.journal_directory(n),
@@ -134,7 +137,7 @@
         std::fs::remove_dir_all(self.fleet.journal_directory(n)).map_err(|e| e.to_string())
     }
 
-    /// Puts an older copy in the place of what this one left, once there is one that is old enough.
+    /// Replaces a member's journal directory by its copy, if there is one, once the copy is old enough.
     fn restore_copy(&mut self, n: usize) -> Result<(), String> {
         let Some(copied_at) = self.copy_times.remove(&n) else {
             return Ok(());
@@ -177,7 +180,8 @@
                 self.kill(&chosen)?;
                 self.remove_directory(chosen[0])?;
                 self.start(&chosen)?;
-                // Quiet for its window: what it ran before may be repeated for as long.
+                // The member starts no keyed request for a retry window: requests that it ran before may be repeated
+                // for as long.
                 sleep_ms(CALLERS_GIVE_UP_MS);
             }
             Fault::KillAllLoseDirectory => {
@@ -299,7 +303,7 @@
     }
 }
 
-/// Judges everything that happened: what was wrong, and figures.
+/// Judges the recorded history; returns the violations and the figures.
 fn judge(
     harness: &Harness,
     history: &LoadHistory,
@@ -366,7 +370,7 @@
         if by_id.get(&entry.id) == Some(&true) {
             violations.push(format!("{} ran, and was told that it never did", entry.id));
         }
-        // The try itself never ran; but its key had, when it was made.
+        // This attempt never ran, but an earlier one with the same key had when this one was sent.
         let starts = entry.key.as_ref().and_then(|key| by_key.get(key));
         let ran = |at: &Instant| unix - now.duration_since(*at).as_secs_f64() * 1e3 < entry.sent_ms;
         rejected_after_run += u64::from(starts.is_some_and(|starts| starts.iter().any(ran)));
@@ -389,7 +393,7 @@
     (violations, figures)
 }
 
-/// Which faults come, in this order; a planted mistake is looked for where it shows.
+/// The faults to inject, in this order. With a failpoint, only those that reveal it.
 fn faults(failpoint: Option<&str>, rounds: u32) -> Vec<Fault> {
     use Fault::{
         DamageFile, KillAll, KillAllLoseDirectory, KillAllRollback, KillDuringPartition, KillHalf,
@@ -425,7 +429,7 @@
     }
 }
 
-/// Runs the proof. How long it takes follows from the faults.
+/// Runs the proof. Its duration follows from the faults.
 pub fn prove(config: &Config) -> Result<Value, String> {
     let proof = &config.proof;
     let records = IdempotentRecords::default();
@@ -448,7 +452,8 @@
     };
     let all: Vec<usize> = (0..config.members).collect();
     harness.start(&all)?;
-    // Empty folders: quiet for a window, and for as long as a task may lie unread.
+    // Journal directories are empty: no keyed request is started for a retry window, and for as long as a request may
+    // stay unread.
     sleep_ms(RETRY_WINDOW_MS + 5500);
     let backends = all.iter().map(|&n| harness.fleet.address(n)).collect();
     let load = Arc::new(Load::new(backends, (config.rate, LOAD_THREADS), true));
@@ -459,7 +464,7 @@
         })
         .collect();
     let began = Instant::now();
-    // Until all but a few are finished: nobody is quiet any more.
+    // Until all but a few recent keyed requests were served: no member is in its quiet period any more.
     let is_stable = || {
         let history = load.history();
         let recent = history
--- a/crates/asterdale-testkit/src/proofs/rotation.rs
+++ b/crates/asterdale-testkit/src/proofs/rotation.rs
@@ -1,7 +1,7 @@
-//! Keys rotate and are revoked while tasks with tokens of every kind come over several edge nodes; the issuer is
-//! slow, down, rolled back, forged and speaks rubbish; the daemon is told to read its file again and replaced.
-//! Held if nobody was let in who must not be, nobody turned away who must be let in, nothing was lost, nothing
-//! ran twice, and no tenant saw another's result.
+//! Key rotation: keys rotate and are revoked while several edge nodes send requests with valid and invalid tokens of
+//! every kind. The issuer is slow or unavailable, or serves old, forged or malformed key sets; the daemon reloads its
+//! start file and is restarted. The proof holds if no request was accepted that must be denied, none was denied that
+//! must be accepted, nothing was lost, nothing ran twice, and no tenant received another tenant's result.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -23,12 +23,12 @@
 use crate::simulated_runtime::{run_result, SimulatedRuntime};
 use crate::{scripted, services, unix_ms};
 
-/// Edge nodes, and connections of each.
+/// Number of edge nodes, and of connections of each.
 const EDGE_NODES: u32 = 4;
 const CONNECTIONS: u32 = 8;
-/// Tasks a second, in all.
+/// Total rate in requests per second.
 const REQUESTS_PER_S: f64 = 200.0;
-/// From one rotation to the next, in milliseconds; a minute in the long run.
+/// Time from one rotation to the next in milliseconds; one minute in long runs.
 fn rotation_period_ms(seconds: u64) -> f64 {
     if seconds > 300 {
         60_000.0
@@ -36,20 +36,20 @@
         3_000.0
     }
 }
-/// How far the daemon takes clocks to be apart, in milliseconds.
+/// The clock skew that the daemon allows for.
 const CLOCK_SKEW_MS: f64 = 200.0;
-/// Within so much of a boundary either verdict is right: a busy machine may judge that late.
+/// This close to a boundary either decision is right: a busy machine may decide that late.
 const TOLERANCE_MS: f64 = 1_200.0;
-/// The issuer is asked this often, in milliseconds.
+/// Interval between fetches of the key set.
 const FETCH_INTERVAL_MS: f64 = 200.0;
-/// A set serves for so long, in milliseconds: it may miss a round, and then a part of the next.
+/// Maximum age of a key set in milliseconds: it outlasts one missed rotation and a part of the next.
 fn max_key_set_age_ms(period_ms: f64) -> f64 {
     period_ms * 8.0 / 3.0
 }
-/// The role with a small quota: a second, and at once.
+/// Rate per second and burst of the role with a small quota.
 const QUOTA_PER_S: f64 = 5.0;
 
-/// A key, as the issuer's side knows it.
+/// A key with which the issuer signs tokens.
 #[derive(Clone)]
 struct SigningKey {
     id: String,
@@ -58,7 +58,7 @@
     until_ms: f64,
 }
 
-/// One set, as it was published: what the oracle judges by.
+/// A key set as it was published; the oracle judges by it.
 #[derive(Clone)]
 struct PublishedSet {
     seq: u64,
@@ -69,11 +69,11 @@
     revoked_subjects: Vec<String>,
 }
 
-/// A token, as whoever made it knows it.
+/// A token, with the properties that it was made with.
 #[derive(Clone)]
 struct Token {
     text: Option<String>,
-    /// It is what it says: of the right form, and signed by the key that it names.
+    /// Whether it is well-formed and signed by the key that it names.
     is_valid: bool,
     key_id: String,
     jti: String,
@@ -84,13 +84,13 @@
     until_ms: f64,
 }
 
-/// A task that was asked for, and how that ended.
+/// A request and its answer.
 struct AnsweredRequest {
     kind: &'static str,
     token: Token,
     class: &'static str,
     id: String,
-    /// In a stage with keys: the key, within the daemon's life.
+    /// In a request class with idempotency keys: the key, unique to an incarnation of the daemon.
     idempotency_key: Option<String>,
     sent_ms: f64,
     answered_ms: f64,
@@ -99,23 +99,24 @@
     body: Vec<u8>,
 }
 
-/// What the issuer's side has done so far.
+/// What was issued, revoked and served so far.
 #[derive(Default)]
 struct IssuerState {
     published_sets: Vec<PublishedSet>,
     keys: Vec<SigningKey>,
-    /// Tokens that were good, to be sent again and again, whatever becomes of them.
+    /// Tokens that were valid when issued. They are sent again later, even if they have expired or were revoked.
     reusable_tokens: Vec<Token>,
     revoked_tokens: Vec<String>,
     revoked_subjects: Vec<String>,
     revoked_keys: Vec<String>,
-    /// Fingerprinted tasks that were finished: who asked, the key, the body's result.
+    /// Keyed requests that were served: tenant, key and result.
     served_keyed: Vec<(String, String, String)>,
-    /// The daemon's lives so far: odd while it is being replaced, when either of the two may answer.
+    /// Counts starts and ends of restarts: odd while the daemon is being restarted, when either of the two processes
+    /// may answer.
     incarnation: u32,
 }
 
-/// When the daemon was not itself: from the notice to leave until the next one had the last set for sure.
+/// Restarts of the daemon: from the request to shut down until the new process certainly had the latest key set.
 #[derive(Default)]
 struct RestartGaps(Vec<(f64, f64)>);
 
@@ -153,7 +154,7 @@
 
     fn publish(&mut self, root_seed: &[u8; 32], issuer: &Issuer, now: f64) {
         let seq = self.published_sets.len() as u64 + 1;
-        // The last few: a set has a bound.
+        // Only the newest keys, because the size of a set is bounded.
         let keys: Vec<SigningKey> = self.keys.iter().rev().take(6).rev().cloned().collect();
         let set = PublishedSet {
             seq,
@@ -194,7 +195,7 @@
     }
 }
 
-/// The claims of a token, by hand: the oracle's side shares no types with the daemon's.
+/// The claims of a token as plain JSON: the oracle shares no types with the daemon.
 fn claims(token: &Token) -> Value {
     json!({"iss": "stand-in", "aud": "asterdale", "sub": token.subject, "tenant": token.tenant,
         "roles": [token.role], "exp": token.until_ms / 1e3, "nbf": token.from_ms / 1e3, "jti": token.jti})
@@ -205,7 +206,8 @@
 }
 
 impl Harness {
-    /// The daemon is being replaced, or has been: it knows nothing of the keys from before.
+    /// Records that a restart of the daemon begins or has ended; idempotency keys from before are not known to the new
+    /// process.
     fn next_incarnation(&self) {
         if let Ok(mut state) = self.issuer_state.lock() {
             state.incarnation += 1;
@@ -219,7 +221,8 @@
         }
     }
 
-    /// A token of a kind that chance picks; its name, and the stage that it is used for.
+    /// Makes a token of a random kind; returns the name of the kind, the token and the request class that it is used
+    /// for.
     fn random_token(
         &self,
         random: &mut Pcg64Mcg,
@@ -245,7 +248,7 @@
         let kind = match random_below(random, 100) {
             0..30 => "good",
             30..38 => {
-                // Whatever it was made for then, it is judged by what holds now.
+                // The token may have expired or been revoked since it was made; it is judged by the sets in force now.
                 let count = state.reusable_tokens.len() as u32;
                 let token = state
                     .reusable_tokens
@@ -254,7 +257,7 @@
                 return Some(("kept", token, class));
             }
             38..50 => {
-                // An endless retry of what has been revoked.
+                // A revoked token that its caller keeps sending.
                 let is_revoked = |token: &&Token| {
                     state.revoked_tokens.contains(&token.jti)
                         || state
@@ -268,7 +271,7 @@
                 return Some(("revoked", (*token).clone(), class));
             }
             50..60 => {
-                // Of any key that ever was: outgoing, retired, revoked ones among them.
+                // Signed by any key so far, including outgoing, retired and revoked ones.
                 let key = state
                     .keys
                     .get(random_below(random, state.keys.len() as u32) as usize)?;
@@ -344,7 +347,7 @@
         Some((kind, token, class))
     }
 
-    /// One lane of an edge node: task after task, at its share of the rate.
+    /// Sends requests on one connection of an edge node, at its share of the rate.
     fn send_load(&self, address: std::net::SocketAddr, edge: u32, seed: u64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut client = EdgeClient::new(address);
@@ -359,7 +362,8 @@
             let Some((kind, token, class)) = self.random_token(&mut random, unix_ms()) else {
                 continue;
             };
-            // A fifth of the bids repeat a finished one: of their own tenant, or, to no avail, of the other.
+            // A fifth of the keyed requests reuse the key of a served one, of their own tenant or of the other, whose
+            // result they must not get.
             let (incarnation, repeated) = {
                 let Ok(state) = self.issuer_state.lock() else {
                     return;
@@ -455,7 +459,7 @@
         }
     }
 
-    /// The issuer's side: rotates, revokes, and has its moods.
+    /// Runs the issuer: rotates keys, revokes keys, tokens and subjects, and lets the issuer misbehave at times.
     fn run_issuer(&self, seed: u64, period_ms: f64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut round = 0u32;
@@ -479,7 +483,8 @@
                 let Ok(mut state) = self.issuer_state.lock() else {
                     return;
                 };
-                // The next key is announced two thirds of a period ahead; from its time on the last one goes.
+                // The next key is announced two thirds of a period ahead; half a period after it becomes active, the
+                // previous one expires.
                 let from_ms = now + period_ms * 2.0 / 3.0;
                 let next = key(round, &mut random, from_ms);
                 for previous in state
@@ -508,7 +513,7 @@
                     state.revoked_subjects.push(revoked);
                 }
                 if round % 5 == 4 && state.keys.len() > 3 {
-                    // The one that went last, while its overlap lasts.
+                    // The key that was replaced last, while it still overlaps with its successor.
                     let revoked = state.keys[state.keys.len() - 3].id.clone();
                     eprintln!("{now:.0} key {revoked} is revoked");
                     state.revoked_keys.push(revoked);
@@ -520,7 +525,7 @@
                     SecretKey::from_seed([66; 32], "root").sign_key_set(&key_set_of(&forged)),
                 );
             }
-            // Every other round the issuer is not itself for a while.
+            // In every other round the issuer misbehaves for a while.
             let behavior = behaviors[random_below(&mut random, 5) as usize];
             if round % 2 == 0 {
                 thread::sleep(Duration::from_secs_f64(period_ms / 4e3));
@@ -536,7 +541,7 @@
     }
 }
 
-/// What an answer may be: let in, turned away for good, or not judged.
+/// Which decisions are right for a request: accepted, denied, or undecided, if the daemon has no usable key set.
 #[derive(Clone, Copy, Debug, Default)]
 struct Allowed {
     accepted: bool,
@@ -544,8 +549,8 @@
     undecided: bool,
 }
 
-/// What holds of a task under one set, between two times: `pass` if a fair judge could let it in anywhere in
-/// between, `deny` if one could turn it away.
+/// The right decisions for a request under one key set, between its sending and its answer: `accepted` if a correct
+/// daemon could accept it at some time in between, `denied` if it could deny it.
 fn allowed_by_set(request: &AnsweredRequest, set: &PublishedSet, max_age_ms: f64) -> Allowed {
     let (token, from, until) = (&request.token, request.sent_ms, request.answered_ms);
     let has_role = match token.role {
@@ -569,7 +574,8 @@
     };
     let begins = key.from_ms.max(token.from_ms);
     let ends = key.until_ms.min(token.until_ms);
-    // Loosely and strictly: the clock, the skew and the machine are given the grey.
+    // Both are widened by the tolerance, and acceptance also by the clock skew: near a boundary either decision is
+    // right.
     let accepted = until >= begins - CLOCK_SKEW_MS - TOLERANCE_MS
         && from <= ends + CLOCK_SKEW_MS + TOLERANCE_MS;
     let denied = from < begins + TOLERANCE_MS || until > ends - TOLERANCE_MS;
@@ -582,14 +588,15 @@
     }
 }
 
-/// The sets that the daemon may have had: one at least that was handed out well before, and all since.
+/// The key sets that the daemon may have had: the latest that was delivered well before the request, if any, and all
+/// since. Also returns whether the daemon may have had none.
 fn possible_sets<'a>(
     request: &AnsweredRequest,
     published_sets: &'a [PublishedSet],
     deliveries: &[(f64, u64)],
     restart_gaps: &RestartGaps,
 ) -> (Vec<&'a PublishedSet>, bool) {
-    // A daemon that has just begun knows only what was handed to it.
+    // A daemon that has just started has only the sets that were delivered to it.
     let restarted_at = restart_gaps
         .0
         .iter()
@@ -648,7 +655,7 @@
     }
 }
 
-/// Judges everything that happened.
+/// Judges the recorded history.
 fn judge(harness: &Harness, runs: &HashMap<String, u32>, seconds: u64) -> Judgement {
     let mut judgement = Judgement {
         counts: BTreeMap::new(),
@@ -729,7 +736,7 @@
             }
         }
     }
-    // Whoever has the same key within a tenant gets the same result; another tenant's is another run.
+    // Requests with the same key of one tenant get the same result; the same key of another tenant is another run.
     let mut owner: HashMap<Vec<u8>, &str> = HashMap::new();
     for ((tenant, _), attempts) in &by_key {
         for request in attempts {
@@ -750,7 +757,7 @@
             .violations
             .push(format!("{repeated_runs} tasks ran twice"));
     }
-    // Each life of the daemon begins with a full bucket.
+    // Each incarnation of the daemon starts with a full token bucket.
     let quota_bound = (1 + issuer_state.incarnation / 2) as f64 * QUOTA_PER_S
         + QUOTA_PER_S * (seconds as f64 + 2.0);
     judgement
@@ -778,7 +785,7 @@
         registry,
     );
     start["settings"]["extra"]["cores"] = json!(8);
-    // A drain that is short: what comes in it is rejected, and shows little.
+    // A short drain: requests that arrive during it are rejected, and show little.
     start["stop_ms"] = json!(1000);
     start["settings"]["tenants"] = json!([{"allowancePerS": 1000}, {"allowancePerS": 1000}]);
     start["identity"] = json!({
@@ -786,7 +793,7 @@
         "roots": [SecretKey::from_seed(*root, "root").public_key_text()],
         "keys": {"fetch": {"at": issuer.address, "path": "/keys", "every_ms": FETCH_INTERVAL_MS}},
         "max_age_ms": max_age_ms, "skew_ms": CLOCK_SKEW_MS,
-        // Chance has most tokens be new: far more signatures than anybody brings in service.
+        // Most tokens are new because the load is random: far more signatures than any edge node brings in service.
         "signatures_per_edge": 400, "signatures": 3200,
         "roles": [
             {"name": "phone", "stages": ["page", "bid"]},
@@ -798,7 +805,7 @@
     Ok(start)
 }
 
-/// Runs the proof; its figures, `held` among them.
+/// Runs the proof and returns its figures, `held` among them.
 pub fn prove(proof: &ProofConfig) -> Result<Value, String> {
     let io_error_text = |e: std::io::Error| e.to_string();
     let mut random = Pcg64Mcg::seed_from_u64(proof.seed);
@@ -829,7 +836,7 @@
         failpoint: proof.failpoint.clone(),
     };
     let now = unix_ms();
-    // Something to begin with: a key that signs.
+    // The first signing key.
     let mut issuer_state = IssuerState::default();
     let first_key = SigningKey {
         id: "key-0".to_owned(),
@@ -860,7 +867,7 @@
             threads.push(thread::spawn(move || shared.send_load(listen, edge, seed)));
         }
     }
-    // The daemon reads its file again now and then, and is replaced a few times.
+    // The daemon reloads its start file now and then, and is restarted a few times.
     let mut next = Instant::now() + Duration::from_secs(2);
     let mut steps = 0u32;
     while Instant::now() < harness.end {
@@ -928,7 +935,7 @@
         .unwrap_or_default();
     let lost = counts.get("lost").copied().unwrap_or(0);
     let sent = harness.requests.lock().map_or(0, |requests| requests.len());
-    // A proof in which next to nothing was let in, or nothing turned away, shows nothing.
+    // A proof in which few requests were sent or served shows nothing.
     let served = judgement.counts.get("answered 200 ").copied().unwrap_or(0);
     let is_conclusive = served > sent as u64 / 5 && sent as u64 > proof.seconds * 50;
     let rotations = harness
--- a/crates/asterdale-testkit/src/proofs/takeover.rs
+++ b/crates/asterdale-testkit/src/proofs/takeover.rs
@@ -1,8 +1,9 @@
-//! Work in hand survives its backend: many processes under load, some of which are killed, stand still or are cut off
-//! while they hold, run and finish tasks, keepers among them. Bids carry a key, have their effect at one records service
-//! that counts, and are repeated unmarked at other backends. Held if no key had its effect twice, no two answers under a
-//! key differ, no bid whose try ran was said never to have run, every caller heard a final answer, no work ran a second time
-//! while its first owner was well, and no owner that was cut off made a call that a taker's had overtaken.
+//! Takeover of requests: many processes under load, some of which are killed, paused or isolated while they own, run
+//! and answer requests, ownership replicas among them. Keyed requests have their effect at one records service, which
+//! counts it, and are repeated at other backends without being marked as retries. The proof holds if no key had its
+//! effect twice, no two answers under one key differ, no keyed request was answered as never run although that attempt
+//! ran, every client received a final answer, no request ran a second time while its first owner was undisturbed, and
+//! no isolated owner made a call that came after a call of the new owner.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::Ordering;
@@ -21,8 +22,8 @@
 use crate::services::IdempotentRecords;
 use crate::unix_ms;
 
-/// What happens to a process counts against what it ran from so long before on, and up to so long after: a run of the
-/// longest kind, and the time to a new lease.
+/// A second run of a key is allowed if the first started at most `LEAD` before a disturbance of its backend (a run of
+/// the longest kind) and the second started at most `TAIL` after the disturbance (the time to a new lease).
 const LEAD: Duration = Duration::from_millis(7000);
 const TAIL: Duration = Duration::from_millis(6000);
 
@@ -40,9 +41,9 @@
     ShutDownOne,
     RestartReplicaEmpty,
     KillMostReplicas,
-    /// Everybody is killed and started anew at once.
+    /// All members are killed and restarted at once.
     KillAll,
-    /// A keeper's folder is lost.
+    /// A replica is killed and its journal directory is deleted.
     LoseReplicaDirectory,
 }
 
@@ -60,7 +61,7 @@
     Fault::KillMostReplicas,
 ];
 
-/// Where keepers have disks nobody comes back empty whose disk was not lost.
+/// With journals, no replica restarts without state unless its journal directory was lost.
 const FAULTS_WITH_JOURNAL: [Fault; 12] = [
     Fault::KillOwner,
     Fault::KillAll,
@@ -76,19 +77,19 @@
     Fault::KillAll,
 ];
 
-/// What is proven.
+/// The configuration of the proof.
 pub struct Config {
     /// Seed and failpoint.
     pub proof: ProofConfig,
-    /// How many processes.
+    /// Number of members.
     pub members: usize,
-    /// How many of them keep.
+    /// Number of ownership replicas among them; these are the first members.
     pub ownership_replicas: usize,
-    /// Tasks a second in all.
+    /// Total rate in requests per second.
     pub rate: f64,
-    /// How often all kinds of faults come.
+    /// Number of rounds; each round injects all faults.
     pub rounds: u32,
-    /// Each process has a folder on disk.
+    /// Whether each member has a journal directory.
     pub has_journal: bool,
 }
 
@@ -96,11 +97,11 @@
     fleet: DaemonFleet,
     random: Pcg64Mcg,
     ownership_replicas: usize,
-    /// What happened to which process, from when to when.
+    /// The member, start and end of each disturbance.
     disturbances: Vec<(usize, Instant, Instant)>,
-    /// Times of deaths.
+    /// Times of kills in Unix milliseconds.
     kill_times_ms: Vec<f64>,
-    /// What went on, from when to when, in Unix milliseconds.
+    /// The fault, start and end of each phase, in Unix milliseconds.
     phases: Vec<(String, f64, f64)>,
     tasks_taken_over: u64,
     has_journal: bool,
@@ -111,7 +112,7 @@
 }
 
 impl Harness {
-    /// Some processes that keep nothing, or those that do.
+    /// Chooses members at random: ownership replicas, or members that are none.
     fn choose_members(&mut self, is_replica: bool, count: usize) -> Vec<usize> {
         let mut chosen: Vec<usize> = if is_replica {
             (0..self.ownership_replicas).collect()
@@ -125,7 +126,7 @@
         chosen
     }
 
-    /// Whether a keeper leads, by what it said last.
+    /// Whether a replica leads, according to its last log line about that.
     fn is_leader(&self, n: usize) -> bool {
         let log = self.fleet.log(n);
         log.iter()
@@ -140,7 +141,7 @@
             .extend(indices.iter().map(|&n| (n, from, now)));
     }
 
-    /// What it counted is lost with it.
+    /// Kills these members. Their counters are read first, because they are lost with the process.
     fn kill(&mut self, indices: &[usize]) {
         self.tasks_taken_over += indices
             .iter()
@@ -206,13 +207,13 @@
                 self.kill(&affected);
                 sleep_ms(2 * LEASE_MS);
                 self.start(&affected)?;
-                // It learns, and takes the place of the one that it was.
+                // The restarted replica catches up, and replaces its previous incarnation in the group.
                 sleep_ms(8 * LEASE_MS);
             }
             Fault::KillTwoOwners => {
                 affected = self.choose_members(false, 2);
                 self.kill(&affected[..1]);
-                // When the first one's work has just been taken over.
+                // The second member is killed when the requests of the first have just been taken over.
                 sleep_ms(2 * LEASE_MS);
                 self.kill(&affected[1..]);
                 sleep_ms(3 * LEASE_MS);
@@ -254,8 +255,9 @@
                 self.start(&affected)?;
             }
             Fault::RestartReplicaEmpty => {
-                // One keeper is out of touch; of the two that agree meanwhile, one comes back empty, and the other goes.
-                // The one that leads goes last, so that all three seconds are agreed on without the first.
+                // One replica is isolated. Of the two that commit entries meanwhile, one is restarted without its
+                // state, and then the other is killed. The leader is killed last, so that the entries of all three
+                // seconds are committed without the isolated replica.
                 let mut replicas = self.choose_members(true, 3);
                 replicas.sort_by_key(|&n| self.is_leader(n));
                 self.set_blocked(&replicas[..1], true);
@@ -275,9 +277,10 @@
                 self.kill(&majority);
                 sleep_ms(LEASE_MS);
                 self.start(&majority)?;
-                // Without keepers nobody's lease goes on.
+                // Without a majority of replicas no lease is renewed.
                 affected = (0..self.fleet.len()).collect();
-                // What keepers have on disk they know; without it nothing is claimed for a window.
+                // Replicas with a journal restore their state from it; without one no claims are made for a retry
+                // window.
                 sleep_ms(if self.has_journal {
                     4 * LEASE_MS
                 } else {
@@ -297,13 +300,13 @@
                     .map_err(|e| e.to_string())?;
                 sleep_ms(2 * LEASE_MS);
                 self.start(&affected)?;
-                // It learns, and takes the place of the one that it was.
+                // The restarted replica catches up, and replaces its previous incarnation in the group.
                 sleep_ms(8 * LEASE_MS);
                 affected = (0..self.fleet.len()).collect();
             }
         }
         if matches!(fault, Fault::KillReplica | Fault::IsolateReplica) {
-            // Until another leads, leases may lapse.
+            // Leases may lapse until another replica leads.
             affected = (0..self.fleet.len()).collect();
         }
         self.record_disturbance(&affected, from);
@@ -311,10 +314,10 @@
     }
 }
 
-/// A day, in milliseconds: lines of a log tell the time of theirs.
+/// One day in milliseconds; log lines carry the time of day.
 const DAY_MS: f64 = 86_400_000.0;
 
-/// When a process said that its lease had lapsed, or its epoch was over, by the time of the day.
+/// The times of day, in milliseconds, at which a process logged that its lease had lapsed or its epoch had ended.
 fn lapse_times_ms(log: &[String]) -> Vec<f64> {
     let is_lapse =
         |line: &&String| line.contains("the lease lapsed") || line.contains("may be another's");
@@ -337,7 +340,7 @@
         .collect()
 }
 
-/// Judges everything that happened: what was wrong, and figures.
+/// Judges the recorded history; returns the violations and the figures.
 fn judge(
     harness: &Harness,
     history: &LoadHistory,
@@ -345,7 +348,7 @@
     isolations: &[(usize, Instant, Instant)],
 ) -> (Vec<String>, Value) {
     let mut violations = Vec::new();
-    // By key: what was started, where and when; by try: how often.
+    // By key: when and on which member each run was started. By request id: number of starts, member, whether keyed.
     let mut by_key: HashMap<String, Vec<(Instant, usize)>> = HashMap::new();
     let mut by_id: HashMap<String, (u32, usize, bool)> = HashMap::new();
     for n in 0..harness.fleet.len() {
@@ -385,7 +388,7 @@
                 .disturbances
                 .iter()
                 .any(|&(i, from, to)| i == n && at + LEAD >= from && pair[1].0 <= to + TAIL);
-            // On a busy machine a lease may lapse by itself; the process says so.
+            // On a busy machine a lease may lapse without an injected fault; the process logs that.
             let has_lapsed = lapses[n]
                 .iter()
                 .any(|ms| (ms_of_day(at) - 1e3..ms_of_day(pair[1].0) + 6e3).contains(ms));
@@ -457,12 +460,12 @@
             Some((_, _, true)) => {
                 violations.push(format!("{id} ran, but its answer said otherwise"))
             }
-            // The module rejects a restartable task that it gives up on while it runs; it may run again at any time.
+            // A backend rejects an idempotent request that it gives up on while it runs; it may run again at any time.
             Some((_, _, false)) => pages_rejected_running += 1,
             None => {}
         }
     }
-    // Of owners that were cut off, and did nothing but that.
+    // Only those of owners that were isolated and had no other fault.
     let rejections = records.stale_fence_rejections();
     let overtaken = rejections.iter().filter(|(at, id)| {
         let n = by_id.get(id).map(|(_, n, _)| *n);
@@ -482,7 +485,8 @@
     (violations, figures)
 }
 
-/// Which faults come, in this order, so that a planted one is found in less than the whole time.
+/// The faults to inject, in this order. With a failpoint, only those that reveal it, so that it is detected in less
+/// than the full time.
 fn faults(failpoint: Option<&str>, rounds: u32, has_journal: bool) -> Vec<Fault> {
     match failpoint {
         Some("lease" | "outcome") => vec![Fault::IsolateOwner; 4],
@@ -494,7 +498,7 @@
     }
 }
 
-/// Runs the proof. How long it takes follows from the faults.
+/// Runs the proof. Its duration follows from the faults.
 pub fn prove(config: &Config) -> Result<Value, String> {
     let proof = &config.proof;
     let records = IdempotentRecords::default();
@@ -527,7 +531,7 @@
     for n in 0..config.members {
         harness.fleet.wait_until_listening(n)?;
     }
-    // A group is formed, and the window of one that may have been before has passed.
+    // Until then a replica group has formed, and the retry window of a possible earlier group has passed.
     sleep_ms(RETRY_WINDOW_MS + 4 * LEASE_MS);
     let backends = (0..config.members)
         .map(|n| harness.fleet.address(n))
@@ -577,7 +581,7 @@
         );
     }
     if proof.failpoint.is_some() {
-        // What keepers said, for a look at why a fault was found, or not.
+        // The replicas' log lines show why the failpoint was detected, or why not.
         for n in 0..config.ownership_replicas {
             let log = harness.fleet.log(n);
             log.iter()
--- a/crates/asterdale-testkit/src/proofs/upgrade.rs
+++ b/crates/asterdale-testkit/src/proofs/upgrade.rs
@@ -1,6 +1,7 @@
-//! A serving process is replaced again and again under a steady load, in ways that go well and in ways that fail.
-//! Held if no task was lost but to a process that was killed, none ran twice, none that ran was said never to have
-//! run, every try under one key got one result, and no connection was refused.
+//! Hot restart: a serving process is replaced again and again under a steady load, by upgrades that succeed and
+//! upgrades that are made to fail. The proof holds if no request was lost except to a process that was killed, no keyed
+//! request ran twice, none that ran was answered as never run, all attempts under one key got one result, and no
+//! connection was refused.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -22,28 +23,28 @@
 use crate::simulated_runtime::SimulatedRuntime;
 use crate::{scripted, services, unix_ms};
 
-/// Tasks a second in all, and the connections that bring them.
+/// Total rate in requests per second, and the number of connections that send them.
 const REQUESTS_PER_S: f64 = 200.0;
 const CONNECTIONS: u32 = 24;
-/// From one upgrade's end to the next one's start.
+/// Time from the end of an upgrade to the start of the next one.
 const UPGRADE_PAUSE: Duration = Duration::from_millis(700);
-/// A try that breaks off this close to a kill, in milliseconds, was lost to it.
+/// An attempt whose connection ended this close to a kill was lost to that kill.
 const KILL_WINDOW_MS: f64 = 1_500.0;
 
 /// How an upgrade is made to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Failure {
-    /// The new program is not there.
+    /// The new program does not exist.
     MissingProgram,
-    /// It can't be executed.
+    /// The new program is not executable.
     NotExecutable,
-    /// It ends at once.
+    /// The new program exits at once.
     Exits,
-    /// It reads a start file that makes no sense.
+    /// The new process reads an invalid start file.
     InvalidStartFile,
-    /// It is killed so many milliseconds after it was started: at any step, or after the commit.
+    /// The new process is killed this many milliseconds after its start: in any phase, or after the commit.
     KilledAfterMs(u64),
-    /// Another upgrade is asked for at the same time.
+    /// Another upgrade is requested at the same time.
     ConcurrentUpgrade,
 }
 
@@ -66,7 +67,7 @@
 }
 
 impl Harness {
-    /// One lane: a third of its tasks are bids, half of those repeat a recent one.
+    /// Sends requests on one connection: a third of them have a key, and half of those reuse a recent one.
     fn send_load(&self, index: u32, seed: u64) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut client = EdgeClient::new(self.address);
@@ -134,7 +135,7 @@
     }
 }
 
-/// All processes that were started with this start file: the site's own, whoever their parent is by now.
+/// All processes that were started with this start file, whatever their parent process is now.
 pub fn processes(start_file: &Path) -> Vec<u32> {
     let Ok(entries) = std::fs::read_dir("/proc") else {
         return Vec::new();
@@ -176,7 +177,7 @@
         .unwrap_or(0)
 }
 
-/// Asks for an upgrade by the command line; the process that serves from then on, if it was done.
+/// Requests an upgrade with the command line; returns the process that serves from then on, if the upgrade succeeded.
 pub fn upgrade(program: &Path, control: &Path, binary: Option<&Path>) -> Option<u32> {
     let mut command = Command::new(program);
     command.arg("upgrade").arg("--control").arg(control);
@@ -196,7 +197,7 @@
     })
 }
 
-/// A folder with a control socket, and the processes that serve one after the other.
+/// A directory with the start file and control socket that the successive processes of one daemon use.
 pub struct HandoverSetup {
     directory: PathBuf,
     start_file: PathBuf,
@@ -207,7 +208,7 @@
 }
 
 impl Drop for HandoverSetup {
-    /// However the proof ended, nothing that it started stays behind.
+    /// Kills all processes that the proof started and removes its files, however it ended.
     fn drop(&mut self) {
         processes(&self.start_file)
             .into_iter()
@@ -224,7 +225,7 @@
         path
     }
 
-    /// One upgrade of the process that serves; which serves after it, and whether it was done.
+    /// Upgrades the serving process once; returns the process that serves afterwards, and how many upgrades succeeded.
     fn upgrade_once(
         &self,
         serving: u32,
@@ -269,19 +270,20 @@
             vec![upgrade(&self.program, &self.control, binary.as_deref())
                 .map(|id| (Instant::now(), id))];
         if let Some(second) = second {
-            // One of the two is turned away, unless they followed each other.
+            // One of the two upgrades is rejected, unless they ran one after the other.
             results.push(second.join().ok().flatten());
         }
         if let Some(killer) = killer {
             if let Ok(Some(killed_at_ms)) = killer.join() {
                 push_time(kills, killed_at_ms);
-                // Its end is heard, and the work taken back, where it had it.
+                // The old process detects the end of the new one, and takes the work back if it was handed over.
                 thread::sleep(Duration::from_millis(300));
             }
         }
         let _ = std::fs::write(&self.start_file, &self.start_text);
         let succeeded = results.iter().flatten().count() as u32;
-        // The last that was told and is there; if it was killed, the one before has the work again.
+        // The process of the last upgrade that succeeded, if it is alive; if it was killed, the previous one has the
+        // work again.
         let new_serving = results
             .into_iter()
             .flatten()
@@ -291,7 +293,7 @@
     }
 }
 
-/// Judges everything that happened; what was wrong, and figures.
+/// Judges the recorded history; returns the violations and the figures.
 fn judge(
     harness: &Harness,
     runs: &HashMap<String, u32>,
@@ -310,7 +312,7 @@
             .or_default() += 1;
         let ran = runs.get(&request.id).copied().unwrap_or(0);
         if ran > 1 && request.key.is_none() {
-            // A page may run again: its first run was lost with the process that was killed.
+            // A request without a key may run again: its first run was lost with the process that was killed.
             *counts.entry("pages that ran again".to_owned()).or_default() += 1;
         }
         if ran > 0 && matches!(request.status.as_str(), "503" | "429") {
@@ -363,7 +365,8 @@
     (violations, counts)
 }
 
-/// A daemon that can hand over, on a site of its own; where it listens, and how it was started.
+/// Starts a daemon with hot restart enabled, in a directory of its own; also returns its address and launch
+/// configuration.
 pub fn start_daemon_with_handover(
     runtime: &SimulatedRuntime,
     records: SocketAddr,
@@ -415,7 +418,7 @@
     Ok((setup, address, launch, daemon))
 }
 
-/// Runs the proof, with so many upgrades, of which so many are made to fail. How long it takes follows from that.
+/// Runs the proof with this number of upgrades, `fails` of which are made to fail. Its duration follows from them.
 pub fn prove(proof: &ProofConfig, upgrades: u32, fails: u32) -> Result<Value, String> {
     let io_error_text = |e: std::io::Error| e.to_string();
     let mut random = Pcg64Mcg::seed_from_u64(proof.seed);
@@ -449,11 +452,11 @@
         4 => Failure::ConcurrentUpgrade,
         _ => Failure::KilledAfterMs(u64::from(random.next_u32() % 400)),
     };
-    // Which of them fail: drawn without looking at how the ones before went.
+    // Which upgrades fail is drawn in advance, without regard to the results of earlier ones.
     let mut failures: Vec<Option<Failure>> = (0..upgrades)
         .map(|n| (n < fails).then(|| random_failure(&mut random)))
         .collect();
-    // At least one is killed after it has had the work.
+    // At least one new process is killed after the work was handed over to it.
     if let Some(last) = failures
         .get_mut(fails.saturating_sub(1) as usize)
         .filter(|_| fails > 0)
@@ -480,7 +483,7 @@
                 .map(resident_kib)
                 .sum(),
         );
-        // Whose the work is must be known at every step: a proof that lost sight of it shows nothing.
+        // The serving process must be known after every upgrade; otherwise the proof shows nothing.
         if failure.is_none() && (succeeded != 1 || new_serving == serving || !is_alive(new_serving))
         {
             unexpected.push(format!(
@@ -517,7 +520,8 @@
         .unwrap_or_default();
     let (mut violations, counts) = judge(&harness, &runtime.runs(), &kills);
     violations.append(&mut unexpected);
-    // An upgrade makes a link, and a way back another. Two that serve take it from each other for ever.
+    // An upgrade opens one link to the runtime, and taking the work back opens another. Two processes that both serve
+    // would take the link from each other endlessly.
     let links = runtime.link_count();
     if links > 1 + 2 * upgrades {
         violations.push(format!(
