--- a/crates/asterdale-testkit/src/proofs/fleet.rs
+++ b/crates/asterdale-testkit/src/proofs/fleet.rs
@@ -124,7 +124,7 @@
                 let held_generation = self.highest_held.entry((n, name.to_owned())).or_default();
                 if generation < *held_generation {
                     eprintln!(
-                        "{} goes back from {held_generation} to {generation} of {name}",
+                        "the view of {} went back from generation {held_generation} to {generation} of {name}",
                         daemon_fleet::member_name(n)
                     );
                     self.regressions += 1;
@@ -162,7 +162,7 @@
             };
             if generations.keys().ne(expected.iter()) {
                 return Some(format!(
-                    "{} holds {:?}",
+                    "the view of {} has {:?}",
                     member_name(n),
                     generations.keys().collect::<Vec<_>>()
                 ));
@@ -172,7 +172,7 @@
                 Some((first_generations, hash))
                     if *first_generations != generations || *hash != view["hash"] =>
                 {
-                    return Some(format!("{} holds other generations", member_name(n)));
+                    return Some(format!("the view of {} has other generations", member_name(n)));
                 }
                 Some(_) => {}
             }
@@ -182,7 +182,7 @@
             .previous
             .iter()
             .find(|(name, &old)| self.highest.get(*name).is_none_or(|&new| new <= old));
-        not_above.map(|(name, old)| format!("{name} is not above {old}"))
+        not_above.map(|(name, old)| format!("the generation of {name} is not above {old}"))
     }
 
     fn bound(&self) -> Duration {
@@ -207,17 +207,17 @@
         let elapsed_ms = began.elapsed().as_millis() as u64;
         let exited = self.fleet.exited();
         if let Some(problem) = &problem {
-            eprintln!("{fault_name}: not settled in {elapsed_ms} ms: {problem}; ended: {exited:?}");
+            eprintln!("{fault_name}: not converged in {elapsed_ms} ms: {problem}; exited: {exited:?}");
             self.not_converged.push(format!("{fault_name}: {problem}"));
         } else {
-            eprintln!("{fault_name}: settled in {elapsed_ms} ms");
+            eprintln!("{fault_name}: converged in {elapsed_ms} ms");
             let _ = self.convergence_times.record((elapsed_ms * 1000).max(1));
         }
         for (name, previous) in std::mem::take(&mut self.previous) {
             let current = self.highest.get(&name).copied().unwrap_or(0);
             if current <= previous {
                 eprintln!(
-                    "{fault_name}: {name} started anew with generation {current}, and {previous} was remembered"
+                    "{fault_name}: {name} restarted with generation {current}, although {previous} was remembered"
                 );
                 self.restarts_not_above += 1;
             }
@@ -306,7 +306,7 @@
                 self.wait_for_convergence(&fault_name);
                 self.restart(&chosen)?;
                 return {
-                    self.wait_for_convergence(&format!("{fault_name}, started anew"));
+                    self.wait_for_convergence(&format!("{fault_name}, restarted"));
                     Ok(())
                 };
             }
@@ -316,7 +316,7 @@
                 let datagrams = self.fleet.relays.take_recorded(chosen[0]);
                 self.kill(&chosen);
                 self.restart(&chosen)?;
-                self.wait_for_convergence(&format!("{fault_name}, started anew"));
+                self.wait_for_convergence(&format!("{fault_name}, restarted"));
                 eprintln!(
                     "{fault_name}: {} datagrams of {:?}",
                     datagrams.len(),
--- a/crates/asterdale-testkit/src/proofs/restarts.rs
+++ b/crates/asterdale-testkit/src/proofs/restarts.rs
@@ -255,7 +255,7 @@
                 for &n in &chosen {
                     if !self.fleet.second_process_is_rejected(n)? {
                         self.violations.push(format!(
-                            "a second process began over the folder of {}",
+                            "a second process started on the journal directory of {}",
                             daemon_fleet::member_name(n)
                         ));
                     }
@@ -281,7 +281,7 @@
                 }
                 if !self.fleet.exited().contains(&chosen[0]) {
                     self.violations
-                        .push("one started over another's folder".to_owned());
+                        .push("a member started on the journal directory of another".to_owned());
                 }
                 self.fleet.kill(chosen[0]);
                 std::fs::remove_dir_all(&own_directory).map_err(|e| e.to_string())?;
@@ -345,7 +345,7 @@
         let kind = if request.key.is_some() { "bid" } else { "page" };
         let Some(last_status) = &request.last_status else {
             violations.push(format!(
-                "a {kind} of {:.0} heard no final answer in {} tries",
+                "a {kind} sent at {:.0} received no final answer in {} attempts",
                 request.sent_ms, request.attempts
             ));
             continue;
@@ -360,7 +360,7 @@
                 .get(key.as_bytes())
                 .is_none_or(|effect| effect.executions != 1)
             {
-                violations.push(format!("{key} was finished without its effect"));
+                violations.push(format!("{key} was served without its effect"));
             }
         }
     }
@@ -368,7 +368,7 @@
     let mut rejected_after_run = 0;
     for entry in &history.rejected_attempts {
         if by_id.get(&entry.id) == Some(&true) {
-            violations.push(format!("{} ran, and was told that it never did", entry.id));
+            violations.push(format!("{} ran although it was rejected", entry.id));
         }
         // This attempt never ran, but an earlier one with the same key had when this one was sent.
         let starts = entry.key.as_ref().and_then(|key| by_key.get(key));
@@ -377,7 +377,7 @@
     }
     if rejected_after_run > 0 {
         violations.push(format!(
-            "{rejected_after_run} tries were rejected though their keys had run"
+            "{rejected_after_run} attempts were rejected although their keys had run"
         ));
     }
     let keyed_requests = history
@@ -492,7 +492,7 @@
     let exited = harness.fleet.exited();
     for &n in &exited {
         eprintln!(
-            "{} ended by itself:\n{}",
+            "{} exited by itself:\n{}",
             daemon_fleet::member_name(n),
             harness.fleet.log(n).join("\n")
         );
@@ -500,7 +500,7 @@
     let history = load.history();
     let (mut violations, mut figures) = judge(&harness, &history, &records);
     if !exited.is_empty() {
-        violations.push(format!("ended by themselves: {exited:?}"));
+        violations.push(format!("members exited by themselves: {exited:?}"));
     }
     if history
         .requests
@@ -509,7 +509,7 @@
         .count()
         < 50
     {
-        violations.push("hardly a bid was finished: nothing is shown".to_owned());
+        violations.push("hardly any keyed request was served: the proof shows nothing".to_owned());
     }
     violations
         .iter()
--- a/crates/asterdale-testkit/src/proofs/rotation.rs
+++ b/crates/asterdale-testkit/src/proofs/rotation.rs
@@ -529,7 +529,7 @@
             let behavior = behaviors[random_below(&mut random, 5) as usize];
             if round % 2 == 0 {
                 thread::sleep(Duration::from_secs_f64(period_ms / 4e3));
-                eprintln!("{:.0} the issuer is {behavior:?}", unix_ms());
+                eprintln!("{:.0} the issuer behaves as {behavior:?}", unix_ms());
                 self.issuer.set_behavior(behavior);
             }
             let remaining_ms = (now + period_ms * 0.75 - unix_ms()).max(0.0);
@@ -755,7 +755,7 @@
             .insert("ran twice".to_owned(), repeated_runs as u64);
         judgement
             .violations
-            .push(format!("{repeated_runs} tasks ran twice"));
+            .push(format!("{repeated_runs} requests ran twice"));
     }
     // Each incarnation of the daemon starts with a full token bucket.
     let quota_bound = (1 + issuer_state.incarnation / 2) as f64 * QUOTA_PER_S
@@ -765,7 +765,7 @@
         .insert("in the small quota".to_owned(), accepted_by_quota);
     if accepted_by_quota as f64 > quota_bound {
         judgement.violations.push(format!(
-            "{accepted_by_quota} tasks were let in by a quota for {quota_bound}"
+            "{accepted_by_quota} requests were accepted by a quota of {quota_bound}"
         ));
     }
     judgement
@@ -874,7 +874,7 @@
         thread::sleep(Duration::from_millis(20));
         if daemon.has_exited() {
             let log = daemon.log().join("\n");
-            return Err(format!("the daemon ended by itself:\n{log}"));
+            return Err(format!("the daemon exited by itself:\n{log}"));
         }
         if Instant::now() < next {
             continue;
@@ -883,14 +883,14 @@
         next += Duration::from_millis(2500);
         if steps % 4 == 0 && next + Duration::from_secs(2) < harness.end {
             let stopped_at = unix_ms();
-            eprintln!("{stopped_at:.0} the daemon is replaced");
+            eprintln!("{stopped_at:.0} the daemon is restarted");
             harness.next_incarnation();
             if let Ok(mut restart_gaps) = harness.restart_gaps.lock() {
                 restart_gaps.0.push((stopped_at, f64::INFINITY));
             }
             if !daemon.shut_down(Duration::from_secs(20)) {
                 return Err(format!(
-                    "the daemon did not leave well:\n{}",
+                    "the daemon did not shut down cleanly:\n{}",
                     daemon.log().join("\n")
                 ));
             }
@@ -902,7 +902,7 @@
                 }
             }
         } else {
-            eprintln!("{:.0} the daemon reads its file again", unix_ms());
+            eprintln!("{:.0} the daemon reloads its start file", unix_ms());
             daemon.signal("HUP");
         }
     }
--- a/crates/asterdale-testkit/src/proofs/takeover.rs
+++ b/crates/asterdale-testkit/src/proofs/takeover.rs
@@ -394,7 +394,7 @@
                 .any(|ms| (ms_of_day(at) - 1e3..ms_of_day(pair[1].0) + 6e3).contains(ms));
             if !was_disturbed && !has_lapsed {
                 violations.push(format!(
-                    "{key} ran again though {} was well",
+                    "{key} ran again although {} was undisturbed",
                     daemon_fleet::member_name(n)
                 ));
             }
@@ -408,7 +408,7 @@
         let Some(last_status) = &request.last_status else {
             unanswered += 1;
             violations.push(format!(
-                "a {kind} of {:.0} heard no final answer in {} tries",
+                "a {kind} sent at {:.0} received no final answer in {} attempts",
                 request.sent_ms, request.attempts
             ));
             continue;
@@ -424,7 +424,7 @@
                 .get(key.as_bytes())
                 .is_none_or(|effect| effect.executions != 1)
             {
-                violations.push(format!("{key} was finished without its effect"));
+                violations.push(format!("{key} was served without its effect"));
             }
         }
         if harness
@@ -458,7 +458,7 @@
         let id = &attempt.id;
         match by_id.get(id) {
             Some((_, _, true)) => {
-                violations.push(format!("{id} ran, but its answer said otherwise"))
+                violations.push(format!("{id} ran although it was rejected"))
             }
             // A backend rejects an idempotent request that it gives up on while it runs; it may run again at any time.
             Some((_, _, false)) => pages_rejected_running += 1,
@@ -476,7 +476,7 @@
     let overtaken = overtaken.count();
     if overtaken > 0 {
         violations.push(format!(
-            "{overtaken} calls of an owner that was cut off came after a taker's"
+            "{overtaken} calls of an isolated owner came after a call of the new owner"
         ));
     }
     let figures = json!({"answers": counts, "unanswered": unanswered, "ran_again": repeated_runs, "keys": by_key.len(),
@@ -575,7 +575,7 @@
     let exited = harness.fleet.exited();
     for &n in &exited {
         eprintln!(
-            "{} ended by itself:\n{}",
+            "{} exited by itself:\n{}",
             daemon_fleet::member_name(n),
             harness.fleet.log(n).join("\n")
         );
@@ -597,7 +597,7 @@
     let history = load.history();
     let (mut violations, mut figures) = judge(&harness, &history, &records, &isolations);
     if !exited.is_empty() {
-        violations.push(format!("ended by themselves: {exited:?}"));
+        violations.push(format!("members exited by themselves: {exited:?}"));
     }
     if history
         .requests
@@ -606,7 +606,7 @@
         .count()
         < 50
     {
-        violations.push("hardly a bid was finished: nothing is shown".to_owned());
+        violations.push("hardly any keyed request was served: the proof shows nothing".to_owned());
     }
     for violation in violations.iter().take(20) {
         eprintln!("{violation}");
--- a/crates/asterdale-testkit/src/proofs/upgrade.rs
+++ b/crates/asterdale-testkit/src/proofs/upgrade.rs
@@ -317,7 +317,7 @@
         }
         if ran > 0 && matches!(request.status.as_str(), "503" | "429") {
             violations.push(format!(
-                "{} ran, and was told that it never did",
+                "{} ran although it was rejected",
                 request.id
             ));
         }
@@ -350,7 +350,7 @@
         {
             *counts.entry("lost to a kill".to_owned()).or_default() += 1;
         } else {
-            violations.push(format!("lost at {at_ms:.0}"));
+            violations.push(format!("request lost at {at_ms:.0}"));
         }
     }
     let refused_ms = harness
@@ -360,7 +360,7 @@
     violations.extend(
         refused_ms
             .iter()
-            .map(|at_ms| format!("refused at {at_ms:.0}")),
+            .map(|at_ms| format!("connection refused at {at_ms:.0}")),
     );
     (violations, counts)
 }
@@ -487,12 +487,12 @@
         if failure.is_none() && (succeeded != 1 || new_serving == serving || !is_alive(new_serving))
         {
             unexpected.push(format!(
-                "upgrade {n} should have gone well, and {new_serving} serves after {serving}"
+                "upgrade {n} should have succeeded, but process {new_serving} serves after {serving}"
             ));
         }
         if !is_alive(new_serving) {
             unexpected.push(format!(
-                "after upgrade {n} {new_serving} should serve, and is not there"
+                "after upgrade {n} process {new_serving} should serve, but is not running"
             ));
             break;
         }
@@ -503,7 +503,7 @@
     for thread in threads {
         thread
             .join()
-            .map_err(|_| "a lane of the proof panicked".to_owned())?;
+            .map_err(|_| "a thread of the proof panicked".to_owned())?;
     }
     signal(serving, "TERM");
     let end = Instant::now() + Duration::from_secs(20);
@@ -525,7 +525,7 @@
     let links = runtime.link_count();
     if links > 1 + 2 * upgrades {
         violations.push(format!(
-            "the link was made {links} times in {upgrades} upgrades: two processes serve"
+            "the link to the runtime was opened {links} times in {upgrades} upgrades: two processes serve"
         ));
     }
     let expected_kills = failures
@@ -539,7 +539,7 @@
         ));
     }
     if !has_exited {
-        violations.push("the last process did not leave".to_owned());
+        violations.push("the last process did not shut down".to_owned());
     }
     violations
         .iter()
@@ -548,7 +548,7 @@
     if !violations.is_empty() {
         eprintln!("the first process's log:\n{}", daemon.log().join("\n"));
     }
-    let requests = harness.requests.lock().map_err(|_| "a lane panicked")?;
+    let requests = harness.requests.lock().map_err(|_| "a thread of the proof panicked")?;
     let (mut during, mut outside) = (histogram(), histogram());
     let mut answer_times: Vec<f64> = requests.iter().map(|request| request.answered_ms).collect();
     answer_times.sort_by(f64::total_cmp);
