--- a/crates/asterdale-testkit/src/proofs/fleet.rs
+++ b/crates/asterdale-testkit/src/proofs/fleet.rs
@@ -77,7 +77,7 @@
     random: Pcg64Mcg,
     interval_ms: f64,
     /// The generation of each name that each member had in its view when last queried, since that member started.
-    highest_held: BTreeMap<(usize, String), u64>,
+    last_seen: BTreeMap<(usize, String), u64>,
     /// The highest generation of each name that was ever seen in a view.
     highest: BTreeMap<String, u64>,
     /// The generation that a restarted member has to exceed, by name.
@@ -121,7 +121,7 @@
                 else {
                     continue;
                 };
-                let held_generation = self.highest_held.entry((n, name.to_owned())).or_default();
+                let held_generation = self.last_seen.entry((n, name.to_owned())).or_default();
                 if generation < *held_generation {
                     eprintln!(
                         "the view of {} went back from generation {held_generation} to {generation} of {name}",
@@ -228,7 +228,7 @@
 
     fn start(&mut self, indices: &[usize]) -> Result<(), String> {
         for &n in indices {
-            self.highest_held.retain(|(holder, _), _| *holder != n);
+            self.last_seen.retain(|(holder, _), _| *holder != n);
             self.fleet.start(n)?;
         }
         Ok(())
@@ -411,7 +411,7 @@
                 self.kill(&all);
                 // No member is left that remembers earlier generations.
                 self.highest.clear();
-                self.highest_held.clear();
+                self.last_seen.clear();
                 self.start(&all)?;
             }
         }
@@ -446,7 +446,7 @@
         fleet,
         random: Pcg64Mcg::seed_from_u64(proof.seed),
         interval_ms: config.interval_ms,
-        highest_held: BTreeMap::new(),
+        last_seen: BTreeMap::new(),
         highest: BTreeMap::new(),
         previous: BTreeMap::new(),
         regressions: 0,
--- a/crates/asterdale-testkit/src/proofs/rotation.rs
+++ b/crates/asterdale-testkit/src/proofs/rotation.rs
@@ -131,8 +131,8 @@
     end: Instant,
 }
 
-fn random_below(random: &mut Pcg64Mcg, of: u32) -> u32 {
-    random.next_u32() % of.max(1)
+fn random_below(random: &mut Pcg64Mcg, bound: u32) -> u32 {
+    random.next_u32() % bound.max(1)
 }
 
 fn random_bytes(random: &mut Pcg64Mcg) -> [u8; 32] {
@@ -173,19 +173,19 @@
 }
 
 fn key_set_of(published: &PublishedSet) -> KeySet {
-    let jwk = |jwk: &SigningKey| PublicJwk {
+    let to_jwk = |key: &SigningKey| PublicJwk {
         kty: "OKP".to_owned(),
         crv: "Ed25519".to_owned(),
-        kid: jwk.id.clone(),
-        public_key: SecretKey::from_seed(jwk.seed, &jwk.id).public_key_text(),
-        from_ms: jwk.from_ms,
-        until_ms: jwk.until_ms.is_finite().then_some(jwk.until_ms),
+        kid: key.id.clone(),
+        public_key: SecretKey::from_seed(key.seed, &key.id).public_key_text(),
+        from_ms: key.from_ms,
+        until_ms: key.until_ms.is_finite().then_some(key.until_ms),
     };
     let to_set = |names: &[String]| names.iter().cloned().collect();
     KeySet {
         seq: published.seq,
         issued_ms: published.issued_ms,
-        keys: published.keys.iter().map(jwk).collect(),
+        keys: published.keys.iter().map(to_jwk).collect(),
         revoked: Revocations {
             tokens: to_set(&published.revoked_tokens),
             subjects: to_set(&published.revoked_subjects),
--- a/crates/asterdale-testkit/src/proofs/takeover.rs
+++ b/crates/asterdale-testkit/src/proofs/takeover.rs
@@ -457,9 +457,7 @@
     for attempt in &history.rejected_attempts {
         let id = &attempt.id;
         match by_id.get(id) {
-            Some((_, _, true)) => {
-                violations.push(format!("{id} ran although it was rejected"))
-            }
+            Some((_, _, true)) => violations.push(format!("{id} ran although it was rejected")),
             // A backend rejects an idempotent request that it gives up on while it runs; it may run again at any time.
             Some((_, _, false)) => pages_rejected_running += 1,
             None => {}
