--- a/crates/asterdale-testkit/src/proofs/keyed_load.rs
+++ b/crates/asterdale-testkit/src/proofs/keyed_load.rs
@@ -149,8 +149,8 @@
             let key = (random.next_u32() % 2 == 0).then(|| self.choose_key(&mut random));
             let (key, first_ms) = key.map_or((None, 0.0), |(key, first_ms)| (Some(key), first_ms));
             let request = self.send_until_answered(key, &mut clients, &mut random);
-            // An answer may be lost between edge node and client, so a third of the requests are repeated after they
-            // were served.
+            // An answer may be lost between edge node and client, so a third of the keyed requests that were served
+            // quickly are repeated.
             if let Some(key) = request
                 .key
                 .clone()
--- a/crates/asterdale-testkit/src/proofs/restarts.rs
+++ b/crates/asterdale-testkit/src/proofs/restarts.rs
@@ -40,7 +40,7 @@
     KillHalf,
     /// All members are killed and restarted.
     KillAll,
-    /// One member is killed again before it can have told others what it restored.
+    /// One member is killed again before it can have notified others of its state.
     KillTwice,
     /// All members are killed, and one restarts with an empty journal directory.
     KillAllLoseDirectory,
@@ -464,7 +464,7 @@
         })
         .collect();
     let began = Instant::now();
-    // Until all but a few recent keyed requests were served: no member is in its quiet period any more.
+    // Whether all but a few recent keyed requests were served: then no member is in its quiet period any more.
     let is_stable = || {
         let history = load.history();
         let recent = history
--- a/crates/asterdale-testkit/src/proofs/takeover.rs
+++ b/crates/asterdale-testkit/src/proofs/takeover.rs
@@ -463,7 +463,7 @@
             None => {}
         }
     }
-    // Only those of owners that were isolated and had no other fault.
+    // Only calls of owners that were isolated and had no other fault count.
     let rejections = records.stale_fence_rejections();
     let overtaken = rejections.iter().filter(|(at, id)| {
         let n = by_id.get(id).map(|(_, n, _)| *n);
@@ -529,7 +529,7 @@
     for n in 0..config.members {
         harness.fleet.wait_until_listening(n)?;
     }
-    // Until then a replica group has formed, and the retry window of a possible earlier group has passed.
+    // After this wait a replica group has formed, and the retry window of a possible earlier group has passed.
     sleep_ms(RETRY_WINDOW_MS + 4 * LEASE_MS);
     let backends = (0..config.members)
         .map(|n| harness.fleet.address(n))
