--- a/crates/asterdale-testkit/src/proofs/rotation.rs
+++ b/crates/asterdale-testkit/src/proofs/rotation.rs
@@ -215,9 +215,9 @@
         }
     }
 
-    fn count(&self, what: &'static str) {
+    fn count(&self, name: &'static str) {
         if let Ok(mut counts) = self.counts.lock() {
-            *counts.entry(what).or_default() += 1;
+            *counts.entry(name).or_default() += 1;
         }
     }
 
--- a/crates/asterdale-testkit/src/proofs/takeover.rs
+++ b/crates/asterdale-testkit/src/proofs/takeover.rs
@@ -449,9 +449,9 @@
                 .or_default() += 1;
             let _ = durations.record(((request.duration_ms * 1e3) as u64).max(1));
         }
-        let at = |quantile| durations.value_at_quantile(quantile) / 1000;
+        let quantile_ms = |quantile| durations.value_at_quantile(quantile) / 1000;
         phases
-            .push(json!({"fault": fault_name, "bids": statuses, "p50": at(0.5), "p99": at(0.99)}));
+            .push(json!({"fault": fault_name, "bids": statuses, "p50": quantile_ms(0.5), "p99": quantile_ms(0.99)}));
     }
     let mut pages_rejected_running = 0;
     for attempt in &history.rejected_attempts {
