--- a/crates/asterdale-daemon/tests/certificates.rs
+++ b/crates/asterdale-daemon/tests/certificates.rs
@@ -1,4 +1,4 @@
-//! The listener for edge nodes that show a certificate, with real handshakes on loopback.
+//! The TLS listener for edge nodes with client certificates, with real handshakes on loopback.
 #![cfg(feature = "tls")]
 
 use std::net::{SocketAddr, TcpStream};
@@ -24,12 +24,12 @@
 
 type Tls = StreamOwned<ClientConnection, TcpStream>;
 
-/// Who signs certificates.
+/// A certificate authority.
 struct Authority {
     issuer: CertifiedIssuer<'static, KeyPair>,
 }
 
-/// A certificate and its key, in PEM.
+/// A certificate and its private key, in PEM.
 struct Pair {
     certificate: String,
     key: String,
@@ -81,7 +81,7 @@
         folder.join(name).display().to_string()
     }
 
-    /// A backend with a listener for the clients of this authority.
+    /// Starts a backend with a TLS listener for clients with certificates of this authority.
     fn new(clients: &Authority) -> Site {
         let (server, at) = (Authority::new(), unused_address());
         let folder =
@@ -112,7 +112,7 @@
                     {"name": "uri:urn:desk:2", "tenant": "south", "roles": ["phone"]},
                     {"name": "uri:urn:desk:3", "tenant": "north", "subject": "bad", "roles": ["phone"]}]});
         });
-        drop(backend.connect()); // it listens: from here on signals are heard
+        drop(backend.connect()); // it listens, so its signal handlers are installed
         backend.runtime.set_ready();
         backend.counters_until(|count| count("links") == 1 && count("keys_adopted") == 1);
         Site {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A connection with this certificate, or with none.
+    /// Opens a connection with this certificate, or with none.
     fn connect(&self, shown: Option<&Pair>) -> EdgeConnection<Tls> {
         let mut roots = RootCertStore::empty();
         roots
@@ -160,7 +160,7 @@
     }
 }
 
-/// Whether a task on this connection gets any answer at all.
+/// Whether a request on this connection gets no answer.
 fn turned_away(edge: &mut EdgeConnection<Tls>) -> bool {
     let bytes = asterdale_testkit::scripted::request(1, "/healthz", &[], b"");
     edge.try_send(&bytes).is_err() || !matches!(edge.try_read_response(), Ok(Some(_)))
@@ -176,7 +176,7 @@
     let result: Vec<u8> = (0..4096u32).map(|n| n as u8).collect();
     site.backend.runtime.send_run_end(ID_A, "PASS", &result);
     assert_eq!(desk.read_response().unwrap().body, result);
-    // The other desk's tenant has no part in it; the first one's repeat has.
+    // The same idempotency key of another tenant is a separate request; the first tenant's retries get the result.
     let mut other = site.connect(Some(&clients.client("urn:desk:2")));
     other.send_task(1, "bid", ID_B, &[KEY]);
     assert_eq!(site.backend.runtime.expect_command("start")["rid"], ID_B);
@@ -186,7 +186,7 @@
         desk.send_task(number, "bid", ID_C, &[KEY]);
         assert_eq!(desk.read_response().unwrap().body, result);
     }
-    // The plain listener asks for a token, as before.
+    // The plain listener still requires a token.
     let mut plain = site.backend.connect();
     plain.send_task(1, "bid", ID_C, &[KEY]);
     assert_eq!(plain.expect_status(1), "401");
@@ -204,13 +204,13 @@
         SanType::URI("urn:desk:1".try_into().unwrap()),
         Duration::ZERO,
     );
-    std::thread::sleep(Duration::from_millis(1100)); // certificates count in seconds
+    std::thread::sleep(Duration::from_millis(1100)); // the validity of certificates is in whole seconds
     assert!(turned_away(&mut site.connect(None)));
     assert!(turned_away(
         &mut site.connect(Some(&others.client("urn:desk:1")))
     ));
     assert!(turned_away(&mut site.connect(Some(&expired))));
-    // Plain bytes, and a handshake that never goes on.
+    // A connection without TLS, and one that never starts the handshake.
     let mut plain = EdgeConnection::new(TcpStream::connect(site.at).unwrap());
     plain.stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     plain.send(&asterdale_testkit::scripted::request(
@@ -223,7 +223,7 @@
     let mut silent = EdgeConnection::new(TcpStream::connect(site.at).unwrap());
     silent.stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     assert!(matches!(silent.try_read_response(), Ok(None)));
-    // A good one whose name nobody knows, and one whose subject is revoked.
+    // A valid certificate with an unknown name, and one whose subject is revoked.
     for (name, status) in [("urn:desk:9", "401"), ("urn:desk:3", "401")] {
         let mut edge = site.connect(Some(&clients.client(name)));
         edge.send_task(1, "page", ID_B, &[]);
@@ -243,7 +243,7 @@
     desk.send_task(1, "page", ID_A, &[]);
     site.backend.runtime.expect_command("start");
     let text = site.backend.edit_start_file(|_| ());
-    // A file that is no certificate changes nothing.
+    // A file that is not a certificate is rejected, and the earlier certificates stay in use.
     std::fs::write(site.folder.join("clients"), "rubbish").unwrap();
     site.backend.reload(&text);
     site.backend
--- a/crates/asterdale-daemon/tests/crowd.rs
+++ b/crates/asterdale-daemon/tests/crowd.rs
@@ -1,4 +1,4 @@
-//! Hundreds of connections, and a system that gives the process no more threads or descriptors.
+//! Hundreds of connections to a daemon that the system allows no more threads or descriptors.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -48,7 +48,7 @@
     line.split_whitespace().next().unwrap().parse().unwrap()
 }
 
-/// Every request has its one answer, and nothing ran twice.
+/// Checks that every request has exactly one answer, and that nothing ran twice.
 fn all_well(crowd: &ConnectionLoad, runs: &HashMap<String, u32>) {
     let seen = &crowd.stats;
     assert_eq!(
@@ -66,7 +66,7 @@
 fn hundreds_of_connections_need_no_thread_and_every_request_gets_its_one_answer() {
     let worker = SimulatedRuntime::start(4, (1, 4)).unwrap();
     let (daemon, at) = start_daemon(&worker, 16 * 1024).unwrap();
-    // Every thread has run, and reserved what its allocator wants.
+    // After this load every thread has run, and its allocator has reserved its memory.
     let mut first = ConnectionLoad::new(LoadConfig {
         duration: Duration::from_millis(500),
         ..order(at, 10, 9)
@@ -74,8 +74,8 @@
     .unwrap();
     first.run(Duration::from_secs(1), |_| true);
     drop(first);
-    // The process may map several times what 600 connections' buffers take, and less than the stacks of as many
-    // threads: as a limit of threads that holds for this process alone.
+    // The address space that is left is several times the buffers of 600 connections and smaller than the stacks of
+    // 600 threads. This serves as a limit on threads that applies to this process alone.
     hold(
         &daemon,
         Resource::As,
@@ -101,7 +101,7 @@
 fn a_refused_descriptor_lets_connections_wait_and_costs_no_request() {
     let worker = SimulatedRuntime::start(4, (1, 4)).unwrap();
     let (daemon, at) = start_daemon(&worker, 16 * 1024).unwrap();
-    // Room for twenty connections beside what the process has open; forty come.
+    // There are descriptors for 20 connections beside those that the process has open; the load opens 40.
     let open = daemon.thread_and_descriptor_counts().1 as u64;
     hold(&daemon, Resource::Nofile, open + 20);
     let mut crowd = ConnectionLoad::new(order(at, 40, 2)).unwrap();
@@ -114,9 +114,9 @@
         .log()
         .iter()
         .any(|line| line.contains("frontend: accept paused")));
-    // Those that waited were taken as quiet ones gave way: nothing was lost on either.
+    // Waiting connections were accepted as idle ones were closed, and no request was lost on either.
     all_well(&crowd, &worker.runs());
-    // Where there are enough again, none gives way.
+    // 10 connections need no more descriptors than there are: none has to be closed.
     drop(crowd);
     let mut after = ConnectionLoad::new(order(at, 10, 3)).unwrap();
     after.run(Duration::from_secs(1), |_| true);
--- a/crates/asterdale-daemon/tests/identity.rs
+++ b/crates/asterdale-daemon/tests/identity.rs
@@ -65,7 +65,8 @@
     token(n, tenant, |_| ())
 }
 
-/// A backend that authenticates callers, with key sets of this issuer; it may not be up yet after `change`.
+/// Starts a backend that authenticates callers with key sets of this issuer. Its runtime is not ready yet; `change` may
+/// edit the start file.
 fn backend(issuer: &Issuer, change: impl FnOnce(&mut Value)) -> Backend {
     let backend = Backend::start_before_runtime(|config| {
         config["settings"]["tenants"] = json!([{}, {}]);
@@ -78,7 +79,7 @@
                 {"name": "south", "customer": 1, "roles": ["phone"]}]});
         change(config);
     });
-    drop(backend.connect()); // it listens: from here on signals are heard
+    drop(backend.connect()); // it listens, so its signal handlers are installed
     backend
 }
 
@@ -191,7 +192,7 @@
         ("403", "forbidden")
     );
     assert_eq!(backend.runtime.try_next_command(), None);
-    // None of them became a task: the decisions have seen two.
+    // None of them was accepted: only the first two requests reached the policies.
     backend.counters_until(|count| {
         count("tasks_taken") == 2
             && count("callers_unknown") == 11
@@ -539,7 +540,7 @@
         )),
         ("401", "unknown")
     );
-    // A malformed one leaves the last one in force.
+    // A malformed key set is rejected, and the last one stays in use.
     std::fs::write(&file, "rubbish").unwrap();
     backend.reload(&same);
     backend.counters_until(|count| count("keys_refused") == 1);
--- a/crates/asterdale-daemon/tests/journal.rs
+++ b/crates/asterdale-daemon/tests/journal.rs
@@ -1,5 +1,5 @@
-//! What lasts over a crash, on real sockets: one process with a folder, killed and started anew among stand-ins that follow a
-//! script. Many processes and chance are the proof `restarts`.
+//! What a daemon with a journal directory knows after a crash: one process is killed and restarted among scripted
+//! stand-ins. The proof `restarts` covers many processes and random faults.
 #![cfg(all(feature = "journal", feature = "tools"))]
 
 use std::path::{Path, PathBuf};
@@ -12,7 +12,8 @@
 
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 const OTHER: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "77777777777777777777777777777777");
-/// Windows, and the longest that a task may lie unread; an empty folder is quiet for both together.
+/// The retry window, and the deadline, which is the longest that a request may remain unread. With an empty journal
+/// directory no keyed request is started for the sum of both.
 const RETRY_WINDOW_MS: u64 = 2000;
 const LIMIT_MS: u64 = 1000;
 
@@ -23,7 +24,7 @@
     folder
 }
 
-/// A backend with this folder, whose runtime is up.
+/// A backend with this journal directory, whose runtime is ready.
 fn backend(folder: &Path) -> Backend {
     let backend = Backend::start_before_runtime(|config| {
         config["journal"] = json!({"folder": folder, "disk_mb": 16});
@@ -37,7 +38,7 @@
     backend
 }
 
-/// The command line's word on a folder: its exit code, and its lines.
+/// Runs a subcommand of `asterdale journal` on a directory; returns its exit code and its output lines.
 fn asked(word: &str, folder: &Path) -> (i32, Vec<Value>) {
     let asked = Command::new(env!("CARGO_BIN_EXE_asterdale"))
         .arg("journal")
@@ -74,7 +75,7 @@
     let folder = folder("crash");
     let mut backend = backend(&folder);
     let mut edge = backend.connect();
-    // An empty folder may be one that was lost: nobody hears that it never ran, and nothing with a key runs.
+    // An empty directory may be a lost one: no answer says that a request never ran, and no keyed request runs.
     edge.send_task(1, "bid", "00000000000000a0", &[KEY]);
     let answer = edge.read_response().unwrap();
     assert_eq!(answer.status(), "500");
@@ -150,7 +151,7 @@
         (0, &json!(2), &json!(1), &json!(1))
     );
 
-    // Once the window is over the key is anybody's.
+    // After the retry window the idempotency key can be used again.
     thread::sleep(Duration::from_millis(RETRY_WINDOW_MS + LIMIT_MS + 300));
     edge.send_task(3, "bid", "00000000000000a6", &[OTHER]);
     assert_eq!(
--- a/crates/asterdale-daemon/tests/proofs.rs
+++ b/crates/asterdale-daemon/tests/proofs.rs
@@ -1,10 +1,10 @@
-//! The proofs in their short form. Their long runs, with other seeds, are the rig's.
+//! Short runs of the proofs. The test kit's command line runs them for longer and with other seeds.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use asterdale_testkit::proofs::{fleet, restarts, rotation, upgrade, ProofConfig};
 
-/// One at a time: each starts many processes, and none is to be judged by what another takes from the machine.
+/// Serializes the proofs: each starts many processes, and the load of one must not change the result of another.
 static ONE: Mutex<()> = Mutex::new(());
 
 fn one() -> MutexGuard<'static, ()> {
--- a/crates/asterdale-daemon/tests/registry.rs
+++ b/crates/asterdale-daemon/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry's actor against registries that accept and stay silent.
+//! Reports to registries that accept connections and do not answer.
 
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,13 +8,13 @@
 use asterdale_testkit::scripted::{wait_until, Backend, WAIT_TIMEOUT};
 use serde_json::json;
 
-/// A report that was read whole and is not answered yet.
+/// A report that was read completely and is not answered yet.
 struct Report {
     stream: TcpStream,
     body: String,
 }
 
-/// A registry that hands its reports to the test, unanswered.
+/// Starts a registry that passes its reports to the test unanswered.
 fn registry() -> (SocketAddr, Receiver<Report>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -33,7 +33,7 @@
 }
 
 impl Report {
-    /// Whether the backend has closed it: nothing else comes over it.
+    /// Whether the backend has closed the connection, over which it sends nothing else.
     fn is_closed(&self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let read = (&self.stream).read(&mut [0; 1]);
@@ -63,7 +63,8 @@
     let (there, here) = (registry(), registry());
     let mut backend = Backend::start_before_runtime(|config| config["registry"] = json!(there.0));
     there.1.recv_timeout(WAIT_TIMEOUT).expect("no report came");
-    // More moves than any mailbox of a few places takes while a report stands.
+    // More address changes than a mailbox with a few slots holds while a report is unanswered. The command to report
+    // draining must not be lost behind them.
     for n in 1..=40 {
         let at = if n % 2 == 1 { here.0 } else { there.0 };
         let text = backend.edit_start_file(|config| config["registry"] = json!(at));
--- a/crates/asterdale-daemon/tests/runtime.rs
+++ b/crates/asterdale-daemon/tests/runtime.rs
@@ -1,4 +1,4 @@
-//! The link to the runtime where it says what it should not, or is another one than before.
+//! The link to a runtime that sends invalid numbers, is replaced, or is not ready yet.
 
 use asterdale_testkit::scripted::{wait_until, Backend};
 use serde_json::json;
@@ -30,7 +30,7 @@
     assert_eq!(edge.read_response().unwrap().body, b"first");
     edge.send_task(2, "page", ID_B, &[]);
     backend.runtime.expect_command("start");
-    // Up for less long than the one before had been, with nothing of its work; its notices are numbered from 1.
+    // The new runtime has a shorter uptime than the old one and none of its runs; its notices are numbered from 1.
     backend.runtime.replace_runtime();
     assert_eq!(edge.expect_status(2), "500");
     edge.send_task(3, "page", ID_C, &[]);
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The program on real sockets, among stand-ins for all that it talks to.
+//! The daemon on real sockets, with stand-ins for the services that it communicates with.
 
 use std::io::Write;
 use std::net::{Shutdown, TcpListener};
@@ -15,7 +15,7 @@
 const ID_C: &str = "00000000000000cc";
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 
-/// A backend, and an edge node's connection on which task A of this stage is open and runs.
+/// A backend, and an edge node's connection with the running request A of this request class.
 fn running(stage: &str) -> (Backend, EdgeConnection) {
     let backend = Backend::start();
     let mut edge = backend.connect();
@@ -84,7 +84,7 @@
     let (mut edge, mut other) = (backend.connect(), backend.connect());
     edge.send_task(1, "bid", ID_A, &[KEY]);
     backend.runtime.expect_command("start");
-    // One that comes while it runs, and one after it ended.
+    // One retry arrives while the request runs, and one after it has ended.
     other.send_task(1, "bid", ID_B, &[KEY]);
     backend.counters_until(|count| count("tasks_taken") == 2);
     backend.runtime.send_run_end(ID_A, "PASS", b"sold");
@@ -156,13 +156,13 @@
     backend.counters_until(|count| count("links") == 2 && count("reloads") == 1);
     backend.runtime.send_call_request(ID_A, b"need");
     backend.records.next_call().reply("200 OK", b"one");
-    // Had the start gone out again it would have come first.
+    // A start that was sent again would have arrived first.
     assert_eq!(backend.runtime.expect_command("give")["rid"], ID_A);
     backend.runtime.send_run_end(ID_A, "PASS", b"sold");
     assert_eq!(edge.read_response().unwrap().body, b"sold");
     backend.reports.recv_timeout(WAIT_TIMEOUT).unwrap();
     assert_eq!(before.try_next_command(), None);
-    // One that makes no sense changes nothing.
+    // An invalid start file changes nothing.
     backend.reload("{\"runtime\": 5}");
     backend.counters_until(|count| count("reloads_failed") == 1);
     edge.send_task(2, "page", ID_B, &[]);
@@ -228,7 +228,7 @@
     backend.runtime.send_call_request(ID_A, b"need");
     backend.counters_until(|count| count("calls_failed") >= 2);
     let listener = TcpListener::bind(at).unwrap();
-    listener.accept().unwrap(); // it is there again, and the call is made
+    listener.accept().unwrap(); // the service listens now, and the call is made
 }
 
 #[test]
@@ -328,12 +328,12 @@
         1,
         &[0, 1, 1, 0, 0, 0, 0, 0],
     ));
-    // A key that is known, with another body: its result is not for this one.
+    // A known idempotency key with another body: the result belongs to another request.
     let start = unix_ms_text();
     let other = scripted::task_fields(ID_B, &start, &[KEY]);
     again.send(&request(1, "/v1/bid", &other, b"other"));
     assert_eq!(again.expect_status(1), "400");
-    // The same again the moment it is turned away.
+    // A client that sends the same request again as soon as it is rejected.
     let mut endless = backend.connect();
     let mut asked = 0;
     loop {
@@ -346,7 +346,7 @@
         }
     }
     assert!((3..=16).contains(&asked), "{asked}");
-    // A body that is too long is answered before its end.
+    // A request whose body is too long is answered before the end of the body.
     let mut long = backend.connect();
     let bytes = request(
         1,
@@ -391,7 +391,7 @@
         once.send(&request(1, "/healthz", &[], b""));
         assert_eq!(once.expect_status(1), "200");
     }
-    // 32 of 256 descriptors; the one with something open is none of them.
+    // At most 32 idle connections with 256 descriptors; the connection with the open request is not idle.
     backend.counters_until(|count| {
         count("connections_given_up") >= 48 && count("connections_open") <= 33
     });
@@ -408,7 +408,7 @@
     let mut edge = backend.connect();
     backend.signal("-TERM");
     wait_until("the notice", || backend.log().contains("engine: draining"));
-    std::thread::sleep(std::time::Duration::from_millis(750)); // the way out is 300 ms of the second
+    std::thread::sleep(std::time::Duration::from_millis(750)); // 300 ms of the second are the close allowance
     edge.send_task(1, "page", ID_A, &[]);
     assert_eq!(edge.expect_status(1), "503");
     assert_eq!(backend.runtime.try_next_command(), None);
@@ -425,7 +425,7 @@
     ));
     let answer = edge.read_response().unwrap();
     assert_eq!((answer.request, answer.protocol_status), (9, 3));
-    edge.send(&record(77, 4, b"of no request")); // passed over
+    edge.send(&record(77, 4, b"of no request")); // skipped
     edge.send_task(1, "page", ID_A, &[]);
     backend.runtime.expect_command("start");
     backend.runtime.send_run_end(ID_A, "PASS", b"");
@@ -444,7 +444,7 @@
     }
     let answer = edge.read_response().unwrap();
     assert_eq!((answer.request, answer.protocol_status), (33, 2));
-    // Whoever opens the next one as soon as it has an answer is never one too many.
+    // A client that opens the next request as soon as it has an answer never exceeds the limit.
     for n in 1..=2000u16 {
         let command = backend.runtime.expect_command("start");
         let id = command["rid"].as_str().unwrap();
@@ -544,10 +544,10 @@
 fn a_line_that_can_not_be_read_makes_the_link_anew() {
     let backend = Backend::start();
     let bad = "{\"t\":\"end\",\"no\":\"many\"}";
-    // On a young link it would come again with each new one: it is passed over.
+    // On a new link the line is skipped, because it would be received again on each further link.
     backend.runtime.send_line(bad);
     backend.counters_until(|count| count("links") == 1 && count("runtime_lines_malformed") == 1);
-    std::thread::sleep(std::time::Duration::from_millis(1100)); // until the link is not young any more
+    std::thread::sleep(std::time::Duration::from_millis(1100)); // a link counts as new for 1 s
     backend.runtime.send_line(bad);
     backend.counters_until(|count| count("links") == 2 && count("runtime_lines_malformed") == 2);
     let mut edge = backend.connect();
@@ -603,8 +603,8 @@
     backend.runtime.expect_command("start");
     backend.signal("-TERM");
     wait_until("the notice", || backend.log().contains("engine: draining"));
-    // What comes after the grace is rejected; what runs may end; what never ends is abandoned in time.
-    std::thread::sleep(std::time::Duration::from_millis(5)); // stamps are whole milliseconds
+    // A request after the grace period is rejected, running ones may end, and one that does not end fails in time.
+    std::thread::sleep(std::time::Duration::from_millis(5)); // request start times are whole milliseconds
     edge.send_task(3, "page", ID_C, &[]);
     assert_eq!(edge.expect_status(3), "503");
     backend.runtime.send_run_end(ID_A, "PASS", b"in time");
--- a/crates/asterdale-daemon/tests/takeover.rs
+++ b/crates/asterdale-daemon/tests/takeover.rs
@@ -1,11 +1,12 @@
-//! The proof of takeover in its short form, beside no other: nine processes want the machine for themselves.
+//! Short runs of the takeover proof, in a test binary of their own: nine processes must not share the machine with other
+//! tests.
 #![cfg(feature = "fleet")]
 
 use std::sync::{Mutex, PoisonError};
 
 use asterdale_testkit::proofs::{takeover, ProofConfig};
 
-/// One at a time.
+/// Serializes the proofs.
 static ONE: Mutex<()> = Mutex::new(());
 
 #[test]
--- a/crates/asterdale-daemon/tests/tenants.rs
+++ b/crates/asterdale-daemon/tests/tenants.rs
@@ -1,4 +1,5 @@
-//! What one tenant sends never meets another's, and a connection that brings management records keeps its requests.
+//! Requests of one tenant never get results of another, and management records on a connection do not affect its
+//! requests.
 
 use asterdale_fastcgi::record_type;
 use asterdale_testkit::scripted::{record, Backend, EdgeConnection, WAIT_TIMEOUT};
@@ -31,7 +32,7 @@
             "{tenant}"
         );
     }
-    // Repeats of each, while all run: each gets its own tenant's result.
+    // A retry of each while all run; each gets the result of its own tenant.
     for (number, tenant) in (11u16..).zip(TENANTS) {
         edge.send_task(
             number,
@@ -61,8 +62,8 @@
     assert_eq!(backend.runtime.try_next_command(), None);
 }
 
-/// Interleaved requests of several tenants on several connections, with numbers used again: each gets the result
-/// of its own run.
+/// Requests of several tenants are interleaved on several connections that reuse their request numbers; each must get
+/// the result of its own run.
 #[test]
 fn interleaved_requests_of_several_tenants_never_get_each_others_results() {
     let backend = backend();
@@ -120,7 +121,7 @@
     let mut edge = backend.connect();
     edge.stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     for number in 1..=20u16 {
-        // FCGI_GET_VALUES, of no variable.
+        // FCGI_GET_VALUES without variables.
         edge.send(&record(record_type::GET_VALUES, 0, &[]));
         let id = format!("{number:016x}");
         edge.send_task(number, "page", &id, &[]);
@@ -131,7 +132,7 @@
     }
 }
 
-/// The number of the next answer to a request; replies to management records are read over.
+/// The number of the next answer to a request; replies to management records are skipped.
 fn next_answer(edge: &mut EdgeConnection) -> u16 {
     loop {
         match edge.try_read_response() {
--- a/crates/asterdale-daemon/tests/upgrade.rs
+++ b/crates/asterdale-daemon/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! Hot restarts that fail, one by one: the test plays the new process's part of the protocol. The proof `upgrade` has those
-//! that succeed, and crashes under load.
+//! Hot restarts that fail, one by one: the test takes the new process's part of the protocol. The proof `upgrade` covers
+//! those that succeed, and crashes under load.
 #![cfg(feature = "upgrade")]
 
 use std::os::unix::fs::PermissionsExt;
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Plays the protocol until it has the state, and has yet to confirm it. The epoch of the state.
+    /// Runs the protocol until the state is received and only its confirmation is missing; returns the state's epoch.
     fn receive_state(&mut self, nonce: &[u8]) -> u64 {
         self.send_hello(nonce, asterdale_hot_restart::VERSION);
         assert!(matches!(self.receive(), Some(Payload::Listeners(_))));
@@ -257,7 +257,7 @@
         .send_run_end("00000000000000cc", "PASS", b"late");
     assert_eq!(other.read_response().unwrap().body, b"late");
     site.assert_old_process_serves(asked, "too long");
-    // Its confirmation would come too late: the connection is closed.
+    // The new process's confirmation would be too late: the connection is closed.
     assert_eq!(scripted.receive(), None);
 }
 
@@ -337,7 +337,7 @@
         );
         std::fs::write(&path, text).unwrap();
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).unwrap();
-        // Later it would serve and accept no connections.
+        // Undetected, the new process would later serve and accept no connections.
         let output = site.request_upgrade(&path).wait_with_output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
         assert!(
@@ -413,7 +413,7 @@
     number.split(',').next().unwrap().trim().parse().unwrap()
 }
 
-/// The summary of the state in the first line of the log with these words.
+/// The summary of the state in the first line of the log with this event.
 fn summary(log: &str, event: &str) -> String {
     let line = log
         .lines()
@@ -440,7 +440,7 @@
     }
     edge.send_task(50, "bid", ID_A, &[KEY]);
     site.backend.runtime.expect_command("start");
-    // The signal upgrades to the program that runs.
+    // SIGUSR2 starts a hot restart to the same program.
     site.backend.signal("-USR2");
     wait_until("the new process", || {
         let log = site.backend.log();
@@ -473,12 +473,13 @@
     other.send_task(1, "bid", ID_B, &[KEY]);
     assert_eq!(other.read_response().unwrap().body, b"sold");
     assert_eq!(site.backend.runtime.try_next_command(), None);
-    // When the new process is killed the old one takes over again, and knows what had run.
+    // When the new process is killed, the old one takes the work back and knows which requests ran.
     let late = ("HTTP_IDEMPOTENCY_KEY", "late");
     other.send_task(2, "bid", "00000000000000cc", &[late]);
     site.backend.runtime.expect_command("start");
     asterdale_testkit::proofs::upgrade::signal(new, "KILL");
-    // Its connections break. Over the old process's, one of which this may be, the response promises nothing.
+    // The new process's connections break. If this one is the old process's, a response comes that does not say whether
+    // the request ran.
     let end = other.read_response();
     assert!(
         end.as_ref().is_none_or(|answer| answer.status() == "500"),
