--- a/crates/asterdale-daemon/tests/certificates.rs
+++ b/crates/asterdale-daemon/tests/certificates.rs
@@ -288,7 +288,7 @@
     desk.send_task(1, "page", ID_A, &[]);
     site.backend.runtime.expect_command("start");
     site.backend.signal("-TERM");
-    wait_until("the notice", || {
+    wait_until("the start of draining", || {
         site.backend.log().contains("engine: draining")
     });
     site.backend.runtime.send_run_end(ID_A, "PASS", b"in time");
--- a/crates/asterdale-daemon/tests/identity.rs
+++ b/crates/asterdale-daemon/tests/identity.rs
@@ -399,7 +399,7 @@
     issuer.set_behavior(Behavior::Down);
     let other = [authorization(&good), ("HTTP_IDEMPOTENCY_KEY", "other")];
     let mut number = 2;
-    wait_until("the set to grow old", || {
+    wait_until("the expiry of the key set", || {
         number += 1;
         let answer = request(&mut edge, number, "bid", ID_B, &[authorization(&good), KEY]);
         assert!(answer.status() == "500" || answer.body == b"sold");
@@ -628,7 +628,7 @@
             &[authorization(&clerk)]
         )),
         ("429", "over"),
-        "its place is taken"
+        "the only concurrency permit is in use"
     );
     assert_eq!(
         request(&mut edge, 3, "bid", ID_C, &[authorization(&north), KEY]).body,
--- a/crates/asterdale-daemon/tests/journal.rs
+++ b/crates/asterdale-daemon/tests/journal.rs
@@ -103,9 +103,13 @@
     assert_eq!(
         stage_of("00000000000000a2", &folder),
         Some(json!("intent")),
-        "before its start goes out"
+        "the intent is written before the start is sent"
+    );
+    assert_eq!(
+        asked("check", &folder).0,
+        0,
+        "the check passes while the process serves"
     );
-    assert_eq!(asked("check", &folder).0, 0, "while the process serves");
     backend
         .runtime
         .send_run_end("00000000000000a2", "PASS", b"sold");
@@ -113,14 +117,14 @@
     assert_eq!(
         stage_of("00000000000000a2", &folder),
         Some(json!("passed")),
-        "before its answer"
+        "the outcome is written before the answer is sent"
     );
 
     edge.send_task(4, "bid", "00000000000000a3", &[OTHER]);
     backend.runtime.expect_command("start");
     backend.kill_and_restart();
     let mut edge = backend.connect();
-    wait_until("its word on the folder", || {
+    wait_until("the recovery check", || {
         backend
             .log()
             .contains("the folder is what the last run left")
@@ -138,7 +142,7 @@
     assert_eq!(
         backend.runtime.try_next_command(),
         None,
-        "neither runs again"
+        "neither request runs again"
     );
     let (code, stats) = asked("stats", &folder);
     assert_eq!(
@@ -170,13 +174,17 @@
 #[test]
 fn what_cannot_be_read_is_told_by_its_exit_code() {
     let folder = folder("unreadable");
-    assert_eq!(asked("check", &folder).0, 2, "no such folder");
+    assert_eq!(
+        asked("check", &folder).0,
+        2,
+        "a directory that does not exist"
+    );
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("state.redb"), vec![7; 8192]).unwrap();
     assert_eq!(
         asked("check", &folder).0,
         2,
-        "no such file as the program writes"
+        "a file that the program cannot have written"
     );
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/crates/asterdale-daemon/tests/registry.rs
+++ b/crates/asterdale-daemon/tests/registry.rs
@@ -55,7 +55,7 @@
         .write_all(b"HTTP/1.1 204 No Content\r\n\r\n")
         .unwrap();
     backend.counters_until(|count| count("reports") == 1 && count("reports_failed") == 0);
-    wait_until("the end of the first", || silent.is_closed());
+    wait_until("the first report's end", || silent.is_closed());
 }
 
 #[test]
--- a/crates/asterdale-daemon/tests/runtime.rs
+++ b/crates/asterdale-daemon/tests/runtime.rs
@@ -44,7 +44,7 @@
     let backend = Backend::start_before_runtime(|_| ());
     let mut edge = backend.connect();
     edge.send_task(1, "page", ID_A, &[]);
-    wait_until("the start", || {
+    wait_until("the start of the server", || {
         backend.log().contains("engine: server started")
     });
     assert!(
@@ -53,7 +53,7 @@
         backend.log()
     );
     backend.runtime.set_ready();
-    wait_until("the runtime's word", || {
+    wait_until("the runtime's report", || {
         backend.log().contains("engine: runtime started")
     });
     assert!(
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -407,7 +407,7 @@
     backend.runtime.set_ready();
     let mut edge = backend.connect();
     backend.signal("-TERM");
-    wait_until("the notice", || backend.log().contains("engine: draining"));
+    wait_until("draining", || backend.log().contains("engine: draining"));
     std::thread::sleep(std::time::Duration::from_millis(750)); // 300 ms of the second are the close allowance
     edge.send_task(1, "page", ID_A, &[]);
     assert_eq!(edge.expect_status(1), "503");
@@ -463,7 +463,7 @@
         assert_eq!(edge.expect_status(1), "200");
     }
     backend.signal("-TERM");
-    wait_until("bad health", || {
+    wait_until("a failing health check", || {
         edge.send(&request(2, "/healthz", &[], b""));
         edge.expect_status(2) == "503"
     });
@@ -479,7 +479,7 @@
         );
     }
     backend.signal("-TERM");
-    wait_until("draining", || {
+    wait_until("the report of draining", || {
         backend.reports.recv_timeout(WAIT_TIMEOUT).unwrap() == r#"{"state":"draining"}"#
     });
 }
@@ -513,7 +513,7 @@
     let backend = Backend::start();
     let mut edge = backend.connect();
     backend.runtime.break_link(|_| {
-        wait_until("the break", || {
+        wait_until("the link failure", || {
             backend.log().contains("runtime: link failed")
         });
         edge.send_task(1, "bid", ID_A, &[KEY]);
@@ -602,7 +602,7 @@
     backend.runtime.expect_command("start");
     backend.runtime.expect_command("start");
     backend.signal("-TERM");
-    wait_until("the notice", || backend.log().contains("engine: draining"));
+    wait_until("draining", || backend.log().contains("engine: draining"));
     // A request after the grace period is rejected, running ones may end, and one that does not end fails in time.
     std::thread::sleep(std::time::Duration::from_millis(5)); // request start times are whole milliseconds
     edge.send_task(3, "page", ID_C, &[]);
@@ -680,7 +680,7 @@
         let at: std::net::SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
         holder = Some(TcpListener::bind(at).unwrap());
     });
-    wait_until("the word of it", || {
+    wait_until("the log line", || {
         backend
             .log()
             .contains("frontend: the address is still in use")
--- a/crates/asterdale-daemon/tests/tenants.rs
+++ b/crates/asterdale-daemon/tests/tenants.rs
@@ -97,7 +97,7 @@
             let (.., tenant) = open
                 .iter()
                 .find(|(_, _, known, _)| known == id)
-                .expect("of this round");
+                .expect("a request of this round");
             backend
                 .runtime
                 .send_run_end(id, "PASS", format!("{id} {tenant}").as_bytes());
--- a/crates/asterdale-daemon/tests/upgrade.rs
+++ b/crates/asterdale-daemon/tests/upgrade.rs
@@ -485,7 +485,7 @@
         end.as_ref().is_none_or(|answer| answer.status() == "500"),
         "{end:?}"
     );
-    wait_until("the way back", || {
+    wait_until("the old process to take the work back", || {
         site.backend
             .log()
             .contains("hot restart: new process ended, work taken back")
