--- a/crates/asterdale-daemon/tests/certificates.rs
+++ b/crates/asterdale-daemon/tests/certificates.rs
@@ -30,7 +30,7 @@
 }
 
 /// A certificate and its private key, in PEM.
-struct Pair {
+struct CertificateAndKey {
     certificate: String,
     key: String,
 }
@@ -47,94 +47,100 @@
         self.issuer.pem()
     }
 
-    fn signs(&self, name: SanType, lives: Duration) -> Pair {
+    fn sign(&self, name: SanType, lifetime: Duration) -> CertificateAndKey {
         let mut params = CertificateParams::new(Vec::new()).unwrap();
         params.subject_alt_names.push(name);
         let now = SystemTime::now();
         params.not_before = (now - Duration::from_secs(60)).into();
-        params.not_after = (now + lives).into();
+        params.not_after = (now + lifetime).into();
         let key = KeyPair::generate().unwrap();
         let signed = params.signed_by(&key, &self.issuer).unwrap();
-        Pair {
+        CertificateAndKey {
             certificate: signed.pem(),
             key: key.serialize_pem(),
         }
     }
 
-    fn client(&self, name: &str) -> Pair {
-        self.signs(
-            SanType::URI(name.try_into().unwrap()),
+    fn client_certificate(&self, uri: &str) -> CertificateAndKey {
+        self.sign(
+            SanType::URI(uri.try_into().unwrap()),
             Duration::from_secs(3600),
         )
     }
 }
 
-struct Site {
-    server: Authority,
+struct TestSite {
+    server_authority: Authority,
     folder: PathBuf,
-    at: SocketAddr,
+    tls_address: SocketAddr,
     backend: Backend,
 }
 
-impl Site {
+impl TestSite {
     fn path(folder: &std::path::Path, name: &str) -> String {
         folder.join(name).display().to_string()
     }
 
     /// Starts a backend with a TLS listener for clients with certificates of this authority.
-    fn new(clients: &Authority) -> Site {
-        let (server, at) = (Authority::new(), unused_address());
-        let folder =
-            std::env::temp_dir().join(format!("asterdale-tls-{}-{}", std::process::id(), at.ip()));
+    fn new(clients: &Authority) -> TestSite {
+        let (server_authority, tls_address) = (Authority::new(), unused_address());
+        let folder = std::env::temp_dir().join(format!(
+            "asterdale-tls-{}-{}",
+            std::process::id(),
+            tls_address.ip()
+        ));
         std::fs::create_dir_all(&folder).unwrap();
-        let own = server.signs(SanType::IpAddress(at.ip()), Duration::from_secs(3600));
+        let certificate = server_authority.sign(
+            SanType::IpAddress(tls_address.ip()),
+            Duration::from_secs(3600),
+        );
         let root = SecretKey::from_seed([99; 32], "root");
         let head = json!({"alg": "EdDSA", "kid": "root", "typ": asterdale_identity::keyring::KEY_SET_TYPE});
         let set = json!({"seq": 1, "issued_ms": unix_ms(), "keys": [], "revoked": {"subjects": ["north/bad"]}});
         for (name, text) in [
-            ("own", &own.certificate),
-            ("key", &own.key),
+            ("own", &certificate.certificate),
+            ("key", &certificate.key),
             ("clients", &clients.pem()),
             ("set", &sign_jws(&root, &head, &set)),
         ] {
             std::fs::write(folder.join(name), text).unwrap();
         }
         let backend = Backend::start_before_runtime(|config| {
-            let path = |name| Site::path(&folder, name);
-            config["tls"] = json!({"listen": at, "certificate": path("own"), "key": path("key"),
+            let path = |name| TestSite::path(&folder, name);
+            config["tls"] = json!({"listen": tls_address, "certificate": path("own"), "key": path("key"),
                 "clients": path("clients")});
             let roles = json!([{"name": "phone", "stages": ["bid", "page"]}]);
             config["identity"] = json!({"issuer": "i", "audience": "a", "roots": [root.public_key_text()],
                 "keys": {"file": path("set")}, "roles": roles,
                 "tenants": [{"name": "north", "roles": ["phone"]}, {"name": "south", "roles": ["phone"]}],
                 "certificates": [
-                    {"name": "uri:urn:desk:1", "tenant": "north", "roles": ["phone"]},
-                    {"name": "uri:urn:desk:2", "tenant": "south", "roles": ["phone"]},
-                    {"name": "uri:urn:desk:3", "tenant": "north", "subject": "bad", "roles": ["phone"]}]});
+                    {"name": "uri:urn:edge-node:1", "tenant": "north", "roles": ["phone"]},
+                    {"name": "uri:urn:edge-node:2", "tenant": "south", "roles": ["phone"]},
+                    {"name": "uri:urn:edge-node:3", "tenant": "north", "subject": "bad", "roles": ["phone"]}]});
         });
         drop(backend.connect()); // it listens, so its signal handlers are installed
         backend.runtime.set_ready();
         backend.counters_until(|count| count("links") == 1 && count("keys_adopted") == 1);
-        Site {
-            server,
+        TestSite {
+            server_authority,
             folder,
-            at,
+            tls_address,
             backend,
         }
     }
 
     /// Opens a connection with this certificate, or with none.
-    fn connect(&self, shown: Option<&Pair>) -> EdgeConnection<Tls> {
+    fn connect(&self, client: Option<&CertificateAndKey>) -> EdgeConnection<Tls> {
         let mut roots = RootCertStore::empty();
         roots
-            .add(CertificateDer::from_pem_slice(self.server.pem().as_bytes()).unwrap())
+            .add(CertificateDer::from_pem_slice(self.server_authority.pem().as_bytes()).unwrap())
             .unwrap();
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let builder = ClientConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
             .unwrap()
             .with_root_certificates(roots);
-        let with = match shown {
+        let config = match client {
             None => builder.with_no_client_auth(),
             Some(pair) => {
                 let certificate =
@@ -145,46 +151,48 @@
                     .unwrap()
             }
         };
-        let session =
-            ClientConnection::new(Arc::new(with), ServerName::IpAddress(self.at.ip().into()))
-                .unwrap();
-        let stream = TcpStream::connect(self.at).unwrap();
+        let session = ClientConnection::new(
+            Arc::new(config),
+            ServerName::IpAddress(self.tls_address.ip().into()),
+        )
+        .unwrap();
+        let stream = TcpStream::connect(self.tls_address).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         EdgeConnection::new(StreamOwned::new(session, stream))
     }
 }
 
-impl Drop for Site {
+impl Drop for TestSite {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 /// Whether a request on this connection gets no answer.
-fn turned_away(edge: &mut EdgeConnection<Tls>) -> bool {
+fn is_rejected(edge: &mut EdgeConnection<Tls>) -> bool {
     let bytes = asterdale_testkit::scripted::request(1, "/healthz", &[], b"");
     edge.try_send(&bytes).is_err() || !matches!(edge.try_read_response(), Ok(Some(_)))
 }
 
 #[test]
-fn a_certificate_speaks_for_its_tenant_and_results_of_any_size_come_whole() {
+fn a_client_certificate_identifies_its_tenant_and_large_results_arrive_complete() {
     let clients = Authority::new();
-    let site = Site::new(&clients);
-    let mut desk = site.connect(Some(&clients.client("urn:desk:1")));
-    desk.send_task(1, "bid", ID_A, &[KEY]);
+    let site = TestSite::new(&clients);
+    let mut edge_node = site.connect(Some(&clients.client_certificate("urn:edge-node:1")));
+    edge_node.send_task(1, "bid", ID_A, &[KEY]);
     assert_eq!(site.backend.runtime.expect_command("start")["rid"], ID_A);
     let result: Vec<u8> = (0..4096u32).map(|n| n as u8).collect();
     site.backend.runtime.send_run_end(ID_A, "PASS", &result);
-    assert_eq!(desk.read_response().unwrap().body, result);
+    assert_eq!(edge_node.read_response().unwrap().body, result);
     // The same idempotency key of another tenant is a separate request; the first tenant's retries get the result.
-    let mut other = site.connect(Some(&clients.client("urn:desk:2")));
+    let mut other = site.connect(Some(&clients.client_certificate("urn:edge-node:2")));
     other.send_task(1, "bid", ID_B, &[KEY]);
     assert_eq!(site.backend.runtime.expect_command("start")["rid"], ID_B);
     site.backend.runtime.send_run_end(ID_B, "PASS", b"other");
     assert_eq!(other.read_response().unwrap().body, b"other");
     for number in 2..200 {
-        desk.send_task(number, "bid", ID_C, &[KEY]);
-        assert_eq!(desk.read_response().unwrap().body, result);
+        edge_node.send_task(number, "bid", ID_C, &[KEY]);
+        assert_eq!(edge_node.read_response().unwrap().body, result);
     }
     // The plain listener still requires a token.
     let mut plain = site.backend.connect();
@@ -194,24 +202,24 @@
 }
 
 #[test]
-fn whoever_shows_no_good_certificate_gets_nowhere_and_costs_the_others_nothing() {
+fn connections_without_a_valid_certificate_are_rejected_and_do_not_affect_others() {
     let (clients, others) = (Authority::new(), Authority::new());
-    let site = Site::new(&clients);
-    let mut desk = site.connect(Some(&clients.client("urn:desk:1")));
-    desk.send_task(1, "page", ID_A, &[]);
+    let site = TestSite::new(&clients);
+    let mut edge_node = site.connect(Some(&clients.client_certificate("urn:edge-node:1")));
+    edge_node.send_task(1, "page", ID_A, &[]);
     site.backend.runtime.expect_command("start");
-    let expired = clients.signs(
-        SanType::URI("urn:desk:1".try_into().unwrap()),
+    let expired = clients.sign(
+        SanType::URI("urn:edge-node:1".try_into().unwrap()),
         Duration::ZERO,
     );
     std::thread::sleep(Duration::from_millis(1100)); // the validity of certificates is in whole seconds
-    assert!(turned_away(&mut site.connect(None)));
-    assert!(turned_away(
-        &mut site.connect(Some(&others.client("urn:desk:1")))
+    assert!(is_rejected(&mut site.connect(None)));
+    assert!(is_rejected(
+        &mut site.connect(Some(&others.client_certificate("urn:edge-node:1")))
     ));
-    assert!(turned_away(&mut site.connect(Some(&expired))));
+    assert!(is_rejected(&mut site.connect(Some(&expired))));
     // A connection without TLS, and one that never starts the handshake.
-    let mut plain = EdgeConnection::new(TcpStream::connect(site.at).unwrap());
+    let mut plain = EdgeConnection::new(TcpStream::connect(site.tls_address).unwrap());
     plain.stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     plain.send(&asterdale_testkit::scripted::request(
         1,
@@ -220,27 +228,30 @@
         b"",
     ));
     assert!(!matches!(plain.try_read_response(), Ok(Some(_))));
-    let mut silent = EdgeConnection::new(TcpStream::connect(site.at).unwrap());
+    let mut silent = EdgeConnection::new(TcpStream::connect(site.tls_address).unwrap());
     silent.stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     assert!(matches!(silent.try_read_response(), Ok(None)));
     // A valid certificate with an unknown name, and one whose subject is revoked.
-    for (name, status) in [("urn:desk:9", "401"), ("urn:desk:3", "401")] {
-        let mut edge = site.connect(Some(&clients.client(name)));
+    for (name, status) in [("urn:edge-node:9", "401"), ("urn:edge-node:3", "401")] {
+        let mut edge = site.connect(Some(&clients.client_certificate(name)));
         edge.send_task(1, "page", ID_B, &[]);
         assert_eq!(edge.expect_status(1), status);
     }
     site.backend.runtime.send_run_end(ID_A, "PASS", b"done");
-    assert_eq!(desk.read_response().unwrap().body, b"done");
+    assert_eq!(edge_node.read_response().unwrap().body, b"done");
     assert_eq!(site.backend.runtime.try_next_command(), None);
 }
 
 #[test]
-fn certificates_are_reloaded_in_service_and_open_connections_go_on() {
+fn certificates_are_reloaded_while_serving_and_open_connections_continue() {
     let (clients, next) = (Authority::new(), Authority::new());
-    let mut site = Site::new(&clients);
-    let (old, new) = (clients.client("urn:desk:1"), next.client("urn:desk:1"));
-    let mut desk = site.connect(Some(&old));
-    desk.send_task(1, "page", ID_A, &[]);
+    let mut site = TestSite::new(&clients);
+    let (old, new) = (
+        clients.client_certificate("urn:edge-node:1"),
+        next.client_certificate("urn:edge-node:1"),
+    );
+    let mut edge_node = site.connect(Some(&old));
+    edge_node.send_task(1, "page", ID_A, &[]);
     site.backend.runtime.expect_command("start");
     let text = site.backend.edit_start_file(|_| ());
     // A file that is not a certificate is rejected, and the earlier certificates stay in use.
@@ -248,51 +259,51 @@
     site.backend.reload(&text);
     site.backend
         .counters_until(|count| count("reloads_failed") == 1);
-    assert!(!turned_away(&mut site.connect(Some(&old))));
+    assert!(!is_rejected(&mut site.connect(Some(&old))));
     std::fs::write(site.folder.join("clients"), next.pem()).unwrap();
     site.backend.reload(&text);
     site.backend.counters_until(|count| count("reloads") == 1);
-    assert!(turned_away(&mut site.connect(Some(&old))));
-    assert!(!turned_away(&mut site.connect(Some(&new))));
+    assert!(is_rejected(&mut site.connect(Some(&old))));
+    assert!(!is_rejected(&mut site.connect(Some(&new))));
     site.backend.runtime.send_run_end(ID_A, "PASS", b"done");
-    assert_eq!(desk.read_response().unwrap().body, b"done");
-    desk.send_task(2, "page", ID_B, &[]);
+    assert_eq!(edge_node.read_response().unwrap().body, b"done");
+    edge_node.send_task(2, "page", ID_B, &[]);
     site.backend.runtime.expect_command("start");
     site.backend.runtime.send_run_end(ID_B, "PASS", b"again");
-    assert_eq!(desk.read_response().unwrap().body, b"again");
+    assert_eq!(edge_node.read_response().unwrap().body, b"again");
 }
 
 #[test]
-fn a_connection_ends_with_its_certificate_and_what_is_open_on_it_is_answered() {
+fn a_connection_ends_when_its_certificate_expires_after_open_requests_are_answered() {
     let clients = Authority::new();
-    let site = Site::new(&clients);
-    let short = clients.signs(
-        SanType::URI("urn:desk:1".try_into().unwrap()),
+    let site = TestSite::new(&clients);
+    let short = clients.sign(
+        SanType::URI("urn:edge-node:1".try_into().unwrap()),
         Duration::from_secs(3),
     );
-    let mut desk = site.connect(Some(&short));
-    desk.send_task(1, "page", ID_A, &[]);
+    let mut edge_node = site.connect(Some(&short));
+    edge_node.send_task(1, "page", ID_A, &[]);
     site.backend.runtime.expect_command("start");
     site.backend
         .counters_until(|count| count("connections_lapsed") == 1);
     site.backend.runtime.send_run_end(ID_A, "PASS", b"done");
-    assert_eq!(desk.read_response().unwrap().body, b"done");
-    assert!(matches!(desk.try_read_response(), Ok(None)));
+    assert_eq!(edge_node.read_response().unwrap().body, b"done");
+    assert!(matches!(edge_node.try_read_response(), Ok(None)));
 }
 
 #[test]
-fn leaving_answers_what_is_open_on_both_listeners_and_ends_well() {
+fn draining_answers_open_requests_on_the_tls_listener_and_exits_successfully() {
     let clients = Authority::new();
-    let mut site = Site::new(&clients);
-    let mut desk = site.connect(Some(&clients.client("urn:desk:1")));
-    desk.send_task(1, "page", ID_A, &[]);
+    let mut site = TestSite::new(&clients);
+    let mut edge_node = site.connect(Some(&clients.client_certificate("urn:edge-node:1")));
+    edge_node.send_task(1, "page", ID_A, &[]);
     site.backend.runtime.expect_command("start");
     site.backend.signal("-TERM");
     wait_until("the start of draining", || {
         site.backend.log().contains("engine: draining")
     });
     site.backend.runtime.send_run_end(ID_A, "PASS", b"in time");
-    assert_eq!(desk.read_response().unwrap().body, b"in time");
-    assert!(matches!(desk.try_read_response(), Ok(None)));
+    assert_eq!(edge_node.read_response().unwrap().body, b"in time");
+    assert!(matches!(edge_node.try_read_response(), Ok(None)));
     assert!(site.backend.wait_for_exit().0.success());
 }
--- a/crates/asterdale-daemon/tests/crowd.rs
+++ b/crates/asterdale-daemon/tests/crowd.rs
@@ -11,7 +11,7 @@
 
 const CONNECTIONS: usize = 600;
 
-fn order(address: std::net::SocketAddr, connections: usize, seed: u32) -> LoadConfig {
+fn load_config(address: std::net::SocketAddr, connections: usize, seed: u32) -> LoadConfig {
     LoadConfig {
         address,
         connections,
@@ -26,20 +26,20 @@
     }
 }
 
-fn hold(daemon: &Daemon, resource: Resource, most: u64) {
+fn set_resource_limit(daemon: &Daemon, resource: Resource, limit: u64) {
     let process = Pid::from_raw(daemon.process_id() as i32);
     prlimit(
         process,
         resource,
         Rlimit {
-            current: Some(most),
-            maximum: Some(most),
+            current: Some(limit),
+            maximum: Some(limit),
         },
     )
     .unwrap();
 }
 
-fn size_kib(daemon: &Daemon) -> u64 {
+fn virtual_memory_kib(daemon: &Daemon) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", daemon.process_id())).unwrap();
     let line = status
         .lines()
@@ -49,63 +49,66 @@
 }
 
 /// Checks that every request has exactly one answer, and that nothing ran twice.
-fn all_well(crowd: &ConnectionLoad, runs: &HashMap<String, u32>) {
-    let seen = &crowd.stats;
+fn assert_each_request_is_answered_once(load: &ConnectionLoad, runs: &HashMap<String, u32>) {
+    let stats = &load.stats;
     assert_eq!(
-        (seen.lost, seen.unexpected_answers, seen.failed_connects),
+        (stats.lost, stats.unexpected_answers, stats.failed_connects),
         (0, 0, 0),
         "{:?}",
-        seen.answers_by_status
+        stats.answers_by_status
     );
-    assert_eq!(seen.answer_count(), seen.sent);
-    assert!(seen.count_with_status("200") > 0);
+    assert_eq!(stats.answer_count(), stats.sent);
+    assert!(stats.count_with_status("200") > 0);
     assert!(runs.values().all(|&runs| runs == 1));
 }
 
 #[test]
-fn hundreds_of_connections_need_no_thread_and_every_request_gets_its_one_answer() {
-    let worker = SimulatedRuntime::start(4, (1, 4)).unwrap();
-    let (daemon, at) = start_daemon(&worker, 16 * 1024).unwrap();
+fn hundreds_of_connections_need_no_more_threads_and_each_request_is_answered_once() {
+    let runtime = SimulatedRuntime::start(4, (1, 4)).unwrap();
+    let (daemon, address) = start_daemon(&runtime, 16 * 1024).unwrap();
     // After this load every thread has run, and its allocator has reserved its memory.
-    let mut first = ConnectionLoad::new(LoadConfig {
+    let mut warm_up = ConnectionLoad::new(LoadConfig {
         duration: Duration::from_millis(500),
-        ..order(at, 10, 9)
+        ..load_config(address, 10, 9)
     })
     .unwrap();
-    first.run(Duration::from_secs(1), |_| true);
-    drop(first);
+    warm_up.run(Duration::from_secs(1), |_| true);
+    drop(warm_up);
     // The address space that is left is several times the buffers of 600 connections and smaller than the stacks of
     // 600 threads. This serves as a limit on threads that applies to this process alone.
-    hold(
+    set_resource_limit(
         &daemon,
         Resource::As,
-        (size_kib(&daemon) + 32 * 1024) * 1024,
+        (virtual_memory_kib(&daemon) + 32 * 1024) * 1024,
     );
-    let mut crowd = ConnectionLoad::new(order(at, CONNECTIONS, 1)).unwrap();
-    let mut most = 0;
-    crowd.run(Duration::from_millis(100), |_| {
-        most = most.max(daemon.thread_and_descriptor_counts().0);
+    let mut load = ConnectionLoad::new(load_config(address, CONNECTIONS, 1)).unwrap();
+    let mut max_threads = 0;
+    load.run(Duration::from_millis(100), |_| {
+        max_threads = max_threads.max(daemon.thread_and_descriptor_counts().0);
         true
     });
-    assert!((1..=MAX_THREADS).contains(&most), "{most} threads");
+    assert!(
+        (1..=MAX_THREADS).contains(&max_threads),
+        "{max_threads} threads"
+    );
     assert_eq!(
-        crowd.open_connections(),
+        load.open_connections(),
         CONNECTIONS,
         "{}",
         daemon.log().join("\n")
     );
-    all_well(&crowd, &worker.runs());
+    assert_each_request_is_answered_once(&load, &runtime.runs());
 }
 
 #[test]
 fn a_refused_descriptor_lets_connections_wait_and_costs_no_request() {
-    let worker = SimulatedRuntime::start(4, (1, 4)).unwrap();
-    let (daemon, at) = start_daemon(&worker, 16 * 1024).unwrap();
+    let runtime = SimulatedRuntime::start(4, (1, 4)).unwrap();
+    let (daemon, address) = start_daemon(&runtime, 16 * 1024).unwrap();
     // There are descriptors for 20 connections beside those that the process has open; the load opens 40.
-    let open = daemon.thread_and_descriptor_counts().1 as u64;
-    hold(&daemon, Resource::Nofile, open + 20);
-    let mut crowd = ConnectionLoad::new(order(at, 40, 2)).unwrap();
-    crowd.run(Duration::from_secs(1), |_| true);
+    let open_descriptors = daemon.thread_and_descriptor_counts().1 as u64;
+    set_resource_limit(&daemon, Resource::Nofile, open_descriptors + 20);
+    let mut load = ConnectionLoad::new(load_config(address, 40, 2)).unwrap();
+    load.run(Duration::from_secs(1), |_| true);
     let refused = daemon
         .counter("accepts_refused")
         .unwrap_or_else(|| panic!("no counters in {}", daemon.log().join("\n")));
@@ -115,10 +118,10 @@
         .iter()
         .any(|line| line.contains("frontend: accept paused")));
     // Waiting connections were accepted as idle ones were closed, and no request was lost on either.
-    all_well(&crowd, &worker.runs());
+    assert_each_request_is_answered_once(&load, &runtime.runs());
     // 10 connections need no more descriptors than there are: none has to be closed.
-    drop(crowd);
-    let mut after = ConnectionLoad::new(order(at, 10, 3)).unwrap();
+    drop(load);
+    let mut after = ConnectionLoad::new(load_config(address, 10, 3)).unwrap();
     after.run(Duration::from_secs(1), |_| true);
-    all_well(&after, &worker.runs());
+    assert_each_request_is_answered_once(&after, &runtime.runs());
 }
--- a/crates/asterdale-daemon/tests/identity.rs
+++ b/crates/asterdale-daemon/tests/identity.rs
@@ -21,7 +21,7 @@
 }
 
 /// A signed key set with keys 1 to 4 (outgoing, active, announced, retired) and these revocations.
-fn set(seq: u64, revoked: Value) -> String {
+fn key_set(seq: u64, revoked: Value) -> String {
     let now = unix_ms();
     let jwk = |n: u8, from: f64, until: Option<f64>| {
         let mut jwk = json!({"kty": "OKP", "crv": "Ed25519", "kid": format!("k{n}"),
@@ -85,7 +85,7 @@
 
 fn serving() -> (Issuer, Backend) {
     let issuer = Issuer::start().unwrap();
-    issuer.publish(1, set(1, json!({"tokens": ["gone"]})));
+    issuer.publish(1, key_set(1, json!({"tokens": ["gone"]})));
     let backend = backend(&issuer, |_| ());
     backend.runtime.set_ready();
     backend.counters_until(|count| count("keys_adopted") == 1 && count("links") == 1);
@@ -226,9 +226,9 @@
         )),
         ("403", "forbidden")
     );
-    let dear = [authorization(&clerk), ("HTTP_X_COST_MS", "20.5")];
+    let expensive = [authorization(&clerk), ("HTTP_X_COST_MS", "20.5")];
     assert_eq!(
-        denied(&request(&mut edge, 3, "page", ID_A, &dear)),
+        denied(&request(&mut edge, 3, "page", ID_A, &expensive)),
         ("403", "forbidden")
     );
     edge.send_task(4, "page", ID_A, &[authorization(&clerk)]);
@@ -316,7 +316,7 @@
 )]
 fn revoking_a_caller_ends_queued_requests_keeps_running_ones_and_blocks_retries() {
     let issuer = Issuer::start().unwrap();
-    issuer.publish(1, set(1, json!({})));
+    issuer.publish(1, key_set(1, json!({})));
     let backend = backend(&issuer, |config| {
         config["settings"]["extra"]["cores"] = json!(1)
     });
@@ -330,8 +330,8 @@
     edge.send_task(1, "bid", ID_A, &[authorization(&ann), KEY]);
     backend.runtime.expect_command("start");
     // These are queued: the limit is at its minimum, one core.
-    let held = [(2, ID_B), (3, ID_C)];
-    for (number, id) in held {
+    let queued = [(2, ID_B), (3, ID_C)];
+    for (number, id) in queued {
         edge.send_task(
             number,
             "bid",
@@ -341,7 +341,7 @@
     }
     other.send_task(1, "bid", ID_D, &[authorization(&bob), KEY]);
     backend.counters_until(|count| count("tasks_taken") == 4);
-    issuer.publish(2, set(2, json!({"subjects": ["north/ann"]})));
+    issuer.publish(2, key_set(2, json!({"subjects": ["north/ann"]})));
     let mut ended = [edge.read_response().unwrap(), edge.read_response().unwrap()];
     ended.sort_by_key(|answer| answer.request);
     assert_eq!(ended.each_ref().map(denied), [("401", "unknown"); 2]);
@@ -390,7 +390,7 @@
         "{}",
         answer.head
     );
-    issuer.publish(1, set(1, json!({})));
+    issuer.publish(1, key_set(1, json!({})));
     backend.counters_until(|count| count("keys_adopted") == 1);
     edge.send_task(2, "bid", ID_A, &[authorization(&good), KEY]);
     backend.runtime.expect_command("start");
@@ -420,7 +420,7 @@
         denied(&request(&mut edge, 902, "bid", ID_B, &other)),
         ("503", "unable")
     );
-    issuer.publish(2, set(2, json!({})));
+    issuer.publish(2, key_set(2, json!({})));
     issuer.set_behavior(Behavior::Good);
     backend.counters_until(|count| count("keys_adopted") == 2 && count("issuer_failed") >= 1);
     assert_eq!(
@@ -433,7 +433,7 @@
 fn a_faulty_issuer_changes_nothing() {
     let (issuer, backend) = serving();
     let mut edge = backend.connect();
-    issuer.publish(2, set(2, json!({"subjects": ["north/bob"]})));
+    issuer.publish(2, key_set(2, json!({"subjects": ["north/bob"]})));
     backend.counters_until(|count| count("keys_adopted") == 2);
     let other_root = SecretKey::from_seed([66; 32], "root");
     let head =
@@ -445,7 +445,7 @@
     ));
     let good = default_token(2, "north");
     let bob = token(2, "north", |claims| claims["sub"] = json!("bob"));
-    for (n, mood) in [
+    for (n, behavior) in [
         Behavior::RolledBack,
         Behavior::Malformed,
         Behavior::Forged,
@@ -463,7 +463,7 @@
             refused.set(count("keys_refused"));
             true
         });
-        issuer.set_behavior(mood);
+        issuer.set_behavior(behavior);
         backend.counters_until(|count| {
             count("issuer_failed") > failed.get() || count("keys_refused") > refused.get()
         });
@@ -516,7 +516,7 @@
 #[test]
 fn a_key_set_file_is_read_at_the_start_and_on_each_reload() {
     let file = std::env::temp_dir().join(format!("asterdale-set-{}", std::process::id()));
-    std::fs::write(&file, set(1, json!({}))).unwrap();
+    std::fs::write(&file, key_set(1, json!({}))).unwrap();
     let issuer = Issuer::start().unwrap();
     let mut backend = backend(&issuer, |config| {
         config["identity"]["keys"] = json!({"file": file})
@@ -526,7 +526,7 @@
     let mut edge = backend.connect();
     let good = default_token(2, "north");
     assert_page_is_served(&backend, &mut edge, 1, ID_A, &good);
-    std::fs::write(&file, set(2, json!({"keys": ["k2"]}))).unwrap();
+    std::fs::write(&file, key_set(2, json!({"keys": ["k2"]}))).unwrap();
     let same = backend.edit_start_file(|_| ());
     backend.reload(&same);
     backend.counters_until(|count| count("keys_adopted") == 2);
@@ -587,7 +587,7 @@
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::set_permissions(&folder, std::os::unix::fs::PermissionsExt::from_mode(0o700)).unwrap();
     let issuer = Issuer::start().unwrap();
-    issuer.publish(1, set(1, json!({"keys": ["k1"]})));
+    issuer.publish(1, key_set(1, json!({"keys": ["k1"]})));
     let backend = backend(&issuer, |config| {
         config["upgrade"] = json!({"control": folder.join("control")})
     });
--- a/crates/asterdale-daemon/tests/journal.rs
+++ b/crates/asterdale-daemon/tests/journal.rs
@@ -11,13 +11,13 @@
 use serde_json::{json, Value};
 
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
-const OTHER: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "77777777777777777777777777777777");
+const OTHER_KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "77777777777777777777777777777777");
 /// The retry window, and the deadline, which is the longest that a request may remain unread. With an empty journal
 /// directory no keyed request is started for the sum of both.
 const RETRY_WINDOW_MS: u64 = 2000;
-const LIMIT_MS: u64 = 1000;
+const DEADLINE_MS: u64 = 1000;
 
-fn folder(name: &str) -> PathBuf {
+fn journal_folder(name: &str) -> PathBuf {
     let folder =
         std::env::temp_dir().join(format!("asterdale-journal-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
@@ -28,9 +28,9 @@
 fn backend(folder: &Path) -> Backend {
     let backend = Backend::start_before_runtime(|config| {
         config["journal"] = json!({"folder": folder, "disk_mb": 16});
-        for lane in config["settings"]["lanes"].as_array_mut().unwrap() {
-            (lane["deadlineNs"], lane["objectiveNs"]) =
-                (json!(LIMIT_MS * 1_000_000), json!(LIMIT_MS * 900_000));
+        for class in config["settings"]["lanes"].as_array_mut().unwrap() {
+            (class["deadlineNs"], class["objectiveNs"]) =
+                (json!(DEADLINE_MS * 1_000_000), json!(DEADLINE_MS * 900_000));
         }
         config["settings"]["lanes"][1]["memorySpanNs"] = json!(RETRY_WINDOW_MS * 1_000_000);
     });
@@ -39,16 +39,16 @@
 }
 
 /// Runs a subcommand of `asterdale journal` on a directory; returns its exit code and its output lines.
-fn asked(word: &str, folder: &Path) -> (i32, Vec<Value>) {
-    let asked = Command::new(env!("CARGO_BIN_EXE_asterdale"))
+fn run_journal_command(subcommand: &str, folder: &Path) -> (i32, Vec<Value>) {
+    let output = Command::new(env!("CARGO_BIN_EXE_asterdale"))
         .arg("journal")
-        .arg(word)
+        .arg(subcommand)
         .arg(folder)
         .output()
         .unwrap();
-    let lines = String::from_utf8(asked.stdout).unwrap();
+    let lines = String::from_utf8(output.stdout).unwrap();
     (
-        asked.status.code().unwrap(),
+        output.status.code().unwrap(),
         lines
             .lines()
             .map(|line| serde_json::from_str(line).unwrap())
@@ -56,12 +56,12 @@
     )
 }
 
-fn stage_of(id: &str, folder: &Path) -> Option<Value> {
-    asked("dump", folder)
+fn execution_state(id: &str, folder: &Path) -> Option<Value> {
+    run_journal_command("dump", folder)
         .1
         .into_iter()
-        .find(|key| key["id"] == id)
-        .map(|key| key["stage"].clone())
+        .find(|entry| entry["id"] == id)
+        .map(|entry| entry["stage"].clone())
 }
 
 #[test]
@@ -70,9 +70,8 @@
     clippy::too_many_lines,
     reason = "one scenario, read from top to bottom"
 )]
-fn an_intent_is_on_disk_before_its_run_an_outcome_before_its_answer_and_a_crash_makes_nothing_run_again(
-) {
-    let folder = folder("crash");
+fn intents_and_outcomes_are_written_first_and_no_keyed_request_runs_again_after_a_crash() {
+    let folder = journal_folder("crash");
     let mut backend = backend(&folder);
     let mut edge = backend.connect();
     // An empty directory may be a lost one: no answer says that a request never ran, and no keyed request runs.
@@ -93,7 +92,7 @@
         .runtime
         .send_run_end("00000000000000a1", "PASS", b"page");
     assert_eq!(edge.read_response().unwrap().body, b"page");
-    thread::sleep(Duration::from_millis(RETRY_WINDOW_MS + LIMIT_MS + 300));
+    thread::sleep(Duration::from_millis(RETRY_WINDOW_MS + DEADLINE_MS + 300));
 
     edge.send_task(3, "bid", "00000000000000a2", &[KEY]);
     assert_eq!(
@@ -101,12 +100,12 @@
         "00000000000000a2"
     );
     assert_eq!(
-        stage_of("00000000000000a2", &folder),
+        execution_state("00000000000000a2", &folder),
         Some(json!("intent")),
         "the intent is written before the start is sent"
     );
     assert_eq!(
-        asked("check", &folder).0,
+        run_journal_command("check", &folder).0,
         0,
         "the check passes while the process serves"
     );
@@ -115,12 +114,12 @@
         .send_run_end("00000000000000a2", "PASS", b"sold");
     assert_eq!(edge.read_response().unwrap().body, b"sold");
     assert_eq!(
-        stage_of("00000000000000a2", &folder),
+        execution_state("00000000000000a2", &folder),
         Some(json!("passed")),
         "the outcome is written before the answer is sent"
     );
 
-    edge.send_task(4, "bid", "00000000000000a3", &[OTHER]);
+    edge.send_task(4, "bid", "00000000000000a3", &[OTHER_KEY]);
     backend.runtime.expect_command("start");
     backend.kill_and_restart();
     let mut edge = backend.connect();
@@ -132,7 +131,7 @@
     edge.send_task(1, "bid", "00000000000000a4", &[KEY]);
     let answer = edge.read_response().unwrap();
     assert_eq!((answer.status(), &answer.body[..]), ("200", &b"sold"[..]));
-    edge.send_task(2, "bid", "00000000000000a5", &[OTHER]);
+    edge.send_task(2, "bid", "00000000000000a5", &[OTHER_KEY]);
     let answer = edge.read_response().unwrap();
     assert!(
         answer.head.contains("X-Outcome: unknown"),
@@ -144,7 +143,7 @@
         None,
         "neither request runs again"
     );
-    let (code, stats) = asked("stats", &folder);
+    let (code, stats) = run_journal_command("stats", &folder);
     assert_eq!(
         (
             code,
@@ -156,8 +155,8 @@
     );
 
     // After the retry window the idempotency key can be used again.
-    thread::sleep(Duration::from_millis(RETRY_WINDOW_MS + LIMIT_MS + 300));
-    edge.send_task(3, "bid", "00000000000000a6", &[OTHER]);
+    thread::sleep(Duration::from_millis(RETRY_WINDOW_MS + DEADLINE_MS + 300));
+    edge.send_task(3, "bid", "00000000000000a6", &[OTHER_KEY]);
     assert_eq!(
         backend.runtime.expect_command("start")["rid"],
         "00000000000000a6"
@@ -172,17 +171,17 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_told_by_its_exit_code() {
-    let folder = folder("unreadable");
+fn an_unreadable_journal_is_reported_by_the_exit_code() {
+    let folder = journal_folder("unreadable");
     assert_eq!(
-        asked("check", &folder).0,
+        run_journal_command("check", &folder).0,
         2,
         "a directory that does not exist"
     );
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("state.redb"), vec![7; 8192]).unwrap();
     assert_eq!(
-        asked("check", &folder).0,
+        run_journal_command("check", &folder).0,
         2,
         "a file that the program cannot have written"
     );
--- a/crates/asterdale-daemon/tests/proofs.rs
+++ b/crates/asterdale-daemon/tests/proofs.rs
@@ -5,15 +5,15 @@
 use asterdale_testkit::proofs::{fleet, restarts, rotation, upgrade, ProofConfig};
 
 /// Serializes the proofs: each starts many processes, and the load of one must not change the result of another.
-static ONE: Mutex<()> = Mutex::new(());
+static PROOF_LOCK: Mutex<()> = Mutex::new(());
 
-fn one() -> MutexGuard<'static, ()> {
-    ONE.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_proofs() -> MutexGuard<'static, ()> {
+    PROOF_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 #[test]
-fn keys_rotate_under_load_and_nobody_is_let_in_or_turned_away_wrongly() {
-    let _one = one();
+fn keys_rotate_under_load_and_no_caller_is_admitted_or_rejected_wrongly() {
+    let _guard = lock_proofs();
     let figures = rotation::prove(&ProofConfig {
         seed: 17,
         seconds: 14,
@@ -25,8 +25,8 @@
 
 #[cfg(feature = "upgrade")]
 #[test]
-fn a_serving_process_is_replaced_under_load_and_nothing_is_lost_or_runs_twice() {
-    let _one = one();
+fn hot_restarts_under_load_lose_no_request_and_run_none_twice() {
+    let _guard = lock_proofs();
     let figures = upgrade::prove(
         &ProofConfig {
             seed: 17,
@@ -43,7 +43,7 @@
 #[cfg(feature = "fleet")]
 #[test]
 fn twelve_processes_keep_one_view_through_crashes_pauses_and_partitions() {
-    let _one = one();
+    let _guard = lock_proofs();
     let order = ProofConfig {
         seed: 17,
         seconds: 0,
@@ -61,8 +61,8 @@
 
 #[cfg(all(feature = "fleet", feature = "journal"))]
 #[test]
-fn what_was_begun_is_known_after_kills_lost_folders_and_older_copies() {
-    let _one = one();
+fn started_requests_are_known_after_kills_lost_journals_and_older_copies() {
+    let _guard = lock_proofs();
     let order = ProofConfig {
         seed: 17,
         seconds: 0,
--- a/crates/asterdale-daemon/tests/registry.rs
+++ b/crates/asterdale-daemon/tests/registry.rs
@@ -17,7 +17,7 @@
 /// Starts a registry that passes its reports to the test unanswered.
 fn registry() -> (SocketAddr, Receiver<Report>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     let (sender, reports) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -29,7 +29,7 @@
             });
         }
     });
-    (at, reports)
+    (address, reports)
 }
 
 impl Report {
@@ -42,39 +42,39 @@
 }
 
 #[test]
-fn a_silent_report_gets_another_beside_it_which_counts() {
-    let (at, reports) = registry();
-    let backend = Backend::start_before_runtime(|config| config["registry"] = json!(at));
+fn an_unanswered_report_does_not_delay_the_next_one() {
+    let (address, reports) = registry();
+    let backend = Backend::start_before_runtime(|config| config["registry"] = json!(address));
     let next = || reports.recv_timeout(WAIT_TIMEOUT).expect("no report came");
-    let (silent, second) = (next(), next());
+    let (first, second) = (next(), next());
     assert!(
-        !silent.is_closed(),
+        !first.is_closed(),
         "the second report waited for the end of the first"
     );
     (&second.stream)
         .write_all(b"HTTP/1.1 204 No Content\r\n\r\n")
         .unwrap();
     backend.counters_until(|count| count("reports") == 1 && count("reports_failed") == 0);
-    wait_until("the first report's end", || silent.is_closed());
+    wait_until("the first report's end", || first.is_closed());
 }
 
 #[test]
-fn the_word_to_drain_passes_whatever_was_told_before_while_reports_are_silent() {
-    let (there, here) = (registry(), registry());
-    let mut backend = Backend::start_before_runtime(|config| config["registry"] = json!(there.0));
-    there.1.recv_timeout(WAIT_TIMEOUT).expect("no report came");
+fn draining_is_reported_after_many_address_changes_while_reports_are_unanswered() {
+    let (old, new) = (registry(), registry());
+    let mut backend = Backend::start_before_runtime(|config| config["registry"] = json!(old.0));
+    old.1.recv_timeout(WAIT_TIMEOUT).expect("no report came");
     // More address changes than a mailbox with a few slots holds while a report is unanswered. The command to report
     // draining must not be lost behind them.
     for n in 1..=40 {
-        let at = if n % 2 == 1 { here.0 } else { there.0 };
-        let text = backend.edit_start_file(|config| config["registry"] = json!(at));
+        let address = if n % 2 == 1 { new.0 } else { old.0 };
+        let text = backend.edit_start_file(|config| config["registry"] = json!(address));
         backend.reload(&text);
         backend.counters_until(|count| count("reloads") == n);
     }
     backend.signal("-TERM");
     let (status, log) = backend.wait_for_exit();
     assert!(status.success(), "{log}");
-    let bodies: Vec<String> = [there.1, here.1]
+    let bodies: Vec<String> = [old.1, new.1]
         .iter()
         .flat_map(|reports| {
             reports
--- a/crates/asterdale-daemon/tests/runtime.rs
+++ b/crates/asterdale-daemon/tests/runtime.rs
@@ -8,20 +8,20 @@
 const ID_C: &str = "00000000000000cc";
 
 #[test]
-fn a_notice_far_out_of_range_hides_no_later_one() {
+fn a_notice_number_out_of_range_does_not_hide_later_notices() {
     let backend = Backend::start();
     let mut edge = backend.connect();
     edge.send_task(1, "page", ID_A, &[]);
     backend.runtime.expect_command("start");
-    let far = json!({"t": "info", "no": 9_000_000_000_000_000_000u64, "status": "far"});
-    backend.runtime.send_line(&far.to_string());
+    let out_of_range = json!({"t": "info", "no": 9_000_000_000_000_000_000u64, "status": "far"});
+    backend.runtime.send_line(&out_of_range.to_string());
     backend.runtime.send_run_end(ID_A, "PASS", b"heard");
     assert_eq!(edge.read_response().unwrap().body, b"heard");
     backend.counters_until(|count| count("runtime_lines_malformed") == 1);
 }
 
 #[test]
-fn runs_of_a_runtime_that_was_replaced_fail_at_once_and_the_new_one_is_heard() {
+fn runs_of_a_replaced_runtime_fail_at_once_and_the_new_runtime_is_used() {
     let backend = Backend::start();
     let mut edge = backend.connect();
     edge.send_task(1, "page", ID_A, &[]);
@@ -40,7 +40,8 @@
 }
 
 #[test]
-fn a_server_that_is_asked_before_its_runtime_is_up_counts_as_cold_until_that_says_otherwise() {
+fn a_server_with_a_request_before_its_runtime_is_ready_is_in_slow_start_until_the_runtime_reports()
+{
     let backend = Backend::start_before_runtime(|_| ());
     let mut edge = backend.connect();
     edge.send_task(1, "page", ID_A, &[]);
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -15,17 +15,17 @@
 const ID_C: &str = "00000000000000cc";
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 
-/// A backend, and an edge node's connection with the running request A of this request class.
-fn running(stage: &str) -> (Backend, EdgeConnection) {
+/// A backend, and an edge node's connection on which request A of this request class is running.
+fn backend_with_running_request(class: &str) -> (Backend, EdgeConnection) {
     let backend = Backend::start();
     let mut edge = backend.connect();
-    edge.send_task(1, stage, ID_A, if stage == "bid" { &[KEY] } else { &[] });
+    edge.send_task(1, class, ID_A, if class == "bid" { &[KEY] } else { &[] });
     backend.runtime.expect_command("start");
     (backend, edge)
 }
 
 #[test]
-fn a_task_is_run_and_its_result_comes_back_unchanged_in_any_order() {
+fn requests_run_and_their_results_are_returned_unchanged_in_any_order() {
     let backend = Backend::start();
     let mut edge = backend.connect();
     edge.send_task(1, "page", ID_A, &[]);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_request_may_come_a_byte_at_a_time() {
+fn a_request_may_arrive_one_byte_at_a_time() {
     let backend = Backend::start();
     let mut edge = backend.connect();
     edge.stream.set_nodelay(true).unwrap();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn what_comes_too_late_is_rejected_at_once_with_advice() {
+fn a_request_past_its_timeout_is_rejected_at_once_with_a_retry_after() {
     let backend = Backend::start();
     let mut edge = backend.connect();
     edge.send_task(1, "page", ID_A, &[("HTTP_X_TIMEOUT_MS", "0")]);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_repeat_of_a_fingerprinted_task_gets_the_result_and_never_runs() {
+fn a_retry_of_a_keyed_request_gets_the_result_and_never_runs() {
     let backend = Backend::start();
     let (mut edge, mut other) = (backend.connect(), backend.connect());
     edge.send_task(1, "bid", ID_A, &[KEY]);
@@ -100,8 +100,8 @@
 }
 
 #[test]
-fn a_repeat_of_one_that_failed_fails_and_never_runs() {
-    let (backend, mut edge) = running("bid");
+fn a_retry_of_a_failed_keyed_request_fails_and_never_runs() {
+    let (backend, mut edge) = backend_with_running_request("bid");
     backend.runtime.send_run_end(ID_A, "FAIL", b"");
     assert_eq!(edge.expect_status(1), "500");
     edge.send_task(2, "bid", ID_B, &[KEY]);
@@ -110,8 +110,8 @@
 }
 
 #[test]
-fn a_call_goes_below_and_its_reply_to_the_run() {
-    let (backend, mut edge) = running("bid");
+fn a_call_is_sent_to_the_records_service_and_its_reply_to_the_run() {
+    let (backend, mut edge) = backend_with_running_request("bid");
     for reply in [&b"one"[..], b"\0\xfe"] {
         backend.runtime.send_call_request(ID_A, b"need");
         let call = backend.records.next_call();
@@ -135,24 +135,25 @@
     assert_eq!(edge.expect_status(1), "200");
 }
 
+/// On a reused connection the second call could be answered with the rest of the first reply.
 #[test]
-fn no_connection_carries_a_second_call_which_could_get_the_rest_of_the_first_reply() {
-    let (backend, _edge) = running("bid");
-    let mut from = Vec::new();
+fn each_call_has_a_new_connection() {
+    let (backend, _edge) = backend_with_running_request("bid");
+    let mut peer_addresses = Vec::new();
     for _ in 0..2 {
         backend.runtime.send_call_request(ID_A, b"need");
         let call = backend.records.next_call();
-        from.push(call.peer_address());
+        peer_addresses.push(call.peer_address());
         call.reply("200 OK", b"one");
         assert_eq!(backend.runtime.expect_command("give")["b64"], "b25l");
     }
-    assert_ne!(from[0], from[1]);
+    assert_ne!(peer_addresses[0], peer_addresses[1]);
 }
 
 #[test]
-fn a_start_file_that_is_read_again_moves_all_peers_and_loses_no_command() {
-    let (mut backend, mut edge) = running("bid");
-    let (before, ..) = backend.move_services();
+fn a_reload_changes_the_addresses_of_all_services_and_loses_no_command() {
+    let (mut backend, mut edge) = backend_with_running_request("bid");
+    let (old_runtime, ..) = backend.move_services();
     backend.counters_until(|count| count("links") == 2 && count("reloads") == 1);
     backend.runtime.send_call_request(ID_A, b"need");
     backend.records.next_call().reply("200 OK", b"one");
@@ -161,7 +162,7 @@
     backend.runtime.send_run_end(ID_A, "PASS", b"sold");
     assert_eq!(edge.read_response().unwrap().body, b"sold");
     backend.reports.recv_timeout(WAIT_TIMEOUT).unwrap();
-    assert_eq!(before.try_next_command(), None);
+    assert_eq!(old_runtime.try_next_command(), None);
     // An invalid start file changes nothing.
     backend.reload("{\"runtime\": 5}");
     backend.counters_until(|count| count("reloads_failed") == 1);
@@ -171,16 +172,16 @@
 
 #[test]
 fn a_call_that_may_have_run_is_not_made_again() {
-    for bad in ["500 Error", "504 Late", "503 Busy", "nonsense", ""] {
-        let (backend, mut edge) = running("bid");
+    for reply in ["500 Error", "504 Late", "503 Busy", "nonsense", ""] {
+        let (backend, mut edge) = backend_with_running_request("bid");
         backend.runtime.send_call_request(ID_A, b"need");
         let call = backend.records.next_call();
-        match bad {
+        match reply {
             "" => drop(call),
             "nonsense" => call.reply("xyz", b""),
             status => call.reply(status, b""),
         }
-        assert_eq!(edge.expect_status(1), "500", "{bad}");
+        assert_eq!(edge.expect_status(1), "500", "{reply}");
         backend.runtime.send_run_end(ID_A, "KILLED", b"");
         backend.counters_until(|count| count("runs_killed") == 1);
         backend.counters_until(|count| count("calls_sent") == 1);
@@ -188,14 +189,14 @@
 }
 
 #[test]
-fn a_call_that_never_began_is_made_again() {
-    for never in [
+fn a_call_that_did_not_begin_is_made_again() {
+    for status in [
         "503 Busy\r\nOp-Not-Begun: 1",
         "409 Conflict\r\nOp-Not-Begun: 1",
     ] {
-        let (backend, mut edge) = running("bid");
+        let (backend, mut edge) = backend_with_running_request("bid");
         backend.runtime.send_call_request(ID_A, b"need");
-        backend.records.next_call().reply(never, b"");
+        backend.records.next_call().reply(status, b"");
         backend.records.next_call().reply("200 OK", b"now");
         backend.runtime.expect_command("give");
         backend.runtime.send_run_end(ID_A, "PASS", b"sold");
@@ -204,8 +205,8 @@
 }
 
 #[test]
-fn a_run_goes_on_without_a_call_that_can_be_left_out_and_fails() {
-    let (backend, mut edge) = running("page");
+fn a_run_continues_without_a_failed_optional_call() {
+    let (backend, mut edge) = backend_with_running_request("page");
     backend.runtime.send_call_request(ID_A, b"need");
     backend.records.next_call().reply("500 Error", b"");
     backend.records.next_call().reply("500 Error", b"");
@@ -218,7 +219,7 @@
 }
 
 #[test]
-fn a_records_service_that_refuses_connections_has_run_nothing() {
+fn a_call_is_repeated_when_the_records_service_refuses_connections() {
     let at = unused_address();
     let backend = Backend::start_before_runtime(|config| config["records"] = json!(at));
     backend.runtime.set_ready();
@@ -232,7 +233,7 @@
 }
 
 #[test]
-fn an_abort_ends_a_held_task_and_frees_its_number() {
+fn an_abort_ends_a_queued_request_and_frees_its_number() {
     let backend = Backend::start_before_runtime(|_| ());
     let mut edge = backend.connect();
     edge.send_task(1, "page", ID_A, &[]);
@@ -252,7 +253,7 @@
 }
 
 #[test]
-fn a_peer_that_only_stops_sending_gets_its_answer() {
+fn a_half_closed_connection_gets_its_answer() {
     let backend = Backend::start();
     let mut edge = backend.connect();
     edge.send_task(1, "page", ID_A, &[]);
@@ -265,7 +266,7 @@
 }
 
 #[test]
-fn malformed_bytes_end_their_connection_alone_and_what_is_open_on_it_is_answered() {
+fn malformed_input_ends_only_its_connection_after_open_requests_are_answered() {
     let backend = Backend::start();
     let (mut edge, mut other) = (backend.connect(), backend.connect());
     edge.send_task(1, "page", ID_A, &[]);
@@ -284,7 +285,7 @@
 }
 
 #[test]
-fn a_senseless_field_gets_an_answer_of_its_own_and_never_runs() {
+fn a_request_with_an_invalid_field_is_answered_and_never_runs() {
     let backend = Backend::start();
     for (name, value) in [
         ("HTTP_X_REQUEST_ID", "short"),
@@ -319,11 +320,11 @@
 }
 
 #[test]
-fn bad_clients_get_a_word_or_a_close_soon_and_cost_the_others_nothing() {
-    let (backend, mut edge) = running("bid");
-    let (mut silent, mut half, mut again) =
+fn misbehaving_clients_are_answered_or_closed_soon_and_do_not_affect_others() {
+    let (backend, mut edge) = backend_with_running_request("bid");
+    let (mut silent, mut partial, mut reused_key) =
         (backend.connect(), backend.connect(), backend.connect());
-    half.send(&record(
+    partial.send(&record(
         record_type::BEGIN_REQUEST,
         1,
         &[0, 1, 1, 0, 0, 0, 0, 0],
@@ -331,21 +332,21 @@
     // A known idempotency key with another body: the result belongs to another request.
     let start = unix_ms_text();
     let other = scripted::task_fields(ID_B, &start, &[KEY]);
-    again.send(&request(1, "/v1/bid", &other, b"other"));
-    assert_eq!(again.expect_status(1), "400");
+    reused_key.send(&request(1, "/v1/bid", &other, b"other"));
+    assert_eq!(reused_key.expect_status(1), "400");
     // A client that sends the same request again as soon as it is rejected.
-    let mut endless = backend.connect();
-    let mut asked = 0;
+    let mut repeating = backend.connect();
+    let mut attempts = 0;
     loop {
-        let _ = endless
+        let _ = repeating
             .stream
             .write_all(&request(1, "/v1/unheard", &other, b"x"));
-        asked += 1;
-        if endless.read_response().is_none() {
+        attempts += 1;
+        if repeating.read_response().is_none() {
             break;
         }
     }
-    assert!((3..=16).contains(&asked), "{asked}");
+    assert!((3..=16).contains(&attempts), "{attempts}");
     // A request whose body is too long is answered before the end of the body.
     let mut long = backend.connect();
     let bytes = request(
@@ -356,14 +357,17 @@
     );
     long.send(&bytes[..bytes.len() - 11]);
     assert_eq!(long.expect_status(1), "400");
-    assert_eq!((silent.read_response(), half.read_response()), (None, None));
+    assert_eq!(
+        (silent.read_response(), partial.read_response()),
+        (None, None)
+    );
     backend.runtime.send_run_end(ID_A, "PASS", b"sold");
     assert_eq!(edge.read_response().unwrap().body, b"sold");
     backend.counters_until(|count| count("connections_silent") == 2);
 }
 
 #[test]
-fn connections_that_say_nothing_do_not_shut_others_out() {
+fn silent_connections_do_not_block_others() {
     let backend = Backend::start_before_runtime(|config| config["limits"]["sockets"] = json!(128));
     backend.runtime.set_ready();
     let mut edge = backend.connect();
@@ -380,16 +384,16 @@
 }
 
 #[test]
-fn connections_that_asked_once_and_stay_give_way_to_a_few() {
+fn idle_connections_beyond_the_bound_are_closed() {
     let backend = Backend::start_before_runtime(|config| config["limits"]["sockets"] = json!(256));
     backend.runtime.set_ready();
     let mut edge = backend.connect();
     edge.send_task(1, "page", ID_A, &[]);
     backend.runtime.expect_command("start");
     let mut all: Vec<EdgeConnection> = (0..80).map(|_| backend.connect()).collect();
-    for once in &mut all {
-        once.send(&request(1, "/healthz", &[], b""));
-        assert_eq!(once.expect_status(1), "200");
+    for idle in &mut all {
+        idle.send(&request(1, "/healthz", &[], b""));
+        assert_eq!(idle.expect_status(1), "200");
     }
     // At most 32 idle connections with 256 descriptors; the connection with the open request is not idle.
     backend.counters_until(|count| {
@@ -399,8 +403,9 @@
     assert_eq!(edge.expect_status(1), "200");
 }
 
+/// The shutdown signal may be handled late by up to the close allowance, so the grace period is shortened by it.
 #[test]
-fn what_comes_late_in_the_grace_is_rejected_as_the_notice_may_have_been_late() {
+fn a_request_late_in_the_grace_period_is_rejected() {
     let backend = Backend::start_before_runtime(|config| {
         config["settings"]["guarantees"]["drainGraceNs"] = json!(1_000_000_000);
     });
@@ -415,7 +420,7 @@
 }
 
 #[test]
-fn other_roles_management_records_and_unknown_types_are_answered_as_the_specification_says() {
+fn other_roles_are_rejected_and_unknown_record_types_skipped_as_specified() {
     let backend = Backend::start();
     let mut edge = backend.connect();
     edge.send(&record(
@@ -455,7 +460,7 @@
 }
 
 #[test]
-fn checks_are_answered_before_the_runtime_is_up_and_while_leaving() {
+fn health_checks_are_answered_before_the_runtime_is_ready_and_while_draining() {
     let backend = Backend::start_before_runtime(|_| ());
     let mut edge = backend.connect();
     for query in ["", "deep=1"] {
@@ -470,7 +475,7 @@
 }
 
 #[test]
-fn reports_go_on_and_say_when_the_backend_leaves() {
+fn reports_are_repeated_and_tell_when_the_backend_drains() {
     let backend = Backend::start();
     for _ in 0..2 {
         assert_eq!(
@@ -485,7 +490,7 @@
 }
 
 #[test]
-fn a_broken_link_is_made_again_and_no_run_that_has_ended_is_started_anew() {
+fn a_broken_link_is_re_established_and_no_ended_run_is_started_again() {
     let backend = Backend::start();
     let mut edge = backend.connect();
     edge.send_task(1, "page", ID_A, &[]);
@@ -509,7 +514,7 @@
 }
 
 #[test]
-fn a_task_taken_while_there_is_no_link_is_started_when_there_is_one() {
+fn a_request_accepted_without_a_link_is_started_when_there_is_one() {
     let backend = Backend::start();
     let mut edge = backend.connect();
     backend.runtime.break_link(|_| {
@@ -541,7 +546,7 @@
 }
 
 #[test]
-fn a_line_that_can_not_be_read_makes_the_link_anew() {
+fn a_malformed_line_re_establishes_the_link() {
     let backend = Backend::start();
     let bad = "{\"t\":\"end\",\"no\":\"many\"}";
     // On a new link the line is skipped, because it would be received again on each further link.
@@ -556,7 +561,7 @@
 }
 
 #[test]
-fn a_runtime_that_falls_silent_is_linked_anew_and_loses_no_command() {
+fn the_link_to_a_silent_runtime_is_re_established_and_no_command_is_lost() {
     let backend = Backend::start();
     let mut edge = backend.connect();
     backend.runtime.set_discard_input(true);
@@ -574,8 +579,8 @@
 }
 
 #[test]
-fn a_start_that_is_turned_down_abandons_its_task() {
-    let (backend, mut edge) = running("page");
+fn a_rejected_start_fails_its_request() {
+    let (backend, mut edge) = backend_with_running_request("page");
     backend
         .runtime
         .send_line(&json!({"t": "nack", "status": "start", "rid": ID_A}).to_string());
@@ -583,8 +588,8 @@
 }
 
 #[test]
-fn a_key_whose_start_was_turned_down_is_free_for_a_true_try() {
-    let (backend, mut edge) = running("bid");
+fn the_idempotency_key_of_a_rejected_start_can_be_used_again() {
+    let (backend, mut edge) = backend_with_running_request("bid");
     backend
         .runtime
         .send_line(&json!({"t": "nack", "status": "start", "rid": ID_A}).to_string());
@@ -594,7 +599,7 @@
 }
 
 #[test]
-fn leaving_answers_all_that_was_read_and_ends_well() {
+fn draining_answers_all_requests_that_were_read_and_exits_successfully() {
     let mut backend = Backend::start();
     let (mut edge, mut idle) = (backend.connect(), backend.connect());
     edge.send_task(1, "page", ID_A, &[]);
@@ -624,7 +629,7 @@
 }
 
 #[test]
-fn counts_add_up_taken_in_is_answered_given_up_or_open() {
+fn each_accepted_request_is_counted_with_one_outcome_or_as_open() {
     let backend = Backend::start();
     let mut edge = backend.connect();
     edge.send_task(1, "page", ID_A, &[]);
@@ -658,7 +663,7 @@
 }
 
 #[test]
-fn a_bad_start_file_is_named_in_one_line() {
+fn an_invalid_start_file_is_reported_in_one_line() {
     let at = "127.0.0.1:1".parse().unwrap();
     let mut config = start_file_json(at, at, at, at);
     config["runtime"] = json!("nowhere");
@@ -674,18 +679,18 @@
 }
 
 #[test]
-fn an_address_that_a_process_still_holds_is_waited_for() {
-    let mut holder = None;
+fn the_daemon_waits_for_an_address_that_is_still_in_use() {
+    let mut other_listener = None;
     let backend = Backend::start_before_runtime(|config| {
         let at: std::net::SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
-        holder = Some(TcpListener::bind(at).unwrap());
+        other_listener = Some(TcpListener::bind(at).unwrap());
     });
     wait_until("the log line", || {
         backend
             .log()
             .contains("frontend: the address is still in use")
     });
-    drop(holder);
+    drop(other_listener);
     wait_until("serving", || backend.log().contains("daemon: serving"));
     backend.runtime.set_ready();
     let mut edge = backend.connect();
--- a/crates/asterdale-daemon/tests/takeover.rs
+++ b/crates/asterdale-daemon/tests/takeover.rs
@@ -7,11 +7,11 @@
 use asterdale_testkit::proofs::{takeover, ProofConfig};
 
 /// Serializes the proofs.
-static ONE: Mutex<()> = Mutex::new(());
+static PROOF_LOCK: Mutex<()> = Mutex::new(());
 
 #[test]
-fn work_in_hand_survives_owners_and_keepers_and_no_key_has_its_effect_twice() {
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn accepted_requests_survive_failed_owners_and_replicas_and_no_key_takes_effect_twice() {
+    let _guard = PROOF_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let order = ProofConfig {
         seed: 17,
         seconds: 0,
@@ -31,8 +31,8 @@
 
 #[cfg(feature = "journal")]
 #[test]
-fn everybody_may_be_killed_at_once_where_keepers_have_disks() {
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn all_processes_may_be_killed_at_once_if_replicas_have_disks() {
+    let _guard = PROOF_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let order = ProofConfig {
         seed: 17,
         seconds: 0,
--- a/crates/asterdale-daemon/tests/tenants.rs
+++ b/crates/asterdale-daemon/tests/tenants.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_key_of_one_tenant_is_none_of_anothers_and_an_unknown_tenant_is_refused() {
+fn idempotency_keys_are_separate_per_tenant_and_an_unknown_tenant_is_rejected() {
     let backend = backend();
     let mut edge = backend.connect();
     for (number, tenant) in (1u16..).zip(TENANTS) {
@@ -68,27 +68,27 @@
 fn interleaved_requests_of_several_tenants_never_get_each_others_results() {
     let backend = backend();
     let mut edges: Vec<EdgeConnection> = (0..3).map(|_| backend.connect()).collect();
-    let mut chance = 7u64;
+    let mut random = 7u64;
     for round in 0..40u64 {
         let mut open = Vec::new();
-        for (at, edge) in edges.iter_mut().enumerate() {
+        for (edge_index, edge) in edges.iter_mut().enumerate() {
             for number in 1..=4u16 {
-                chance = chance
+                random = random
                     .wrapping_mul(6364136223846793005)
                     .wrapping_add(1442695040888963407);
-                let tenant = TENANTS[(chance >> 33) as usize % TENANTS.len()];
-                let stage = if chance >> 62 == 0 { "bid" } else { "page" };
+                let tenant = TENANTS[(random >> 33) as usize % TENANTS.len()];
+                let class = if random >> 62 == 0 { "bid" } else { "page" };
                 let id = format!(
                     "{:016x}",
-                    (round << 16) | ((at as u64) << 8) | u64::from(number)
+                    (round << 16) | ((edge_index as u64) << 8) | u64::from(number)
                 );
-                let key = format!("{:032x}", chance >> 40);
+                let key = format!("{:032x}", random >> 40);
                 let fields = [
                     ("HTTP_X_TENANT", tenant),
                     ("HTTP_IDEMPOTENCY_KEY", key.as_str()),
                 ];
-                edge.send_task(number, stage, &id, &fields);
-                open.push((at, number, id, tenant));
+                edge.send_task(number, class, &id, &fields);
+                open.push((edge_index, number, id, tenant));
             }
         }
         for _ in 0..open.len() {
@@ -102,12 +102,12 @@
                 .runtime
                 .send_run_end(id, "PASS", format!("{id} {tenant}").as_bytes());
         }
-        for (at, edge) in edges.iter_mut().enumerate() {
+        for (edge_index, edge) in edges.iter_mut().enumerate() {
             for _ in 0..4 {
                 let answer = edge.read_response().unwrap();
                 let (.., id, tenant) = open
                     .iter()
-                    .find(|(on, number, ..)| (*on, *number) == (at, answer.request))
+                    .find(|(index, number, ..)| (*index, *number) == (edge_index, answer.request))
                     .unwrap();
                 assert_eq!(answer.body, format!("{id} {tenant}").as_bytes());
             }
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn management_records_between_requests_cost_a_connection_no_request() {
+fn requests_between_management_records_are_answered() {
     let backend = Backend::start();
     let mut edge = backend.connect();
     edge.stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
--- a/crates/asterdale-daemon/tests/upgrade.rs
+++ b/crates/asterdale-daemon/tests/upgrade.rs
@@ -63,7 +63,7 @@
 
     /// A program that writes its nonce to a file and sleeps, while the test plays its part of the protocol.
     fn scripted_program(&self) -> PathBuf {
-        let (path, nonce) = (self.folder.join("puppet"), self.folder.join("nonce"));
+        let (path, nonce) = (self.folder.join("scripted"), self.folder.join("nonce"));
         let text = format!(
             "#!/bin/sh\nprintf %s \"$ASTERDALE_HANDOVER_NONCE\" > {0}.new\nmv {0}.new {0}\nexec sleep 60\n",
             nonce.display()
@@ -88,13 +88,13 @@
     /// Starts an upgrade to the scripted program: the requester, the connection of the new process, which has not said hello,
     /// and the nonce.
     fn start_upgrade(&self) -> (Child, ScriptedProcess, Vec<u8>) {
-        let asked = self.request_upgrade(&self.scripted_program());
+        let requester = self.request_upgrade(&self.scripted_program());
         let nonce = self.folder.join("nonce");
         wait_until("the nonce", || nonce.exists());
         let stream = UnixStream::connect(self.control()).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         (
-            asked,
+            requester,
             ScriptedProcess {
                 stream,
                 decoder: FrameDecoder::default(),
@@ -115,12 +115,12 @@
     }
 
     /// Checks that the old process serves as if nothing had happened: a request runs, and its retry does not.
-    fn assert_old_process_serves(&self, asked: Child, why: &str) {
-        let output = asked.wait_with_output().unwrap();
+    fn assert_old_process_serves(&self, requester: Child, reason: &str) {
+        let output = requester.wait_with_output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(2), "{text}");
         assert!(
-            text.contains("the old process carries on") && text.contains(why),
+            text.contains("the old process carries on") && text.contains(reason),
             "{text}"
         );
         let mut edge = self.backend.connect();
@@ -144,8 +144,8 @@
 }
 
 impl ScriptedProcess {
-    fn send(&mut self, what: Payload) {
-        self.stream.write_all(&encode(what)).unwrap();
+    fn send(&mut self, payload: Payload) {
+        self.stream.write_all(&encode(payload)).unwrap();
     }
 
     fn send_hello(&mut self, nonce: &[u8], version: u32) {
@@ -159,8 +159,8 @@
     /// The next frame; `None` at the end. Descriptors that come with it are dropped.
     fn receive(&mut self) -> Option<Payload> {
         loop {
-            if let Some(what) = self.decoder.next_message().unwrap() {
-                return Some(what);
+            if let Some(payload) = self.decoder.next_message().unwrap() {
+                return Some(payload);
             }
             let mut bytes = [0; 4096];
             match self.stream.read(&mut bytes) {
@@ -190,14 +190,14 @@
 #[test]
 fn another_release_and_an_invalid_nonce_are_rejected() {
     let site = TestSite::new();
-    let (asked, mut scripted, nonce) = site.start_upgrade();
+    let (requester, mut scripted, nonce) = site.start_upgrade();
     scripted.send_hello(&nonce, 99);
-    site.assert_old_process_serves(asked, "version 99");
+    site.assert_old_process_serves(requester, "version 99");
     let site = TestSite::new();
-    let (asked, mut stranger, _) = site.start_upgrade();
-    stranger.send_hello(b"made up", asterdale_hot_restart::VERSION);
+    let (requester, mut other_process, _) = site.start_upgrade();
+    other_process.send_hello(b"made up", asterdale_hot_restart::VERSION);
     site.assert_old_process_serves(
-        asked,
+        requester,
         "another process connected in place of the new process",
     );
 }
@@ -205,27 +205,27 @@
 #[test]
 fn the_old_process_serves_if_the_new_one_ends_with_the_listeners() {
     let site = TestSite::new();
-    let (asked, mut scripted, nonce) = site.start_upgrade();
+    let (requester, mut scripted, nonce) = site.start_upgrade();
     scripted.send_hello(&nonce, asterdale_hot_restart::VERSION);
     assert!(matches!(scripted.receive(), Some(Payload::Listeners(_))));
     drop(scripted);
-    site.assert_old_process_serves(asked, "has ended");
+    site.assert_old_process_serves(requester, "has ended");
 }
 
 #[test]
 fn a_refusal_or_an_unexpected_message_ends_the_attempt() {
     let site = TestSite::new();
-    let (asked, mut scripted, nonce) = site.start_upgrade();
+    let (requester, mut scripted, nonce) = site.start_upgrade();
     scripted.send_hello(&nonce, asterdale_hot_restart::VERSION);
     scripted.send(Payload::Refuse(Refuse {
         reason: "no disk".into(),
     }));
-    site.assert_old_process_serves(asked, "no disk");
+    site.assert_old_process_serves(requester, "no disk");
     let site = TestSite::new();
-    let (asked, mut scripted, nonce) = site.start_upgrade();
+    let (requester, mut scripted, nonce) = site.start_upgrade();
     scripted.send_hello(&nonce, asterdale_hot_restart::VERSION);
     scripted.send(Payload::StateLoaded(StateLoaded { epoch: 2 }));
-    site.assert_old_process_serves(asked, "sent an unexpected message");
+    site.assert_old_process_serves(requester, "sent an unexpected message");
 }
 
 #[test]
@@ -234,7 +234,7 @@
     let mut edge = site.backend.connect();
     edge.send_task(1, "page", ID_A, &[]);
     site.backend.runtime.expect_command("start");
-    let (asked, mut scripted, nonce) = site.start_upgrade();
+    let (requester, mut scripted, nonce) = site.start_upgrade();
     assert_eq!(scripted.receive_state(&nonce), 2);
     // Nothing is started now; new requests are queued.
     let mut other = site.backend.connect();
@@ -256,7 +256,7 @@
         .runtime
         .send_run_end("00000000000000cc", "PASS", b"late");
     assert_eq!(other.read_response().unwrap().body, b"late");
-    site.assert_old_process_serves(asked, "too long");
+    site.assert_old_process_serves(requester, "too long");
     // The new process's confirmation would be too late: the connection is closed.
     assert_eq!(scripted.receive(), None);
 }
@@ -264,7 +264,7 @@
 #[test]
 fn a_second_upgrade_is_rejected_while_one_is_under_way() {
     let site = TestSite::new();
-    let (asked, scripted, _nonce) = site.start_upgrade();
+    let (requester, scripted, _nonce) = site.start_upgrade();
     let second = site
         .request_upgrade(&site.folder.join("nowhere"))
         .wait_with_output()
@@ -273,12 +273,12 @@
         .unwrap()
         .contains("an upgrade is under way"));
     drop(scripted);
-    let mut stranger = UnixStream::connect(site.control()).unwrap();
-    stranger
+    let mut other_process = UnixStream::connect(site.control()).unwrap();
+    other_process
         .write_all(&encode(Payload::Hello(Hello::default())))
         .unwrap();
     site.assert_old_process_serves(
-        asked,
+        requester,
         "another process connected in place of the new process",
     );
 }
@@ -319,15 +319,15 @@
 #[test]
 fn a_new_process_that_hangs_before_hello_is_killed() {
     let site = TestSite::new();
-    let asked = site.request_upgrade(&site.scripted_program());
+    let requester = site.request_upgrade(&site.scripted_program());
     site.assert_serves_meanwhile();
-    site.assert_old_process_serves(asked, "too long in phase Offered");
+    site.assert_old_process_serves(requester, "too long in phase Offered");
 }
 
 #[test]
 fn too_few_descriptors_are_detected_before_the_new_process_serves() {
     let site = TestSite::new();
-    let path = site.folder.join("poor");
+    let path = site.folder.join("limited");
     for descriptors in [4, 6, 9, 12, 24, 512] {
         let program = asterdale_testkit::process::program();
         let program = std::fs::canonicalize(program).unwrap();
@@ -355,7 +355,7 @@
     let mut edge = site.backend.connect();
     edge.send_task(1, "page", ID_A, &[]);
     site.backend.runtime.expect_command("start");
-    let (asked, mut scripted, nonce) = site.start_upgrade();
+    let (requester, mut scripted, nonce) = site.start_upgrade();
     scripted.send_hello(&nonce, asterdale_hot_restart::VERSION);
     assert!(matches!(scripted.receive(), Some(Payload::Listeners(_))));
     site.backend.signal("-HUP");
@@ -367,7 +367,7 @@
     assert_eq!(edge.read_response().unwrap().body, b"in time");
     assert!(site.backend.wait_for_exit().0.success());
     assert_eq!(scripted.receive(), None);
-    drop(asked.wait_with_output());
+    drop(requester.wait_with_output());
 }
 
 #[test]
