--- a/crates/asterdale-daemon/tests/identity.rs
+++ b/crates/asterdale-daemon/tests/identity.rs
@@ -233,7 +233,7 @@
     );
     edge.send_task(4, "page", ID_A, &[authorization(&clerk)]);
     backend.runtime.expect_command("start");
-    // One concurrency permit, which is released when the run ends; then the rate.
+    // The role has one concurrency permit, which is released when the run ends; then its rate is the limit.
     assert_eq!(
         denied(&request(
             &mut edge,
@@ -405,7 +405,7 @@
         assert!(answer.status() == "500" || answer.body == b"sold");
         answer.status() == "500"
     });
-    // For an idempotency key with a request that ran, the response promises nothing; for another, that it never ran.
+    // If a request with this idempotency key ran, the response does not say that it never ran; for another key it does.
     assert_eq!(
         denied(&request(
             &mut edge,
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -395,7 +395,7 @@
         idle.send(&request(1, "/healthz", &[], b""));
         assert_eq!(idle.expect_status(1), "200");
     }
-    // At most 32 idle connections with 256 descriptors; the connection with the open request is not idle.
+    // With 256 descriptors 32 connections may be idle; the one with the open request does not count as idle.
     backend.counters_until(|count| {
         count("connections_given_up") >= 48 && count("connections_open") <= 33
     });
--- a/crates/asterdale-daemon/tests/upgrade.rs
+++ b/crates/asterdale-daemon/tests/upgrade.rs
@@ -85,8 +85,8 @@
             .unwrap()
     }
 
-    /// Starts an upgrade to the scripted program: the requester, the connection of the new process, which has not said hello,
-    /// and the nonce.
+    /// Starts an upgrade to the scripted program. Returns the requester, the new process's connection, on which no hello
+    /// has been sent yet, and the nonce.
     fn start_upgrade(&self) -> (Child, ScriptedProcess, Vec<u8>) {
         let requester = self.request_upgrade(&self.scripted_program());
         let nonce = self.folder.join("nonce");
@@ -156,7 +156,7 @@
         }));
     }
 
-    /// The next frame; `None` at the end. Descriptors that come with it are dropped.
+    /// The next message; `None` at the end of the stream. Descriptors that come with it are dropped.
     fn receive(&mut self) -> Option<Payload> {
         loop {
             if let Some(payload) = self.decoder.next_message().unwrap() {
@@ -337,7 +337,7 @@
         );
         std::fs::write(&path, text).unwrap();
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).unwrap();
-        // Undetected, the new process would later serve and accept no connections.
+        // If this were not detected, the new process would later serve but accept no connections.
         let output = site.request_upgrade(&path).wait_with_output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
         assert!(
@@ -478,8 +478,8 @@
     other.send_task(2, "bid", "00000000000000cc", &[late]);
     site.backend.runtime.expect_command("start");
     asterdale_testkit::proofs::upgrade::signal(new, "KILL");
-    // The new process's connections break. If this one is the old process's, a response comes that does not say whether
-    // the request ran.
+    // The new process's connections break. If `other` is still a connection of the old process, the response on it does
+    // not say whether the request ran.
     let end = other.read_response();
     assert!(
         end.as_ref().is_none_or(|answer| answer.status() == "500"),
