--- a/crates/asterdale-daemon/tests/identity.rs
+++ b/crates/asterdale-daemon/tests/identity.rs
@@ -67,7 +67,7 @@
 
 /// Starts a backend that authenticates callers with key sets of this issuer. Its runtime is not ready yet; `change` may
 /// edit the start file.
-fn backend(issuer: &Issuer, change: impl FnOnce(&mut Value)) -> Backend {
+fn start_backend(issuer: &Issuer, change: impl FnOnce(&mut Value)) -> Backend {
     let backend = Backend::start_before_runtime(|config| {
         config["settings"]["tenants"] = json!([{}, {}]);
         config["identity"] = json!({
@@ -83,10 +83,10 @@
     backend
 }
 
-fn serving() -> (Issuer, Backend) {
+fn start_issuer_and_backend() -> (Issuer, Backend) {
     let issuer = Issuer::start().unwrap();
     issuer.publish(1, key_set(1, json!({"tokens": ["gone"]})));
-    let backend = backend(&issuer, |_| ());
+    let backend = start_backend(&issuer, |_| ());
     backend.runtime.set_ready();
     backend.counters_until(|count| count("keys_adopted") == 1 && count("links") == 1);
     (issuer, backend)
@@ -135,7 +135,7 @@
     reason = "one scenario, read from top to bottom"
 )]
 fn known_callers_are_served_and_unknown_ones_rejected_before_their_request_is_read() {
-    let (_issuer, backend) = serving();
+    let (_issuer, backend) = start_issuer_and_backend();
     let mut edge = backend.connect();
     for (n, id) in [(1, ID_A), (2, ID_B)] {
         let token = default_token(n, "north");
@@ -202,7 +202,7 @@
 
 #[test]
 fn a_role_permits_its_request_classes_within_its_limits_and_excess_gets_a_retry_after() {
-    let (_issuer, backend) = serving();
+    let (_issuer, backend) = start_issuer_and_backend();
     let mut edge = backend.connect();
     let clerk = token(2, "north", |claims| claims["roles"] = json!(["clerk"]));
     let foreign = token(2, "south", |claims| claims["roles"] = json!(["clerk"]));
@@ -255,7 +255,7 @@
 
 #[test]
 fn a_retry_gets_its_result_with_a_new_token_and_another_tenant_does_not() {
-    let (issuer, backend) = serving();
+    let (issuer, backend) = start_issuer_and_backend();
     let mut edge = backend.connect();
     let old = default_token(1, "north");
     edge.send_task(1, "bid", ID_A, &[authorization(&old), KEY]);
@@ -317,7 +317,7 @@
 fn revoking_a_caller_ends_queued_requests_keeps_running_ones_and_blocks_retries() {
     let issuer = Issuer::start().unwrap();
     issuer.publish(1, key_set(1, json!({})));
-    let backend = backend(&issuer, |config| {
+    let backend = start_backend(&issuer, |config| {
         config["settings"]["extra"]["cores"] = json!(1)
     });
     backend.runtime.set_ready();
@@ -377,7 +377,7 @@
 #[test]
 fn without_a_current_key_set_callers_are_unavailable_and_requests_that_ran_are_not_denied() {
     let issuer = Issuer::start().unwrap();
-    let backend = backend(&issuer, |config| {
+    let backend = start_backend(&issuer, |config| {
         config["identity"]["max_age_ms"] = json!(1500)
     });
     backend.runtime.set_ready();
@@ -431,7 +431,7 @@
 
 #[test]
 fn a_faulty_issuer_changes_nothing() {
-    let (issuer, backend) = serving();
+    let (issuer, backend) = start_issuer_and_backend();
     let mut edge = backend.connect();
     issuer.publish(2, key_set(2, json!({"subjects": ["north/bob"]})));
     backend.counters_until(|count| count("keys_adopted") == 2);
@@ -484,7 +484,7 @@
 
 #[test]
 fn a_reloaded_start_file_changes_permissions_at_once_and_can_not_disable_identity() {
-    let (issuer, mut backend) = serving();
+    let (issuer, mut backend) = start_issuer_and_backend();
     let mut edge = backend.connect();
     let good = default_token(2, "north");
     assert_page_is_served(&backend, &mut edge, 1, ID_A, &good);
@@ -518,7 +518,7 @@
     let file = std::env::temp_dir().join(format!("asterdale-set-{}", std::process::id()));
     std::fs::write(&file, key_set(1, json!({}))).unwrap();
     let issuer = Issuer::start().unwrap();
-    let mut backend = backend(&issuer, |config| {
+    let mut backend = start_backend(&issuer, |config| {
         config["identity"]["keys"] = json!({"file": file})
     });
     backend.runtime.set_ready();
@@ -559,7 +559,7 @@
 
 #[test]
 fn health_checks_need_no_token_and_tokens_are_ignored_without_identity() {
-    let (_issuer, backend) = serving();
+    let (_issuer, backend) = start_issuer_and_backend();
     let mut edge = backend.connect();
     edge.send(&asterdale_testkit::scripted::request(
         1,
@@ -588,7 +588,7 @@
     std::fs::set_permissions(&folder, std::os::unix::fs::PermissionsExt::from_mode(0o700)).unwrap();
     let issuer = Issuer::start().unwrap();
     issuer.publish(1, key_set(1, json!({"keys": ["k1"]})));
-    let backend = backend(&issuer, |config| {
+    let backend = start_backend(&issuer, |config| {
         config["upgrade"] = json!({"control": folder.join("control")})
     });
     backend.runtime.set_ready();
--- a/crates/asterdale-daemon/tests/journal.rs
+++ b/crates/asterdale-daemon/tests/journal.rs
@@ -24,8 +24,8 @@
     folder
 }
 
-/// A backend with this journal directory, whose runtime is ready.
-fn backend(folder: &Path) -> Backend {
+/// Starts a backend with this journal directory, whose runtime is ready.
+fn start_backend(folder: &Path) -> Backend {
     let backend = Backend::start_before_runtime(|config| {
         config["journal"] = json!({"folder": folder, "disk_mb": 16});
         for class in config["settings"]["lanes"].as_array_mut().unwrap() {
@@ -72,7 +72,7 @@
 )]
 fn intents_and_outcomes_are_written_first_and_no_keyed_request_runs_again_after_a_crash() {
     let folder = journal_folder("crash");
-    let mut backend = backend(&folder);
+    let mut backend = start_backend(&folder);
     let mut edge = backend.connect();
     // An empty directory may be a lost one: no answer says that a request never ran, and no keyed request runs.
     edge.send_task(1, "bid", "00000000000000a0", &[KEY]);
--- a/crates/asterdale-daemon/tests/registry.rs
+++ b/crates/asterdale-daemon/tests/registry.rs
@@ -15,7 +15,7 @@
 }
 
 /// Starts a registry that passes its reports to the test unanswered.
-fn registry() -> (SocketAddr, Receiver<Report>) {
+fn start_registry() -> (SocketAddr, Receiver<Report>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (sender, reports) = channel();
@@ -43,7 +43,7 @@
 
 #[test]
 fn an_unanswered_report_does_not_delay_the_next_one() {
-    let (address, reports) = registry();
+    let (address, reports) = start_registry();
     let backend = Backend::start_before_runtime(|config| config["registry"] = json!(address));
     let next = || reports.recv_timeout(WAIT_TIMEOUT).expect("no report came");
     let (first, second) = (next(), next());
@@ -60,7 +60,7 @@
 
 #[test]
 fn draining_is_reported_after_many_address_changes_while_reports_are_unanswered() {
-    let (old, new) = (registry(), registry());
+    let (old, new) = (start_registry(), start_registry());
     let mut backend = Backend::start_before_runtime(|config| config["registry"] = json!(old.0));
     old.1.recv_timeout(WAIT_TIMEOUT).expect("no report came");
     // More address changes than a mailbox with a few slots holds while a report is unanswered. The command to report
--- a/crates/asterdale-daemon/tests/runtime.rs
+++ b/crates/asterdale-daemon/tests/runtime.rs
@@ -40,8 +40,7 @@
 }
 
 #[test]
-fn a_server_with_a_request_before_its_runtime_is_ready_is_in_slow_start_until_the_runtime_reports()
-{
+fn a_server_is_in_slow_start_until_its_runtime_is_ready_and_reports_otherwise() {
     let backend = Backend::start_before_runtime(|_| ());
     let mut edge = backend.connect();
     edge.send_task(1, "page", ID_A, &[]);
--- a/crates/asterdale-daemon/tests/sockets.rs
+++ b/crates/asterdale-daemon/tests/sockets.rs
@@ -220,15 +220,15 @@
 
 #[test]
 fn a_call_is_repeated_when_the_records_service_refuses_connections() {
-    let at = unused_address();
-    let backend = Backend::start_before_runtime(|config| config["records"] = json!(at));
+    let address = unused_address();
+    let backend = Backend::start_before_runtime(|config| config["records"] = json!(address));
     backend.runtime.set_ready();
     let mut edge = backend.connect();
     edge.send_task(1, "bid", ID_A, &[KEY]);
     backend.runtime.expect_command("start");
     backend.runtime.send_call_request(ID_A, b"need");
     backend.counters_until(|count| count("calls_failed") >= 2);
-    let listener = TcpListener::bind(at).unwrap();
+    let listener = TcpListener::bind(address).unwrap();
     listener.accept().unwrap(); // the service listens now, and the call is made
 }
 
@@ -664,8 +664,8 @@
 
 #[test]
 fn an_invalid_start_file_is_reported_in_one_line() {
-    let at = "127.0.0.1:1".parse().unwrap();
-    let mut config = start_file_json(at, at, at, at);
+    let address = "127.0.0.1:1".parse().unwrap();
+    let mut config = start_file_json(address, address, address, address);
     config["runtime"] = json!("nowhere");
     let (child, file) = launch(&config);
     let output = child.wait_with_output().unwrap();
@@ -682,8 +682,8 @@
 fn the_daemon_waits_for_an_address_that_is_still_in_use() {
     let mut other_listener = None;
     let backend = Backend::start_before_runtime(|config| {
-        let at: std::net::SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
-        other_listener = Some(TcpListener::bind(at).unwrap());
+        let address: std::net::SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
+        other_listener = Some(TcpListener::bind(address).unwrap());
     });
     wait_until("the log line", || {
         backend
--- a/crates/asterdale-daemon/tests/tenants.rs
+++ b/crates/asterdale-daemon/tests/tenants.rs
@@ -8,7 +8,7 @@
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 const TENANTS: [&str; 3] = ["north", "river", "port"];
 
-fn backend() -> Backend {
+fn start_backend() -> Backend {
     let backend = Backend::start_before_runtime(|config| {
         let tenants =
             TENANTS.map(|name| json!({"name": name, "allowancePerS": 50.0, "portion": 0.3}));
@@ -21,7 +21,7 @@
 
 #[test]
 fn idempotency_keys_are_separate_per_tenant_and_an_unknown_tenant_is_rejected() {
-    let backend = backend();
+    let backend = start_backend();
     let mut edge = backend.connect();
     for (number, tenant) in (1u16..).zip(TENANTS) {
         let id = format!("{number:016x}");
@@ -66,7 +66,7 @@
 /// the result of its own run.
 #[test]
 fn interleaved_requests_of_several_tenants_never_get_each_others_results() {
-    let backend = backend();
+    let backend = start_backend();
     let mut edges: Vec<EdgeConnection> = (0..3).map(|_| backend.connect()).collect();
     let mut random = 7u64;
     for round in 0..40u64 {
