--- a/crates/asterdale-daemon/tests/identity.rs
+++ b/crates/asterdale-daemon/tests/identity.rs
@@ -21,7 +21,7 @@
 }
 
 /// A signed key set with keys 1 to 4 (outgoing, active, announced, retired) and these revocations.
-fn set(seq: u64, revoked: Value) -> String {
+fn key_set(seq: u64, revoked: Value) -> String {
     let now = unix_ms();
     let jwk = |n: u8, from: f64, until: Option<f64>| {
         let mut jwk = json!({"kty": "OKP", "crv": "Ed25519", "kid": format!("k{n}"),
@@ -65,8 +65,9 @@
     token(n, tenant, |_| ())
 }
 
-/// A backend that authenticates callers, with key sets of this issuer; it may not be up yet after `change`.
-fn backend(issuer: &Issuer, change: impl FnOnce(&mut Value)) -> Backend {
+/// Starts a backend that authenticates callers with key sets of this issuer. Its runtime is not ready yet; `change` may
+/// edit the start file.
+fn start_backend(issuer: &Issuer, change: impl FnOnce(&mut Value)) -> Backend {
     let backend = Backend::start_before_runtime(|config| {
         config["settings"]["tenants"] = json!([{}, {}]);
         config["identity"] = json!({
@@ -78,14 +79,14 @@
                 {"name": "south", "customer": 1, "roles": ["phone"]}]});
         change(config);
     });
-    drop(backend.connect()); // it listens: from here on signals are heard
+    drop(backend.connect()); // it listens, so its signal handlers are installed
     backend
 }
 
-fn serving() -> (Issuer, Backend) {
+fn start_issuer_and_backend() -> (Issuer, Backend) {
     let issuer = Issuer::start().unwrap();
-    issuer.publish(1, set(1, json!({"tokens": ["gone"]})));
-    let backend = backend(&issuer, |_| ());
+    issuer.publish(1, key_set(1, json!({"tokens": ["gone"]})));
+    let backend = start_backend(&issuer, |_| ());
     backend.runtime.set_ready();
     backend.counters_until(|count| count("keys_adopted") == 1 && count("links") == 1);
     (issuer, backend)
@@ -134,7 +135,7 @@
     reason = "one scenario, read from top to bottom"
 )]
 fn known_callers_are_served_and_unknown_ones_rejected_before_their_request_is_read() {
-    let (_issuer, backend) = serving();
+    let (_issuer, backend) = start_issuer_and_backend();
     let mut edge = backend.connect();
     for (n, id) in [(1, ID_A), (2, ID_B)] {
         let token = default_token(n, "north");
@@ -191,7 +192,7 @@
         ("403", "forbidden")
     );
     assert_eq!(backend.runtime.try_next_command(), None);
-    // None of them became a task: the decisions have seen two.
+    // None of them was accepted: only the first two requests reached the policies.
     backend.counters_until(|count| {
         count("tasks_taken") == 2
             && count("callers_unknown") == 11
@@ -201,7 +202,7 @@
 
 #[test]
 fn a_role_permits_its_request_classes_within_its_limits_and_excess_gets_a_retry_after() {
-    let (_issuer, backend) = serving();
+    let (_issuer, backend) = start_issuer_and_backend();
     let mut edge = backend.connect();
     let clerk = token(2, "north", |claims| claims["roles"] = json!(["clerk"]));
     let foreign = token(2, "south", |claims| claims["roles"] = json!(["clerk"]));
@@ -225,14 +226,14 @@
         )),
         ("403", "forbidden")
     );
-    let dear = [authorization(&clerk), ("HTTP_X_COST_MS", "20.5")];
+    let expensive = [authorization(&clerk), ("HTTP_X_COST_MS", "20.5")];
     assert_eq!(
-        denied(&request(&mut edge, 3, "page", ID_A, &dear)),
+        denied(&request(&mut edge, 3, "page", ID_A, &expensive)),
         ("403", "forbidden")
     );
     edge.send_task(4, "page", ID_A, &[authorization(&clerk)]);
     backend.runtime.expect_command("start");
-    // One concurrency permit, which is released when the run ends; then the rate.
+    // The role has one concurrency permit, which is released when the run ends; then its rate is the limit.
     assert_eq!(
         denied(&request(
             &mut edge,
@@ -254,7 +255,7 @@
 
 #[test]
 fn a_retry_gets_its_result_with_a_new_token_and_another_tenant_does_not() {
-    let (issuer, backend) = serving();
+    let (issuer, backend) = start_issuer_and_backend();
     let mut edge = backend.connect();
     let old = default_token(1, "north");
     edge.send_task(1, "bid", ID_A, &[authorization(&old), KEY]);
@@ -315,8 +316,8 @@
 )]
 fn revoking_a_caller_ends_queued_requests_keeps_running_ones_and_blocks_retries() {
     let issuer = Issuer::start().unwrap();
-    issuer.publish(1, set(1, json!({})));
-    let backend = backend(&issuer, |config| {
+    issuer.publish(1, key_set(1, json!({})));
+    let backend = start_backend(&issuer, |config| {
         config["settings"]["extra"]["cores"] = json!(1)
     });
     backend.runtime.set_ready();
@@ -329,8 +330,8 @@
     edge.send_task(1, "bid", ID_A, &[authorization(&ann), KEY]);
     backend.runtime.expect_command("start");
     // These are queued: the limit is at its minimum, one core.
-    let held = [(2, ID_B), (3, ID_C)];
-    for (number, id) in held {
+    let queued = [(2, ID_B), (3, ID_C)];
+    for (number, id) in queued {
         edge.send_task(
             number,
             "bid",
@@ -340,7 +341,7 @@
     }
     other.send_task(1, "bid", ID_D, &[authorization(&bob), KEY]);
     backend.counters_until(|count| count("tasks_taken") == 4);
-    issuer.publish(2, set(2, json!({"subjects": ["north/ann"]})));
+    issuer.publish(2, key_set(2, json!({"subjects": ["north/ann"]})));
     let mut ended = [edge.read_response().unwrap(), edge.read_response().unwrap()];
     ended.sort_by_key(|answer| answer.request);
     assert_eq!(ended.each_ref().map(denied), [("401", "unknown"); 2]);
@@ -376,7 +377,7 @@
 #[test]
 fn without_a_current_key_set_callers_are_unavailable_and_requests_that_ran_are_not_denied() {
     let issuer = Issuer::start().unwrap();
-    let backend = backend(&issuer, |config| {
+    let backend = start_backend(&issuer, |config| {
         config["identity"]["max_age_ms"] = json!(1500)
     });
     backend.runtime.set_ready();
@@ -389,7 +390,7 @@
         "{}",
         answer.head
     );
-    issuer.publish(1, set(1, json!({})));
+    issuer.publish(1, key_set(1, json!({})));
     backend.counters_until(|count| count("keys_adopted") == 1);
     edge.send_task(2, "bid", ID_A, &[authorization(&good), KEY]);
     backend.runtime.expect_command("start");
@@ -398,13 +399,13 @@
     issuer.set_behavior(Behavior::Down);
     let other = [authorization(&good), ("HTTP_IDEMPOTENCY_KEY", "other")];
     let mut number = 2;
-    wait_until("the set to grow old", || {
+    wait_until("the expiry of the key set", || {
         number += 1;
         let answer = request(&mut edge, number, "bid", ID_B, &[authorization(&good), KEY]);
         assert!(answer.status() == "500" || answer.body == b"sold");
         answer.status() == "500"
     });
-    // For an idempotency key with a request that ran, the response promises nothing; for another, that it never ran.
+    // If a request with this idempotency key ran, the response does not say that it never ran; for another key it does.
     assert_eq!(
         denied(&request(
             &mut edge,
@@ -419,7 +420,7 @@
         denied(&request(&mut edge, 902, "bid", ID_B, &other)),
         ("503", "unable")
     );
-    issuer.publish(2, set(2, json!({})));
+    issuer.publish(2, key_set(2, json!({})));
     issuer.set_behavior(Behavior::Good);
     backend.counters_until(|count| count("keys_adopted") == 2 && count("issuer_failed") >= 1);
     assert_eq!(
@@ -430,9 +431,9 @@
 
 #[test]
 fn a_faulty_issuer_changes_nothing() {
-    let (issuer, backend) = serving();
+    let (issuer, backend) = start_issuer_and_backend();
     let mut edge = backend.connect();
-    issuer.publish(2, set(2, json!({"subjects": ["north/bob"]})));
+    issuer.publish(2, key_set(2, json!({"subjects": ["north/bob"]})));
     backend.counters_until(|count| count("keys_adopted") == 2);
     let other_root = SecretKey::from_seed([66; 32], "root");
     let head =
@@ -444,7 +445,7 @@
     ));
     let good = default_token(2, "north");
     let bob = token(2, "north", |claims| claims["sub"] = json!("bob"));
-    for (n, mood) in [
+    for (n, behavior) in [
         Behavior::RolledBack,
         Behavior::Malformed,
         Behavior::Forged,
@@ -462,7 +463,7 @@
             refused.set(count("keys_refused"));
             true
         });
-        issuer.set_behavior(mood);
+        issuer.set_behavior(behavior);
         backend.counters_until(|count| {
             count("issuer_failed") > failed.get() || count("keys_refused") > refused.get()
         });
@@ -483,7 +484,7 @@
 
 #[test]
 fn a_reloaded_start_file_changes_permissions_at_once_and_can_not_disable_identity() {
-    let (issuer, mut backend) = serving();
+    let (issuer, mut backend) = start_issuer_and_backend();
     let mut edge = backend.connect();
     let good = default_token(2, "north");
     assert_page_is_served(&backend, &mut edge, 1, ID_A, &good);
@@ -515,9 +516,9 @@
 #[test]
 fn a_key_set_file_is_read_at_the_start_and_on_each_reload() {
     let file = std::env::temp_dir().join(format!("asterdale-set-{}", std::process::id()));
-    std::fs::write(&file, set(1, json!({}))).unwrap();
+    std::fs::write(&file, key_set(1, json!({}))).unwrap();
     let issuer = Issuer::start().unwrap();
-    let mut backend = backend(&issuer, |config| {
+    let mut backend = start_backend(&issuer, |config| {
         config["identity"]["keys"] = json!({"file": file})
     });
     backend.runtime.set_ready();
@@ -525,7 +526,7 @@
     let mut edge = backend.connect();
     let good = default_token(2, "north");
     assert_page_is_served(&backend, &mut edge, 1, ID_A, &good);
-    std::fs::write(&file, set(2, json!({"keys": ["k2"]}))).unwrap();
+    std::fs::write(&file, key_set(2, json!({"keys": ["k2"]}))).unwrap();
     let same = backend.edit_start_file(|_| ());
     backend.reload(&same);
     backend.counters_until(|count| count("keys_adopted") == 2);
@@ -539,7 +540,7 @@
         )),
         ("401", "unknown")
     );
-    // A malformed one leaves the last one in force.
+    // A malformed key set is rejected, and the last one stays in use.
     std::fs::write(&file, "rubbish").unwrap();
     backend.reload(&same);
     backend.counters_until(|count| count("keys_refused") == 1);
@@ -558,7 +559,7 @@
 
 #[test]
 fn health_checks_need_no_token_and_tokens_are_ignored_without_identity() {
-    let (_issuer, backend) = serving();
+    let (_issuer, backend) = start_issuer_and_backend();
     let mut edge = backend.connect();
     edge.send(&asterdale_testkit::scripted::request(
         1,
@@ -586,8 +587,8 @@
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::set_permissions(&folder, std::os::unix::fs::PermissionsExt::from_mode(0o700)).unwrap();
     let issuer = Issuer::start().unwrap();
-    issuer.publish(1, set(1, json!({"keys": ["k1"]})));
-    let backend = backend(&issuer, |config| {
+    issuer.publish(1, key_set(1, json!({"keys": ["k1"]})));
+    let backend = start_backend(&issuer, |config| {
         config["upgrade"] = json!({"control": folder.join("control")})
     });
     backend.runtime.set_ready();
@@ -627,7 +628,7 @@
             &[authorization(&clerk)]
         )),
         ("429", "over"),
-        "its place is taken"
+        "the only concurrency permit is in use"
     );
     assert_eq!(
         request(&mut edge, 3, "bid", ID_C, &[authorization(&north), KEY]).body,
--- a/crates/asterdale-daemon/tests/tenants.rs
+++ b/crates/asterdale-daemon/tests/tenants.rs
@@ -1,4 +1,5 @@
-//! What one tenant sends never meets another's, and a connection that brings management records keeps its requests.
+//! Requests of one tenant never get results of another, and management records on a connection do not affect its
+//! requests.
 
 use asterdale_fastcgi::record_type;
 use asterdale_testkit::scripted::{record, Backend, EdgeConnection, WAIT_TIMEOUT};
@@ -7,7 +8,7 @@
 const KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 const TENANTS: [&str; 3] = ["north", "river", "port"];
 
-fn backend() -> Backend {
+fn start_backend() -> Backend {
     let backend = Backend::start_before_runtime(|config| {
         let tenants =
             TENANTS.map(|name| json!({"name": name, "allowancePerS": 50.0, "portion": 0.3}));
@@ -19,8 +20,8 @@
 }
 
 #[test]
-fn a_key_of_one_tenant_is_none_of_anothers_and_an_unknown_tenant_is_refused() {
-    let backend = backend();
+fn idempotency_keys_are_separate_per_tenant_and_an_unknown_tenant_is_rejected() {
+    let backend = start_backend();
     let mut edge = backend.connect();
     for (number, tenant) in (1u16..).zip(TENANTS) {
         let id = format!("{number:016x}");
@@ -31,7 +32,7 @@
             "{tenant}"
         );
     }
-    // Repeats of each, while all run: each gets its own tenant's result.
+    // A retry of each while all run; each gets the result of its own tenant.
     for (number, tenant) in (11u16..).zip(TENANTS) {
         edge.send_task(
             number,
@@ -61,33 +62,33 @@
     assert_eq!(backend.runtime.try_next_command(), None);
 }
 
-/// Interleaved requests of several tenants on several connections, with numbers used again: each gets the result
-/// of its own run.
+/// Requests of several tenants are interleaved on several connections that reuse their request numbers; each must get
+/// the result of its own run.
 #[test]
 fn interleaved_requests_of_several_tenants_never_get_each_others_results() {
-    let backend = backend();
+    let backend = start_backend();
     let mut edges: Vec<EdgeConnection> = (0..3).map(|_| backend.connect()).collect();
-    let mut chance = 7u64;
+    let mut random = 7u64;
     for round in 0..40u64 {
         let mut open = Vec::new();
-        for (at, edge) in edges.iter_mut().enumerate() {
+        for (edge_index, edge) in edges.iter_mut().enumerate() {
             for number in 1..=4u16 {
-                chance = chance
+                random = random
                     .wrapping_mul(6364136223846793005)
                     .wrapping_add(1442695040888963407);
-                let tenant = TENANTS[(chance >> 33) as usize % TENANTS.len()];
-                let stage = if chance >> 62 == 0 { "bid" } else { "page" };
+                let tenant = TENANTS[(random >> 33) as usize % TENANTS.len()];
+                let class = if random >> 62 == 0 { "bid" } else { "page" };
                 let id = format!(
                     "{:016x}",
-                    (round << 16) | ((at as u64) << 8) | u64::from(number)
+                    (round << 16) | ((edge_index as u64) << 8) | u64::from(number)
                 );
-                let key = format!("{:032x}", chance >> 40);
+                let key = format!("{:032x}", random >> 40);
                 let fields = [
                     ("HTTP_X_TENANT", tenant),
                     ("HTTP_IDEMPOTENCY_KEY", key.as_str()),
                 ];
-                edge.send_task(number, stage, &id, &fields);
-                open.push((at, number, id, tenant));
+                edge.send_task(number, class, &id, &fields);
+                open.push((edge_index, number, id, tenant));
             }
         }
         for _ in 0..open.len() {
@@ -96,17 +97,17 @@
             let (.., tenant) = open
                 .iter()
                 .find(|(_, _, known, _)| known == id)
-                .expect("of this round");
+                .expect("a request of this round");
             backend
                 .runtime
                 .send_run_end(id, "PASS", format!("{id} {tenant}").as_bytes());
         }
-        for (at, edge) in edges.iter_mut().enumerate() {
+        for (edge_index, edge) in edges.iter_mut().enumerate() {
             for _ in 0..4 {
                 let answer = edge.read_response().unwrap();
                 let (.., id, tenant) = open
                     .iter()
-                    .find(|(on, number, ..)| (*on, *number) == (at, answer.request))
+                    .find(|(index, number, ..)| (*index, *number) == (edge_index, answer.request))
                     .unwrap();
                 assert_eq!(answer.body, format!("{id} {tenant}").as_bytes());
             }
@@ -115,12 +116,12 @@
 }
 
 #[test]
-fn management_records_between_requests_cost_a_connection_no_request() {
+fn requests_between_management_records_are_answered() {
     let backend = Backend::start();
     let mut edge = backend.connect();
     edge.stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     for number in 1..=20u16 {
-        // FCGI_GET_VALUES, of no variable.
+        // FCGI_GET_VALUES without variables.
         edge.send(&record(record_type::GET_VALUES, 0, &[]));
         let id = format!("{number:016x}");
         edge.send_task(number, "page", &id, &[]);
@@ -131,7 +132,7 @@
     }
 }
 
-/// The number of the next answer to a request; replies to management records are read over.
+/// The number of the next answer to a request; replies to management records are skipped.
 fn next_answer(edge: &mut EdgeConnection) -> u16 {
     loop {
         match edge.try_read_response() {
