--- a/crates/asterdale-testkit/src/proofs/fleet.rs
+++ b/crates/asterdale-testkit/src/proofs/fleet.rs
@@ -172,7 +172,10 @@
                 Some((first_generations, hash))
                     if *first_generations != generations || *hash != view["hash"] =>
                 {
-                    return Some(format!("the view of {} has other generations", member_name(n)));
+                    return Some(format!(
+                        "the view of {} has other generations",
+                        member_name(n)
+                    ));
                 }
                 Some(_) => {}
             }
@@ -207,7 +210,9 @@
         let elapsed_ms = began.elapsed().as_millis() as u64;
         let exited = self.fleet.exited();
         if let Some(problem) = &problem {
-            eprintln!("{fault_name}: not converged in {elapsed_ms} ms: {problem}; exited: {exited:?}");
+            eprintln!(
+                "{fault_name}: not converged in {elapsed_ms} ms: {problem}; exited: {exited:?}"
+            );
             self.not_converged.push(format!("{fault_name}: {problem}"));
         } else {
             eprintln!("{fault_name}: converged in {elapsed_ms} ms");
--- a/crates/asterdale-testkit/src/proofs/upgrade.rs
+++ b/crates/asterdale-testkit/src/proofs/upgrade.rs
@@ -316,10 +316,7 @@
             *counts.entry("pages that ran again".to_owned()).or_default() += 1;
         }
         if ran > 0 && matches!(request.status.as_str(), "503" | "429") {
-            violations.push(format!(
-                "{} ran although it was rejected",
-                request.id
-            ));
+            violations.push(format!("{} ran although it was rejected", request.id));
         }
         if let Some(key) = &request.key {
             *by_key.entry(key).or_default() += ran;
@@ -548,7 +545,10 @@
     if !violations.is_empty() {
         eprintln!("the first process's log:\n{}", daemon.log().join("\n"));
     }
-    let requests = harness.requests.lock().map_err(|_| "a thread of the proof panicked")?;
+    let requests = harness
+        .requests
+        .lock()
+        .map_err(|_| "a thread of the proof panicked")?;
     let (mut during, mut outside) = (histogram(), histogram());
     let mut answer_times: Vec<f64> = requests.iter().map(|request| request.answered_ms).collect();
     answer_times.sort_by(f64::total_cmp);
